--- a/cmd/flintplan/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -1,4 +1,4 @@
-// Command flintplan judges builds for the edges of one relay: it hears what they counted, votes, and leads them.
+// Command flintspread-controller judges builds for the edges of one relay: it hears what they counted, votes, and leads them.
 package main
 
 import (
@@ -6,19 +6,19 @@
 
 	"github.com/spf13/cobra"
 
-	"flintspread/plan"
-	"flintspread/program"
-	"flintspread/settings"
+	"flintspread/internal/cli"
+	"flintspread/internal/config"
+	"flintspread/internal/controller"
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintplan", Short: "Judges builds and leads the edges of a relay"}
+	root := &cobra.Command{Use: "flintspread-controller", Short: "Judges builds and leads the edges of a relay"}
 	root.AddCommand(
 		&cobra.Command{Use: "run FILE", Short: "Plan by a settings file until SIGTERM", Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return run(args[0]) }},
 		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := settings.ReadPlan(args[0])
+				set, err := config.ReadPlan(args[0])
 				if err == nil {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d stages, link %s\n",
 						args[0], set.Relay, len(set.OpTypes), len(set.Release.Stages), set.Link.Address)
@@ -26,27 +26,29 @@
 				return err
 			}},
 		&cobra.Command{Use: "state DIR", Short: "Print what a stopped planner left in its state folder", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error { return plan.PrintState(cmd.OutOrStdout(), args[0]) }},
+			RunE: func(cmd *cobra.Command, args []string) error {
+				return controller.PrintState(cmd.OutOrStdout(), args[0])
+			}},
 	)
 	root.AddCommand(configCommand())
-	program.Main(root)
+	cli.Main(root)
 }
 
 func run(file string) error {
-	set, err := settings.ReadPlan(file)
+	set, err := config.ReadPlan(file)
 	if err != nil {
 		return err
 	}
-	log, level := program.Logger(set.Log)
-	ctx, stop := program.Until(func() {
-		program.Reload(log, level, func() (settings.Log, error) {
-			set, err := settings.ReadPlan(file)
+	log, level := cli.Logger(set.Log)
+	ctx, stop := cli.Until(func() {
+		cli.Reload(log, level, func() (config.Log, error) {
+			set, err := config.ReadPlan(file)
 			if err != nil {
-				return settings.Log{}, err
+				return config.Log{}, err
 			}
 			return set.Log, nil
 		})
 	})
 	defer stop()
-	return plan.Run(ctx, set, log)
+	return controller.Run(ctx, set, log)
 }
--- a/cmd/flintlab/load.go
+++ b/cmd/flintspread-lab/load.go
@@ -8,13 +8,13 @@
 
 	"github.com/spf13/cobra"
 
-	"flintspread/lab"
-	"flintspread/load"
+	"flintspread/internal/experiment"
+	"flintspread/internal/loadgen"
 )
 
 // loadCommand offers a load to an address.
 func loadCommand() *cobra.Command {
-	p := load.Plan{Ops: lab.Ops()}
+	p := loadgen.Plan{Ops: experiment.Ops()}
 	var trace, out string
 	cmd := &cobra.Command{Use: "load HOST:PORT", Short: "Offer commands at times that do not wait for answers", Args: cobra.ExactArgs(1)}
 	f := cmd.Flags()
@@ -38,13 +38,13 @@
 		p.Address = args[0]
 		if trace != "" {
 			p.Shape.Kind = "trace"
-			if p.Shape.Trace, err = load.ReadTrace(trace); err != nil {
+			if p.Shape.Trace, err = loadgen.ReadTrace(trace); err != nil {
 				return err
 			}
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 		defer stop()
-		o, err := load.Run(ctx, &p, func(t float64, o *load.Outcome) {
+		o, err := loadgen.Run(ctx, &p, func(t float64, o *loadgen.Outcome) {
 			fmt.Fprintf(cmd.ErrOrStderr(), "%5.0f s  %d offered\n", t, o.Offered)
 		})
 		if err != nil {
@@ -52,7 +52,7 @@
 		}
 		o.Print(cmd.OutOrStdout())
 		if out != "" {
-			return o.Save(out, load.NewInputs(p, p.Seed))
+			return o.Save(out, loadgen.NewInputs(p, p.Seed))
 		}
 		return nil
 	}
@@ -63,13 +63,13 @@
 func experimentCommand() *cobra.Command {
 	var bin, out string
 	cmd := &cobra.Command{Use: "experiment FILE.edn", Short: "Play a grid of runs, go on with one that was stopped, write the report", Args: cobra.ExactArgs(1)}
-	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintedge (default: this program's)")
+	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintspread-router (default: this program's)")
 	cmd.Flags().StringVar(&out, "out", "experiment", "the folder of its runs and report")
 	cmd.RunE = func(cmd *cobra.Command, args []string) (err error) {
 		if bin, err = binFolder(bin); err != nil {
 			return err
 		}
-		x, err := lab.ReadExperiment(args[0])
+		x, err := experiment.ReadExperiment(args[0])
 		if err != nil {
 			return err
 		}
@@ -82,5 +82,7 @@
 
 func compareCommand() *cobra.Command {
 	return &cobra.Command{Use: "compare A B", Short: "Tell a difference of two experiments from noise", Args: cobra.ExactArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error { return lab.Compare(args[0], args[1], cmd.OutOrStdout()) }}
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return experiment.Compare(args[0], args[1], cmd.OutOrStdout())
+		}}
 }
--- a/cmd/flintlab/main.go
+++ b/cmd/flintspread-lab/main.go
@@ -1,4 +1,4 @@
-// Command flintlab plays scripted days against real edge processes.
+// Command flintspread-lab plays scripted days against real edge processes.
 package main
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"flintspread/day"
+	"flintspread/internal/scenario"
 )
 
 var errBroken = errors.New("a rule is broken")
 
 func main() {
-	root := &cobra.Command{Use: "flintlab", Short: "Plays days against flintedge and checks the rules", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "flintspread-lab", Short: "Plays days against flintspread-router and checks the rules", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(dayCommand(), witnessCommand(), loadCommand(), experimentCommand(), compareCommand())
 	if err := root.Execute(); err != nil {
 		if !errors.Is(err, errBroken) {
-			fmt.Fprintln(os.Stderr, "flintlab:", err)
+			fmt.Fprintln(os.Stderr, "flintspread-lab:", err)
 		}
 		os.Exit(1)
 	}
@@ -38,7 +38,7 @@
 	var runs, jobs int
 	cmd := &cobra.Command{Use: "day [FILE]", Short: "Play a day, the built-in bad one without a file", Args: cobra.MaximumNArgs(1)}
 	cmd.Flags().StringVar(&jsonFile, "json", "", "write the outcome to this file too")
-	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintedge and flintplan (default: this program's)")
+	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintspread-router and flintspread-controller (default: this program's)")
 	cmd.Flags().StringVar(&keep, "keep", "", "keep the relays' files and logs in this folder")
 	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of clients and kills, instead of the script's")
 	cmd.Flags().BoolVar(&kills, "planner-kills", false, "kill, pause and restart planners and edges; without a file, the planners' day")
@@ -47,17 +47,17 @@
 	cmd.Flags().IntVar(&runs, "runs", 1, "play it so often, each with the next seed")
 	cmd.Flags().IntVar(&jobs, "jobs", 1, "so many at once")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		file := day.BadDay
+		file := scenario.BadDay
 		switch {
 		case health:
-			file = day.HealthDay
+			file = scenario.HealthDay
 		case kills:
-			file = day.PlannerDay
+			file = scenario.PlannerDay
 		}
 		if len(args) > 0 {
 			file = args[0]
 		}
-		script, err := day.Read(file)
+		script, err := scenario.Read(file)
 		if err != nil {
 			return err
 		}
@@ -65,14 +65,14 @@
 			script.Seed = seed
 		}
 		if storm {
-			script.Storm = &day.Storm{Every: 1}
+			script.Storm = &scenario.Storm{Every: 1}
 		}
 		if bin, err = binFolder(bin); err != nil {
 			return err
 		}
 		dir := keep
 		if dir == "" {
-			if dir, err = os.MkdirTemp("", "flintlab-day-"); err != nil {
+			if dir, err = os.MkdirTemp("", "flintspread-lab-day-"); err != nil {
 				return err
 			}
 			defer os.RemoveAll(dir)
@@ -86,7 +86,7 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		out, err := day.Play(script, bin, dir, cmd.ErrOrStderr())
+		out, err := scenario.Play(script, bin, dir, cmd.ErrOrStderr())
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 }
 
 // alone tells how long answers took while planners were away, against the rest.
-func alone(out *day.Outcome) string {
+func alone(out *scenario.Outcome) string {
 	if out.Alone.N == 0 || out.Alive.P99 == 0 {
 		return ""
 	}
@@ -122,7 +122,7 @@
 }
 
 // many plays a day with one seed after the other, some at once, and prints a line for each.
-func many(w io.Writer, script day.Script, bin, dir string, kills bool, runs, jobs int) error {
+func many(w io.Writer, script scenario.Script, bin, dir string, kills bool, runs, jobs int) error {
 	var mu sync.Mutex
 	var worst error
 	var services []float64
@@ -140,7 +140,7 @@
 			if err := os.MkdirAll(into, 0o755); err != nil {
 				return err
 			}
-			out, err := day.Play(&s, bin, into, io.Discard)
+			out, err := scenario.Play(&s, bin, into, io.Discard)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", s.Seed, err)
 			}
@@ -169,7 +169,7 @@
 }
 
 // print shows an outcome; its last line is the verdict.
-func print(w io.Writer, out *day.Outcome) error {
+func print(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, h := range out.History {
 		fmt.Fprintf(w, "  %5.1f s  %s\n", h.At, h.What)
@@ -193,7 +193,7 @@
 }
 
 // verdict writes the line on the rules, after what broke them.
-func verdict(w io.Writer, out *day.Outcome) error {
+func verdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, r := range out.Rules {
 		for _, f := range r.First {
--- a/cmd/flintlab/witness.go
+++ b/cmd/flintspread-lab/witness.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"flintspread/day"
+	"flintspread/internal/scenario"
 )
 
 // witnessCommand compares the time to a back vote with and without a health source, seed by seed in one run.
@@ -18,7 +18,7 @@
 	var seed uint64
 	var runs, jobs int
 	cmd := &cobra.Command{Use: "witness", Short: "Time to a back vote with and without query servers, and good builds that they lie about", Args: cobra.NoArgs}
-	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintedge and flintplan (default: this program's)")
+	cmd.Flags().StringVar(&bin, "bin", "", "the folder of flintspread-router and flintspread-controller (default: this program's)")
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "the first seed")
 	cmd.Flags().IntVar(&runs, "runs", 20, "seeds")
 	cmd.Flags().IntVar(&jobs, "jobs", 1, "so many at once")
@@ -26,19 +26,19 @@
 		if bin, err = binFolder(bin); err != nil {
 			return err
 		}
-		dir, err := os.MkdirTemp("", "flintlab-witness-")
+		dir, err := os.MkdirTemp("", "flintspread-lab-witness-")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
 		var mu sync.Mutex
-		var all []day.Witness
+		var all []scenario.Witness
 		var g errgroup.Group
 		g.SetLimit(jobs)
 		w := cmd.OutOrStdout()
 		for i := range runs {
 			g.Go(func() error {
-				one, err := day.PlayWitness(seed+uint64(i), bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
+				one, err := scenario.PlayWitness(seed+uint64(i), bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
 				if err != nil {
 					return err
 				}
--- a/cmd/flintedge/main.go
+++ b/cmd/flintspread-router/main.go
@@ -1,4 +1,4 @@
-// Command flintedge forwards commands between clients and units, and moves traffic between builds.
+// Command flintspread-router forwards commands between clients and units, and moves traffic between builds.
 package main
 
 import (
@@ -6,14 +6,14 @@
 
 	"github.com/spf13/cobra"
 
-	"flintspread/edge"
-	"flintspread/node"
-	"flintspread/program"
-	"flintspread/settings"
+	"flintspread/internal/cli"
+	"flintspread/internal/config"
+	"flintspread/internal/platform/node"
+	"flintspread/internal/router"
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintedge", Short: "Forwards commands to units while their builds change"}
+	root := &cobra.Command{Use: "flintspread-router", Short: "Forwards commands to units while their builds change"}
 	root.AddCommand(
 		&cobra.Command{Use: "run FILE", Short: "Serve by a settings file; SIGTERM drains and stops", Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return run(args[0]) }},
@@ -21,7 +21,7 @@
 			RunE: func(*cobra.Command, []string) error { return node.Main() }},
 		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := settings.ReadEdge(args[0])
+				set, err := config.ReadEdge(args[0])
 				if err == nil {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d routes, %d stages\n",
 						args[0], set.Relay, len(set.OpTypes), len(set.Routes), len(set.Release.Stages))
@@ -29,24 +29,24 @@
 				return err
 			}},
 	)
-	program.Main(root)
+	cli.Main(root)
 }
 
 func run(file string) error {
-	set, err := settings.ReadEdge(file)
+	set, err := config.ReadEdge(file)
 	if err != nil {
 		return err
 	}
-	log, level := program.Logger(set.Log)
-	ctx, stop := program.Until(func() {
-		program.Reload(log, level, func() (settings.Log, error) {
-			set, err := settings.ReadEdge(file)
+	log, level := cli.Logger(set.Log)
+	ctx, stop := cli.Until(func() {
+		cli.Reload(log, level, func() (config.Log, error) {
+			set, err := config.ReadEdge(file)
 			if err != nil {
-				return settings.Log{}, err
+				return config.Log{}, err
 			}
 			return set.Log, nil
 		})
 	})
 	defer stop()
-	return edge.Run(ctx, set, log)
+	return router.Run(ctx, set, log)
 }
--- a/disk/disk.go
+++ b/internal/boltstore/disk.go
@@ -1,5 +1,5 @@
 // Package disk opens an embedded store so that what is broken shows at once and costs nothing but itself.
-package disk
+package boltstore
 
 import (
 	"errors"
--- a/program/program.go
+++ b/internal/cli/program.go
@@ -1,5 +1,5 @@
 // Package program holds what the programs have in common: exit codes, logging, version, signals.
-package program
+package cli
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"flintspread/settings"
+	"flintspread/internal/config"
 )
 
 // Exit codes.
@@ -31,14 +31,14 @@
 		os.Exit(0)
 	}
 	fmt.Fprintf(os.Stderr, "%s: %v\n", root.Name(), err)
-	if settings.IsFault(err) {
+	if config.IsFault(err) {
 		os.Exit(BadSetting)
 	}
 	os.Exit(Failed)
 }
 
 // Logger gives the log that settings ask for, and its level to change.
-func Logger(l settings.Log) (*slog.Logger, *slog.LevelVar) {
+func Logger(l config.Log) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
 	level.UnmarshalText([]byte(l.Level)) // checked by settings
 	opts := &slog.HandlerOptions{Level: level}
@@ -78,7 +78,7 @@
 
 // Reload reads a settings file anew. Only the log's level changes while the program runs; the rest is checked, so that the
 // next start will not fail on it.
-func Reload(log *slog.Logger, level *slog.LevelVar, read func() (settings.Log, error)) {
+func Reload(log *slog.Logger, level *slog.LevelVar, read func() (config.Log, error)) {
 	l, err := read()
 	if err != nil {
 		log.Error("settings not taken; the last good ones stay", "error", err)
--- a/settings/edge.go
+++ b/internal/config/edge.go
@@ -1,5 +1,5 @@
 // Package settings reads what an edge is told at its start: one EDN file, checked whole before anything listens.
-package settings
+package config
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 	"olympos.io/encoding/edn"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // Edge is one edge's file. Times are seconds with fractions, sizes bytes, shares fractions of 1. Nothing has a value
--- a/settings/given.go
+++ b/internal/config/given.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"github.com/go-playground/validator/v10"
 	"olympos.io/encoding/edn"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // Given makes the settings of a relay that a platform tells what to do: it gives the module's terms and the names of their op
--- a/settings/health.go
+++ b/internal/config/health.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 
 	"olympos.io/encoding/edn"
 
-	"flintspread/health"
-	"flintspread/health/ask"
-	"flintspread/policy"
+	"flintspread/internal/metricsanalysis"
+	"flintspread/internal/metricsanalysis/promquery"
+	"flintspread/internal/policy"
 )
 
 // Health says which query servers a planner asks, and what.
@@ -48,32 +48,32 @@
 	UnitLabel  string      `edn:"unit-label" validate:"required"`      //
 	UnitBy     edn.Keyword `edn:"unit-by" validate:"oneof=id address"` // what the label holds
 	BuildLabel string      `edn:"build-label" validate:"omitempty"`    // optional; else the list says which build a unit is of
-	asked      *ask.Template
-	total      *ask.Template
+	asked      *promquery.Template
+	total      *promquery.Template
 }
 
-var forms = map[edn.Keyword]ask.Form{"samples": ask.Samples, "instant": ask.Instant, "range": ask.Range}
+var forms = map[edn.Keyword]promquery.Form{"samples": promquery.Samples, "instant": promquery.Instant, "range": promquery.Range}
 
 // FormOf is how the answers come.
-func (q *Query) FormOf() ask.Form { return forms[q.Form] }
+func (q *Query) FormOf() promquery.Form { return forms[q.Form] }
 
 // Templates gives the query's templates; total is nil but for counts.
-func (q *Query) Templates() (query, total *ask.Template) { return q.asked, q.total }
+func (q *Query) Templates() (query, total *promquery.Template) { return q.asked, q.total }
 
-var meanings = map[edn.Keyword]health.Meaning{"counts": health.Counts, "quantile": health.Quantile, "saturation": health.Saturation, "probe": health.Probe}
+var meanings = map[edn.Keyword]metricsanalysis.Meaning{"counts": metricsanalysis.Counts, "quantile": metricsanalysis.Quantile, "saturation": metricsanalysis.Saturation, "probe": metricsanalysis.Probe}
 
 // Questions gives the queries as the module of package health takes them.
-func (h *Health) Questions() (list []health.Question) {
+func (h *Health) Questions() (list []metricsanalysis.Question) {
 	for _, q := range h.Queries {
-		list = append(list, health.Question{Name: q.Name, Meaning: meanings[q.Meaning], Kind: slices.Index(policy.Kinds[:], string(q.Kind)),
+		list = append(list, metricsanalysis.Question{Name: q.Name, Meaning: meanings[q.Meaning], Kind: slices.Index(policy.Kinds[:], string(q.Kind)),
 			Stale: q.Stale, Skew: h.Skew, Weight: q.Weight, Limit: q.Limit, Apart: q.Apart})
 	}
 	return list
 }
 
 // Bounds gives what asking may cost.
-func (h *Health) Bounds() health.Bounds {
-	return health.Bounds{ASecond: h.ASecond, AtOnce: h.AtOnce, BackMost: h.BackMost}
+func (h *Health) Bounds() metricsanalysis.Bounds {
+	return metricsanalysis.Bounds{ASecond: h.ASecond, AtOnce: h.AtOnce, BackMost: h.BackMost}
 }
 
 // check finds what the fields alone do not show, and reads the templates.
@@ -113,11 +113,11 @@
 		}
 		kinds[q.Kind] = q.Name
 		var err error
-		if q.asked, err = ask.Read(q.Query, q.FormOf()); err != nil {
+		if q.asked, err = promquery.Read(q.Query, q.FormOf()); err != nil {
 			return fault("query", err.Error())
 		}
 		if counts {
-			if q.total, err = ask.Read(q.Total, q.FormOf()); err != nil {
+			if q.total, err = promquery.Read(q.Total, q.FormOf()); err != nil {
 				return fault("total", err.Error())
 			}
 		}
--- a/settings/health_test.go
+++ b/internal/config/health_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 
 // Each error in the part on query servers names file, line and key; queries are read by the language's own grammar.
 func Example_health() {
-	text, err := os.ReadFile("../deploy/plan.edn")
+	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
 		panic(err)
 	}
--- a/settings/link.go
+++ b/internal/config/link.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"olympos.io/encoding/edn"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // Link is how an edge and its planner reach each other. Over TCP both show a certificate; the files may be replaced while
--- a/settings/place.go
+++ b/internal/config/place.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
--- a/settings/read_test.go
+++ b/internal/config/read_test.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 )
 
 func example() string {
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		panic(err)
 	}
--- a/version/keeper.go
+++ b/internal/configstate/keeper.go
@@ -1,6 +1,6 @@
 // Package version decides which version of the settings is in force: what is taken, what is turned down and why, and what
 // waits for the part that it belongs with. It is free of I/O and clocks: times are seconds on the caller's clock.
-package version
+package configstate
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"flintspread/policy"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/policy"
 )
 
 // Version is one that was read whole. It does not change any more.
@@ -17,7 +17,7 @@
 	No    uint64 // grows; 0 is the file that the program started with
 	Sum   uint64 // of its text
 	Text  []byte
-	Doc   *settings.Document
+	Doc   *config.Document
 	Terms *policy.Terms
 	Needs uint64 // version of the unit list that it belongs with, 0: any
 	slot  map[string]int
@@ -25,7 +25,7 @@
 
 // Read reads a version's text by the reader that reads a file.
 func Read(no uint64, text []byte) (*Version, error) {
-	doc, err := settings.ParseDocument(fmt.Sprintf("version-%d", no), text)
+	doc, err := config.ParseDocument(fmt.Sprintf("version-%d", no), text)
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 }
 
 // NewKeeper begins with the file's own settings. patience is how long a version may wait for what it belongs with.
-func NewKeeper(doc *settings.Document, text []byte, sum uint64, patience float64) *Keeper {
+func NewKeeper(doc *config.Document, text []byte, sum uint64, patience float64) *Keeper {
 	k := &Keeper{patient: patience}
 	k.enter(&Version{Sum: sum, Text: text, Doc: doc})
 	return k
--- a/version/machine_test.go
+++ b/internal/configstate/machine_test.go
@@ -1,4 +1,4 @@
-package version
+package configstate
 
 import (
 	"fmt"
@@ -10,12 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 
-	"flintspread/policy"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/policy"
 )
 
 var example = func() string {
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		panic(err)
 	}
@@ -32,7 +32,7 @@
 	}
 	text := regexp.MustCompile(`(?s):op-types.*`).ReplaceAllString(example, ":op-types ["+ops.String()+"] :routes ["+routes.String()+"]}")
 	text = strings.Replace(text, ":body-bytes  1048576", fmt.Sprintf(":body-bytes %d", 1000+no), 1)
-	doc, err := settings.ParseDocument("made", []byte(text))
+	doc, err := config.ParseDocument("made", []byte(text))
 	if err != nil {
 		panic(err)
 	}
--- a/version/round_test.go
+++ b/internal/configstate/round_test.go
@@ -1,4 +1,4 @@
-package version
+package configstate
 
 import "fmt"
 
--- a/plan/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"flintspread/accord"
-	"flintspread/link"
-	"flintspread/link/linkpb"
-	"flintspread/roster"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
 )
 
 // BenchmarkBeat is one beat of a planner's edges, pure cores in one process: each edge's digest of all units under two
@@ -26,16 +26,16 @@
 				set := exampleSet(b)
 				p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
 				p.begin(1, State{})
-				line := roster.Line{Version: 1, Full: true}
+				line := endpoints.Line{Version: 1, Full: true}
 				for id := range units {
-					line.Units = append(line.Units, roster.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
+					line.Units = append(line.Units, endpoints.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 				}
 				p.list.Take(&line, p.now())
 				line.Tell(p.b, p.now())
 				p.b.Stage(p.now(), 2, 1, 0, 0.5, 0)
 				digests := make([]*linkpb.Digest, edges)
 				for i := range digests {
-					d := &linkpb.Digest{Major: accord.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: p.terms}
+					d := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: p.terms}
 					for id := range units {
 						n := float32(100 + id)
 						d.Tally = append(d.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{n, n, n, n}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
@@ -56,7 +56,7 @@
 						if err := proto.Unmarshal(text, &got); err != nil {
 							b.Fatal(err)
 						}
-						if r := p.digest(&got); r != accord.Taken {
+						if r := p.digest(&got); r != lease.Taken {
 							b.Fatal(r)
 						}
 						view, err := proto.Marshal(p.view(d.Edge, got.ListNo))
@@ -92,7 +92,7 @@
 	set.Sources.List, set.Sources.Installer = url+"/list", url
 	from := time.Now()
 	got := make(chan struct{}, 1)
-	e := &link.EdgeEnd{Set: &set.Link, Log: quiet, Now: func() float64 { return time.Since(from).Seconds() }, Relay: "r1", Edge: "e", Life: 1,
+	e := &controlrpc.EdgeEnd{Set: &set.Link, Log: quiet, Now: func() float64 { return time.Since(from).Seconds() }, Relay: "r1", Edge: "e", Life: 1,
 		Count: func(*linkpb.Digest) {},
 		Take: func(v *linkpb.View, list, stage bool, _ float64) {
 			if v.ListAt > 0 && v.StageNo > 0 {
--- a/plan/duties_test.go
+++ b/internal/controller/duties_test.go
@@ -1,26 +1,26 @@
-package plan
+package controller
 
 import (
 	"io"
 	"log/slog"
 	"testing"
 
-	"flintspread/accord"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 // A planner that is late reads one digest in some and asks no queries, and still knows which edges live, and votes.
 func TestLatePlanner(t *testing.T) {
 	p := newPlanner(exampleSet(t), slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
 	p.begin(1, State{})
-	p.box = &release.Box{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log}
+	p.box = &releases.Box{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log}
 	p.box.Open()
 	p.mu.Lock()
-	(&roster.Line{Full: true, Units: []roster.Unit{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
+	(&endpoints.Line{Full: true, Units: []endpoints.Unit{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).Tell(p.b, p.now())
-	p.enter(release.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
+	p.enter(releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
 	p.turnAt = p.now() - 2 // as after two seconds of standing still
 	p.duties(p.now())
 	p.mu.Unlock()
@@ -28,7 +28,7 @@
 		t.Fatal(p.every.Load())
 	}
 	for seq := uint64(1); seq < 8; seq++ {
-		if r := p.digest(bad(seq)); r != accord.Taken {
+		if r := p.digest(bad(seq)); r != lease.Taken {
 			t.Fatal(r)
 		}
 	}
--- a/plan/health.go
+++ b/internal/controller/health.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"context"
@@ -7,19 +7,19 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"flintspread/health"
-	"flintspread/link/linkpb"
-	"flintspread/policy"
-	"flintspread/prom"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/metricsanalysis"
+	"flintspread/internal/policy"
+	"flintspread/internal/promclient"
 )
 
 // witness is the planner's health source: it gives the policy the counts that it merged, and the edges the marks.
 type witness struct {
 	p      *Planner
-	poller *prom.Poller
+	poller *promclient.Poller
 
 	mu      sync.Mutex // orders the source's calls; it may be taken under the planner's lock, never the other way round
-	source  *health.Source
+	source  *metricsanalysis.Source
 	news    bool // since the counts were handed on
 	marks   []policy.Mark
 	marksNo uint64
@@ -28,14 +28,14 @@
 
 func (p *Planner) newWitness() (w *witness, err error) {
 	set := p.set.Health
-	w = &witness{p: p, source: health.New(set.Questions(), len(set.Servers))}
-	w.poller, err = prom.NewPoller(set, p.log, p.now, w.take)
+	w = &witness{p: p, source: metricsanalysis.New(set.Questions(), len(set.Servers))}
+	w.poller, err = promclient.NewPoller(set, p.log, p.now, w.take)
 	return w, err
 }
 
 func (w *witness) run(ctx context.Context) { w.poller.Run(ctx) }
 
-func (w *witness) take(a *health.Answer) health.Taken {
+func (w *witness) take(a *metricsanalysis.Answer) metricsanalysis.Taken {
 	now := w.p.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,14 +45,14 @@
 
 // know tells the source and the poller what the list says. Under the planner's lock.
 func (w *witness) know() {
-	var units []health.Unit
-	var fleet prom.Fleet
+	var units []metricsanalysis.Unit
+	var fleet promclient.Fleet
 	for u := range w.p.list.All() {
 		if u.State == "gone" {
 			continue
 		}
-		units = append(units, health.Unit{ID: u.ID, Build: u.Build, Since: u.Start})
-		fleet.Units = append(fleet.Units, prom.FleetUnit{ID: u.ID, Addr: u.Addr, Build: u.Build})
+		units = append(units, metricsanalysis.Unit{ID: u.ID, Build: u.Build, Since: u.Start})
+		fleet.Units = append(fleet.Units, promclient.FleetUnit{ID: u.ID, Addr: u.Addr, Build: u.Build})
 		fleet.Builds = append(fleet.Builds, u.Build)
 	}
 	slices.Sort(fleet.Builds)
@@ -75,11 +75,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// Also without news: what a silent server said goes stale.
-	if w.news || now >= w.marksAt+health.MarksEvery {
+	if w.news || now >= w.marksAt+metricsanalysis.MarksEvery {
 		w.p.b.Sourced(w.source.Counted(now))
 		w.news = false
 	}
-	if now < w.marksAt+health.MarksEvery {
+	if now < w.marksAt+metricsanalysis.MarksEvery {
 		return false
 	}
 	marks := w.source.Marks(now)
--- a/plan/health_test.go
+++ b/internal/controller/health_test.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"bytes"
@@ -23,15 +23,15 @@
 	"github.com/prometheus/prometheus/promql/parser"
 	"go.yaml.in/yaml/v3"
 
-	"flintspread/link/linkpb"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/standin"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/releases"
 )
 
 // healthSet is the example's planner with query servers.
-func healthSet(t testing.TB, urls ...string) *settings.Plan {
+func healthSet(t testing.TB, urls ...string) *config.Plan {
 	var servers []string
 	for i, u := range urls {
 		servers = append(servers, fmt.Sprintf("{:name \"q%d\" :url %q}", i+1, u))
@@ -48,11 +48,11 @@
 }
 
 // shows is what unit id of a build has counted.
-func shows(id, build int, all, wrong, up float64) (list []standin.Scrape) {
+func shows(id, build int, all, wrong, up float64) (list []fakes.Scrape) {
 	l := map[string]string{"unit": strconv.Itoa(id), "build": strconv.Itoa(build)}
 	for name, v := range map[string]float64{"unit_answers_total": all, "unit_wrong_total": wrong, "unit_errors_total": 0, "unit_probe_success": up,
 		"unit_busy": 0.1, "unit_answer_seconds": 0.05} {
-		list = append(list, standin.Scrape{Name: name, Labels: l, Value: v})
+		list = append(list, fakes.Scrape{Name: name, Labels: l, Value: v})
 	}
 	return list
 }
@@ -60,11 +60,11 @@
 // A pair of query servers beside an edge that saw two wrong answers only: the source lifts that to a back vote, marks units
 // for the edges, and when both servers die the marks end and the votes rest on what the edge saw.
 func TestWitness(t *testing.T) {
-	var servers []*standin.Queries
+	var servers []*fakes.Queries
 	var urls []string
 	wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 	for range 2 {
-		q, err := standin.StartQueries(wall)
+		q, err := fakes.StartQueries(wall)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,23 +78,23 @@
 		t.Fatal(err)
 	}
 	p.begin(1, State{})
-	h := &hall{news: release.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	h := &hall{news: releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
 	p.store, _, _, err = Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.store.Close()
-	p.box = &release.Box{Relay: "r1", URL: h.serve(t), Timeout: 0.5, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
+	p.box = &releases.Box{Relay: "r1", URL: h.serve(t), Timeout: 0.5, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
 	p.box.Open()
-	line := &roster.Line{Version: 1, Full: true}
+	line := &endpoints.Line{Version: 1, Full: true}
 	for id := 1; id <= 4; id++ {
-		line.Units = append(line.Units, roster.Unit{ID: uint32(id), Addr: "127.0.0.1:1", State: "ready", Build: 1 + (id-1)/2})
+		line.Units = append(line.Units, endpoints.Unit{ID: uint32(id), Addr: "127.0.0.1:1", State: "ready", Build: 1 + (id-1)/2})
 	}
 	p.saves = make(chan struct{}, 1)
 	if err := p.takeList(line); err != nil {
 		t.Fatal(err)
 	}
-	p.enter(release.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
+	p.enter(releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
 	own := func(seq uint64, flags float32) {
 		d := bad(seq)
 		for _, x := range d.Tally {
@@ -145,7 +145,7 @@
 	})
 	_, no := marks()
 	for _, q := range servers {
-		q.Ail(standin.Dead)
+		q.Ail(fakes.Dead)
 	}
 	soon(t, "the marks end with the servers", func() bool {
 		m, now := marks()
@@ -161,7 +161,7 @@
 
 // The example rules and alerts read well, and name numbers that the programs give.
 func TestRulesFile(t *testing.T) {
-	text, err := os.ReadFile("../deploy/prometheus-rules.yml")
+	text, err := os.ReadFile("../../deploy/prometheus-rules.yml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	given := map[string]bool{}
-	for _, file := range []string{"../edge/numbers.go", "numbers.go", "../prom/poll.go"} {
+	for _, file := range []string{"../router/numbers.go", "numbers.go", "../promclient/poll.go"} {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -224,9 +224,9 @@
 		b.Run(fmt.Sprintf("units-%d", units), func(b *testing.B) {
 			wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 			var urls []string
-			var servers []*standin.Queries
+			var servers []*fakes.Queries
 			for range 2 {
-				q, err := standin.StartQueries(wall)
+				q, err := fakes.StartQueries(wall)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -242,20 +242,20 @@
 			if p.witness, err = p.newWitness(); err != nil {
 				b.Fatal(err)
 			}
-			p.box = &release.Box{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log} // nobody takes the votes out of it
+			p.box = &releases.Box{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log} // nobody takes the votes out of it
 			p.box.Open()
-			line := &roster.Line{Version: 1, Full: true}
+			line := &endpoints.Line{Version: 1, Full: true}
 			for id := range units {
-				line.Units = append(line.Units, roster.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
+				line.Units = append(line.Units, endpoints.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 			}
 			p.begin(1, State{})
 			p.takeList(line)
-			p.enter(release.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
+			p.enter(releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
 			n := 0.0
 			scrape := func() {
 				n += 10
 				for _, q := range servers {
-					var list []standin.Scrape
+					var list []fakes.Scrape
 					for id := range units {
 						list = append(list, shows(id+1, 1+id%2, n, n/10, 1)...)
 					}
--- a/plan/numbers.go
+++ b/internal/controller/numbers.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"flintspread/accord"
+	"flintspread/internal/lease"
 )
 
 type numbers struct{ p *Planner }
@@ -54,7 +54,7 @@
 	gauge(edges, float64(p.leader.Edges()))
 	gauge(lent, p.leader.Lent(now))
 	total(digested, p.digests)
-	for r := accord.Taken + 1; int(r) < accord.Reasons; r++ {
+	for r := lease.Taken + 1; int(r) < lease.Reasons; r++ {
 		total(refusedD, p.leader.Refused[r], r.String())
 	}
 	total(viewed, p.views)
--- a/plan/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	"testing"
 	"time"
 
-	"flintspread/accord"
-	"flintspread/disk"
-	"flintspread/link/linkpb"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/version"
+	"flintspread/internal/boltstore"
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 // A child that saves votes without end, to be killed.
@@ -41,8 +41,8 @@
 			from = st.Vote.Build
 		}
 		for i := from + 1; ; i++ {
-			list := &roster.List{}
-			_, err := list.Take(&roster.Line{Version: uint64(i), Full: true, Units: []roster.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: i % 1000}}}, float64(i))
+			list := &endpoints.List{}
+			_, err := list.Take(&endpoints.Line{Version: uint64(i), Full: true, Units: []endpoints.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: i % 1000}}}, float64(i))
 			if err := errors.Join(err, s.List(list), s.Vote(Ballot{Build: i, Sure: true})); err != nil {
 				fmt.Println(err)
 				os.Exit(1)
@@ -97,11 +97,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		line := &roster.Line{Version: 3, Full: true}
+		line := &endpoints.Line{Version: 3, Full: true}
 		for id := range uint32(2000) {
-			line.Units = append(line.Units, roster.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready"})
+			line.Units = append(line.Units, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready"})
 		}
-		list := &roster.List{}
+		list := &endpoints.List{}
 		_, err = list.Take(line, 1)
 		if err := errors.Join(err, s.List(list), s.Vote(Ballot{Build: 2}), s.Close()); err != nil {
 			t.Fatal(err)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, _, _, err := Open(dir); !errors.Is(err, disk.ErrInUse) {
+	if _, _, _, err := Open(dir); !errors.Is(err, boltstore.ErrInUse) {
 		t.Errorf("a second planner on the same state: %v", err)
 	}
 }
@@ -156,8 +156,8 @@
 // hall is the services around a planner: a list, an installer that keeps what it was told, in a fixed state.
 type hall struct {
 	mu    sync.Mutex
-	votes []release.Ballot
-	news  release.News
+	votes []releases.Ballot
+	news  releases.News
 	hold  bool // votes are taken and not answered
 }
 
@@ -172,17 +172,17 @@
 		}
 	}
 	mux.HandleFunc("GET /list", func(w http.ResponseWriter, req *http.Request) {
-		line := roster.Line{Version: 1, Full: true}
+		line := endpoints.Line{Version: 1, Full: true}
 		for id := range uint32(4) {
-			line.Units = append(line.Units, roster.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, Start: 1000})
+			line.Units = append(line.Units, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, Start: 1000})
 		}
-		stream(w, req, func() any { l := line; line = roster.Line{Version: 1}; return l })
+		stream(w, req, func() any { l := line; line = endpoints.Line{Version: 1}; return l })
 	})
 	mux.HandleFunc("GET /stage", func(w http.ResponseWriter, req *http.Request) {
 		stream(w, req, func() any { h.mu.Lock(); defer h.mu.Unlock(); return h.news })
 	})
 	mux.HandleFunc("POST /vote", func(w http.ResponseWriter, req *http.Request) {
-		var b release.Ballot
+		var b releases.Ballot
 		json.NewDecoder(req.Body).Decode(&b)
 		h.mu.Lock()
 		h.votes = append(h.votes, b)
@@ -210,19 +210,19 @@
 	return verdicts
 }
 
-func exampleSet(t testing.TB, changes ...string) *settings.Plan {
-	text, err := os.ReadFile("../deploy/plan.edn")
+func exampleSet(t testing.TB, changes ...string) *config.Plan {
+	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.ParsePlan("plan.edn", []byte(strings.NewReplacer(changes...).Replace(string(text))))
+	set, err := config.ParsePlan("plan.edn", []byte(strings.NewReplacer(changes...).Replace(string(text))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return set
 }
 
-func setOf(t *testing.T, dir, url string, backVotes int) *settings.Plan {
+func setOf(t *testing.T, dir, url string, backVotes int) *config.Plan {
 	set := exampleSet(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", backVotes))
 	set.StateDir, set.Admin, set.Sources.List, set.Sources.Installer = dir, "127.0.0.1:0", url+"/list", url
 	set.Link.Address = "unix:" + filepath.Join(dir, "s")
@@ -231,7 +231,7 @@
 
 // bad is the digest of an edge that saw the trial build fail.
 func bad(seq uint64) *linkpb.Digest {
-	d := &linkpb.Digest{Major: accord.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: seq, Build: 2, Rate: 100}
+	d := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: seq, Build: 2, Rate: 100}
 	for id := range uint32(4) {
 		fails := float32(id/2) * 50
 		d.Tally = append(d.Tally, &linkpb.Tally{Unit: id + 1, Build: 1 + int32(id)/2, N: []float32{100, 100, 100, 100}, Bad: []float32{0, fails, 0, 0}})
@@ -240,7 +240,7 @@
 }
 
 // run runs a planner; the function that it gives stops it.
-func run(t *testing.T, set *settings.Plan) (stop func() error) {
+func run(t *testing.T, set *config.Plan) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- Run(ctx, set, slog.New(slog.NewTextHandler(io.Discard, nil))) }()
@@ -273,7 +273,7 @@
 		{"unsure, of an earlier build", 2, Ballot{Build: 1, Verdict: policy.VoteBack}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := &hall{news: release.News{Version: 4, Build: 2, Phase: "released", Cap: 1}}
+			h := &hall{news: releases.News{Version: 4, Build: 2, Phase: "released", Cap: 1}}
 			dir := t.TempDir()
 			s, _, _, err := Open(dir)
 			if err != nil {
@@ -301,7 +301,7 @@
 
 // Evidence of an edge brings the vote back; killed before the reply, the vote is on disk as unsure.
 func TestVoteIsNotedBeforeItLeaves(t *testing.T) {
-	h := &hall{hold: true, news: release.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	h := &hall{hold: true, news: releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
 	dir := t.TempDir()
 	set := setOf(t, dir, h.serve(t), 1)
 	s, _, _, err := Open(dir)
@@ -310,14 +310,14 @@
 	}
 	p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), s)
 	p.begin(1, State{News: &h.news, At: p.now()})
-	(&roster.Line{Full: true, Units: []roster.Unit{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
+	(&endpoints.Line{Full: true, Units: []endpoints.Unit{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).Tell(p.b, p.now())
-	p.box = &release.Box{Relay: "r1", URL: set.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
+	p.box = &releases.Box{Relay: "r1", URL: set.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
 	p.box.Open()
-	if r := p.digest(bad(1)); r != accord.Taken {
+	if r := p.digest(bad(1)); r != lease.Taken {
 		t.Fatal(r)
 	}
-	if r := p.digest(bad(1)); r != accord.OldNumber {
+	if r := p.digest(bad(1)); r != lease.OldNumber {
 		t.Error("the same digest twice:", r)
 	}
 	p.turn()
@@ -337,7 +337,7 @@
 // Whole after one message: a planner that knows nothing gives a view that binds as soon as it has heard list and stage, and
 // the list goes along only to those who lack it.
 func TestNewbornPlanner(t *testing.T) {
-	h := &hall{news: release.News{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
+	h := &hall{news: releases.News{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
 	set := setOf(t, t.TempDir(), h.serve(t), 1)
 	s, _, _, err := Open(set.StateDir)
 	if err != nil {
@@ -353,7 +353,7 @@
 	if err := p.takeNews(&h.news); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.takeList(&roster.Line{Version: 7, Full: true, Units: []roster.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
+	if err := p.takeList(&endpoints.Line{Version: 7, Full: true, Units: []endpoints.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
 		t.Fatal(err)
 	}
 	if v := p.view("e", 0); v.StageNo != 4 || v.Cap != 0.5 || v.Stage != 1 || !v.HasList || len(v.Units) != 1 {
@@ -367,7 +367,7 @@
 	if err := p.takeNews(&old); err != nil || p.view("e", 7).Cap != 0.5 {
 		t.Error("old news widened the cap", err)
 	}
-	if err := p.takeNews(&release.News{Version: 9, Phase: "later"}); err == nil {
+	if err := p.takeNews(&releases.News{Version: 9, Phase: "later"}); err == nil {
 		t.Error("took news of an unknown phase")
 	}
 }
@@ -388,14 +388,14 @@
 // A version that the planner takes and an edge can not is turned down for all; one that all can take is in force at the planner
 // and goes along to the edges; an edge that starts anew is led to it.
 func TestVersionsThroughEdges(t *testing.T) {
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
 	doc := "{" + string(text[strings.Index(string(text), ":schema"):])
 	h := &hall{}
 	set := setOf(t, t.TempDir(), h.serve(t), 1)
-	set.Control = &settings.Control{Patience: 0.5}
+	set.Control = &config.Control{Patience: 0.5}
 	s, _, _, err := Open(set.StateDir)
 	if err != nil {
 		t.Fatal(err)
@@ -409,22 +409,22 @@
 	seq := uint64(0)
 	say := func(edge string, inForce, fits, refused uint64, reason string) *linkpb.View {
 		seq++
-		p.digest(&linkpb.Digest{Major: accord.SchemaMajor, Relay: "r1", Edge: edge, Life: 1, Seq: seq, ConfigNo: inForce, ConfigFits: fits,
+		p.digest(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: edge, Life: 1, Seq: seq, ConfigNo: inForce, ConfigFits: fits,
 			ConfigRefused: refused, ConfigReason: reason})
 		return p.view(edge, 0)
 	}
-	var last *version.Version
+	var last *configstate.Version
 	propose := func(no uint64, text string) {
-		v, err := version.Read(no, []byte(text))
+		v, err := configstate.Read(no, []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		last = v
-		if o, err := p.vs.propose(v); o != version.Waits || err != nil {
+		if o, err := p.vs.propose(v); o != configstate.Waits || err != nil {
 			t.Fatal(o, err)
 		}
 	}
-	look := func(want version.Outcome, why string) {
+	look := func(want configstate.Outcome, why string) {
 		t.Helper()
 		o, err := p.vs.look(last)
 		if o != want || (err == nil) != (why == "") || err != nil && !strings.Contains(err.Error(), why) {
@@ -437,34 +437,34 @@
 	if v := say("a", 0, 0, 0, ""); v.ConfigNext != 4 || v.ConfigTextNo != 4 || string(v.ConfigText) != doc || v.ConfigNo != 0 {
 		t.Error(v.ConfigNo, v.ConfigNext, v.ConfigTextNo)
 	}
-	look(version.Waits, "")
+	look(configstate.Waits, "")
 	say("a", 0, 4, 0, "")
 	say("b", 0, 0, 4, "commands in hand")
-	look(version.TurnedDown, `edge "b": commands in hand`)
+	look(configstate.TurnedDown, `edge "b": commands in hand`)
 	if v := say("a", 0, 4, 0, ""); v.ConfigNext != 0 || v.ConfigNo != 0 {
 		t.Error("a version that was turned down is still proposed")
 	}
 	propose(5, doc+" ")
 	say("a", 0, 5, 0, "")
-	look(version.Waits, "")
+	look(configstate.Waits, "")
 	say("b", 0, 5, 0, "")
-	look(version.Applied, "")
+	look(configstate.Applied, "")
 	if v := say("a", 0, 5, 0, ""); v.ConfigNo != 5 || v.ConfigTextNo != 0 {
 		t.Error("a has the text, and is to put it in force", v.ConfigNo, v.ConfigTextNo)
 	}
 	if v := say("c", 0, 0, 0, ""); v.ConfigNo != 5 || v.ConfigTextNo != 5 {
 		t.Error("one that starts lacks the text", v.ConfigNo, v.ConfigTextNo)
 	}
-	old, err := version.Read(4, []byte(doc))
+	old, err := configstate.Read(4, []byte(doc))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := p.vs.propose(old); o != version.TurnedDown || err == nil {
+	if o, err := p.vs.propose(old); o != configstate.TurnedDown || err == nil {
 		t.Error("went back to 4", o, err)
 	}
 	propose(6, doc+"  ")
 	time.Sleep(600 * time.Millisecond)
-	look(version.TurnedDown, "no word in time from edges a, b, c")
+	look(configstate.TurnedDown, "no word in time from edges a, b, c")
 	p.vs.store.Close()
 	if p.vs, err = p.openVersions(); err != nil || p.vs.keeper.Present().No != 5 {
 		t.Error("after a restart", err)
--- a/plan/planner.go
+++ b/internal/controller/planner.go
@@ -1,6 +1,6 @@
 // Package plan puts a planner together: its state, the list, the news of releases, the edges' digests, its votes and the
 // views it leads its edges by.
-package plan
+package controller
 
 import (
 	"context"
@@ -14,25 +14,25 @@
 	"sync/atomic"
 	"time"
 
-	"flintspread/accord"
-	"flintspread/edge"
-	"flintspread/link"
-	"flintspread/link/linkpb"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/shed"
-	"flintspread/stream"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+	"flintspread/internal/router"
+	"flintspread/internal/watch"
 )
 
 // Planner is a running planner.
 type Planner struct {
-	set   *settings.Plan
+	set   *config.Plan
 	log   *slog.Logger
 	store *Store
-	box   *release.Box
-	end   *link.PlannerEnd
+	box   *releases.Box
+	end   *controlrpc.PlannerEnd
 	base  time.Time
 	wall  float64
 	terms uint64
@@ -40,9 +40,9 @@
 
 	mu     sync.Mutex // orders the policy's calls; all below is under it
 	b      *policy.Balancer
-	leader *accord.Leader
-	list   roster.List
-	news   release.News // Version 0: none yet; Age as of newsAt
+	leader *lease.Leader
+	list   endpoints.List
+	news   releases.News // Version 0: none yet; Age as of newsAt
 	newsAt float64
 	told   struct { // by the last views, to see that there is something to tell
 		build   int
@@ -61,7 +61,7 @@
 }
 
 // Run plans until ctx ends. An error before anything was served is a reason not to start.
-func Run(ctx context.Context, set *settings.Plan, log *slog.Logger) error {
+func Run(ctx context.Context, set *config.Plan, log *slog.Logger) error {
 	store, st, aside, err := Open(set.StateDir)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		return err
 	}
 	defer p.vs.store.Close()
-	listener, err := link.Listen(&set.Link)
+	listener, err := controlrpc.Listen(&set.Link)
 	if err != nil {
 		return fmt.Errorf(":link :address: %w", err)
 	}
@@ -95,19 +95,19 @@
 		return fmt.Errorf(":admin: %w", err)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	p.box = &release.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: client, Log: log,
+	p.box = &releases.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: client, Log: log,
 		Asked: p.asked, Replied: p.replied}
 	p.box.Open()
-	source := func(url string) stream.Source {
+	source := func(url string) watch.Source {
 		s := set.Sources
-		return stream.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: log, Client: client}
+		return watch.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: log, Client: client}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var running sync.WaitGroup
 	failed := make(chan error, 2)
 	if set.Control == nil {
-		running.Go(func() { stream.Follow(ctx, source(set.Sources.List), p.takeList, func() {}) })
+		running.Go(func() { watch.Follow(ctx, source(set.Sources.List), p.takeList, func() {}) })
 	} else {
 		running.Go(func() {
 			if err := p.vs.follow(ctx); err != nil {
@@ -115,7 +115,7 @@
 			}
 		})
 	}
-	running.Go(func() { stream.Follow(ctx, source(set.Sources.Installer+"/stage"), p.takeNews, func() {}) })
+	running.Go(func() { watch.Follow(ctx, source(set.Sources.Installer+"/stage"), p.takeNews, func() {}) })
 	running.Go(func() { p.box.Run(ctx) })
 	running.Go(func() { p.save(ctx) })
 	if p.witness != nil {
@@ -137,16 +137,16 @@
 	return err
 }
 
-func newPlanner(set *settings.Plan, log *slog.Logger, store *Store) *Planner {
+func newPlanner(set *config.Plan, log *slog.Logger, store *Store) *Planner {
 	now := time.Now()
 	p := &Planner{set: set, log: log, store: store, base: now, wall: float64(now.UnixNano()) / 1e9,
-		terms: edge.TermsHash(set.Terms()), saves: make(chan struct{}, 1), odd: map[string]bool{}, said: map[string]said{}}
+		terms: router.TermsHash(set.Terms()), saves: make(chan struct{}, 1), odd: map[string]bool{}, said: map[string]said{}}
 	seed := set.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	p.b = policy.New(set.Terms(), seed, p.wall)
-	p.end = &link.PlannerEnd{Set: &set.Link, Log: log, Relay: set.Relay, Digest: p.digest, View: p.view}
+	p.end = &controlrpc.PlannerEnd{Set: &set.Link, Log: log, Relay: set.Relay, Digest: p.digest, View: p.view}
 	return p
 }
 
@@ -158,7 +158,7 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	l := p.set.Link
-	p.leader = accord.NewLeader(epoch, l.Lease, p.set.Rules.Window, l.Silence, now)
+	p.leader = lease.NewLeader(epoch, l.Lease, p.set.Rules.Window, l.Silence, now)
 	if st.List != nil {
 		p.list = *st.List
 		p.list.Full(now).Tell(p.b, now)
@@ -181,7 +181,7 @@
 }
 
 // enter takes news whose age was told at a time.
-func (p *Planner) enter(n release.News, at float64) {
+func (p *Planner) enter(n releases.News, at float64) {
 	p.news, p.newsAt = n, at
 	p.b.Stage(p.now(), n.Build, n.Stage, n.PhaseOf(), n.Cap, n.Age+max(0, p.now()-at))
 	if p.witness != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (p *Planner) takeList(line *roster.Line) error {
+func (p *Planner) takeList(line *endpoints.Line) error {
 	if err := line.Check(); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	}
 }
 
-func (p *Planner) takeNews(line *release.News) error {
+func (p *Planner) takeNews(line *releases.News) error {
 	if line.Quiet {
 		return nil
 	}
@@ -260,7 +260,7 @@
 }
 
 // digest enters what an edge counted.
-func (p *Planner) digest(d *linkpb.Digest) accord.Reason {
+func (p *Planner) digest(d *linkpb.Digest) lease.Reason {
 	// What this planner is too late to read, the next digest says again; that its edge lives is entered all the same.
 	read := d.Seq%max(1, p.every.Load()) == 0
 	if !read {
@@ -280,11 +280,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.leader.Digest(p.now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
-	if r == accord.Superseded && !p.superTold {
+	if r == lease.Superseded && !p.superTold {
 		p.superTold = true
 		p.log.Error("a newer planner leads; this one votes and lends no more", "epoch", p.leader.Epoch(), "newer", p.leader.Newer())
 	}
-	if r != accord.Taken {
+	if r != lease.Taken {
 		return r
 	}
 	if d.Terms != p.terms && !p.odd[d.Edge] {
@@ -309,7 +309,7 @@
 	now := p.now()
 	h, share, life := p.leader.View(now, name)
 	build, verdict := p.b.Standing()
-	v := &linkpb.View{Major: h.Major, Minor: accord.SchemaMinor, Epoch: h.Epoch, Number: h.Number, Life: h.Life, Echo: h.Echo,
+	v := &linkpb.View{Major: h.Major, Minor: lease.SchemaMinor, Epoch: h.Epoch, Number: h.Number, Life: h.Life, Echo: h.Echo,
 		ListAt: p.list.At, ListNo: p.list.Version, VerdictBuild: int32(build), Verdict: int32(verdict), Share: share, Lease: life}
 	if n := p.news; n.Phase != "" {
 		v.StageNo, v.Build, v.Stage, v.Phase, v.Cap = n.Version, int32(n.Build), int32(n.Stage), n.Phase, n.Cap
@@ -367,7 +367,7 @@
 	p.turnAt = now + t.In
 	p.mu.Unlock()
 	if t.Vote {
-		p.box.Cast(release.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict})
+		p.box.Cast(releases.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict})
 	}
 	if tell {
 		p.end.Tell()
@@ -382,7 +382,7 @@
 	if p.turnAt > 0 {
 		late = max(0, now-p.turnAt)
 	}
-	every, queries := shed.Duties(late, p.set.Link.Beat)
+	every, queries := loadshed.Duties(late, p.set.Link.Beat)
 	p.every.Store(uint64(every))
 	if p.witness != nil {
 		p.witness.poller.Rest(!queries)
@@ -402,17 +402,17 @@
 }
 
 // asked notes a vote before it leaves: should this process die now, the next knows that it may have counted.
-func (p *Planner) asked(v release.Vote) {
+func (p *Planner) asked(v releases.Vote) {
 	p.keep(v, false)
 }
 
-func (p *Planner) keep(v release.Vote, sure bool) {
+func (p *Planner) keep(v releases.Vote, sure bool) {
 	if err := p.store.Vote(Ballot{Build: v.Build, Stage: v.Stage, Verdict: v.Verdict, At: p.now(), Sure: sure}); err != nil {
 		p.log.Error("vote not saved", "error", err)
 	}
 }
 
-func (p *Planner) replied(v release.Vote, reply policy.VoteReply, line *release.News) {
+func (p *Planner) replied(v releases.Vote, reply policy.VoteReply, line *releases.News) {
 	if line != nil {
 		if err := p.takeNews(line); err != nil {
 			p.log.Warn("reply to a vote", "error", err)
@@ -425,7 +425,7 @@
 	if reply == policy.Counted {
 		p.keep(v, true)
 	} else if reply != policy.Unknown && build >= 0 {
-		p.keep(release.Vote{Build: build, Stage: v.Stage, Verdict: verdict}, true) // what stood before stands
+		p.keep(releases.Vote{Build: build, Stage: v.Stage, Verdict: verdict}, true) // what stood before stands
 	}
 	p.tellVerdict()
 }
--- a/plan/store.go
+++ b/internal/controller/store.go
@@ -1,4 +1,4 @@
-package plan
+package controller
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"flintspread/disk"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
+	"flintspread/internal/boltstore"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 // Store is a planner's state on disk: its epoch, the vote that stands, the last news and the last list. Each change is one
@@ -32,16 +32,16 @@
 
 // State is all that was in a store.
 type State struct {
-	Epoch uint64        `json:"epoch"`
-	Vote  *Ballot       `json:"vote,omitempty"`
-	News  *release.News `json:"news,omitempty"` // Age as of NewsAt
-	At    float64       `json:"news_at,omitempty"`
-	List  *roster.List  `json:"list,omitempty"`
+	Epoch uint64          `json:"epoch"`
+	Vote  *Ballot         `json:"vote,omitempty"`
+	News  *releases.News  `json:"news,omitempty"` // Age as of NewsAt
+	At    float64         `json:"news_at,omitempty"`
+	List  *endpoints.List `json:"list,omitempty"`
 }
 
 type savedNews struct {
-	News release.News `json:"news"`
-	At   float64      `json:"at"`
+	News releases.News `json:"news"`
+	At   float64       `json:"at"`
 }
 
 var (
@@ -60,7 +60,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, st, "", err
 	}
-	db, aside, err := disk.OpenOrSetAside(stateFile(dir), st.read)
+	db, aside, err := boltstore.OpenOrSetAside(stateFile(dir), st.read)
 	if err != nil {
 		return nil, State{}, aside, err
 	}
@@ -110,9 +110,9 @@
 
 func (s *Store) Vote(v Ballot) error { return s.put(keyVote, v) }
 
-func (s *Store) News(n release.News, at float64) error { return s.put(keyNews, savedNews{n, at}) }
+func (s *Store) News(n releases.News, at float64) error { return s.put(keyNews, savedNews{n, at}) }
 
-func (s *Store) List(l *roster.List) error { return s.put(keyList, l) }
+func (s *Store) List(l *endpoints.List) error { return s.put(keyList, l) }
 
 func (s *Store) Close() error { return s.db.Close() }
 
@@ -122,7 +122,7 @@
 		return err
 	}
 	var st State
-	db, err := disk.Open(stateFile(dir), true, st.read)
+	db, err := boltstore.Open(stateFile(dir), true, st.read)
 	if err != nil {
 		return err
 	}
--- a/plan/versions.go
+++ b/internal/controller/versions.go
@@ -1,31 +1,31 @@
-package plan
+package controller
 
 import (
 	"context"
 	"fmt"
 	"sync"
 
-	"flintspread/history"
-	"flintspread/link/linkpb"
-	"flintspread/roster"
-	"flintspread/version"
-	"flintspread/xds"
+	"flintspread/internal/configstate"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/revisions"
+	"flintspread/internal/xds"
 )
 
 // versions is the planner's part in the versions of the settings: it takes them from a control service, proposes each to its
 // edges, and puts it in force once all of them can take it.
 type versions struct {
 	p      *Planner
-	store  *history.Store
-	keeper *version.Keeper // under the planner's lock, as the next
-	round  *version.Round
+	store  *revisions.Store
+	keeper *configstate.Keeper // under the planner's lock, as the next
+	round  *configstate.Round
 	listMu sync.Mutex // orders the lists of several services
 }
 
 // openVersions opens the history and goes on with the version that was in force last.
 func (p *Planner) openVersions() (vs *versions, err error) {
-	vs = &versions{p: p, keeper: version.NewKeeper(p.set.Document(), nil, 0, 0)}
-	vs.store, err = history.Resume(p.set.StateDir, p.log, func(v *version.Version) error {
+	vs = &versions{p: p, keeper: configstate.NewKeeper(p.set.Document(), nil, 0, 0)}
+	vs.store, err = revisions.Resume(p.set.StateDir, p.log, func(v *configstate.Version) error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		_, err := vs.enter(v)
@@ -40,7 +40,7 @@
 		xds.Taker{List: vs.list, Settings: vs.propose, Look: vs.look})
 }
 
-func (vs *versions) list(line *roster.Line) error {
+func (vs *versions) list(line *endpoints.Line) error {
 	vs.listMu.Lock()
 	defer vs.listMu.Unlock()
 	vs.p.mu.Lock()
@@ -53,8 +53,8 @@
 }
 
 // situation is what a version would meet here; what it would meet at the edges, they say.
-func (vs *versions) situation(v *version.Version) version.Situation {
-	s := version.Situation{ListNo: v.Needs}
+func (vs *versions) situation(v *configstate.Version) configstate.Situation {
+	s := configstate.Situation{ListNo: v.Needs}
 	for u := range vs.p.list.All() {
 		s.Zones, s.Cells = s.Zones || u.Zone > 0, s.Cells || u.Cell > 0
 	}
@@ -62,38 +62,38 @@
 }
 
 // propose begins a round.
-func (vs *versions) propose(v *version.Version) (version.Outcome, error) {
+func (vs *versions) propose(v *configstate.Version) (configstate.Outcome, error) {
 	vs.p.mu.Lock()
 	defer vs.p.mu.Unlock()
 	vs.round = nil // overtaken
-	if o, err := vs.keeper.Fits(v, vs.situation(v)); o != version.Applied {
+	if o, err := vs.keeper.Fits(v, vs.situation(v)); o != configstate.Applied {
 		return o, err
 	}
-	vs.round = version.NewRound(v, vs.p.now(), vs.p.set.Control.Patience)
+	vs.round = configstate.NewRound(v, vs.p.now(), vs.p.set.Control.Patience)
 	go vs.p.end.Tell()
-	return version.Waits, nil
+	return configstate.Waits, nil
 }
 
 // look ends the round when it can be ended.
-func (vs *versions) look(mine *version.Version) (version.Outcome, error) {
+func (vs *versions) look(mine *configstate.Version) (configstate.Outcome, error) {
 	vs.p.mu.Lock()
 	defer vs.p.mu.Unlock()
 	r := vs.round
 	if r == nil || r.V != mine {
 		if vs.keeper.Present().No == mine.No {
-			return version.Applied, nil
+			return configstate.Applied, nil
 		}
-		return version.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
+		return configstate.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
 	}
 	o, err := r.Verdict(vs.p.now(), vs.p.leader.Names(), vs.p.list.Version)
-	if o == version.Waits {
+	if o == configstate.Waits {
 		return o, nil
 	}
 	vs.round = nil
-	if o == version.Applied {
+	if o == configstate.Applied {
 		before := vs.keeper.Present().No
-		if o, err = vs.enter(r.V); o == version.Applied {
-			if e := vs.store.Add(history.Entry{No: r.V.No, Parent: before, Since: vs.p.now(), Sum: r.V.Sum, Needs: r.V.Needs, Text: string(r.V.Text)}); e != nil {
+		if o, err = vs.enter(r.V); o == configstate.Applied {
+			if e := vs.store.Add(revisions.Entry{No: r.V.No, Parent: before, Since: vs.p.now(), Sum: r.V.Sum, Needs: r.V.Needs, Text: string(r.V.Text)}); e != nil {
 				vs.p.log.Error("version of the settings not saved", "version", r.V.No, "error", e)
 			}
 			vs.p.log.Info("settings in force", "version", r.V.No, "before", before)
@@ -104,9 +104,9 @@
 }
 
 // enter puts a version in force here; the edges follow with their next view.
-func (vs *versions) enter(v *version.Version) (version.Outcome, error) {
+func (vs *versions) enter(v *configstate.Version) (configstate.Outcome, error) {
 	o, err := vs.keeper.Offer(vs.p.now(), v, vs.situation(v))
-	if o == version.Applied {
+	if o == configstate.Applied {
 		vs.p.b.Adopt(vs.keeper.Present().Terms)
 	}
 	return o, err
--- a/link/creds.go
+++ b/internal/controlrpc/creds.go
@@ -1,6 +1,6 @@
 // Package link carries digests and views between an edge and its planner: gRPC over a Unix socket, or over TCP with
 // certificates on both ends. What counts of what arrives, package accord decides.
-package link
+package controlrpc
 
 import (
 	"crypto/tls"
@@ -15,13 +15,13 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"flintspread/settings"
+	"flintspread/internal/config"
 )
 
 // files are certificates read from disk, again whenever one changed, so that they are replaced without a restart. A file
 // that can't be used leaves the last good ones in force.
 type files struct {
-	set *settings.Link
+	set *config.Link
 	log *slog.Logger
 
 	mu    sync.Mutex
@@ -113,7 +113,7 @@
 }
 
 // Creds gives a link's credentials. Where the link is a Unix socket, who may open it is the file's matter.
-func Creds(set *settings.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
+func Creds(set *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
 	if _, ok := set.Unix(); ok {
 		return insecure.NewCredentials(), nil
 	}
--- a/link/edge.go
+++ b/internal/controlrpc/edge.go
@@ -1,4 +1,4 @@
-package link
+package controlrpc
 
 import (
 	"context"
@@ -11,15 +11,15 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/backoff"
 
-	"flintspread/accord"
-	"flintspread/link/linkpb"
-	"flintspread/settings"
-	"flintspread/stream"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
+	"flintspread/internal/watch"
 )
 
 // EdgeEnd is an edge's end of the link.
 type EdgeEnd struct {
-	Set   *settings.Link
+	Set   *config.Link
 	Log   *slog.Logger
 	Now   func() float64 // s since 1970, going forward
 	Relay string
@@ -32,7 +32,7 @@
 	Take func(v *linkpb.View, list, stage bool, until float64)
 
 	mu       sync.Mutex
-	follower *accord.Follower
+	follower *lease.Follower
 	links    uint64
 	dropped  uint64
 	listNo   uint64 // of the last list taken from a view
@@ -45,7 +45,7 @@
 	Age           float64
 	Links         uint64 // made
 	Dropped       uint64 // digests that a newer one replaced before they were sent
-	Refused       [accord.Reasons]uint64
+	Refused       [lease.Reasons]uint64
 }
 
 func (e *EdgeEnd) Numbers() Numbers {
@@ -62,7 +62,7 @@
 // Run keeps a link to the planner until ctx ends. listAt is when the list on the edge's disk was true.
 func (e *EdgeEnd) Run(ctx context.Context, listAt float64) error {
 	e.mu.Lock()
-	e.follower, e.began = accord.NewFollower(e.Life), e.Now()
+	e.follower, e.began = lease.NewFollower(e.Life), e.Now()
 	e.follower.Have(listAt)
 	e.mu.Unlock()
 	c, err := Creds(e.Set, e.Log)
@@ -87,7 +87,7 @@
 		if views > 0 {
 			n = 0
 		}
-		wait := stream.Pause(n, e.Set.Beat/2, e.Set.Beat, rand.Float64())
+		wait := watch.Pause(n, e.Set.Beat/2, e.Set.Beat, rand.Float64())
 		level := slog.LevelWarn
 		if n > 0 {
 			level = slog.LevelDebug // said once, not ten times a second
@@ -105,7 +105,7 @@
 
 func beat(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
 
-func target(set *settings.Link) string {
+func target(set *config.Link) string {
 	if path, ok := set.Unix(); ok {
 		return "unix:" + path
 	}
@@ -175,7 +175,7 @@
 
 // put makes a digest and leaves it for the stream.
 func (e *EdgeEnd) put(next chan *linkpb.Digest) {
-	d := &linkpb.Digest{Major: accord.SchemaMajor, Minor: accord.SchemaMinor, Relay: e.Relay, Edge: e.Edge, Terms: e.Terms}
+	d := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: e.Relay, Edge: e.Edge, Terms: e.Terms}
 	e.Count(d)
 	e.mu.Lock()
 	d.Life, d.Seq, d.Following = e.follower.Digest(e.Now())
@@ -193,16 +193,16 @@
 
 // view enters one that came.
 func (e *EdgeEnd) view(v *linkpb.View) {
-	head := accord.Head{Major: v.Major, Epoch: v.Epoch, Number: v.Number, Life: v.Life, Echo: v.Echo}
+	head := lease.Head{Major: v.Major, Epoch: v.Epoch, Number: v.Number, Life: v.Life, Echo: v.Echo}
 	e.mu.Lock()
 	before, _ := e.follower.Follows()
-	r, list, stage := e.follower.Accept(head, accord.Parts{ListAt: v.ListAt, StageNo: v.StageNo})
+	r, list, stage := e.follower.Accept(head, lease.Parts{ListAt: v.ListAt, StageNo: v.StageNo})
 	until := e.follower.Until(v.Lease)
-	if r == accord.Taken && list && v.HasList {
+	if r == lease.Taken && list && v.HasList {
 		e.listNo = v.ListNo
 	}
 	e.mu.Unlock()
-	if r != accord.Taken {
+	if r != lease.Taken {
 		e.Log.Info("view refused", "reason", r, "view", head)
 		return
 	}
--- a/link/link_test.go
+++ b/internal/controlrpc/link_test.go
@@ -1,4 +1,4 @@
-package link
+package controlrpc
 
 import (
 	"bytes"
@@ -16,16 +16,16 @@
 
 	"go.uber.org/goleak"
 
-	"flintspread/accord"
-	"flintspread/link/linkpb"
-	"flintspread/settings"
-	"flintspread/standin/office"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/fakes/testca"
+	"flintspread/internal/lease"
 )
 
 // issue writes a certificate of a name that ends then, and gives a link that uses it and expects peer.
-func issue(o *office.Office, file, name string, ends time.Time, address, peer string) *settings.Link {
+func issue(o *testca.Office, file, name string, ends time.Time, address, peer string) *config.Link {
 	cert, key := o.Issue(file, name, ends)
-	return &settings.Link{Address: address, Beat: 0.02, Silence: 0.5, Lease: 1, Peer: peer, CA: o.CA(), Cert: cert, Key: key}
+	return &config.Link{Address: address, Beat: 0.02, Silence: 0.5, Lease: 1, Peer: peer, CA: o.CA(), Cert: cert, Key: key}
 }
 
 // lines is a log that can be searched.
@@ -51,12 +51,12 @@
 }
 
 // planner serves views of an epoch until stop is called.
-func planner(t *testing.T, set *settings.Link, epoch uint64, log *lines) (addr string, stop func()) {
+func planner(t *testing.T, set *config.Link, epoch uint64, log *lines) (addr string, stop func()) {
 	var mu sync.Mutex
-	leader := accord.NewLeader(epoch, set.Lease, 0, 1, 0)
+	leader := lease.NewLeader(epoch, set.Lease, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 	p := &PlannerEnd{Set: set, Log: log.logger(), Relay: "r1",
-		Digest: func(d *linkpb.Digest) accord.Reason {
+		Digest: func(d *linkpb.Digest) lease.Reason {
 			mu.Lock()
 			defer mu.Unlock()
 			return leader.Digest(now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
@@ -87,7 +87,7 @@
 }
 
 // edge follows until stop is called; views counts those taken, lists those with the list.
-func edge(t *testing.T, set *settings.Link, log *lines) (e *EdgeEnd, views, lists *atomic.Int64, stop func()) {
+func edge(t *testing.T, set *config.Link, log *lines) (e *EdgeEnd, views, lists *atomic.Int64, stop func()) {
 	views, lists = new(atomic.Int64), new(atomic.Int64)
 	from := time.Now()
 	e = &EdgeEnd{Set: set, Log: log.logger(), Now: func() float64 { return 100 + time.Since(from).Seconds() }, Relay: "r1", Edge: "e1", Life: 1,
@@ -120,8 +120,8 @@
 	t.Errorf("not within 5 s: %s", what)
 }
 
-func unixLink(t *testing.T) *settings.Link {
-	return &settings.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, Silence: 0.5, Lease: 1}
+func unixLink(t *testing.T) *config.Link {
+	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, Silence: 0.5, Lease: 1}
 }
 
 // A planner that dies and comes back, also on the socket file that a killed one left; one that is older is not followed.
@@ -239,7 +239,7 @@
 	soon(t, "the relay is named", func() bool { return log.has(`is of relay \"r2\", this planner of \"r1\"`) })
 	cancel()
 	<-done
-	err := (&PlannerEnd{Relay: "r1"}).Follow(&oneDigest{d: &linkpb.Digest{Major: accord.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&PlannerEnd{Relay: "r1"}).Follow(&oneDigest{d: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
@@ -254,7 +254,7 @@
 
 // Over TCP each end shows a certificate; what is wrong with one is told by name, and a new one is taken without a restart.
 func TestCertificates(t *testing.T) {
-	good, other := office.New(t, "hall"), office.New(t, "elsewhere")
+	good, other := testca.New(t, "hall"), testca.New(t, "elsewhere")
 	hour := time.Now().Add(time.Hour)
 	log := &lines{}
 	server := issue(good, "plan", "plan.example.org", hour, "127.0.0.1:0", "edge.example.org")
@@ -262,10 +262,10 @@
 	defer end()
 	for _, c := range []struct {
 		name, want string
-		set        *settings.Link
+		set        *config.Link
 	}{
 		{"stranger", `certificate of \"edge.example.org\" (edge.example.org): x509: certificate signed by unknown authority`,
-			func() *settings.Link {
+			func() *config.Link {
 				l := issue(other, "edge", "edge.example.org", hour, addr, "plan.example.org")
 				l.CA = server.CA
 				return l
@@ -275,7 +275,7 @@
 		{"planner of other name", `certificate of \"plan.example.org\" (plan.example.org): not \"control.example.org\" (:peer)`,
 			issue(good, "edge2", "edge.example.org", hour, addr, "control.example.org")},
 		{"planner unknown", `certificate of \"plan.example.org\" (plan.example.org): x509: certificate signed by unknown authority`,
-			func() *settings.Link {
+			func() *config.Link {
 				l := issue(good, "edge3", "edge.example.org", hour, addr, "plan.example.org")
 				l.CA = other.CA()
 				return l
@@ -313,7 +313,7 @@
 
 // A beat that finds the last digest still unsent replaces it.
 func TestNewestDigestWaits(t *testing.T) {
-	e := &EdgeEnd{Now: func() float64 { return 1 }, Count: func(*linkpb.Digest) {}, follower: accord.NewFollower(1)}
+	e := &EdgeEnd{Now: func() float64 { return 1 }, Count: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
 	next := make(chan *linkpb.Digest, 1)
 	for range 5 {
 		e.put(next)
--- a/link/planner.go
+++ b/internal/controlrpc/planner.go
@@ -1,4 +1,4 @@
-package link
+package controlrpc
 
 import (
 	"context"
@@ -15,19 +15,19 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"flintspread/accord"
-	"flintspread/link/linkpb"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
 )
 
 // PlannerEnd is a planner's end of all its links.
 type PlannerEnd struct {
 	linkpb.UnimplementedPlannerServer
-	Set   *settings.Link
+	Set   *config.Link
 	Log   *slog.Logger
 	Relay string
 	// Digest enters what an edge sent and says whether it counts. It must not wait.
-	Digest func(*linkpb.Digest) accord.Reason
+	Digest func(*linkpb.Digest) lease.Reason
 	// View makes the next view for an edge that has a version of the list. It must not wait.
 	View func(edge string, listNo uint64) *linkpb.View
 
@@ -39,7 +39,7 @@
 
 // Listen opens the link's address. A socket that a killed planner left is taken over; the caller holds the state's lock,
 // so that it is nobody's.
-func Listen(set *settings.Link) (net.Listener, error) {
+func Listen(set *config.Link) (net.Listener, error) {
 	path, ok := set.Unix()
 	if !ok {
 		return net.Listen("tcp", set.Address)
@@ -97,9 +97,9 @@
 	if err != nil {
 		return err
 	}
-	if first.Major != accord.SchemaMajor {
+	if first.Major != lease.SchemaMajor {
 		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", first.Edge, first.Major,
-			first.Minor, accord.SchemaMajor, accord.SchemaMinor)
+			first.Minor, lease.SchemaMajor, lease.SchemaMinor)
 	}
 	if first.Relay != p.Relay {
 		return status.Errorf(codes.FailedPrecondition, "edge %q is of relay %q, this planner of %q", first.Edge, first.Relay, p.Relay)
@@ -117,7 +117,7 @@
 	var at sync.Mutex
 	listNo := uint64(0)
 	take := func(d *linkpb.Digest) {
-		if r := p.Digest(d); r != accord.Taken {
+		if r := p.Digest(d); r != lease.Taken {
 			p.Log.Info("digest refused", "edge", d.Edge, "reason", r, "life", d.Life, "seq", d.Seq)
 			return
 		}
--- a/roster/roster.go
+++ b/internal/endpoints/roster.go
@@ -1,5 +1,5 @@
 // Package roster holds the list of units as the list service tells it, and keeps the last one on disk.
-package roster
+package endpoints
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // Unit is one entry. Addr is empty only where State is "gone".
--- a/roster/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
--- a/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/plotter"
 	"olympos.io/encoding/edn"
 
-	"flintspread/load"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/loadgen"
 )
 
 // Experiment is a grid of runs. Rates are times the capacity that the tool finds itself, or commands a second.
@@ -65,20 +65,20 @@
 		return nil, err
 	}
 	x := &Experiment{}
-	return x, settings.Decode(file, text, x)
+	return x, config.Decode(file, text, x)
 }
 
 // Result is one run's.
 type Result struct {
-	Variant    string        `json:"variant"`
-	Rate       float64       `json:"rate"` // as the experiment names it
-	Repeat     int           `json:"repeat"`
-	ASecond    float64       `json:"a_second"` // offered
-	Load       *load.Outcome `json:"load"`
-	Shed       float64       `json:"shed"`                // commands
-	MemoryPeak float64       `json:"memory_peak"`         // bytes that the edge counted
-	Resident   int64         `json:"resident"`            // bytes, at the end of the run
-	Recovered  float64       `json:"recovered,omitempty"` // s after the load fell until p99 was below the target of the shortest, -1: not
+	Variant    string           `json:"variant"`
+	Rate       float64          `json:"rate"` // as the experiment names it
+	Repeat     int              `json:"repeat"`
+	ASecond    float64          `json:"a_second"` // offered
+	Load       *loadgen.Outcome `json:"load"`
+	Shed       float64          `json:"shed"`                // commands
+	MemoryPeak float64          `json:"memory_peak"`         // bytes that the edge counted
+	Resident   int64            `json:"resident"`            // bytes, at the end of the run
+	Recovered  float64          `json:"recovered,omitempty"` // s after the load fell until p99 was below the target of the shortest, -1: not
 }
 
 // Capacity finds how many commands a second an edge without shedding serves within the targets, to a twentieth.
@@ -90,7 +90,7 @@
 	defer b.Stop()
 	low, high := 0.0, 0.0
 	try := func(rate float64) error {
-		o, err := load.Run(ctx, x.plan(b, rate, 3), nil)
+		o, err := loadgen.Run(ctx, x.plan(b, rate, 3), nil)
 		if err != nil {
 			return err
 		}
@@ -119,12 +119,12 @@
 	return low, nil
 }
 
-func (x *Experiment) plan(b *Bench, rate, length float64) *load.Plan {
+func (x *Experiment) plan(b *Bench, rate, length float64) *loadgen.Plan {
 	kind := x.Shape
 	if kind == "" {
 		kind = "poisson"
 	}
-	return &load.Plan{Address: b.Address, Shape: load.Shape{Kind: kind, Rate: rate, Length: length}, Ops: Ops(), Keys: 100000, Zipf: 1.1,
+	return &loadgen.Plan{Address: b.Address, Shape: loadgen.Shape{Kind: kind, Rate: rate, Length: length}, Ops: Ops(), Keys: 100000, Zipf: 1.1,
 		Conns: x.Conns, Clients: x.Clients, Retries: x.Retries, AtOnce: x.AtOnce, Seed: x.Seed, Lag: x.Lag}
 }
 
@@ -134,9 +134,9 @@
 		return err
 	}
 	inputs := filepath.Join(dir, "inputs.json")
-	now := load.NewInputs(x, x.Seed)
+	now := loadgen.NewInputs(x, x.Seed)
 	if text, err := os.ReadFile(inputs); err == nil {
-		var was load.Inputs
+		var was loadgen.Inputs
 		if err := json.Unmarshal(text, &was); err != nil {
 			return fmt.Errorf("%s: %w", inputs, err)
 		}
@@ -145,7 +145,7 @@
 		if string(normal(a)) != string(normal(b)) {
 			return fmt.Errorf("%s: another experiment's runs lie there", dir)
 		}
-	} else if err := load.SaveJSON(inputs, now); err != nil {
+	} else if err := loadgen.SaveJSON(inputs, now); err != nil {
 		return err
 	}
 	unit := 1.0
@@ -157,7 +157,7 @@
 			if unit, err = x.Capacity(ctx, bin, say); err != nil {
 				return err
 			}
-			err = load.SaveJSON(file, unit)
+			err = loadgen.SaveJSON(file, unit)
 		} else if err == nil {
 			err = json.Unmarshal(text, &unit)
 		}
@@ -181,7 +181,7 @@
 				fmt.Fprintf(say, "%s at %g, run %d: goodput %.0f a second, service %.4f, batch-table %.4f, p99 %.1f ms, valid %t\n", v.Name, rate, repeat+1,
 					r.Load.Goodput, r.Load.Service, r.Load.Ops[1].Service, 1e3*r.Load.Latency.P99, r.Load.Valid)
 				// Whole or not at all: a killed experiment goes on from here.
-				if err := load.SaveJSON(file+".part", r); err != nil {
+				if err := loadgen.SaveJSON(file+".part", r); err != nil {
 					return err
 				}
 				if err := os.Rename(file+".part", file); err != nil {
@@ -209,7 +209,7 @@
 	p := x.plan(b, rate*unit, x.Length)
 	p.Seed += uint64(repeat)
 	if x.After > 0 {
-		p.Shape = load.Shape{Kind: "step", Rate: rate * unit, To: 0.5 * unit, On: x.Length / (x.Length + x.After), Length: x.Length + x.After}
+		p.Shape = loadgen.Shape{Kind: "step", Rate: rate * unit, To: 0.5 * unit, On: x.Length / (x.Length + x.After), Length: x.Length + x.After}
 		if !x.Relative {
 			p.Shape.To = 0.5 * x.Rates[0]
 		}
@@ -220,7 +220,7 @@
 		if !x.Relative {
 			half = 0.5 * x.Rates[0]
 		}
-		if _, err := load.Run(ctx, x.plan(b, half, x.Before), nil); err != nil {
+		if _, err := loadgen.Run(ctx, x.plan(b, half, x.Before), nil); err != nil {
 			return nil, err
 		}
 	}
@@ -229,7 +229,7 @@
 		faults = append(faults, Fault{string(f.Kind), f.At, f.For, f.By})
 	}
 	b.Inflict(ctx, faults)
-	o, err := load.Run(ctx, p, nil)
+	o, err := loadgen.Run(ctx, p, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -322,14 +322,14 @@
 	}
 	of := cells(list)
 	var b strings.Builder
-	in := load.NewInputs(nil, x.Seed)
+	in := loadgen.NewInputs(nil, x.Seed)
 	fmt.Fprintf(&b, "# %s\n\n%d runs of %g s each, %d of each cell, played in turn; seed %d; %s; %s. Edge on %d processors (0: all), %d units, %d connections.\n",
 		x.Title, len(list), x.Length, x.Repeats, x.Seed, in.Machine, in.Build, x.Procs, x.Units, x.Conns)
 	if x.Relative {
 		fmt.Fprintf(&b, "Rates are times %.0f commands a second, the most that the edge without shedding served with 0.99 within the targets.\n", unit)
 	}
 	b.WriteString("Medians of the valid runs, with the lowest and the highest.\n\n| rate | variant | goodput a second | service | batch-table | no answer in time | p99, ms | shed | counted memory, MiB | resident, MiB | recovered, s | valid |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	var goodput, batch []load.Line
+	var goodput, batch []loadgen.Line
 	for _, v := range x.Variants {
 		good, bt := plotter.XYs{}, plotter.XYs{}
 		for _, rate := range x.Rates {
@@ -354,16 +354,16 @@
 				word(get(func(r *Result) float64 { return float64(r.Resident) / (1 << 20) }), "%.0f"),
 				word(get(func(r *Result) float64 { return r.Recovered }), "%.0f"), len(g), len(runs))
 		}
-		goodput, batch = append(goodput, load.Line{Name: v.Name, Points: good}), append(batch, load.Line{Name: v.Name, Points: bt})
+		goodput, batch = append(goodput, loadgen.Line{Name: v.Name, Points: good}), append(batch, loadgen.Line{Name: v.Name, Points: bt})
 	}
 	b.WriteString("\n![goodput](goodput.svg)\n\n![batch-table](batch-table.svg)\n")
 	if err := os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644); err != nil {
 		return err
 	}
-	if err := load.Chart(filepath.Join(dir, "goodput.svg"), "Commands answered within the target", "offered", "a second", goodput); err != nil {
+	if err := loadgen.Chart(filepath.Join(dir, "goodput.svg"), "Commands answered within the target", "offered", "a second", goodput); err != nil {
 		return err
 	}
-	return load.Chart(filepath.Join(dir, "batch-table.svg"), "batch-table within the target", "offered", "share", batch)
+	return loadgen.Chart(filepath.Join(dir, "batch-table.svg"), "batch-table within the target", "offered", "share", batch)
 }
 
 // Compare tells, cell by cell, the ratio of goodput of B's runs over A's with a 95% interval by resampling, and whether that is
--- a/lab/lab.go
+++ b/internal/experiment/lab.go
@@ -1,6 +1,6 @@
 // Package lab runs loads against a real edge process between quick stand-ins, as a grid of runs that is played in turn, kept on
 // disk run by run, and told as one report.
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"flintspread/load"
-	"flintspread/standin"
+	"flintspread/internal/fakes"
+	"flintspread/internal/loadgen"
 )
 
 // Bench is an edge between quick units.
@@ -27,14 +27,14 @@
 	Address string // where its clients connect
 	admin   string
 	cmd     *exec.Cmd
-	units   []*standin.Quick
+	units   []*fakes.Quick
 	stop    func()
 	dir     string
 }
 
 // Edge says how a bench's edge runs.
 type Edge struct {
-	Bin    string // folder of flintedge
+	Bin    string // folder of flintspread-router
 	Procs  int    // processors that it may use, 0: all
 	Shed   bool
 	Memory int64
@@ -42,8 +42,8 @@
 }
 
 // Ops are those of the example settings.
-func Ops() []load.Op {
-	return []load.Op{
+func Ops() []loadgen.Op {
+	return []loadgen.Op{
 		{Name: "chute-lookup", Method: "GET", Path: "/chute/", Share: 0.4, Target: 0.3, Timeout: 0.75},
 		{Name: "batch-table", Method: "POST", Path: "/batch/", Share: 0.2, Target: 0.6, Timeout: 1.5, Body: 100},
 		{Name: "divert-record", Method: "POST", Path: "/divert/", Share: 0.3, Target: 0.3, Timeout: 0.75, Body: 20},
@@ -77,25 +77,25 @@
 			b.Stop()
 		}
 	}()
-	if b.dir, err = os.MkdirTemp("", "flintlab-bench-"); err != nil {
+	if b.dir, err = os.MkdirTemp("", "flintspread-lab-bench-"); err != nil {
 		return b, err
 	}
 	for range max(1, e.Units) {
-		u, err := standin.StartQuick()
+		u, err := fakes.StartQuick()
 		if err != nil {
 			return b, err
 		}
 		b.units = append(b.units, u)
 	}
-	control, stop, err := standin.Still(b.units)
+	control, stop, err := fakes.Still(b.units)
 	if err != nil {
 		return b, err
 	}
 	b.stop = stop
-	if b.Address, err = standin.FreePort(); err != nil {
+	if b.Address, err = fakes.FreePort(); err != nil {
 		return b, err
 	}
-	if b.admin, err = standin.FreePort(); err != nil {
+	if b.admin, err = fakes.FreePort(); err != nil {
 		return b, err
 	}
 	file := filepath.Join(b.dir, "edge.edn")
@@ -108,7 +108,7 @@
 		return b, err
 	}
 	defer log.Close()
-	b.cmd = exec.Command(filepath.Join(e.Bin, "flintedge"), "run", file)
+	b.cmd = exec.Command(filepath.Join(e.Bin, "flintspread-router"), "run", file)
 	b.cmd.Stderr = log
 	b.cmd.Env = os.Environ()
 	if e.Procs > 0 {
--- a/lab/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 	"strings"
 	"testing"
 
-	"flintspread/load"
+	"flintspread/internal/loadgen"
 )
 
 // An experiment that is stopped goes on where it was, does not play a run twice, and refuses another's folder.
 func TestExperimentResumes(t *testing.T) {
 	bin, dir := t.TempDir(), t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", bin, "flintspread/cmd/flintedge").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", bin, "flintspread/cmd/flintspread-router").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	file := filepath.Join(dir, "x.edn")
@@ -81,8 +81,8 @@
 		dir := t.TempDir()
 		os.Mkdir(filepath.Join(dir, "runs"), 0o755)
 		for i, g := range goodput {
-			r := &Result{Variant: "shed", Rate: 1, Repeat: i, Load: &load.Outcome{Goodput: g, Valid: true}}
-			if err := load.SaveJSON(filepath.Join(dir, "runs", string(rune('a'+i))+".json"), r); err != nil {
+			r := &Result{Variant: "shed", Rate: 1, Repeat: i, Load: &loadgen.Outcome{Goodput: g, Valid: true}}
+			if err := loadgen.SaveJSON(filepath.Join(dir, "runs", string(rune('a'+i))+".json"), r); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/standin/client.go
+++ b/internal/fakes/client.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"flintspread/audit"
+	"flintspread/internal/invariants"
 )
 
 // OpShape is one op type as clients ask for it.
@@ -27,7 +27,7 @@
 	Target     float64
 	Timeout    float64
 	Importance float64
-	Effect     audit.Effect
+	Effect     invariants.Effect
 	Group      string
 	Window     float64
 }
@@ -46,7 +46,7 @@
 
 // Clients asks relays for commands, open loop: what is due goes out whether or not earlier ones were answered.
 type Clients struct {
-	rec    *audit.Record
+	rec    *invariants.Record
 	clock  func() float64
 	ops    []OpShape
 	relays map[string]string // name to address
@@ -61,7 +61,7 @@
 	all    sync.WaitGroup
 }
 
-func NewClients(ops []OpShape, relays map[string]string, names []string, seed uint64, rec *audit.Record, clock func() float64) *Clients {
+func NewClients(ops []OpShape, relays map[string]string, names []string, seed uint64, rec *invariants.Record, clock func() float64) *Clients {
 	return &Clients{rec: rec, clock: clock, ops: ops, relays: relays, names: names, rand: rand.New(rand.NewPCG(seed, 1)),
 		idle: map[string][]*clientConn{}}
 }
@@ -119,9 +119,9 @@
 		if h.Short > 0 {
 			given = min(given, op.Timeout*(h.Short+(1-h.Short)*rnd.Float64()))
 		}
-		cmd := &audit.Command{ID: cs.ids.Add(1), Relay: relay, Op: op.Name, Effect: op.Effect, Group: op.Group, Window: op.Window,
+		cmd := &invariants.Command{ID: cs.ids.Add(1), Relay: relay, Op: op.Name, Effect: op.Effect, Group: op.Group, Window: op.Window,
 			Key: key, Importance: op.Importance, Target: op.Target, First: first, Asked: cs.clock(), Due: cs.clock() + given}
-		cs.rec.Enter(func(r *audit.Record) { r.Commands[cmd.ID] = cmd })
+		cs.rec.Enter(func(r *invariants.Record) { r.Commands[cmd.ID] = cmd })
 		leave := math.Inf(1)
 		if rnd.Float64() < h.Leave {
 			leave = cmd.Asked + 0.3*given*rnd.Float64()
@@ -131,13 +131,13 @@
 			cs.down.Store(relay, cs.clock()+0.5)
 		}
 		again := kind == "nacked" || kind == "unreached" ||
-			(kind == "failed" || kind == "none") && (op.Effect == audit.Redeliverable ||
-				op.Effect == audit.Deduplicated && op.Group == "all" && cs.clock()-first < op.Window/2)
+			(kind == "failed" || kind == "none") && (op.Effect == invariants.Redeliverable ||
+				op.Effect == invariants.Deduplicated && op.Group == "all" && cs.clock()-first < op.Window/2)
 		if h.AtOnce {
 			pause = 0
 		}
 		if kind == "left" || !again || try >= h.Retries || cs.clock()+pause+0.1 > first+op.Timeout {
-			cs.rec.Enter(func(*audit.Record) { cmd.FinalTry = true })
+			cs.rec.Enter(func(*invariants.Record) { cmd.FinalTry = true })
 			return
 		}
 		time.Sleep(time.Duration(pause * float64(time.Second)))
@@ -145,11 +145,11 @@
 }
 
 // try is one sending of a command to a relay.
-func (cs *Clients) try(cmd *audit.Command, op *OpShape, key, mark string, work, given float64, try int, leave float64, h Habits,
+func (cs *Clients) try(cmd *invariants.Command, op *OpShape, key, mark string, work, given float64, try int, leave float64, h Habits,
 	rnd *rand.Rand) (kind string, pause float64) {
 	c, err := cs.conn(cmd.Relay)
 	if err != nil {
-		cs.rec.Enter(func(*audit.Record) { cmd.Unreached = true })
+		cs.rec.Enter(func(*invariants.Record) { cmd.Unreached = true })
 		return "unreached", 0
 	}
 	var buf bytes.Buffer
@@ -173,7 +173,7 @@
 	if n, err := c.Write(buf.Bytes()); err != nil {
 		c.Close()
 		if n == 0 {
-			cs.rec.Enter(func(*audit.Record) { cmd.Unreached = true })
+			cs.rec.Enter(func(*invariants.Record) { cmd.Unreached = true })
 			return "unreached", 0
 		}
 	}
@@ -191,7 +191,7 @@
 		if kind == "acked" {
 			want := Answer(body + path)
 			wrong := got.StatusCode == 200 && string(text) != want
-			cs.rec.Enter(func(*audit.Record) { cmd.Wrong = wrong })
+			cs.rec.Enter(func(*invariants.Record) { cmd.Wrong = wrong })
 			if wrong && rnd.Float64() < h.Report {
 				time.AfterFunc(time.Duration((0.2+rnd.Float64())*float64(time.Second)), func() { cs.report(cmd.Relay, got.Header.Get("Flint-Receipt")) })
 			}
@@ -208,7 +208,7 @@
 	case <-timer.C:
 		c.Close()
 		if cs.clock() < cmd.Due {
-			cs.rec.Enter(func(*audit.Record) { cmd.Left = cs.clock() })
+			cs.rec.Enter(func(*invariants.Record) { cmd.Left = cs.clock() })
 			return "left", 0
 		}
 		return "none", 0
@@ -231,7 +231,7 @@
 type clientConn struct {
 	net.Conn
 	mu   sync.Mutex
-	cur  *audit.Command
+	cur  *invariants.Command
 	last uint64 // the command before
 	dead atomic.Bool
 	got  chan *http.Response
@@ -277,7 +277,7 @@
 			c.cur = nil
 			c.mu.Unlock()
 			if cmd != nil {
-				cs.rec.Enter(func(*audit.Record) { cmd.Broken = now })
+				cs.rec.Enter(func(*invariants.Record) { cmd.Broken = now })
 				c.got <- nil
 			}
 			c.Close()
@@ -290,12 +290,12 @@
 		}
 		c.mu.Unlock()
 		unit, _ := strconv.ParseUint(resp.Header.Get(headUnit), 10, 32)
-		cs.rec.Enter(func(r *audit.Record) {
+		cs.rec.Enter(func(r *invariants.Record) {
 			if cmd == nil {
 				r.Stray = append(r.Stray, fmt.Sprintf("an answer nobody waited for, after that of command %d", last))
 				return
 			}
-			cmd.Answers = append(cmd.Answers, audit.Answer{At: now, Kind: resp.Header.Get("Flint-Answer"), Unit: uint32(unit)})
+			cmd.Answers = append(cmd.Answers, invariants.Answer{At: now, Kind: resp.Header.Get("Flint-Answer"), Unit: uint32(unit)})
 		})
 		if cmd != nil {
 			c.got <- resp
--- a/standin/control.go
+++ b/internal/fakes/control.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -15,9 +15,9 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"flintspread/roster"
-	"flintspread/xds"
-	"flintspread/xds/xdspb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/xds"
+	"flintspread/internal/xds/xdspb"
 )
 
 // Control is a control service: xDS v3 aggregated discovery, state of the world. It sends what it is told to, right or wrong,
@@ -174,7 +174,7 @@
 }
 
 // UnitsResponse makes a response with a list of units.
-func UnitsResponse(relay string, version uint64, units []roster.Unit) *discovery.DiscoveryResponse {
+func UnitsResponse(relay string, version uint64, units []endpoints.Unit) *discovery.DiscoveryResponse {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{{}}}
 	for _, u := range units {
 		host, port, _ := net.SplitHostPort(u.Addr)
--- a/standin/installer.go
+++ b/internal/fakes/installer.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"flintspread/audit"
-	"flintspread/release"
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/invariants"
+	"flintspread/internal/releases"
 )
 
 // Plan is how the installer moves a build through a fleet.
@@ -41,7 +41,7 @@
 }
 
 type ballot struct {
-	release.Ballot
+	releases.Ballot
 	at float64
 }
 
@@ -53,7 +53,7 @@
 	plan  Plan
 	fleet Fleet
 	list  *List
-	rec   *audit.Record
+	rec   *invariants.Record
 	clock func() float64
 
 	mu      sync.Mutex
@@ -76,7 +76,7 @@
 }
 
 // NewInstaller starts a fleet of the first build, long warm.
-func NewInstaller(plan Plan, first int, fleet Fleet, list *List, rec *audit.Record, clock func() float64) (*Installer, error) {
+func NewInstaller(plan Plan, first int, fleet Fleet, list *List, rec *invariants.Record, clock func() float64) (*Installer, error) {
 	in := &Installer{plan: plan, fleet: fleet, list: list, rec: rec, clock: clock, build: first, phase: "released",
 		stage: len(plan.Stages) - 1, since: clock(), votes: map[string]ballot{}, sent: map[string]uint64{}, pending: make([]pending, plan.Places), subs: map[chan struct{}]struct{}{}}
 	for place := range plan.Places {
@@ -85,15 +85,15 @@
 			return nil, err
 		}
 		u.Start -= 1000
-		rec.Enter(func(r *audit.Record) { r.Units[u.ID].Start = u.Start })
+		rec.Enter(func(r *invariants.Record) { r.Units[u.ID].Start = u.Start })
 		in.places, in.pending[place].build = append(in.places, u), first
 		list.Put(entry(u, "ready"))
 	}
 	return in, nil
 }
 
-func entry(u *Unit, state string) roster.Unit {
-	return roster.Unit{ID: u.ID, Addr: u.Addr, State: state, Build: u.Build, Start: u.Start}
+func entry(u *Unit, state string) endpoints.Unit {
+	return endpoints.Unit{ID: u.ID, Addr: u.Addr, State: state, Build: u.Build, Start: u.Start}
 }
 
 // Offer queues a build; it starts once the one before is released or withdrawn.
@@ -255,17 +255,17 @@
 	})
 }
 
-func (in *Installer) line() release.News {
+func (in *Installer) line() releases.News {
 	limit := in.plan.Caps[in.stage]
 	if in.phase == "going-back" || in.phase == "withdrawn" {
 		limit = 0
 	} else if in.phase == "released" {
 		limit = 1
 	}
-	return release.News{Version: in.version, Build: in.build, Stage: in.stage, Phase: in.phase, Cap: limit, Age: in.clock() - in.since}
+	return releases.News{Version: in.version, Build: in.build, Stage: in.stage, Phase: in.phase, Cap: limit, Age: in.clock() - in.since}
 }
 
-func (in *Installer) told(relay string, l release.News) {
+func (in *Installer) told(relay string, l releases.News) {
 	now := in.clock()
 	in.mu.Lock()
 	old := l.Version < in.sent[relay] // overtaken on the way; relays drop it
@@ -274,8 +274,8 @@
 	if old {
 		return
 	}
-	in.rec.Enter(func(r *audit.Record) {
-		r.News = append(r.News, audit.News{At: now, Relay: relay, Build: l.Build, Stage: l.Stage, Phase: l.Phase, Cap: l.Cap})
+	in.rec.Enter(func(r *invariants.Record) {
+		r.News = append(r.News, invariants.News{At: now, Relay: relay, Build: l.Build, Stage: l.Stage, Phase: l.Phase, Cap: l.Cap})
 	})
 }
 
@@ -317,7 +317,7 @@
 // Vote takes a relay's vote.
 func (in *Installer) Vote(w http.ResponseWriter, req *http.Request) {
 	relay := req.PathValue("relay")
-	var b release.Ballot
+	var b releases.Ballot
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 1<<16)).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/standin/list.go
+++ b/internal/fakes/list.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -6,13 +6,13 @@
 	"sync"
 	"time"
 
-	"flintspread/audit"
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/invariants"
 )
 
 // List is the list service. It tells what happened Lag seconds ago.
 type List struct {
-	rec   *audit.Record
+	rec   *invariants.Record
 	clock func() float64
 
 	mu      sync.Mutex
@@ -20,34 +20,34 @@
 	down    bool
 	version uint64
 	pending []change
-	shown   map[uint32]roster.Unit
+	shown   map[uint32]endpoints.Unit
 	known   map[string]map[uint32]bool // by relay: units it was told are ready (false: not)
 	subs    map[*sub]struct{}
-	mirror  func(relay string, version uint64, units []roster.Unit)
+	mirror  func(relay string, version uint64, units []endpoints.Unit)
 	relays  []string
 }
 
 type change struct {
 	at   float64
-	unit roster.Unit
+	unit endpoints.Unit
 }
 
-type sub struct{ lines chan roster.Line }
+type sub struct{ lines chan endpoints.Line }
 
-func NewList(lag float64, rec *audit.Record, clock func() float64) *List {
-	return &List{rec: rec, clock: clock, lag: lag, shown: map[uint32]roster.Unit{}, known: map[string]map[uint32]bool{},
+func NewList(lag float64, rec *invariants.Record, clock func() float64) *List {
+	return &List{rec: rec, clock: clock, lag: lag, shown: map[uint32]endpoints.Unit{}, known: map[string]map[uint32]bool{},
 		subs: map[*sub]struct{}{}}
 }
 
 // Mirror has each change told by another way too, whole, to relays of those names. What is told so is noted as told.
-func (l *List) Mirror(tell func(relay string, version uint64, units []roster.Unit), relays []string) {
+func (l *List) Mirror(tell func(relay string, version uint64, units []endpoints.Unit), relays []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mirror, l.relays = tell, relays
 }
 
 // Put enters what became of a unit.
-func (l *List) Put(u roster.Unit) {
+func (l *List) Put(u endpoints.Unit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, change{l.clock(), u})
@@ -78,7 +78,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	var line roster.Line
+	var line endpoints.Line
 	for len(l.pending) > 0 && l.pending[0].at+l.lag <= now {
 		u := l.pending[0].unit
 		l.pending = l.pending[1:]
@@ -106,7 +106,7 @@
 		}
 	}
 	if l.mirror != nil {
-		full := roster.Line{Version: l.version, Full: true}
+		full := endpoints.Line{Version: l.version, Full: true}
 		for _, u := range l.shown {
 			full.Units = append(full.Units, u)
 		}
@@ -126,39 +126,39 @@
 }
 
 // told notes what a relay is sent.
-func (l *List) told(relay string, line roster.Line) {
+func (l *List) told(relay string, line endpoints.Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.note(relay, line)
 }
 
-func (l *List) note(relay string, line roster.Line) {
+func (l *List) note(relay string, line endpoints.Line) {
 	known := l.known[relay]
 	if known == nil {
 		known = map[uint32]bool{}
 		l.known[relay] = known
 	}
 	now := l.clock()
-	var news []audit.Told
+	var news []invariants.Told
 	named := map[uint32]bool{}
 	for _, u := range line.Units {
 		named[u.ID] = true
 		known[u.ID] = u.State == "ready"
-		news = append(news, audit.Told{At: now, Relay: relay, Unit: u.ID, Ready: u.State == "ready"})
+		news = append(news, invariants.Told{At: now, Relay: relay, Unit: u.ID, Ready: u.State == "ready"})
 	}
 	for id := range known {
 		if line.Full && !named[id] {
 			known[id] = false
-			news = append(news, audit.Told{At: now, Relay: relay, Unit: id})
+			news = append(news, invariants.Told{At: now, Relay: relay, Unit: id})
 		}
 	}
-	l.rec.Enter(func(r *audit.Record) { r.Told = append(r.Told, news...) })
+	l.rec.Enter(func(r *invariants.Record) { r.Told = append(r.Told, news...) })
 }
 
 // ServeHTTP streams the list to a relay, named by the path's first part.
 func (l *List) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	relay := req.PathValue("relay")
-	s := &sub{lines: make(chan roster.Line, 1024)}
+	s := &sub{lines: make(chan endpoints.Line, 1024)}
 	l.mu.Lock()
 	if l.down {
 		l.mu.Unlock()
@@ -166,12 +166,12 @@
 		return
 	}
 	l.subs[s] = struct{}{}
-	first := roster.Line{Version: l.version, Full: true}
+	first := endpoints.Line{Version: l.version, Full: true}
 	for _, u := range l.shown {
 		first.Units = append(first.Units, u)
 	}
 	l.mu.Unlock()
-	send := func(line roster.Line) bool {
+	send := func(line endpoints.Line) bool {
 		text, _ := json.Marshal(line)
 		if _, err := w.Write(append(text, '\n')); err != nil {
 			return false
@@ -197,7 +197,7 @@
 			l.mu.Lock()
 			version := l.version
 			l.mu.Unlock()
-			ok = send(roster.Line{Version: version})
+			ok = send(endpoints.Line{Version: version})
 		}
 	}
 	l.mu.Lock()
--- a/standin/port.go
+++ b/internal/fakes/port.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"errors"
--- a/standin/quick.go
+++ b/internal/fakes/quick.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"flintspread/release"
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/releases"
 )
 
 // Quick is a unit that answers at once, for loads that a full stand-in could not take. It can pause.
@@ -122,11 +122,11 @@
 	if err != nil {
 		return "", nil, err
 	}
-	line := roster.Line{Version: 1, Full: true}
+	line := endpoints.Line{Version: 1, Full: true}
 	for i, u := range units {
-		line.Units = append(line.Units, roster.Unit{ID: uint32(i + 1), Addr: u.Addr, State: "ready", Build: 1})
+		line.Units = append(line.Units, endpoints.Unit{ID: uint32(i + 1), Addr: u.Addr, State: "ready", Build: 1})
 	}
-	news := release.News{Version: 1, Build: 1, Phase: "released", Cap: 1, Age: 1000}
+	news := releases.News{Version: 1, Build: 1, Phase: "released", Cap: 1, Age: 1000}
 	again := func(x any) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
 			for {
--- a/standin/site.go
+++ b/internal/fakes/site.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -13,18 +13,18 @@
 	"sync"
 	"time"
 
-	"flintspread/audit"
-	"flintspread/resp"
+	"flintspread/internal/invariants"
+	"flintspread/internal/platform/resp"
 )
 
 // SiteTrial is the build that is on trial at a site; what its settings say of the rules stands in SiteBounds.
 const SiteTrial = 2
 
-var SiteBounds = audit.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
+var SiteBounds = invariants.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
 
 // Site plays what is around one relay in the platform's protocol, and enters what it sees on its sockets.
 type Site struct {
-	Rec   *audit.Record
+	Rec   *invariants.Record
 	Relay string
 
 	mu    sync.Mutex
@@ -42,7 +42,7 @@
 
 // NewSite begins with no units and a build on trial in its first stage.
 func NewSite(relay string) *Site {
-	return &Site{Rec: audit.NewRecord(), Relay: relay, base: time.Now(), watch: map[chan []byte]bool{},
+	return &Site{Rec: invariants.NewRecord(), Relay: relay, base: time.Now(), watch: map[chan []byte]bool{},
 		desks: map[net.Conn]bool{}, phase: "trial", stop: make(chan struct{})}
 }
 
@@ -95,8 +95,8 @@
 	if err != nil {
 		return err
 	}
-	s.Rec.Enter(func(r *audit.Record) {
-		r.Units[uint32(n)] = &audit.Unit{ID: uint32(n), Build: build, Capacity: 1e9}
+	s.Rec.Enter(func(r *invariants.Record) {
+		r.Units[uint32(n)] = &invariants.Unit{ID: uint32(n), Build: build, Capacity: 1e9}
 	})
 	s.List(fmt.Sprintf("u%d", n), at, build, "SERVING")
 	return nil
@@ -110,7 +110,7 @@
 			return
 		}
 		id, _ := strconv.ParseUint(string(args[2]), 16, 64)
-		d := &audit.Delivery{Command: id, Unit: unit, At: s.Clock()}
+		d := &invariants.Delivery{Command: id, Unit: unit, At: s.Clock()}
 		good := fmt.Sprintf("*3\r\n$17\r\nv%016x\r\n$-1\r\n$-1\r\n", id)
 		text := good
 		if rand.Float64() < bad {
@@ -128,12 +128,12 @@
 			case 5:
 				text = good + good
 			case 6:
-				s.Rec.Enter(func(r *audit.Record) { r.Deliveries = append(r.Deliveries, d) })
+				s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
 		}
-		s.Rec.Enter(func(r *audit.Record) { r.Deliveries = append(r.Deliveries, d) })
+		s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
 		time.Sleep(2 * time.Millisecond)
 		io.WriteString(c, text)
 	}
@@ -161,8 +161,8 @@
 
 func (s *Site) told(e map[string]any) {
 	at := s.Clock()
-	s.Rec.Enter(func(r *audit.Record) {
-		r.Told = append(r.Told, audit.Told{At: at, Relay: s.Relay, Unit: unitID(e["host"].(string)), Ready: e["health"] == "SERVING"})
+	s.Rec.Enter(func(r *invariants.Record) {
+		r.Told = append(r.Told, invariants.Told{At: at, Relay: s.Relay, Unit: unitID(e["host"].(string)), Ready: e["health"] == "SERVING"})
 	})
 }
 
@@ -235,11 +235,11 @@
 
 // tell enters what the relay hears of the release; released and trial are the audit's words as well, but for the latter.
 func (s *Site) tell() {
-	n := audit.News{At: s.Clock(), Relay: s.Relay, Build: SiteTrial, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], Cap: s.cap()}
+	n := invariants.News{At: s.Clock(), Relay: s.Relay, Build: SiteTrial, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], Cap: s.cap()}
 	if n.Phase == "" {
 		n.Phase = s.phase
 	}
-	s.Rec.Enter(func(r *audit.Record) { r.News = append(r.News, n) })
+	s.Rec.Enter(func(r *invariants.Record) { r.News = append(r.News, n) })
 }
 
 // Desk starts a control service and gives its address, and a way to end its taking new connections. Each PROCEED moves the build on;
@@ -322,17 +322,17 @@
 			br = bufio.NewReader(c)
 		}
 		const given = 0.4
-		cmd := &audit.Command{ID: uint64(n)<<32 | uint64(i+1), Relay: s.Relay, Group: "all", Window: 5, Importance: 1, Target: 0.3}
+		cmd := &invariants.Command{ID: uint64(n)<<32 | uint64(i+1), Relay: s.Relay, Group: "all", Window: 5, Importance: 1, Target: 0.3}
 		list := []string{"API.READ", fmt.Sprintf("key%d", i%7), fmt.Sprintf("%016x", cmd.ID), "c=lookup,d=400"}
 		switch i % 3 {
 		case 0:
-			cmd.Op, cmd.Effect = "lookup", audit.Redeliverable
+			cmd.Op, cmd.Effect = "lookup", invariants.Redeliverable
 		case 1:
-			cmd.Op, cmd.Effect = "order", audit.Deduplicated
+			cmd.Op, cmd.Effect = "order", invariants.Deduplicated
 			list = append(list, "BODY")
 			list[0], list[3] = "API.WRITE", fmt.Sprintf("c=order,d=400,k=%x", cmd.ID)
 		default:
-			cmd.Op, cmd.Effect = "seal", audit.AtMostOnce
+			cmd.Op, cmd.Effect = "seal", invariants.AtMostOnce
 			list = append(list, "BODY")
 			list[0], list[3] = "API.WRITE", "c=seal,d=400"
 		}
@@ -342,7 +342,7 @@
 		}
 		cmd.Asked = s.Clock()
 		cmd.First, cmd.Due = cmd.Asked, cmd.Asked+given
-		s.Rec.Enter(func(r *audit.Record) { r.Commands[cmd.ID] = cmd })
+		s.Rec.Enter(func(r *invariants.Record) { r.Commands[cmd.ID] = cmd })
 		c.Write(buf)
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		line, err := br.ReadString('\n')
@@ -358,11 +358,11 @@
 				kind = "acked"
 			}
 		}
-		s.Rec.Enter(func(*audit.Record) {
+		s.Rec.Enter(func(*invariants.Record) {
 			if err != nil {
 				cmd.Broken = s.Clock()
 			} else {
-				cmd.Answers = append(cmd.Answers, audit.Answer{At: s.Clock(), Kind: kind})
+				cmd.Answers = append(cmd.Answers, invariants.Answer{At: s.Clock(), Kind: kind})
 			}
 		})
 		if err != nil {
--- a/standin/office/office.go
+++ b/internal/fakes/testca/office.go
@@ -1,5 +1,5 @@
 // Package office makes certificates for tests: an authority of its own, and whom it vouches for.
-package office
+package testca
 
 import (
 	"crypto/ecdsa"
--- a/standin/unit.go
+++ b/internal/fakes/unit.go
@@ -1,6 +1,6 @@
 // Package standin plays what is around the relays: units, the list service, the installer and clients. They speak the
 // published forms on loopback sockets and enter what they see there into an audit.Record.
-package standin
+package fakes
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"flintspread/audit"
+	"flintspread/internal/invariants"
 )
 
 // Headers of the stand-ins' own: by them deliveries are matched with commands, not by anything a relay says.
@@ -68,7 +68,7 @@
 	Start  float64
 	shape  UnitShape
 	does   Build
-	rec    *audit.Record
+	rec    *invariants.Record
 	clock  func() float64
 	srv    *http.Server
 	cores  chan struct{}
@@ -103,7 +103,7 @@
 }
 
 // StartUnit listens on a loopback port of its own.
-func StartUnit(id uint32, build int, does Build, shape UnitShape, rec *audit.Record, clock func() float64) (*Unit, error) {
+func StartUnit(id uint32, build int, does Build, shape UnitShape, rec *invariants.Record, clock func() float64) (*Unit, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -117,8 +117,8 @@
 			u.conns.Add(-1)
 		}
 	}}
-	rec.Enter(func(r *audit.Record) {
-		r.Units[id] = &audit.Unit{ID: id, Build: build, Start: u.Start, Capacity: float64(shape.Cores)}
+	rec.Enter(func(r *invariants.Record) {
+		r.Units[id] = &invariants.Unit{ID: id, Build: build, Start: u.Start, Capacity: float64(shape.Cores)}
 	})
 	go u.srv.Serve(door{l, u})
 	return u, nil
@@ -185,7 +185,7 @@
 	u.recent = u.recent[:n]
 	if n > 1 && sum > u.shape.FallFactor*float64(u.shape.Cores)*u.ramp(now)*u.shape.FallTime {
 		u.fell = true
-		u.rec.Enter(func(r *audit.Record) { r.Units[u.ID].Fell = now })
+		u.rec.Enter(func(r *invariants.Record) { r.Units[u.ID].Fell = now })
 	}
 	return u.fell
 }
@@ -219,8 +219,8 @@
 	}
 	id, _ := strconv.ParseUint(req.Header.Get(headCommand), 10, 64)
 	work, _ := strconv.ParseFloat(req.Header.Get(headWork), 64)
-	d := &audit.Delivery{Command: id, Unit: u.ID, At: now, Work: work}
-	u.rec.Enter(func(r *audit.Record) { r.Deliveries = append(r.Deliveries, d) })
+	d := &invariants.Delivery{Command: id, Unit: u.ID, At: now, Work: work}
+	u.rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
@@ -239,7 +239,7 @@
 	w.Header().Set(headUnit, strconv.Itoa(int(u.ID)))
 	if u.inHand.Add(1) > int64(u.shape.Cores+u.shape.Queue) {
 		u.inHand.Add(-1)
-		u.rec.Enter(func(*audit.Record) { d.Never = u.clock() })
+		u.rec.Enter(func(*invariants.Record) { d.Never = u.clock() })
 		w.Header().Set("Flint-Never-Ran", "queue full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/audit/check.go
+++ b/internal/invariants/check.go
@@ -1,4 +1,4 @@
-package audit
+package invariants
 
 import (
 	"fmt"
--- a/audit/record.go
+++ b/internal/invariants/record.go
@@ -1,6 +1,6 @@
 // Package audit checks the five rules from what clients, units and the services around a relay saw on their sockets. It
 // takes no relay's word for anything.
-package audit
+package invariants
 
 import "sync"
 
--- a/accord/leader.go
+++ b/internal/lease/leader.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"sort"
--- a/accord/ledger.go
+++ b/internal/lease/ledger.go
@@ -3,7 +3,7 @@
 //
 // Messages are idempotent and monotone: an edge's digest holds all it counted, a view all that binds the edge. Each is
 // numbered, the newest counts, and one that was lost, repeated or overtaken does no harm.
-package accord
+package lease
 
 import "sort"
 
--- a/accord/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // The machine plays edges with the real policy, a planner and the messages between them through any history of losses,
--- a/load/arrive.go
+++ b/internal/loadgen/arrive.go
@@ -1,6 +1,6 @@
 // Package load offers commands to an address at times that do not wait for answers, and measures each from the time at which it
 // was meant to be sent. A relay that stands still so shows as long latencies, not as fewer commands.
-package load
+package loadgen
 
 import (
 	"encoding/csv"
--- a/load/run.go
+++ b/internal/loadgen/run.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
--- a/shed/leave.go
+++ b/internal/loadshed/leave.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 const (
 	comeOn     = 0.7 // s from the signal in which new connections may go on coming, with room
--- a/shed/own.go
+++ b/internal/loadshed/own.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 const (
 	lagFades  = 0.9  // of the worst own delay is kept from look to look
--- a/shed/room.go
+++ b/internal/loadshed/room.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 // How a small machine's limits are parted, and which client's connection makes room for another.
 
--- a/shed/room_test.go
+++ b/internal/loadshed/room_test.go
@@ -1,16 +1,16 @@
-package shed_test
+package loadshed_test
 
 import (
 	"fmt"
 	"slices"
 
-	"flintspread/shed"
+	"flintspread/internal/loadshed"
 )
 
 // Who makes room, in order: silent ones first, then the longest idle, newcomers, half-spoken ones.
 func ExampleGuest_Sooner() {
 	const now = 10
-	guests := map[string]shed.Guest{
+	guests := map[string]loadshed.Guest{
 		"half":      {Reading: true, Since: 1},
 		"newcomer":  {Since: 9.9},
 		"idle":      {Spoke: true, Since: 8},
@@ -33,9 +33,9 @@
 	})
 	fmt.Println(names)
 	for _, sockets := range []int{64, 256, 1024} {
-		p := shed.Part(sockets, 64<<20)
+		p := loadshed.Part(sockets, 64<<20)
 		going := 0
-		for !shed.Crammed(p.Clients+going, p.Clients) {
+		for !loadshed.Crammed(p.Clients+going, p.Clients) {
 			going++
 		}
 		fmt.Println(sockets, p.Clients, p.Keep, p.Units, "left for the rest:", sockets-p.Clients-going-p.Units)
--- a/shed/shed.go
+++ b/internal/loadshed/shed.go
@@ -5,7 +5,7 @@
 // The bound moves as the policy's bound on what is open does: down from what was really taken when the process falls
 // behind, up slowly while it keeps pace and uses the bound. So the share that is shed follows the load at once, and is nothing as
 // soon as the load is below the bound.
-package shed
+package loadshed
 
 import (
 	"cmp"
--- a/shed/shed_test.go
+++ b/internal/loadshed/shed_test.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 import (
 	"fmt"
--- a/shed/start.go
+++ b/internal/loadshed/start.go
@@ -1,4 +1,4 @@
-package shed
+package loadshed
 
 const (
 	correct = 0.5 // s that discovery gets to correct the list that a process was started with
--- a/health/health.go
+++ b/internal/metricsanalysis/health.go
@@ -1,14 +1,14 @@
 // Package health turns what query servers answer into what the policy takes: counts of a trial build against the earlier
 // one, and marks on units that fade. It does no I/O and reads no clock; equal answers give equal evidence. What is refused
 // here is absence of evidence, never evidence.
-package health
+package metricsanalysis
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 const (
--- a/health/health_test.go
+++ b/internal/metricsanalysis/health_test.go
@@ -1,4 +1,4 @@
-package health
+package metricsanalysis
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 const wrongKind, failedKind, slowKind = 0, 1, 3
--- a/health/pace.go
+++ b/internal/metricsanalysis/pace.go
@@ -1,4 +1,4 @@
-package health
+package metricsanalysis
 
 import "math"
 
--- a/health/ask/ask.go
+++ b/internal/metricsanalysis/promquery/ask.go
@@ -1,6 +1,6 @@
 // Package ask writes PromQL queries from templates over builds and units, and checks templates by the language's own
 // grammar before anything is asked.
-package ask
+package promquery
 
 import (
 	"errors"
--- a/health/ask/ask_test.go
+++ b/internal/metricsanalysis/promquery/ask_test.go
@@ -1,4 +1,4 @@
-package ask
+package promquery
 
 import (
 	"strings"
--- a/platform/platform.go
+++ b/internal/platform/control/platform.go
@@ -1,5 +1,5 @@
 // Package platform speaks the platform's line protocol: one connection that follows what it tells, and on which votes are cast.
-package platform
+package control
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/stream"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+	"flintspread/internal/watch"
 )
 
 const (
@@ -39,7 +39,7 @@
 )
 
 // ParseNews reads a state as the configuration holds it; none is nil.
-func ParseNews(text []byte, stages int) (*release.News, error) {
+func ParseNews(text []byte, stages int) (*releases.News, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
 	}
@@ -55,17 +55,17 @@
 	return news(s.Build, s.Stage, s.Phase, s.Cap, s.AgeMS, stages)
 }
 
-func news(build, stage int, phase string, limit, ageMS float64, stages int) (*release.News, error) {
+func news(build, stage int, phase string, limit, ageMS float64, stages int) (*releases.News, error) {
 	word, ok := phases[phase]
 	if !ok {
 		return nil, fmt.Errorf("unknown phase %.32q", phase)
 	}
-	n := &release.News{Build: build, Stage: stage, Phase: word, Cap: limit, Age: ageMS / 1000}
+	n := &releases.News{Build: build, Stage: stage, Phase: word, Cap: limit, Age: ageMS / 1000}
 	return n, n.Check(stages)
 }
 
 // parseState reads the five fields of a state.
-func parseState(f []string, stages int) (*release.News, error) {
+func parseState(f []string, stages int) (*releases.News, error) {
 	if len(f) != 5 {
 		return nil, fmt.Errorf("a state of %d fields", len(f))
 	}
@@ -86,8 +86,8 @@
 
 // Told is one thing that the platform said.
 type Told struct {
-	News      *release.News // of the newest build
-	Unit      string        // a complaint: this unit gave a wrong answer
+	News      *releases.News // of the newest build
+	Unit      string         // a complaint: this unit gave a wrong answer
 	AgeMS     float64
 	Answer    bool // to the oldest call
 	Reply     policy.VoteReply
@@ -136,9 +136,9 @@
 	Stages  int
 	Timeout float64 // s that the answer to a vote is waited for
 	Log     *slog.Logger
-	News    func(*release.News)
+	News    func(*releases.News)
 	Blamed  func(unit string, age float64)
-	Replied func(release.Vote, policy.VoteReply)
+	Replied func(releases.Vote, policy.VoteReply)
 
 	mu      sync.Mutex
 	address string
@@ -149,7 +149,7 @@
 }
 
 type call struct {
-	vote   release.Vote
+	vote   releases.Vote
 	follow bool
 	over   *time.Timer
 	given  bool // up
@@ -183,7 +183,7 @@
 		if time.Since(from).Seconds() > 2*silence {
 			n = 0
 		}
-		wait := stream.Pause(n, least, most, rand.Float64())
+		wait := watch.Pause(n, least, most, rand.Float64())
 		l.Log.Warn("platform", "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
@@ -374,7 +374,7 @@
 }
 
 // Cast casts a vote without waiting. Where no connection follows it is not cast: the module asks again.
-func (l *Line) Cast(v release.Vote) {
+func (l *Line) Cast(v releases.Vote) {
 	c := &call{vote: v}
 	c.over = time.AfterFunc(time.Duration(l.Timeout*float64(time.Second)), func() { l.answered(c, policy.Unknown, "no answer in time") })
 	l.mu.Lock()
--- a/platform/platform_test.go
+++ b/internal/platform/control/platform_test.go
@@ -1,4 +1,4 @@
-package platform
+package control
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/standin"
+	"flintspread/internal/fakes"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
-func stood(n *release.News) string {
+func stood(n *releases.News) string {
 	return fmt.Sprint(n.Build, n.Stage, " ", n.Phase, " ", n.Cap, n.Age)
 }
 
@@ -91,7 +91,7 @@
 func startDesk(t *testing.T, reply func(c net.Conn, line string)) *desk {
 	d := &desk{}
 	var err error
-	d.l, err = standin.Desk(func(c net.Conn, line string) {
+	d.l, err = fakes.Desk(func(c net.Conn, line string) {
 		d.mu.Lock()
 		d.asked = append(d.asked, line)
 		d.mu.Unlock()
@@ -119,9 +119,9 @@
 func open(t *testing.T, d *desk) (*Line, chan string) {
 	told := make(chan string, 1000)
 	l := &Line{Stages: 2, Timeout: 0.3, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		News:    func(n *release.News) { told <- fmt.Sprintf("news %d %d %s", n.Build, n.Stage, n.Phase) },
+		News:    func(n *releases.News) { told <- fmt.Sprintf("news %d %d %s", n.Build, n.Stage, n.Phase) },
 		Blamed:  func(unit string, age float64) { told <- fmt.Sprintf("blamed %s %g", unit, age) },
-		Replied: func(v release.Vote, r policy.VoteReply) { told <- fmt.Sprintf("vote %d", r) }}
+		Replied: func(v releases.Vote, r policy.VoteReply) { told <- fmt.Sprintf("vote %d", r) }}
 	l.Open(d.l.Addr().String())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -172,7 +172,7 @@
 		if got := next(t, told); got != "news 42 1 on-trial" {
 			t.Fatal(got)
 		}
-		l.Cast(release.Vote{Build: 42, Stage: 1, Verdict: policy.VoteOn})
+		l.Cast(releases.Vote{Build: 42, Stage: 1, Verdict: policy.VoteOn})
 		for _, want := range strings.Split(c.want, "/") {
 			if got := next(t, told); got != want {
 				t.Errorf("%.40q: %s, want %s", c.reply, got, want)
@@ -209,17 +209,17 @@
 	})
 	l, told := open(t, d)
 	next(t, told)
-	l.Cast(release.Vote{Build: 42, Verdict: policy.VoteOn})
+	l.Cast(releases.Vote{Build: 42, Verdict: policy.VoteOn})
 	if got := next(t, told); got != "vote 3" {
 		t.Error(got)
 	}
-	l.Cast(release.Vote{Build: 42, Verdict: policy.VoteBack})
+	l.Cast(releases.Vote{Build: 42, Verdict: policy.VoteBack})
 	if got := next(t, told); got != "vote 1" {
 		t.Error("the second vote got the first one's answer:", got)
 	}
 	gone := &Line{Timeout: 1, Log: l.Log, Replied: l.Replied}
 	gone.Open("127.0.0.1:1")
-	gone.Cast(release.Vote{})
+	gone.Cast(releases.Vote{})
 	if got := next(t, told); got != "vote 2" {
 		t.Error(got)
 	}
--- a/catalog/catalog.go
+++ b/internal/platform/discovery/catalog.go
@@ -1,12 +1,12 @@
 // Package catalog reads the unit list in the form of the platform's discovery, and knows units by the numbers that the module gets.
-package catalog
+package discovery
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
 )
 
 // Object is one of discovery's: the whole list, or the entries that changed.
@@ -58,7 +58,7 @@
 		case e.Image != math.Trunc(e.Image) || e.Block != math.Trunc(e.Block) || !(e.Block >= 0 && e.Block < math.MaxUint16):
 			what = fmt.Sprintf("image_id %v, block %v", e.Image, e.Block)
 		default:
-			if err := (&roster.Line{Units: []roster.Unit{e.unit(1, 0)}}).Check(); err != nil {
+			if err := (&endpoints.Line{Units: []endpoints.Unit{e.unit(1, 0)}}).Check(); err != nil {
 				what = err.Error()
 			}
 		}
@@ -71,8 +71,8 @@
 }
 
 // unit words an entry by the numbers that the module knows it and its site by.
-func (e *Entry) unit(id uint32, zone uint16) roster.Unit {
-	u := roster.Unit{ID: id, State: states[e.Health], Build: int(e.Image), Heft: e.Share, Start: e.BornMS / 1000, Zone: zone, Cell: uint16(e.Block) + 1}
+func (e *Entry) unit(id uint32, zone uint16) endpoints.Unit {
+	u := endpoints.Unit{ID: id, State: states[e.Health], Build: int(e.Image), Heft: e.Share, Start: e.BornMS / 1000, Zone: zone, Cell: uint16(e.Block) + 1}
 	if u.State != "gone" {
 		u.Addr = e.Dial
 	}
@@ -105,7 +105,7 @@
 func (n *Names) Len() int { return len(n.hosts) }
 
 // Line words an object for the list.
-func (n *Names) Line(o *Object, now float64) *roster.Line {
+func (n *Names) Line(o *Object, now float64) *endpoints.Line {
 	if n.hosts == nil {
 		n.hosts, n.sites = map[string]*named{}, map[string]uint16{}
 	}
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	line := &roster.Line{Version: o.Seq, Full: o.Whole}
+	line := &endpoints.Line{Version: o.Seq, Full: o.Whole}
 	for _, e := range o.Hosts {
 		x := n.hosts[e.Host]
 		if x == nil {
--- a/node/config.go
+++ b/internal/platform/node/config.go
@@ -6,12 +6,12 @@
 	"os"
 	"strconv"
 
-	"flintspread/catalog"
-	"flintspread/platform"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/settings"
-	"flintspread/terms"
+	"flintspread/internal/config"
+	"flintspread/internal/platform/control"
+	"flintspread/internal/platform/discovery"
+	"flintspread/internal/policy"
+	"flintspread/internal/policyconfig"
+	"flintspread/internal/releases"
 )
 
 // Told is what the platform tells a relay in one file.
@@ -24,8 +24,8 @@
 	Cores     float64
 	Memory    int64 // bytes
 	Sockets   int
-	News      *release.News   // nil: none yet
-	Known     *catalog.Object // nil: no list yet
+	News      *releases.News    // nil: none yet
+	Known     *discovery.Object // nil: no list yet
 	Terms     policy.Terms
 	Ops       []string // the names of the terms' op types
 	Dial      float64  // s that a connection to a unit may take
@@ -68,31 +68,31 @@
 	}
 	t := &Told{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address, Cores: f.Limits.Cores,
 		Memory: int64(f.Limits.Memory * (1 << 20)), Sockets: f.Limits.Sockets}
-	if err := settings.CheckJSON(&f); err != nil {
+	if err := config.CheckJSON(&f); err != nil {
 		return nil, err
 	}
 	var err error
 	if t.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %.32q is no number of 16 hex digits", f.Seed)
 	}
-	pairs, err := terms.Tree(f.Settings)
+	pairs, err := policyconfig.Tree(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if t.Terms, err = terms.Read(pairs); err != nil {
+	if t.Terms, err = policyconfig.Read(pairs); err != nil {
 		return nil, err
 	}
-	if t.Ops, err = terms.Names(pairs); err != nil {
+	if t.Ops, err = policyconfig.Names(pairs); err != nil {
 		return nil, err
 	}
-	if t.Dial, err = terms.Secs(pairs, "policy_limits.dial_timeout"); err != nil {
+	if t.Dial, err = policyconfig.Secs(pairs, "policy_limits.dial_timeout"); err != nil {
 		return nil, err
 	}
-	if t.News, err = platform.ParseNews(f.Platform.News, len(t.Terms.Stages)); err != nil {
+	if t.News, err = control.ParseNews(f.Platform.News, len(t.Terms.Stages)); err != nil {
 		return nil, fmt.Errorf("platform.news: %w", err)
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if t.Known, err = catalog.Parse(f.Known); err != nil {
+		if t.Known, err = discovery.Parse(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/node/node.go
+++ b/internal/platform/node/node.go
@@ -16,15 +16,15 @@
 	"sync"
 	"time"
 
-	"flintspread/catalog"
-	"flintspread/platform"
-	"flintspread/policy"
-	"flintspread/relay"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/shed"
-	"flintspread/stream"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/platform/control"
+	"flintspread/internal/platform/discovery"
+	"flintspread/internal/policy"
+	"flintspread/internal/proxy"
+	"flintspread/internal/releases"
+	"flintspread/internal/watch"
 )
 
 // What the platform's page gives.
@@ -44,21 +44,21 @@
 type Node struct {
 	told  *Told
 	log   *slog.Logger
-	relay *relay.Relay
-	line  *platform.Line
+	relay *proxy.Relay
+	line  *control.Line
 	http  *http.Client
 
 	mu      sync.Mutex // orders lists and news
-	names   catalog.Names
-	list    roster.List
+	names   discovery.Names
+	list    endpoints.List
 	from    string // discovery's address
 	feed    int    // the follower whose objects count; earlier ones may still add changes
 	joined  int    // the newest that was told something
-	renewal catalog.Renewal
+	renewal discovery.Renewal
 	ended   bool // nothing new is followed
 	running sync.WaitGroup
 
-	plan     shed.Leaving
+	plan     loadshed.Leaving
 	unheard  float64 // s after which it is ready though discovery said nothing
 	mostList int64   // bytes of a list
 
@@ -69,26 +69,26 @@
 // New makes a relay of what it was told.
 func New(t *Told, log *slog.Logger) *Node {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(t.Cores))))
-	parts := shed.Part(t.Sockets, t.Memory)
+	parts := loadshed.Part(t.Sockets, t.Memory)
 	debug.SetMemoryLimit(parts.Heap)
 	terms := t.Terms
 	terms.Forget, terms.Keys = forget, keysKept
 	terms.Streams = 1 // whatever units allow, this relay has one delivery out on a connection
-	set := settings.Given(t.Name, terms, t.Ops,
-		settings.Clients{Connections: parts.Clients, Keep: parts.Keep, ReadTime: speakUp, IdleTime: idleTime},
-		settings.Units{Connections: parts.Units, Total: parts.Units, DialTime: t.Dial, IdleTime: shed.IdleTime(terms.ConnIdle)}, parts.Buffers)
-	n := &Node{told: t, log: log, from: t.Discovery, mostList: parts.Buffers / 2, names: catalog.Names{Kept: 2 * forget},
+	set := config.Given(t.Name, terms, t.Ops,
+		config.Clients{Connections: parts.Clients, Keep: parts.Keep, ReadTime: speakUp, IdleTime: idleTime},
+		config.Units{Connections: parts.Units, Total: parts.Units, DialTime: t.Dial, IdleTime: loadshed.IdleTime(terms.ConnIdle)}, parts.Buffers)
+	n := &Node{told: t, log: log, from: t.Discovery, mostList: parts.Buffers / 2, names: discovery.Names{Kept: 2 * forget},
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	longest := 0.0
 	for _, op := range terms.Ops {
 		longest = max(longest, op.Timeout)
 	}
-	n.plan = shed.Leave(longest)
+	n.plan = loadshed.Leave(longest)
 	n.feeds, n.stopFeeds = context.WithCancel(context.Background())
-	n.line = &platform.Line{Stages: len(terms.Stages), Timeout: terms.VoteTimeout, Log: log, News: n.news, Blamed: n.blamed,
-		Replied: func(_ release.Vote, reply policy.VoteReply) { n.relay.VoteAnswered(reply) }}
+	n.line = &control.Line{Stages: len(terms.Stages), Timeout: terms.VoteTimeout, Log: log, News: n.news, Blamed: n.blamed,
+		Replied: func(_ releases.Vote, reply policy.VoteReply) { n.relay.VoteAnswered(reply) }}
 	n.line.Open(t.Platform)
-	n.relay = relay.NewPlatform(set, t.Seed, log, n.cast)
+	n.relay = proxy.NewPlatform(set, t.Seed, log, n.cast)
 	if t.News != nil {
 		n.news(t.News)
 	}
@@ -97,7 +97,7 @@
 			log.Error("known list", "error", err) // discovery tells it anew
 		}
 	}
-	n.unheard = shed.Start(n.units() > 0)
+	n.unheard = loadshed.Start(n.units() > 0)
 	return n
 }
 
@@ -117,14 +117,14 @@
 	case <-ctx.Done():
 		n.log.Info("leaving", "relay", n.told.Name)
 		n.relay.AnswerBy(n.relay.Now() + n.plan.Answer)
-		closed := time.AfterFunc(span(n.plan.Listen), func() { relay.CloseEmpty(l) })
+		closed := time.AfterFunc(span(n.plan.Listen), func() { proxy.CloseEmpty(l) })
 		time.Sleep(span(n.plan.Serve))
 		n.relay.Leave()
 		time.Sleep(span(n.plan.Listen - n.plan.Serve))
 		closed.Stop()
 	case err = <-failed:
 	}
-	relay.CloseEmpty(l)
+	proxy.CloseEmpty(l)
 	until, cancel := context.WithTimeout(context.Background(), span(n.plan.End-max(n.plan.Serve, n.plan.Listen)))
 	defer cancel()
 	if late := n.relay.Drain(until); late != nil {
@@ -180,7 +180,7 @@
 		n.joined = max(n.joined, me)
 		return n.feed != me
 	}
-	source := stream.Source{Silence: silence, Opening: opening, Object: n.mostList, Least: backLeast, Most: backMost, Log: n.log, Client: n.http,
+	source := watch.Source{Silence: silence, Opening: opening, Object: n.mostList, Least: backLeast, Most: backMost, Log: n.log, Client: n.http,
 		Alive: func() {
 			heard()
 			n.relay.Unchanged()
@@ -191,7 +191,7 @@
 			return fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", from, n.list.Version)
 		}}
 	n.running.Go(func() {
-		stream.Follow(mine, source, func(o *catalog.Object) error {
+		watch.Follow(mine, source, func(o *discovery.Object) error {
 			if err := o.Check(); err != nil {
 				return err
 			}
@@ -231,7 +231,7 @@
 }
 
 // object enters one of discovery's. Changes that came already by another way are passed over.
-func (n *Node) object(o *catalog.Object) error {
+func (n *Node) object(o *discovery.Object) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.relay.Now()
@@ -254,7 +254,7 @@
 }
 
 // cast hands a vote on. One that sends a build back is logged with what it rests on.
-func (n *Node) cast(v release.Vote) {
+func (n *Node) cast(v releases.Vote) {
 	if v.Verdict == policy.VoteBack {
 		type sum struct{ Units, N, Bad [len(policy.Kinds)]float64 }
 		by := map[int]*sum{}
@@ -279,7 +279,7 @@
 	n.line.Cast(v)
 }
 
-func (n *Node) news(s *release.News) {
+func (n *Node) news(s *releases.News) {
 	n.relay.Stage(s.Build, s.Stage, s.PhaseOf(), s.Cap, s.Age)
 }
 
--- a/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -17,23 +17,23 @@
 
 	"go.uber.org/goleak"
 
-	"flintspread/audit"
-	"flintspread/catalog"
-	"flintspread/shed"
-	"flintspread/standin"
+	"flintspread/internal/fakes"
+	"flintspread/internal/invariants"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/platform/discovery"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // site is a stand-in's, with a relay that runs on it until the test ends it.
 type site struct {
-	*standin.Site
+	*fakes.Site
 	t     *testing.T
 	n     *Node
 	at    string
 	until chan struct{}
 	asked sync.WaitGroup
-	life  *audit.Life
+	life  *invariants.Life
 	end   func()
 }
 
@@ -58,8 +58,8 @@
 	told := must[*Told](t)(Parse([]byte(site.Config(site.at, discovery, desk))))
 	site.n = New(told, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.n)
-	site.life = &audit.Life{Relay: site.Relay, From: site.Clock()}
-	site.Rec.Enter(func(r *audit.Record) { r.Lives = append(r.Lives, site.life) })
+	site.life = &invariants.Life{Relay: site.Relay, From: site.Clock()}
+	site.Rec.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, site.life) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- site.n.Run(ctx, l) }()
@@ -77,10 +77,10 @@
 }
 
 // kept checks so many of the rules, once nobody asks any more.
-func (s *site) kept(rules int) *audit.Report {
+func (s *site) kept(rules int) *invariants.Report {
 	s.asked.Wait()
 	s.life.To = s.Clock()
-	rep := audit.Check(s.Rec, standin.SiteBounds)
+	rep := invariants.Check(s.Rec, fakes.SiteBounds)
 	for _, r := range rep.Rules[:rules] {
 		if r.Broken > 0 {
 			s.t.Errorf("%s: %d of %d broken: %v", r.Name, r.Broken, r.Checked, r.First)
@@ -91,11 +91,11 @@
 
 // newSite lists units by build; a share of what those of earlier builds get ends badly.
 func newSite(t *testing.T, bad float64, builds ...int) *site {
-	s := &site{Site: standin.NewSite("n1")}
+	s := &site{Site: fakes.NewSite("n1")}
 	t.Cleanup(s.Close)
 	for i, build := range builds {
 		share := bad
-		if build == standin.SiteTrial {
+		if build == fakes.SiteTrial {
 			share = 0
 		}
 		if err := s.Unit(i+1, build, share); err != nil {
@@ -118,7 +118,7 @@
 // A short day: units that fail in every way, a release that goes its stages by votes of which some answers are spoilt, a unit that
 // drains, addresses that change under load. The rules are checked from what was seen on the sockets.
 func TestDay(t *testing.T) {
-	s := newSite(t, 0.05, 1, 1, 1, 1, standin.SiteTrial, standin.SiteTrial)
+	s := newSite(t, 0.05, 1, 1, 1, 1, fakes.SiteTrial, fakes.SiteTrial)
 	var spoilt atomic.Int32
 	discovery, desk, endOld := s.serves(t, func() bool { return spoilt.Add(1) <= 3 })
 	start(t, discovery, desk, 12, s)
@@ -138,7 +138,7 @@
 	s.asked.Wait()
 	s.end()
 	rep := s.kept(5)
-	if rep.Answers["acked"] < rep.Asked*8/10 || rep.PerBuild[standin.SiteTrial] == 0 {
+	if rep.Answers["acked"] < rep.Asked*8/10 || rep.PerBuild[fakes.SiteTrial] == 0 {
 		t.Errorf("%d asked, %v, %v", rep.Asked, rep.Answers, rep.PerBuild)
 	}
 }
@@ -161,7 +161,7 @@
 	discovery, desk, _ := s.serves(t, nil)
 	start(t, discovery, desk, 6, s)
 	soon(t, "traffic", func() bool { return s.n.relay.Numbers().Acked > 50 })
-	s.n.plan = shed.Leave(2) // as where clients wait longer than here
+	s.n.plan = loadshed.Leave(2) // as where clients wait longer than here
 	from := s.Clock()
 	s.end()
 	if took := s.Clock() - from; took < s.n.plan.Serve || took > s.n.plan.Kill {
@@ -226,35 +226,35 @@
 	s := start(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.end()
 	n := s.n
-	entry := func(host, health string, build int) catalog.Entry {
-		return catalog.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: float64(build)}
+	entry := func(host, health string, build int) discovery.Entry {
+		return discovery.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: float64(build)}
 	}
-	enter := func(o *catalog.Object) {
+	enter := func(o *discovery.Object) {
 		if err := n.object(o); err != nil {
 			t.Error(err)
 		}
 	}
-	enter(&catalog.Object{Seq: 5, Whole: true, Hosts: []catalog.Entry{entry("a", "SERVING", 1), entry("b", "SERVING", 1)}})
-	enter(&catalog.Object{Seq: 7, Hosts: []catalog.Entry{entry("b", "DELETED", 1), entry("c", "DRAINING", 2)}})
-	enter(&catalog.Object{Seq: 6, Hosts: []catalog.Entry{entry("b", "SERVING", 1)}}) // by the way that is left
+	enter(&discovery.Object{Seq: 5, Whole: true, Hosts: []discovery.Entry{entry("a", "SERVING", 1), entry("b", "SERVING", 1)}})
+	enter(&discovery.Object{Seq: 7, Hosts: []discovery.Entry{entry("b", "DELETED", 1), entry("c", "DRAINING", 2)}})
+	enter(&discovery.Object{Seq: 6, Hosts: []discovery.Entry{entry("b", "SERVING", 1)}}) // by the way that is left
 	if got := fmt.Sprint(n.list.Len(), n.list.Version); got != "2 7" {
 		t.Error(got)
 	}
 	for i := range 500 { // units ever new
-		enter(&catalog.Object{Seq: uint64(8 + i), Whole: true, Hosts: []catalog.Entry{entry(fmt.Sprint("x", i), "SERVING", i)}})
+		enter(&discovery.Object{Seq: uint64(8 + i), Whole: true, Hosts: []discovery.Entry{entry(fmt.Sprint("x", i), "SERVING", i)}})
 	}
 	if n.list.Len() != 1 || n.names.Host("x499") == 0 {
 		t.Error(n.list.Len())
 	}
 	late := n.relay.Now() + 1000
-	n.names.Line(&catalog.Object{Whole: true}, late)
-	n.names.Line(&catalog.Object{Whole: true}, late+1000)
+	n.names.Line(&discovery.Object{Whole: true}, late)
+	n.names.Line(&discovery.Object{Whole: true}, late+1000)
 	if n.names.Len() != 0 {
 		t.Errorf("%d names kept", n.names.Len())
 	}
-	for _, bad := range []catalog.Entry{{}, entry("a", "ILL", 1), entry("a", "SERVING", -1), {Host: "a", Health: "SERVING", Dial: "x"},
+	for _, bad := range []discovery.Entry{{}, entry("a", "ILL", 1), entry("a", "SERVING", -1), {Host: "a", Health: "SERVING", Dial: "x"},
 		{Host: "a", Health: "DELETED", Block: 1e9}, {Host: "a", Health: "DELETED", Share: -1}} {
-		if err := (&catalog.Object{Hosts: []catalog.Entry{bad}}).Check(); err == nil {
+		if err := (&discovery.Object{Hosts: []discovery.Entry{bad}}).Check(); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
--- a/node/owed_test.go
+++ b/internal/platform/node/owed_test.go
@@ -13,15 +13,15 @@
 	"testing"
 	"time"
 
-	"flintspread/catalog"
-	"flintspread/resp"
-	"flintspread/standin"
+	"flintspread/internal/fakes"
+	"flintspread/internal/platform/discovery"
+	"flintspread/internal/platform/resp"
 )
 
 // mute is an address that takes connections and never says anything.
 func mute(t *testing.T) (at string, taken func() int) {
 	var n atomic.Int32
-	l, err := standin.Serve(func(c net.Conn) {
+	l, err := fakes.Serve(func(c net.Conn) {
 		n.Add(1)
 		io.Copy(io.Discard, c)
 	})
@@ -117,18 +117,18 @@
 func TestListBehind(t *testing.T) {
 	s := start(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.end()
-	entry := func(host, health string) catalog.Entry {
-		return catalog.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: 1}
+	entry := func(host, health string) discovery.Entry {
+		return discovery.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: 1}
 	}
-	enter := func(o *catalog.Object) error { return s.n.object(o) }
-	if err := enter(&catalog.Object{Seq: 9, Whole: true, Hosts: []catalog.Entry{entry("a", "DRAINING"), entry("b", "SERVING")}}); err != nil {
+	enter := func(o *discovery.Object) error { return s.n.object(o) }
+	if err := enter(&discovery.Object{Seq: 9, Whole: true, Hosts: []discovery.Entry{entry("a", "DRAINING"), entry("b", "SERVING")}}); err != nil {
 		t.Error(err)
 	}
-	old := &catalog.Object{Seq: 8, Whole: true, Hosts: []catalog.Entry{entry("a", "SERVING"), entry("c", "SERVING")}}
+	old := &discovery.Object{Seq: 8, Whole: true, Hosts: []discovery.Entry{entry("a", "SERVING"), entry("c", "SERVING")}}
 	if err := enter(old); err == nil || !strings.Contains(err.Error(), "older") || s.n.units() != 2 || s.n.names.Host("c") != 0 {
 		t.Errorf("%v, %d units", err, s.n.units())
 	}
-	var r catalog.Renewal
+	var r discovery.Renewal
 	for _, c := range []struct {
 		version, have uint64
 		at            float64
--- a/terms/terms.go
+++ b/internal/policyconfig/terms.go
@@ -1,13 +1,13 @@
 // Package terms reads the settings that a deployment gives by name into what the module is told. The simulator's adapter and the
 // platform's relay read them by this one decoder.
-package terms
+package policyconfig
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // reader looks settings up and remembers the first that is missing or malformed.
--- a/terms/tree.go
+++ b/internal/policyconfig/tree.go
@@ -1,4 +1,4 @@
-package terms
+package policyconfig
 
 import (
 	"bytes"
--- a/self/self.go
+++ b/internal/processstats/self.go
@@ -1,5 +1,5 @@
 // Package self measures the process that it is in, cheaply enough for ten looks a second.
-package self
+package processstats
 
 import (
 	"bufio"
--- a/prom/client.go
+++ b/internal/promclient/client.go
@@ -1,6 +1,6 @@
 // Package prom asks query servers over their HTTP API, within bounds: of bytes, series and time, without redirects. What comes
 // back is read into plain series; what is refused is said by server and cause. It judges nothing.
-package prom
+package promclient
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	v1 "github.com/prometheus/client_golang/api/prometheus/v1"
 	"github.com/prometheus/common/model"
 
-	"flintspread/health"
-	"flintspread/health/ask"
+	"flintspread/internal/metricsanalysis"
+	"flintspread/internal/metricsanalysis/promquery"
 )
 
 // Cause is why an answer was refused, for the numbers.
@@ -43,11 +43,11 @@
 }
 
 // ended tells whether the server is to rest for it, or the one question.
-func (c Cause) ended() health.Ended {
+func (c Cause) ended() metricsanalysis.Ended {
 	if c <= Redirected {
-		return health.Sick
+		return metricsanalysis.Sick
 	}
-	return health.Declined
+	return metricsanalysis.Declined
 }
 
 // Refused is an answer that does not count.
@@ -155,11 +155,11 @@
 // Row is one series of an answer, as labelled.
 type Row struct {
 	Labels model.Metric
-	Points []health.Point
+	Points []metricsanalysis.Point
 }
 
 // Ask asks one query as of a time, s since 1970. span and step are a range's.
-func (c *Client) Ask(ctx context.Context, query string, form ask.Form, at, span, step float64) (rows []Row, err error) {
+func (c *Client) Ask(ctx context.Context, query string, form promquery.Form, at, span, step float64) (rows []Row, err error) {
 	h := &head{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, headKey{}, h), secs(c.limits.Timeout))
 	defer cancel()
@@ -175,7 +175,7 @@
 	opts := []v1.Option{v1.WithTimeout(secs(c.limits.Timeout)), v1.WithLimit(uint64(c.limits.Series) + 1)}
 	var value model.Value
 	var warnings v1.Warnings
-	if form == ask.Range {
+	if form == promquery.Range {
 		value, warnings, _, err = c.api.QueryRange(ctx, query, v1.Range{Start: moment(at - span), End: moment(at), Step: secs(step)}, opts...)
 	} else {
 		value, warnings, _, err = c.api.Query(ctx, query, moment(at), opts...)
@@ -242,30 +242,30 @@
 }
 
 // read turns an answer into rows; it must be of the form asked for.
-func read(v model.Value, form ask.Form) ([]Row, error) {
+func read(v model.Value, form promquery.Form) ([]Row, error) {
 	var rows []Row
 	switch v := v.(type) {
 	case model.Vector:
-		if form != ask.Instant {
+		if form != promquery.Instant {
 			return nil, fmt.Errorf("a vector, where samples over time were asked for")
 		}
 		for _, s := range v {
 			if s == nil || s.Histogram != nil {
 				return nil, errors.New("a histogram, where a number was asked for")
 			}
-			rows = append(rows, Row{s.Metric, []health.Point{{At: clock(s.Timestamp), Value: float64(s.Value)}}})
+			rows = append(rows, Row{s.Metric, []metricsanalysis.Point{{At: clock(s.Timestamp), Value: float64(s.Value)}}})
 		}
 	case model.Matrix:
-		if form == ask.Instant {
+		if form == promquery.Instant {
 			return nil, fmt.Errorf("a matrix, where one value a series was asked for")
 		}
 		for _, s := range v {
 			if s == nil || len(s.Histograms) > 0 {
 				return nil, errors.New("histograms, where numbers were asked for")
 			}
-			row := Row{s.Metric, make([]health.Point, len(s.Values))}
+			row := Row{s.Metric, make([]metricsanalysis.Point, len(s.Values))}
 			for i, p := range s.Values {
-				if row.Points[i] = (health.Point{At: clock(p.Timestamp), Value: float64(p.Value)}); i > 0 && row.Points[i].At <= row.Points[i-1].At {
+				if row.Points[i] = (metricsanalysis.Point{At: clock(p.Timestamp), Value: float64(p.Value)}); i > 0 && row.Points[i].At <= row.Points[i-1].At {
 					return nil, fmt.Errorf("%s: times that do not go forward", short(s.Metric.String()))
 				}
 			}
--- a/prom/poll.go
+++ b/internal/promclient/poll.go
@@ -1,4 +1,4 @@
-package prom
+package promclient
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/model"
 
-	"flintspread/health"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/metricsanalysis"
 )
 
 // Fleet is what queries are written about and answers are read by.
@@ -34,16 +34,16 @@
 
 // Poller asks all servers all queries, each in its time.
 type Poller struct {
-	set     *settings.Health
+	set     *config.Health
 	log     *slog.Logger
 	now     func() float64
-	take    func(*health.Answer) health.Taken
+	take    func(*metricsanalysis.Answer) metricsanalysis.Taken
 	clients []*Client
 
 	rests atomic.Bool // nothing is asked for now
 
 	mu      sync.Mutex
-	pace    *health.Pace
+	pace    *metricsanalysis.Pace
 	fleet   Fleet
 	parts   [][]query // by question
 	byAddr  map[string]uint32
@@ -63,8 +63,8 @@
 type query struct{ bad, all string }
 
 // NewPoller makes a poller. take gets each answer; it must not wait. now is s since 1970.
-func NewPoller(set *settings.Health, log *slog.Logger, now func() float64, take func(*health.Answer) health.Taken) (*Poller, error) {
-	p := &Poller{set: set, log: log, now: now, take: take, pace: health.NewPace(set.Bounds(), len(set.Servers), now()),
+func NewPoller(set *config.Health, log *slog.Logger, now func() float64, take func(*metricsanalysis.Answer) metricsanalysis.Taken) (*Poller, error) {
+	p := &Poller{set: set, log: log, now: now, take: take, pace: metricsanalysis.NewPace(set.Bounds(), len(set.Servers), now()),
 		trouble: map[[2]int]Cause{}, wake: make(chan struct{}, 1), parts: make([][]query, len(set.Queries)),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "flintplan_health_query_seconds", Help: "Time that asking took.",
 			Buckets: prometheus.ExponentialBucketsRange(set.Timeout/1000, set.Timeout, 13)}, []string{"server"}),
@@ -103,7 +103,7 @@
 		p.byAddr[u.Addr], p.builds[u.ID] = u.ID, u.Build
 		ids, addrs = append(ids, strconv.FormatUint(uint64(u.ID), 10)), append(addrs, u.Addr)
 	}
-	var jobs []health.Job
+	var jobs []metricsanalysis.Job
 	for i := range p.set.Queries {
 		q := &p.set.Queries[i]
 		units := ids
@@ -117,7 +117,7 @@
 		}
 		for part := range p.parts[i] {
 			for s := range p.clients {
-				jobs = append(jobs, health.Job{Server: s, Question: i, Part: part, Period: q.Period, Cost: cost})
+				jobs = append(jobs, metricsanalysis.Job{Server: s, Question: i, Part: part, Period: q.Period, Cost: cost})
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // write makes the queries of a question; both templates of one that counts must part alike.
-func (p *Poller) write(q *settings.Query, units []string) (parts []query) {
+func (p *Poller) write(q *config.Query, units []string) (parts []query) {
 	asked, total := q.Templates()
 	bad, err := asked.Queries(p.fleet.Builds, units)
 	var all []string
@@ -198,7 +198,7 @@
 }
 
 // once asks one part of a question and enters the answer.
-func (p *Poller) once(ctx context.Context, a health.Asking, x query) {
+func (p *Poller) once(ctx context.Context, a metricsanalysis.Asking, x query) {
 	q, c := &p.set.Queries[a.Question], p.clients[a.Server]
 	name := p.set.Servers[a.Server].Name
 	from := p.now()
@@ -214,7 +214,7 @@
 		p.refused.WithLabelValues(name, no.Cause.String()).Inc()
 	}
 	p.took.WithLabelValues(name).Observe(now - from)
-	after, how := 0.0, health.Answered
+	after, how := 0.0, metricsanalysis.Answered
 	if no != nil {
 		after, how = no.After, no.Cause.ended()
 	}
@@ -240,7 +240,7 @@
 		if bad {
 			p.log.Info("health answers again", "server", name, "query", q.Name)
 		}
-		answer := &health.Answer{Server: a.Server, Question: a.Question}
+		answer := &metricsanalysis.Answer{Server: a.Server, Question: a.Question}
 		strange := 0
 		if x.all != "" {
 			answer.All, strange = p.series(q, all)
@@ -249,11 +249,11 @@
 			answer.All, strange = p.series(q, rows)
 		}
 		t := p.take(answer)
-		t.Refused[health.NoUnit] += strange
+		t.Refused[metricsanalysis.NoUnit] += strange
 		p.values.WithLabelValues(name).Add(float64(t.Values))
 		for i, n := range t.Refused {
 			if n > 0 {
-				p.odd.WithLabelValues(name, health.Refusal(i).String()).Add(float64(n))
+				p.odd.WithLabelValues(name, metricsanalysis.Refusal(i).String()).Add(float64(n))
 			}
 		}
 	}
@@ -264,7 +264,7 @@
 }
 
 // series reads units and builds off the labels, and tells how many rows bear none that is known.
-func (p *Poller) series(q *settings.Query, rows []Row) (list []health.Series, strange int) {
+func (p *Poller) series(q *config.Query, rows []Row) (list []metricsanalysis.Series, strange int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range rows {
@@ -283,7 +283,7 @@
 			strange++
 			continue
 		}
-		list = append(list, health.Series{Unit: id, Build: build, Points: r.Points})
+		list = append(list, metricsanalysis.Series{Unit: id, Build: build, Points: r.Points})
 	}
 	return slices.Clip(list), strange
 }
--- /dev/null
+++ b/internal/promclient/prom_test.go
@@ -0,0 +1,222 @@
+package promclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"flintspread/internal/fakes"
+	"flintspread/internal/metricsanalysis/promquery"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// answering serves one response to everything.
+func answering(t testing.TB, code int, header map[string]string, body string) string {
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		for k, v := range header {
+			w.Header().Set(k, v)
+		}
+		w.WriteHeader(code)
+		io.WriteString(w, body)
+	}))
+	t.Cleanup(srv.Close)
+	return srv.URL
+}
+
+func asking(t testing.TB, url string, l Limits) *Client {
+	c, err := NewClient("q1", url, l)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.Close)
+	return c
+}
+
+// The response shapes that the API's documentation gives, and what a client makes of each: rows and points, or a cause.
+func TestResponseShapes(t *testing.T) {
+	ok := func(data string) string { return `{"status":"success","data":` + data + `}` }
+	matrix := `{"resultType":"matrix","result":[{"metric":{"__name__":"up","unit":"7"},"values":[[1000.781,"1"],[1001.781,"2.5"]]}]}`
+	vector := `{"resultType":"vector","result":[{"metric":{"__name__":"up","unit":"7"},"value":[1000.781,"1"]},{"metric":{"unit":"8"},"value":[1000.781,"0"]}]}`
+	native := `"histogram":[1000.781,{"count":"60","sum":"33897","buckets":[[0,"1","2","60"]]}]`
+	for _, c := range []struct {
+		name string
+		form promquery.Form
+		code int
+		head map[string]string
+		body string
+		want string
+	}{
+		{"matrix of samples", promquery.Samples, 200, nil, ok(matrix), "1 rows, 2 points, last 2.5 at 1001.781"},
+		{"matrix of a range", promquery.Range, 200, nil, ok(matrix), "1 rows, 2 points, last 2.5 at 1001.781"},
+		{"vector", promquery.Instant, 200, nil, ok(vector), "2 rows, 2 points, last 0 at 1000.781"},
+		{"empty matrix", promquery.Samples, 200, nil, ok(`{"resultType":"matrix","result":[]}`), "0 rows"},
+		{"empty vector", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[]}`), "0 rows"},
+		{"not a number", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[{"metric":{},"value":[1,"NaN"]}]}`), "1 rows, 1 points, last NaN at 1"},
+		{"infinite", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[{"metric":{},"value":[1,"+Inf"]}]}`), "1 rows, 1 points, last +Inf at 1"},
+		{"negative infinite", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[{"metric":{},"value":[1,"-Inf"]}]}`), "1 rows, 1 points, last -Inf at 1"},
+		{"scalar", promquery.Instant, 200, nil, ok(`{"resultType":"scalar","result":[1000.781,"1"]}`), "malformed"},
+		{"string", promquery.Instant, 200, nil, ok(`{"resultType":"string","result":[1000.781,"foo"]}`), "malformed"},
+		{"a vector for samples", promquery.Samples, 200, nil, ok(vector), "malformed"},
+		{"a matrix for a vector", promquery.Instant, 200, nil, ok(matrix), "malformed"},
+		{"native histogram in a vector", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[{"metric":{},` + native + `}]}`), "malformed"},
+		{"native histograms in a matrix", promquery.Samples, 200, nil, ok(`{"resultType":"matrix","result":[{"metric":{},` + strings.Replace(native, `"histogram":[`, `"histograms":[[`, 1) + `]}]}`), "malformed"},
+		{"infos", promquery.Instant, 200, nil, strings.TrimSuffix(ok(vector), "}") + `,"infos":["PromQL info: metric might not be a counter"]}`, "2 rows, 2 points, last 0 at 1000.781"},
+		{"warnings", promquery.Instant, 200, nil, strings.TrimSuffix(ok(vector), "}") + `,"warnings":["results truncated due to limit"]}`, "partial"},
+		{"error: bad data", promquery.Instant, 400, nil, `{"status":"error","errorType":"bad_data","error":"parse error: unexpected end of input"}`, "failed: bad_data: parse error"},
+		{"error: execution", promquery.Instant, 422, nil, `{"status":"error","errorType":"execution","error":"many-to-many matching not allowed"}`, "failed: execution"},
+		{"error: timeout", promquery.Instant, 503, nil, `{"status":"error","errorType":"timeout","error":"query timed out in expression evaluation"}`, "busy"},
+		{"error: timeout as 422", promquery.Instant, 422, nil, `{"status":"error","errorType":"timeout","error":"query timed out"}`, "timed out"},
+		{"error: canceled", promquery.Instant, 422, nil, `{"status":"error","errorType":"canceled","error":"query was canceled"}`, "failed: canceled"},
+		{"error: internal", promquery.Instant, 500, nil, `{"status":"error","errorType":"internal","error":"storage"}`, "failed: server_error"},
+		{"error: not found", promquery.Instant, 404, nil, `404 page not found`, "failed: client_error"},
+		{"error with data and warnings", promquery.Instant, 422, nil, `{"status":"error","errorType":"execution","error":"x","data":{"resultType":"vector","result":[]},"warnings":["w"]}`, "failed: execution"},
+		{"error said with success", promquery.Instant, 400, nil, ok(vector), "malformed"},
+		{"success with status error", promquery.Instant, 200, nil, `{"status":"error","errorType":"execution","error":"x"}`, "failed"},
+		{"too many requests", promquery.Instant, 429, map[string]string{"Retry-After": "7"}, `slow down`, "busy: status 429, after 7 s"},
+		{"unavailable until a date", promquery.Instant, 503, map[string]string{"Retry-After": time.Now().Add(30 * time.Second).UTC().Format(http.TimeFormat)}, ``, "busy: status 503, after"},
+		{"redirect", promquery.Instant, 302, map[string]string{"Location": "http://127.0.0.1:1/"}, ``, "redirected: status 302 to http://127.0.0.1:1/"},
+		{"redirect that keeps the method", promquery.Instant, 307, map[string]string{"Location": "/elsewhere"}, ``, "redirected"},
+		{"no content", promquery.Instant, 204, nil, ``, "malformed"},
+		{"an empty body", promquery.Instant, 200, nil, ``, "malformed"},
+		{"another program", promquery.Instant, 200, nil, `<html>`, "malformed"},
+		{"null", promquery.Instant, 200, nil, `null`, "malformed"},
+		{"cut", promquery.Instant, 200, nil, ok(vector)[:60], "malformed"},
+		{"times that go backwards", promquery.Samples, 200, nil, ok(`{"resultType":"matrix","result":[{"metric":{},"values":[[2,"1"],[1,"2"]]}]}`), "malformed"},
+		{"too many bytes", promquery.Instant, 200, nil, ok(vector) + strings.Repeat(" ", 5000), "too big: above 4000 bytes"},
+		{"too many series", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[` + strings.Repeat(`{"metric":{},"value":[1,"1"]},`, 20) + `{"metric":{},"value":[1,"1"]}]}`), "too many series: above 20"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cl := asking(t, answering(t, c.code, c.head, c.body), Limits{Timeout: 2, Bytes: 4000, Series: 20})
+			rows, err := cl.Ask(context.Background(), "up", c.form, 1001, 5, 1)
+			got := fmt.Sprintf("%d rows", len(rows))
+			points := 0
+			for _, r := range rows {
+				points += len(r.Points)
+			}
+			if points > 0 {
+				last := rows[len(rows)-1].Points
+				got += fmt.Sprintf(", %d points, last %v at %v", points, last[len(last)-1].Value, last[len(last)-1].At)
+			}
+			var no *Refused
+			if errors.As(err, &no) {
+				got = fmt.Sprintf("%s: %s", no.Cause, no.What)
+				if no.After > 0 {
+					got += fmt.Sprintf(", after %.0f s", no.After)
+				}
+			} else if err != nil {
+				t.Fatal(err)
+			}
+			if !strings.HasPrefix(got, c.want) {
+				t.Errorf("got %q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// What a stand-in with each fault is refused for, and that it answers again after.
+func TestFaults(t *testing.T) {
+	q, err := fakes.StartQueries(func() float64 { return 1000 })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer q.Stop()
+	q.Enter(999, []fakes.Scrape{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
+	c := asking(t, q.URL, Limits{Timeout: 0.5, Bytes: 40 << 20, Series: 100})
+	patient := asking(t, q.URL, Limits{Timeout: 30, Bytes: 40 << 20, Series: 100})
+	get := func(c *Client, query string, form promquery.Form) string {
+		rows, err := c.Ask(context.Background(), query, form, 1000, 2, 1)
+		if err != nil {
+			return err.Error()
+		}
+		return fmt.Sprint(len(rows), " rows")
+	}
+	for _, x := range []struct {
+		fault fakes.Fault
+		want  string
+	}{
+		{fakes.Late, "timed out"}, {fakes.Hangs, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.Truncated, "unreachable"},
+		{fakes.TooManyNow, "busy: status 429"}, {fakes.Overloaded, "busy: status 503"}, {fakes.Elsewhere, "redirected"},
+		{fakes.Warns, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: above 100: some label has exploded"},
+	} {
+		q.Ail(x.fault)
+		asked := c
+		if x.fault == fakes.Exploded {
+			asked = patient
+		}
+		if got := get(asked, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+x.want) {
+			t.Errorf("%s: %s", x.fault, got)
+		}
+		q.Ail(fakes.NoFault)
+		for form, query := range map[promquery.Form]string{promquery.Samples: `up{unit=~"7|8"}[5s]`, promquery.Instant: `up{unit!="8"}`, promquery.Range: "up"} {
+			if got := get(patient, query, form); got != "1 rows" {
+				t.Errorf("after %s, %s: %s", x.fault, query, got)
+			}
+		}
+	}
+	small := asking(t, q.URL, Limits{Timeout: 2, Bytes: 1 << 20, Series: 100})
+	q.Ail(fakes.Exploded)
+	if _, err := small.Ask(context.Background(), "up[5s]", promquery.Samples, 1000, 0, 0); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
+		t.Error(err)
+	}
+}
+
+func TestRetryAfter(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for text, want := range map[string]float64{"": 0, "3": 3, "-3": 0, "nonsense": 0, "1e400": 0, now.Add(9 * time.Second).UTC().Format(http.TimeFormat): 9,
+		now.Add(-9 * time.Second).UTC().Format(http.TimeFormat): 0} {
+		if got := retryAfter(text, now); got != want {
+			t.Errorf("%q: %g, want %g", text, got, want)
+		}
+	}
+}
+
+// FuzzAnswer: whatever a server sends, a client gives rows whose times go forward, or a refusal; it never panics.
+func FuzzAnswer(f *testing.F) {
+	for _, s := range []string{`{"status":"success","data":{"resultType":"matrix","result":[{"metric":{"a":"b"},"values":[[1,"1"],[2,"NaN"]]}]}}`,
+		`{"status":"success","data":{"resultType":"vector","result":[{"metric":{"a":"b"},"value":[1.5,"1e3"]}]},"warnings":["x"]}`,
+		`{"status":"success","data":{"resultType":"vector","result":[{"metric":{},"histogram":[1,{"count":"6","sum":"3","buckets":[[0,"1","2","6"]]}]}]}}`,
+		`{"status":"error","errorType":"timeout","error":"x"}`, `{"status":"success","data":{"resultType":"scalar","result":[1,"1"]}}`} {
+		f.Add([]byte(s), byte(0), 200)
+	}
+	var body []byte
+	var code int
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(code)
+		w.Write(body)
+	}))
+	f.Cleanup(srv.Close)
+	c := asking(f, srv.URL, Limits{Timeout: 2, Bytes: 1 << 16, Series: 50})
+	f.Fuzz(func(t *testing.T, b []byte, form byte, status int) {
+		if status < 200 || status > 599 || status == 304 || status == 204 {
+			status = 200
+		}
+		body, code = b, status
+		rows, err := c.Ask(context.Background(), "up", promquery.Form(form%3), 1000, 5, 1)
+		var no *Refused
+		if err != nil && !errors.As(err, &no) {
+			t.Fatalf("%T %v", err, err)
+		}
+		if len(rows) > 50 {
+			t.Fatal(len(rows))
+		}
+		for _, r := range rows {
+			last := math.Inf(-1)
+			for _, p := range r.Points {
+				if p.At <= last {
+					t.Fatal("times", r)
+				}
+				last = p.At
+			}
+		}
+	})
+}
--- a/relay/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -19,10 +19,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"flintspread/policy"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/standin"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/policy"
 )
 
 // The benchmarks' clients and units parse as little as they can and allocate nothing, so that what is measured is what
@@ -32,7 +32,7 @@
 
 // quickUnit answers each request without a body at once.
 func quickUnit(b *testing.B) net.Listener {
-	l, err := standin.Serve(func(c net.Conn) {
+	l, err := fakes.Serve(func(c net.Conn) {
 		br := bufio.NewReaderSize(c, 4096)
 		for skipHead(br) >= 0 {
 			if _, err := c.Write(plainAnswer); err != nil {
@@ -123,12 +123,12 @@
 
 // benchHall is a relay before so many quick units.
 func benchHall(b *testing.B, units int) *hall {
-	h := newHall(b, func(s *settings.Edge) {
+	h := newHall(b, func(s *config.Edge) {
 		s.Units.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
 	})
-	var list []roster.Unit
+	var list []endpoints.Unit
 	for i := range units {
-		list = append(list, roster.Unit{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
+		list = append(list, endpoints.Unit{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
 	}
 	h.list(true, list...)
 	return h
@@ -173,7 +173,7 @@
 // BenchmarkLongLife is a relay whose list and keys change for ever; one operation is a day's worth: 200 units replaced,
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
-	h := newHall(b, func(s *settings.Edge) {
+	h := newHall(b, func(s *config.Edge) {
 		s.Rules.OneWayKeys, s.Rules.KeysKept, s.Rules.UnitsForget = true, 10000, 1.6
 	})
 	unit := quickUnit(b).Addr().String()
@@ -181,10 +181,10 @@
 	var m runtime.MemStats
 	c := h.dial()
 	for b.Loop() {
-		var list []roster.Unit
+		var list []endpoints.Unit
 		for range 200 {
 			id++
-			list = append(list, roster.Unit{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
+			list = append(list, endpoints.Unit{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
 		}
 		h.list(true, list...)
 		for k := range 2000 {
--- a/relay/client.go
+++ b/internal/proxy/client.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"flintspread/policy"
-	"flintspread/shed"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
 )
 
 // client is one client's connection. Its goroutine reads; the answer is written by whoever has it.
@@ -57,7 +57,7 @@
 		noRoom := r.mem.full(connBytes)
 		r.mu.Lock()
 		lim := &r.now.Load().Doc.Clients
-		crammed := func() bool { return lim.Keep > 0 && shed.Crammed(len(r.clients), lim.Connections) }
+		crammed := func() bool { return lim.Keep > 0 && loadshed.Crammed(len(r.clients), lim.Connections) }
 		for try := 0; crammed() && try < 20; try++ { // who is to make room has not gone yet
 			r.mu.Unlock()
 			time.Sleep(time.Millisecond)
@@ -138,9 +138,9 @@
 func (r *Relay) evict() bool {
 	now := r.Now()
 	var first *client
-	var as shed.Guest
+	var as loadshed.Guest
 	for cl := range r.clients {
-		g := shed.Guest{Busy: cl.open > 0, Reading: cl.reading, Spoke: cl.spoke, Since: cl.since}
+		g := loadshed.Guest{Busy: cl.open > 0, Reading: cl.reading, Spoke: cl.spoke, Since: cl.since}
 		if !cl.going && !g.Stays() && (first == nil || g.Sooner(now, as)) && !cl.sock.unread() {
 			first, as = cl, g
 		}
--- a/relay/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/standin"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/releases"
 )
 
 // hall is a relay between scripted units and clients of a test.
@@ -37,12 +37,12 @@
 }
 
 // newHall starts a relay; edit changes the example settings.
-func newHall(t testing.TB, edit func(*settings.Edge)) *hall {
-	text, err := os.ReadFile("../deploy/edge.edn")
+func newHall(t testing.TB, edit func(*config.Edge)) *hall {
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.ParseEdge("edge.edn", text)
+	set, err := config.ParseEdge("edge.edn", text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 	}
-	return startHall(t, New(set, 1, quiet(), func(release.Vote) {}))
+	return startHall(t, New(set, 1, quiet(), func(releases.Vote) {}))
 }
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -79,18 +79,18 @@
 // serve makes a unit that runs play for each connection, and lists all units there are as ready.
 func (h *hall) serve(id uint32, build int, play func(u *unitScript, c net.Conn, br *bufio.Reader)) *unitScript {
 	u := &unitScript{id: id}
-	l, err := standin.Serve(func(c net.Conn) { play(u, c, bufio.NewReader(c)) })
+	l, err := fakes.Serve(func(c net.Conn) { play(u, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	u.l = l
 	h.unit[id] = u
-	h.list(false, roster.Unit{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
+	h.list(false, endpoints.Unit{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
 	return u
 }
 
-func (h *hall) list(full bool, units ...roster.Unit) {
-	h.r.List(&roster.Line{Full: full, Units: units})
+func (h *hall) list(full bool, units ...endpoints.Unit) {
+	h.r.List(&endpoints.Line{Full: full, Units: units})
 }
 
 // read takes one request and notes it.
--- a/relay/message.go
+++ b/internal/proxy/message.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"flintspread/version"
+	"flintspread/internal/configstate"
 )
 
 // The headers of the command protocol; docs/protocol.md tells them to users.
@@ -257,7 +257,7 @@
 func (a answer) closing() answer { return a.with("Connection: close\r\n") }
 
 // under adds the version of the settings that the command was served by.
-func (a answer) under(v *version.Version) answer {
+func (a answer) under(v *configstate.Version) answer {
 	return a.with(headVersion + ": " + strconv.FormatUint(v.No, 10) + "\r\n")
 }
 
--- a/relay/overload.go
+++ b/internal/proxy/overload.go
@@ -1,19 +1,19 @@
-package relay
+package proxy
 
 import (
 	"hash/fnv"
 
 	"golang.org/x/sys/unix"
 
-	"flintspread/policy"
-	"flintspread/shed"
-	"flintspread/version"
+	"flintspread/internal/configstate"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
 )
 
 // worths gives the shedding module what it reads of the terms.
-func worths(t *policy.Terms) (ops []shed.OpType) {
+func worths(t *policy.Terms) (ops []loadshed.OpType) {
 	for _, op := range t.Ops {
-		ops = append(ops, shed.OpType{Target: op.Target, Importance: op.Importance})
+		ops = append(ops, loadshed.OpType{Target: op.Target, Importance: op.Importance})
 	}
 	return ops
 }
@@ -21,7 +21,7 @@
 // shed asks whether this process can take a command at all, before the policy is asked where it goes. What is turned away was
 // never sent, so that a nack is right. Under the lock.
 func (r *Relay) shed(now float64, c *command) bool {
-	if c.req.admitted || !r.mem.full(0) && (r.gate == nil || r.gate.Admit(now, shed.Command{Op: c.Op, Client: c.client.who, Retry: c.Repeat, Left: c.Due - now})) {
+	if c.req.admitted || !r.mem.full(0) && (r.gate == nil || r.gate.Admit(now, loadshed.Command{Op: c.Op, Client: c.client.who, Retry: c.Repeat, Left: c.Due - now})) {
 		return false
 	}
 	r.count.Shed++
@@ -29,7 +29,7 @@
 }
 
 // turnedAway is the answer to what is shed: one text for a version, for it is given when there is no time to write others.
-func (r *Relay) turnedAway(v *version.Version) answer {
+func (r *Relay) turnedAway(v *configstate.Version) answer {
 	if r.away.bytes == nil || r.awayFor != v {
 		r.awayFor, r.away = v, r.speech.nacked(v, v.Terms.MaxPause)
 	}
@@ -76,7 +76,7 @@
 	if r.self.Limit > 0 {
 		heap = float64(r.self.Heap) / float64(r.self.Limit)
 	}
-	reading := shed.Reading{Lag: max(r.lag, float64(r.oldest.Swap(0))/1e3), Queue: r.self.Queue, GC: r.self.GC, CPU: r.self.CPU,
+	reading := loadshed.Reading{Lag: max(r.lag, float64(r.oldest.Swap(0))/1e3), Queue: r.self.Queue, GC: r.self.GC, CPU: r.self.CPU,
 		Heap: heap, Buffers: r.mem.share()}
 	defer func() {
 		r.shedding.Store(r.gate.Level() > 0)
@@ -93,7 +93,7 @@
 }
 
 // reworth follows a version of the settings. Under the lock.
-func (r *Relay) reworth(v *version.Version) {
+func (r *Relay) reworth(v *configstate.Version) {
 	if r.gate != nil {
 		r.gate.Adopt(worths(v.Terms))
 	}
--- a/relay/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"flintspread/settings"
-	"flintspread/shed"
+	"flintspread/internal/config"
+	"flintspread/internal/loadshed"
 )
 
 // overloaded makes a relay take itself for far behind: everything that its module may turn away goes.
@@ -18,17 +18,17 @@
 	h.r.mu.Lock()
 	defer h.r.mu.Unlock()
 	now := h.r.Now()
-	g := shed.New(worths(h.r.now.Load().Terms), 1, now-100)
+	g := loadshed.New(worths(h.r.now.Load().Terms), 1, now-100)
 	for look := range 40 {
 		at := now - 100 + float64(look+1)
 		for i := range 1000 {
-			g.Admit(at, shed.Command{Op: i % 4, Client: 1, Left: 10})
+			g.Admit(at, loadshed.Command{Op: i % 4, Client: 1, Left: 10})
 		}
 		lag := 5.0
 		if look == 39 {
 			lag = 0 // else no command has time enough left
 		}
-		g.Look(at, shed.Reading{Lag: lag})
+		g.Look(at, loadshed.Reading{Lag: lag})
 	}
 	h.r.gate = g
 	h.r.shedding.Store(g.Level() > 0)
@@ -88,8 +88,8 @@
 // budget is not exceeded by more than one message a connection, and all of it comes back.
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
-	h := newHall(t, func(s *settings.Edge) {
-		s.Overload = &settings.Overload{Memory: budget}
+	h := newHall(t, func(s *config.Edge) {
+		s.Overload = &config.Overload{Memory: budget}
 	})
 	release := make(chan struct{})
 	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
@@ -134,8 +134,8 @@
 
 // A slow reader holds memory only as long as it holds its connection.
 func TestSlowReadersMemory(t *testing.T) {
-	h := newHall(t, func(s *settings.Edge) {
-		s.Overload = &settings.Overload{Memory: 64 << 20}
+	h := newHall(t, func(s *config.Edge) {
+		s.Overload = &config.Overload{Memory: 64 << 20}
 		s.Clients.ReadTime = 0.4
 		s.Units.AnswerBytes = 16 << 20
 	})
--- a/relay/owed_test.go
+++ b/internal/proxy/owed_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/roster"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
 )
 
 // The instants in which something is still owed. Each is forced by the order of events: a unit or a client holds its next byte until the
@@ -123,7 +123,7 @@
 // What has come in part when the relay stops is answered, not cut; the rest of it may still come.
 func TestOwedPieceAtStop(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		h := newSiteOf(t, patient, func(s *settings.Edge) { s.Clients.ReadTime = 60 })
+		h := newSiteOf(t, patient, func(s *config.Edge) { s.Clients.ReadTime = 60 })
 		h.serve(1, 1, echo)
 		c := h.dial()
 		c.asks("lookup")
@@ -175,7 +175,7 @@
 func TestGoneClient(t *testing.T) {
 	cases := []struct {
 		name string
-		edit func(*settings.Edge)
+		edit func(*config.Edge)
 		play func(h *hall, c *talk)
 	}{
 		{"while so much is owed that reading has stopped", nil, func(h *hall, c *talk) {
@@ -185,7 +185,7 @@
 			}
 			h.soon("reading has stopped", func() bool { return h.r.Numbers().Hands == 64 })
 		}},
-		{"after it was idle for long behind its command", func(s *settings.Edge) { s.Clients.IdleTime = 0.05 }, func(h *hall, c *talk) {
+		{"after it was idle for long behind its command", func(s *config.Edge) { s.Clients.IdleTime = 0.05 }, func(h *hall, c *talk) {
 			text, _ := long("lookup")
 			io.WriteString(c, text)
 			h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
@@ -209,7 +209,7 @@
 		}},
 	}
 	for _, x := range cases {
-		h := newSiteOf(t, patient, func(s *settings.Edge) {
+		h := newSiteOf(t, patient, func(s *config.Edge) {
 			if x.edit != nil {
 				x.edit(s)
 			}
@@ -235,8 +235,8 @@
 func TestGoneClientAtDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		u := newFullUnit(t)
-		h := newSiteOf(t, func(t *policy.Terms) { patient(t); t.Cancel = cancel }, func(s *settings.Edge) { s.Units.DialTime = 30 })
-		h.list(false, roster.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h := newSiteOf(t, func(t *policy.Terms) { patient(t); t.Cancel = cancel }, func(s *config.Edge) { s.Units.DialTime = 30 })
+		h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 		text, _ := long("lookup")
 		c := h.dial()
 		io.WriteString(c, text)
@@ -251,10 +251,10 @@
 
 // A unit that drains, is gone or comes back as another process while a connection to it is being made gets nothing on that one.
 func TestUnitLeavesAtDial(t *testing.T) {
-	for _, how := range []roster.Unit{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, Start: 7}} {
+	for _, how := range []endpoints.Unit{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, Start: 7}} {
 		u := newFullUnit(t)
-		h := newSiteOf(t, patient, func(s *settings.Edge) { s.Units.DialTime = 30 })
-		h.list(false, roster.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h := newSiteOf(t, patient, func(s *config.Edge) { s.Units.DialTime = 30 })
+		h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 		text, id := long("seal")
 		c := h.dial()
 		io.WriteString(c, text)
@@ -265,7 +265,7 @@
 		h.list(false, how)
 		two := h.serve(2, 1, echo)
 		if how.State == "ready" { // it is replaced, and then leaves as well: the command has one place to go
-			h.list(false, roster.Unit{ID: 1, State: "gone"})
+			h.list(false, endpoints.Unit{ID: 1, State: "gone"})
 		}
 		if said := u.next(t); strings.Contains(said, "API") {
 			t.Errorf("%+v: the unit got %q", how, said)
@@ -356,7 +356,7 @@
 
 // An answer that its client takes slowly goes out whole, however long a command may take to come.
 func TestOwedToSlowReader(t *testing.T) {
-	h := newSiteOf(t, patient, func(s *settings.Edge) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
+	h := newSiteOf(t, patient, func(s *config.Edge) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
 	big := strings.Repeat("x", 1_000_000)
 	h.serve(1, 1, says("*3\r\n$1000000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
 	c := h.dial()
@@ -383,8 +383,8 @@
 // A connection that comes up once its time is over is not used, and what waited for it never ran.
 func TestConnectionUpLate(t *testing.T) {
 	u := newFullUnit(t)
-	h := newSiteOf(t, patient, func(s *settings.Edge) { s.Units.DialTime = 0.05 })
-	h.list(false, roster.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+	h := newSiteOf(t, patient, func(s *config.Edge) { s.Units.DialTime = 0.05 })
+	h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 	text, _ := long("seal")
 	h.want("never ran", h.say(text), "-BUSY 1500")
 	done := make(chan string)
--- a/relay/owes.go
+++ b/internal/proxy/owes.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
 	"sync"
 	"time"
 
-	"flintspread/shed"
+	"flintspread/internal/loadshed"
 )
 
 // owed is an answer's place in its client's order.
@@ -34,7 +34,7 @@
 func (o *owes) state() (owed, room, dead bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.line) > 0 || len(o.out) > 0 || o.writing, shed.Ahead(len(o.line), len(o.out)), o.dead
+	return len(o.line) > 0 || len(o.out) > 0 || o.writing, loadshed.Ahead(len(o.line), len(o.out)), o.dead
 }
 
 // settle gives an answer, and writes what is due by that, without waiting; what the kernel does not take at once goes on by
--- a/relay/platform.go
+++ b/internal/proxy/platform.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"flintspread/policy"
-	"flintspread/resp"
-	"flintspread/shed"
-	"flintspread/version"
+	"flintspread/internal/configstate"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/platform/resp"
+	"flintspread/internal/policy"
 )
 
 // plat is the platform's protocol: RESP2, commands behind one another, each named by an id.
@@ -29,14 +29,14 @@
 	mostName = 256 // bytes of an id, of a key, of a list of names and values
 )
 
-func (plat) nacked(_ *version.Version, pause float64) answer {
+func (plat) nacked(_ *configstate.Version, pause float64) answer {
 	if pause <= 0 {
 		return answer{[]byte("-BUSY\r\n"), "nacked"}
 	}
 	return answer{fmt.Appendf(nil, "-BUSY %d\r\n", int(math.Ceil(pause*1000))), "nacked"}
 }
 
-func (plat) failed(*version.Version, bool) answer {
+func (plat) failed(*configstate.Version, bool) answer {
 	return answer{[]byte("-ERR failed; it may have been done\r\n"), "failed"}
 }
 
@@ -44,7 +44,7 @@
 
 func (plat) reply(c *command, ans answer) { c.client.settle(c.owed, ans.bytes) }
 
-func (plat) rest() float64 { return shed.Rest }
+func (plat) rest() float64 { return loadshed.Rest }
 
 func (plat) atLastByte() bool { return true }
 
@@ -76,7 +76,7 @@
 }
 
 // command reads the words of a client's command.
-func (plat) command(v *version.Version, args [][]byte) (req *request, op int, err error) {
+func (plat) command(v *configstate.Version, args [][]byte) (req *request, op int, err error) {
 	write := string(args[0]) == cmdWrite
 	switch {
 	case !write && string(args[0]) != cmdRead:
@@ -196,7 +196,7 @@
 // patience is how long a command may take to come, s. Under the relay's lock.
 func (plat) patience(cl *client) float64 {
 	r := cl.r
-	most := shed.Patience(r.now.Load().Doc.Clients.ReadTime, cl.going)
+	most := loadshed.Patience(r.now.Load().Doc.Clients.ReadTime, cl.going)
 	if r.draining && r.answerBy > 0 {
 		most = max(0, min(most, r.answerBy-r.Now()))
 	}
--- a/relay/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/resp"
-	"flintspread/roster"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/platform/resp"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 // newSite is a hall whose relay speaks the platform's protocol.
-func newSite(t testing.TB, edit func(*settings.Edge)) *hall { return newSiteOf(t, nil, edit) }
+func newSite(t testing.TB, edit func(*config.Edge)) *hall { return newSiteOf(t, nil, edit) }
 
 // newSiteOf edits the module's terms, too.
-func newSiteOf(t testing.TB, teach func(*policy.Terms), edit func(*settings.Edge)) *hall {
+func newSiteOf(t testing.TB, teach func(*policy.Terms), edit func(*config.Edge)) *hall {
 	terms := policy.Terms{Balancers: 1, BackVotes: 1, Round: 0.005, Parallel: true, Cancel: true, MaxPause: 1.5, ConnIdle: 10, Streams: 1,
 		Deliveries: 4, ColdFrom: 0.3, WarmUp: 1, FallFactor: 3, FallTime: 1, Window: 4, Free: 2, Caps: []float64{0.5, 1},
 		Stages: []float64{0.5, 1}, VoteLife: 10, VoteTimeout: 1, VoteRate: 10, HarmPrice: 1, StalePrice: 1, Forget: 60,
@@ -33,14 +33,14 @@
 	if teach != nil {
 		teach(&terms)
 	}
-	set := settings.Given("r1", terms, []string{"lookup", "order", "seal"},
-		settings.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
-		settings.Units{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
+	set := config.Given("r1", terms, []string{"lookup", "order", "seal"},
+		config.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
+		config.Units{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
 	if edit != nil {
 		edit(set)
 	}
 	set.Clients.Keep = set.Clients.Connections
-	r := NewPlatform(set, 1, quiet(), func(release.Vote) {})
+	r := NewPlatform(set, 1, quiet(), func(releases.Vote) {})
 	r.rest = 0 // most tests count connections
 	r.Ready()
 	return startHall(t, r)
@@ -372,7 +372,7 @@
 
 // A nack names a time to come back and is given at once where there is no unit to wait for.
 func TestPlatformNack(t *testing.T) {
-	h := newSite(t, func(s *settings.Edge) { s.Units.Total, s.Units.Connections = 1, 1 })
+	h := newSite(t, func(s *config.Edge) { s.Units.Total, s.Units.Connections = 1, 1 })
 	h.serve(1, 1, says("-BUSY\r\n"))
 	text, _ := cmd("seal")
 	from := time.Now()
@@ -407,7 +407,7 @@
 
 // A full house has room for whoever comes to be served: the longest idle goes, one with a command in hand never.
 func TestPlatformMakesRoom(t *testing.T) {
-	h := newSite(t, func(s *settings.Edge) { s.Clients.Connections = 5 })
+	h := newSite(t, func(s *config.Edge) { s.Clients.Connections = 5 })
 	h.serve(1, 1, after(150*time.Millisecond))
 	busy, id := h.busy()
 	var idle []*talk
@@ -425,7 +425,7 @@
 // Who has just come is about to speak: in a house full of others that were served and are idle, those go, also when several come
 // at once; and however many come, no more are held than there is room for.
 func TestPlatformNewcomersSpeak(t *testing.T) {
-	h := newSite(t, func(s *settings.Edge) { s.Clients.Connections = 8 })
+	h := newSite(t, func(s *config.Edge) { s.Clients.Connections = 8 })
 	h.serve(1, 1, echo)
 	var kept []*talk
 	come := func() *talk {
@@ -477,7 +477,7 @@
 	h := newSite(t, nil)
 	u := h.serve(1, 1, echo)
 	for start := range 3 {
-		h.list(false, roster.Unit{ID: 1, Addr: u.l.Addr().String(), State: "ready", Build: 1, Start: float64(start)})
+		h.list(false, endpoints.Unit{ID: 1, Addr: u.l.Addr().String(), State: "ready", Build: 1, Start: float64(start)})
 		for range 3 {
 			text, id := cmd("seal")
 			h.want("served", h.say(text), "v"+id)
@@ -491,7 +491,7 @@
 // A connection that has been idle for too long is not used, also where the sweep has not come to it yet: its unit closes it, and
 // what is written to it may have run.
 func TestPlatformIdleTooLong(t *testing.T) {
-	h := newSite(t, func(s *settings.Edge) { s.Units.IdleTime = 0.2 })
+	h := newSite(t, func(s *config.Edge) { s.Units.IdleTime = 0.2 })
 	h.serve(1, 1, echo)
 	h.r.mu.Lock()
 	h.r.sweepAt = h.r.Now() + 1000
@@ -517,7 +517,7 @@
 				t.Fatal(got)
 			}
 		}
-		h.list(true, roster.Unit{ID: uint32(i + 1), Addr: u.l.Addr().String(), State: "ready", Build: i})
+		h.list(true, endpoints.Unit{ID: uint32(i + 1), Addr: u.l.Addr().String(), State: "ready", Build: i})
 	}
 	h.soon("nothing is kept", func() bool {
 		h.r.mu.Lock()
--- a/relay/relay.go
+++ b/internal/proxy/relay.go
@@ -4,7 +4,7 @@
 // One goroutine serves each connection, on either side, and reads from it; whoever learns what comes next for a
 // command writes for it, without waiting. All calls into the policy, and all that hangs on them, are ordered by one
 // lock (docs/design/relay.md says why it is not an owner goroutine).
-package relay
+package proxy
 
 import (
 	"container/heap"
@@ -14,21 +14,21 @@
 	"sync/atomic"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/self"
-	"flintspread/settings"
-	"flintspread/shed"
-	"flintspread/version"
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
+	"flintspread/internal/processstats"
+	"flintspread/internal/releases"
 )
 
 // Relay is one instance: a policy and the connections it decides about.
 type Relay struct {
-	set    *settings.Edge
+	set    *config.Edge
 	log    *slog.Logger
 	speech speech
-	cast   func(release.Vote) // called without the lock; must not wait. nil: a planner judges, and leads
+	cast   func(releases.Vote) // called without the lock; must not wait. nil: a planner judges, and leads
 
 	// Answered, where set, is told of each final answer: op type, answer, s since the command came. It must not wait.
 	Answered func(op, kind string, secs float64)
@@ -36,7 +36,7 @@
 	rest  float64   // s after an answer in which its connection gets no further delivery
 	base  time.Time // on the clock that only goes forward, wall tells when that was
 	wall  float64
-	now   atomic.Pointer[version.Version] // in force; readers take no lock
+	now   atomic.Pointer[configstate.Version] // in force; readers take no lock
 	stop  chan struct{}
 	wake  chan struct{} // the timer is to look again
 	conns sync.WaitGroup
@@ -47,14 +47,14 @@
 
 	mu       sync.Mutex // orders the policy's calls; all below is under it
 	b        *policy.Balancer
-	gate     *shed.Gate // nil: nothing is shed
-	watch    *self.Watch
-	self     self.Look
+	gate     *loadshed.Gate // nil: nothing is shed
+	watch    *processstats.Watch
+	self     processstats.Look
 	lag      float64 // s that the timer came late, as of the last look
-	late     shed.Late
+	late     loadshed.Late
 	away     answer // to what is shed
-	awayFor  *version.Version
-	keeper   *version.Keeper
+	awayFor  *configstate.Version
+	keeper   *configstate.Keeper
 	byOp     []int // commands in hand, by the place of their op type
 	dues     dues
 	timerAt  float64 // what the timer waits for
@@ -87,7 +87,7 @@
 	Shed                                    uint64  // of the nacked: by this process's own load
 	Level                                   float64 // share of what comes that is shed now
 	Lag                                     float64 // s
-	Self                                    self.Look
+	Self                                    processstats.Look
 	Memory, MemoryPeak                      int64   // bytes counted to the budget
 	Paused                                  uint64  // readings that waited for room
 	MemoryRefused                           uint64  // connections refused for want of room
@@ -101,39 +101,39 @@
 	policy.Command
 	client *client
 	req    *request
-	under  *version.Version // it is served by from start to end
-	outs   []*delivery      // as long as Sent
-	again  float64          // earliest time to ask the policy again, 0: not
-	next   float64          // earliest of again and the deliveries' ends
+	under  *configstate.Version // it is served by from start to end
+	outs   []*delivery          // as long as Sent
+	again  float64              // earliest time to ask the policy again, 0: not
+	next   float64              // earliest of again and the deliveries' ends
 	place  int
 	owed   *owed // its place among its client's answers, where several are owed
 }
 
 // New makes a relay that speaks HTTP; cast takes the votes.
-func New(set *settings.Edge, seed uint64, log *slog.Logger, cast func(release.Vote)) *Relay {
+func New(set *config.Edge, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
 	return newRelay(set, web{}, seed, log, cast)
 }
 
 // NewPlatform makes one that speaks the platform's protocol.
-func NewPlatform(set *settings.Edge, seed uint64, log *slog.Logger, cast func(release.Vote)) *Relay {
+func NewPlatform(set *config.Edge, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
 	return newRelay(set, plat{}, seed, log, cast)
 }
 
-func newRelay(set *settings.Edge, speech speech, seed uint64, log *slog.Logger, cast func(release.Vote)) *Relay {
+func newRelay(set *config.Edge, speech speech, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
 	now := time.Now()
 	r := &Relay{set: set, log: log, speech: speech, cast: cast, rest: speech.rest(), base: now, wall: float64(now.UnixNano()) / 1e9,
 		stop: make(chan struct{}), wake: make(chan struct{}, 1),
 		pools: map[uint32]*pool{}, ids: map[string]struct{}{}, units: map[*unitConn]struct{}{}, clients: map[*client]struct{}{}}
-	r.keeper = version.NewKeeper(&set.Document, nil, 0, set.Patience())
+	r.keeper = configstate.NewKeeper(&set.Document, nil, 0, set.Patience())
 	r.now.Store(r.keeper.Present())
 	r.b = policy.New(*r.keeper.Present().Terms, seed, r.wall)
 	r.byOp = make([]int, len(r.keeper.Present().Terms.Ops))
 	r.turnAt, r.listAt = r.wall, r.wall
-	r.watch = self.New()
+	r.watch = processstats.New()
 	if o := set.Overload; o != nil {
 		r.mem.budget = o.Memory
 		if o.Shed {
-			r.gate = shed.New(worths(r.keeper.Present().Terms), seed, r.wall)
+			r.gate = loadshed.New(worths(r.keeper.Present().Terms), seed, r.wall)
 		}
 	}
 	r.conns.Add(1)
@@ -145,7 +145,7 @@
 func (r *Relay) Now() float64 { return r.wall + time.Since(r.base).Seconds() }
 
 // List enters a checked line of the unit list.
-func (r *Relay) List(line *roster.Line) {
+func (r *Relay) List(line *endpoints.Line) {
 	var a acts
 	defer r.do(&a)
 	r.mu.Lock()
@@ -253,7 +253,7 @@
 
 // accept takes a command and does the first of what follows. nil: one with its id is in hand. The path of an ordinary command is: accept, Pick, send,
 // serveUnit, arrived, After, the answer.
-func (r *Relay) accept(cl *client, req *request, v *version.Version, op int, x *owed) *command {
+func (r *Relay) accept(cl *client, req *request, v *configstate.Version, op int, x *owed) *command {
 	r.mu.Lock()
 	if _, twice := r.ids[req.id]; twice && req.id != "" {
 		r.mu.Unlock()
@@ -454,7 +454,7 @@
 			all = append(all, a)
 		}
 		more := len(all) == batch
-		var vote *release.Vote
+		var vote *releases.Vote
 		if r.turnAt <= now {
 			r.look(now)
 			from := time.Now()
@@ -468,7 +468,7 @@
 			r.spent(from)
 			r.turnAt = now + t.In
 			if t.Vote {
-				vote = &release.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict}
+				vote = &releases.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict}
 			}
 		}
 		var idle acts
--- a/relay/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/roster"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
 )
 
 const (
@@ -22,7 +22,7 @@
 	timed = "Flint-Time: 0.3\r\n"
 )
 
-func gone(u *hall, id uint32) roster.Unit { return roster.Unit{ID: id, State: "gone"} }
+func gone(u *hall, id uint32) endpoints.Unit { return endpoints.Unit{ID: id, State: "gone"} }
 
 func TestOrdinaryPath(t *testing.T) {
 	h := newHall(t, nil)
@@ -79,7 +79,7 @@
 			want := []string{e.lookup, e.divert, e.to}[i]
 			t.Run(e.name+", "+strings.Fields(head)[1], func(t *testing.T) {
 				t.Parallel()
-				h := newHall(t, func(s *settings.Edge) { s.Units.AnswerBytes = 4096 })
+				h := newHall(t, func(s *config.Edge) { s.Units.AnswerBytes = 4096 })
 				bad := h.serve(1, 1, e.play)
 				well := h.serve(2, 1, good)
 				for try := 0; bad.count() == 0 && try < 200; try++ {
@@ -112,7 +112,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	h.list(false, roster.Unit{ID: 1, Addr: addr, State: "ready", Build: 1})
+	h.list(false, endpoints.Unit{ID: 1, Addr: addr, State: "ready", Build: 1})
 	h.serve(2, 1, good)
 	for range 20 {
 		h.want("at-most-once", h.ask(seal), "200 acked: /seal/7")
@@ -260,7 +260,7 @@
 }
 
 func TestBadClients(t *testing.T) {
-	h := newHall(t, func(s *settings.Edge) {
+	h := newHall(t, func(s *config.Edge) {
 		s.Clients.HeadBytes, s.Clients.BodyBytes, s.Clients.ReadTime = 2048, 1000, 0.4
 	})
 	u := h.serve(1, 1, good)
@@ -304,7 +304,7 @@
 func TestDrainWhileACommandWaits(t *testing.T) {
 	h := newHall(t, nil)
 	one := h.serve(1, 1, good)
-	h.list(false, roster.Unit{ID: 1, Addr: one.l.Addr().String(), State: "draining", Build: 1})
+	h.list(false, endpoints.Unit{ID: 1, Addr: one.l.Addr().String(), State: "draining", Build: 1})
 	got := make(chan string)
 	go func() { got <- h.ask(lookup) }()
 	h.soon("it is in hand", func() bool { return h.r.Numbers().Hands == 1 })
@@ -350,7 +350,7 @@
 // A client that does not read its answer holds up nobody else, also not on its unit connection.
 func TestSlowReader(t *testing.T) {
 	big := strings.Repeat("x", 4000000)
-	h := newHall(t, func(s *settings.Edge) { s.Units.Connections, s.Clients.ReadTime = 1, 0.5 })
+	h := newHall(t, func(s *config.Edge) { s.Units.Connections, s.Clients.ReadTime = 1, 0.5 })
 	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
 		for {
 			req, ok := u.read(br)
@@ -404,7 +404,7 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	h := newHall(t, func(s *settings.Edge) { s.Clients.Connections = 2 })
+	h := newHall(t, func(s *config.Edge) { s.Clients.Connections = 2 })
 	h.serve(1, 1, good)
 	a, b := h.dial(), h.dial()
 	h.soon("both are taken", func() bool { return h.r.Numbers().ClientConns == 2 })
@@ -418,7 +418,7 @@
 
 // A unit that closes its receive window costs the timer and other commands nothing.
 func TestUnitThatDoesNotRead(t *testing.T) {
-	h := newHall(t, func(s *settings.Edge) { s.Clients.BodyBytes = 16 << 20 })
+	h := newHall(t, func(s *config.Edge) { s.Clients.BodyBytes = 16 << 20 })
 	over := make(chan struct{})
 	defer close(over)
 	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
