--- a/relay/shortcut.go
+++ b/internal/proxy/shortcut.go
@@ -1,12 +1,12 @@
-package relay
+package proxy
 
 import (
 	"bufio"
 	"bytes"
 	"strconv"
 
-	"flintspread/policy"
-	"flintspread/shed"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
 )
 
 // shortcut answers a command that is to be shed without reading it as a request: while the relay is behind, what is turned away
@@ -66,7 +66,7 @@
 		return false, true, false
 	}
 	r.mu.Lock()
-	if r.draining || !r.mem.full(0) && r.gate.Admit(r.Now(), shed.Command{Op: op, Client: cl.who, Retry: repeat, Left: left - waited}) {
+	if r.draining || !r.mem.full(0) && r.gate.Admit(r.Now(), loadshed.Command{Op: op, Client: cl.who, Retry: repeat, Left: left - waited}) {
 		admitted = !r.draining
 		r.mu.Unlock()
 		return false, true, admitted
--- a/relay/speech.go
+++ b/internal/proxy/speech.go
@@ -1,12 +1,12 @@
-package relay
+package proxy
 
 import (
 	"bufio"
 	"fmt"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/version"
+	"flintspread/internal/configstate"
+	"flintspread/internal/policy"
 )
 
 // speech is the form that messages have on the wire: one seam to clients, one to units. It knows no rule and decides nothing.
@@ -14,8 +14,8 @@
 	// To clients: serve takes a client's commands until its connection is of no more use; nacked and failed word final answers
 	// of the relay's own, reply hands one to its client without waiting; crowded goes to a client there is no room for.
 	serve(cl *client)
-	nacked(v *version.Version, pause float64) answer
-	failed(v *version.Version, late bool) answer
+	nacked(v *configstate.Version, pause float64) answer
+	failed(v *configstate.Version, late bool) answer
 	reply(c *command, ans answer)
 	crowded(pause float64) []byte
 
@@ -43,11 +43,11 @@
 	}
 }
 
-func (web) nacked(v *version.Version, pause float64) answer {
+func (web) nacked(v *configstate.Version, pause float64) answer {
 	return plain(503, "nacked", "not done; trying again does no harm", pause).under(v)
 }
 
-func (web) failed(v *version.Version, late bool) answer {
+func (web) failed(v *configstate.Version, late bool) answer {
 	status := 502
 	if late {
 		status = 504
--- a/relay/unit.go
+++ b/internal/proxy/unit.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"flintspread/policy"
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
 )
 
 // delivery is one sending of a command to a unit.
@@ -73,7 +73,7 @@
 }
 
 // listed keeps the pools in step with the list.
-func (r *Relay) listed(u roster.Unit, a *acts) {
+func (r *Relay) listed(u endpoints.Unit, a *acts) {
 	p := r.pools[u.ID]
 	if u.State == "gone" {
 		if p != nil {
--- a/relay/versions.go
+++ b/internal/proxy/versions.go
@@ -1,41 +1,41 @@
-package relay
+package proxy
 
 import (
-	"flintspread/version"
+	"flintspread/internal/configstate"
 )
 
 // Offer says what becomes of a version of the settings: where it is taken, it is in force for every command accepted from
 // then on, in one step; those in hand go to their end by their own.
-func (r *Relay) Offer(v *version.Version) (version.Outcome, error) {
+func (r *Relay) Offer(v *configstate.Version) (configstate.Outcome, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o, err := r.keeper.Offer(r.Now(), v, r.situation())
-	if o == version.Applied {
+	if o == configstate.Applied {
 		r.adopt()
 	}
 	return o, err
 }
 
 // Fits says whether a version could be taken now, without taking it.
-func (r *Relay) Fits(v *version.Version) (version.Outcome, error) {
+func (r *Relay) Fits(v *configstate.Version) (configstate.Outcome, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keeper.Fits(v, r.situation())
 }
 
 // Look has a version that waits looked at again.
-func (r *Relay) Look() (*version.Version, version.Outcome, error) {
+func (r *Relay) Look() (*configstate.Version, configstate.Outcome, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v, o, err := r.keeper.Look(r.Now(), r.situation())
-	if v != nil && o == version.Applied {
+	if v != nil && o == configstate.Applied {
 		r.adopt()
 	}
 	return v, o, err
 }
 
 // Version is the one in force.
-func (r *Relay) Version() *version.Version { return r.now.Load() }
+func (r *Relay) Version() *configstate.Version { return r.now.Load() }
 
 // adopt puts the keeper's present version in force: the policy first, so that no command comes under terms that it does not
 // know.
@@ -50,8 +50,8 @@
 }
 
 // situation is what a version would meet now.
-func (r *Relay) situation() version.Situation {
-	s := version.Situation{InHand: map[string]int{}, Clients: len(r.clients), ListNo: r.listNo}
+func (r *Relay) situation() configstate.Situation {
+	s := configstate.Situation{InHand: map[string]int{}, Clients: len(r.clients), ListNo: r.listNo}
 	for i, n := range r.byOp {
 		if n > 0 {
 			s.InHand[r.keeper.Name(i)] = n
--- a/relay/versions_bench_test.go
+++ b/internal/proxy/versions_bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"regexp"
 	"testing"
 
-	"flintspread/roster"
-	"flintspread/version"
+	"flintspread/internal/configstate"
+	"flintspread/internal/endpoints"
 )
 
 func versionText(b *testing.B) string {
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -24,11 +24,11 @@
 	text := versionText(b)
 	b.ReportAllocs()
 	for no := uint64(1); b.Loop(); no++ {
-		v, err := version.Read(no, []byte(text))
+		v, err := configstate.Read(no, []byte(text))
 		if err != nil {
 			b.Fatal(err)
 		}
-		if o, err := h.r.Offer(v); o != version.Applied {
+		if o, err := h.r.Offer(v); o != configstate.Applied {
 			b.Fatal(o, err)
 		}
 	}
@@ -51,7 +51,7 @@
 						return
 					default:
 					}
-					v, err := version.Read(no, []byte(text))
+					v, err := configstate.Read(no, []byte(text))
 					if err != nil {
 						b.Error(err)
 						return
@@ -76,19 +76,19 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("units-", n), func(b *testing.B) {
 			h := newHall(b, nil)
-			lines := [2]*roster.Line{}
+			lines := [2]*endpoints.Line{}
 			for k := range lines {
-				l := &roster.Line{Version: 1, Full: true, Units: make([]roster.Unit, n)}
+				l := &endpoints.Line{Version: 1, Full: true, Units: make([]endpoints.Unit, n)}
 				for i := range l.Units {
-					l.Units[i] = roster.Unit{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
+					l.Units[i] = endpoints.Unit{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
 					if i%100 == 0 {
 						l.Units[i].Build += k
 					}
 				}
 				lines[k] = l
 			}
-			list := &roster.List{}
-			apply := func(l *roster.Line) {
+			list := &endpoints.List{}
+			apply := func(l *endpoints.Line) {
 				changes, err := list.Take(l, 1)
 				if err != nil {
 					b.Fatal(err)
--- a/relay/write.go
+++ b/internal/proxy/write.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net"
--- a/release/release.go
+++ b/internal/releases/release.go
@@ -1,5 +1,5 @@
 // Package release speaks the installer's form: news of the newest build, and votes on it.
-package release
+package releases
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"flintspread/policy"
+	"flintspread/internal/policy"
 )
 
 // News is one line of the installer's stream, and its reply to a vote.
--- a/history/diff.go
+++ b/internal/revisions/diff.go
@@ -1,4 +1,4 @@
-package history
+package revisions
 
 import (
 	"fmt"
--- a/history/history.go
+++ b/internal/revisions/history.go
@@ -1,6 +1,6 @@
 // Package history keeps the versions of the settings that were in force, with what each came after, in an embedded store. It
 // works without any service.
-package history
+package revisions
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"flintspread/disk"
+	"flintspread/internal/boltstore"
 )
 
 // Entry is one version that was in force.
@@ -33,7 +33,7 @@
 
 // Open opens or makes a store. A file that can't be read is set aside; aside tells its name then, and why.
 func Open(file string) (s *Store, aside string, err error) {
-	db, aside, err := disk.OpenOrSetAside(file, check)
+	db, aside, err := boltstore.OpenOrSetAside(file, check)
 	if err != nil {
 		return nil, aside, err
 	}
@@ -45,7 +45,7 @@
 	if _, err := os.Stat(file); err != nil {
 		return nil, err
 	}
-	db, err := disk.Open(file, true, check)
+	db, err := boltstore.Open(file, true, check)
 	if err != nil {
 		return nil, err
 	}
--- a/history/history_test.go
+++ b/internal/revisions/history_test.go
@@ -1,4 +1,4 @@
-package history
+package revisions
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"flintspread/disk"
+	"flintspread/internal/boltstore"
 )
 
 func TestStore(t *testing.T) {
@@ -31,7 +31,7 @@
 	if err := s.Add(Entry{No: 7}); err == nil {
 		t.Error("went back to 7")
 	}
-	if _, err := Read(file); err == nil || !errors.Is(err, disk.ErrInUse) {
+	if _, err := Read(file); err == nil || !errors.Is(err, boltstore.ErrInUse) {
 		t.Error(err)
 	}
 	if err := s.Close(); err != nil {
--- a/history/resume.go
+++ b/internal/revisions/resume.go
@@ -1,4 +1,4 @@
-package history
+package revisions
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"path/filepath"
 	"time"
 
-	"flintspread/version"
+	"flintspread/internal/configstate"
 )
 
 // Resume opens the history in a state folder and has the version that was in force last put in force again: with a control
 // service gone the program runs on that. One that can't be read or put is left, and the program starts on its file's settings.
-func Resume(stateDir string, log *slog.Logger, put func(*version.Version) error) (*Store, error) {
+func Resume(stateDir string, log *slog.Logger, put func(*configstate.Version) error) (*Store, error) {
 	store, aside, err := Open(filepath.Join(stateDir, "versions.db"))
 	if err != nil {
 		return nil, err
@@ -23,7 +23,7 @@
 	if err != nil || last == nil {
 		return store, err
 	}
-	v, err := version.Read(last.No, []byte(last.Text))
+	v, err := configstate.Read(last.No, []byte(last.Text))
 	if err == nil {
 		err = put(v)
 	}
--- a/edge/edge.go
+++ b/internal/router/edge.go
@@ -1,5 +1,5 @@
 // Package edge puts one edge together: the relay, its list and its news of releases, its votes, its numbers.
-package edge
+package router
 
 import (
 	"context"
@@ -18,25 +18,25 @@
 
 	"golang.org/x/sys/unix"
 
-	"flintspread/link"
-	"flintspread/policy"
-	"flintspread/relay"
-	"flintspread/release"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/stream"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
+	"flintspread/internal/proxy"
+	"flintspread/internal/releases"
+	"flintspread/internal/watch"
 )
 
 // Edge is a running edge. Without a planner it asks list and installer itself and votes; with one it does neither.
 type Edge struct {
-	set   *settings.Edge
+	set   *config.Edge
 	log   *slog.Logger
-	relay *relay.Relay
-	list  roster.List
+	relay *proxy.Relay
+	list  endpoints.List
 	file  string
 	http  *http.Client
-	box   *release.Box
-	end   *link.EdgeEnd // nil where the edge judges for itself
+	box   *releases.Box
+	end   *controlrpc.EdgeEnd // nil where the edge judges for itself
 
 	led  *led       // nil where the edge judges for itself
 	kept remembered // by the link's goroutine
@@ -49,7 +49,7 @@
 
 // Run serves until ctx ends, then answers what is in hand and returns. An error before anything was served is a reason
 // not to start.
-func Run(ctx context.Context, set *settings.Edge, log *slog.Logger) error {
+func Run(ctx context.Context, set *config.Edge, log *slog.Logger) error {
 	if err := os.MkdirAll(set.StateDir, 0o755); err != nil {
 		return err
 	}
@@ -73,13 +73,13 @@
 	var running sync.WaitGroup
 	failed := make(chan error, 2)
 	if set.Planner == nil {
-		e.box = &release.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: e.http, Log: log,
-			Asked: func(release.Vote) {}, Replied: e.voted}
+		e.box = &releases.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: e.http, Log: log,
+			Asked: func(releases.Vote) {}, Replied: e.voted}
 		e.box.Open()
-		e.relay = relay.New(set, seed, log, e.box.Cast)
+		e.relay = proxy.New(set, seed, log, e.box.Cast)
 		e.fromDisk()
 		if set.Control == nil {
-			running.Go(func() { stream.Follow(feeds, e.source(set.Sources.List), e.takeList, func() {}) })
+			running.Go(func() { watch.Follow(feeds, e.source(set.Sources.List), e.takeList, func() {}) })
 		} else {
 			vs, err := e.openVersions()
 			if err != nil {
@@ -94,11 +94,11 @@
 			})
 		}
 		running.Go(func() {
-			stream.Follow(feeds, e.source(set.Sources.Installer+"/stage"), e.takeNews, func() {})
+			watch.Follow(feeds, e.source(set.Sources.Installer+"/stage"), e.takeNews, func() {})
 		})
 		running.Go(func() { e.box.Run(feeds) })
 	} else {
-		e.relay = relay.New(set, seed, log, nil)
+		e.relay = proxy.New(set, seed, log, nil)
 		e.fromDisk()
 		e.recall()
 		vs, err := e.openVersions()
@@ -108,7 +108,7 @@
 		}
 		defer vs.store.Close()
 		e.led = &led{vs: vs}
-		e.end = &link.EdgeEnd{Set: set.Planner, Log: log, Now: e.relay.Now, Relay: set.Relay, Edge: set.Name,
+		e.end = &controlrpc.EdgeEnd{Set: set.Planner, Log: log, Now: e.relay.Now, Relay: set.Relay, Edge: set.Name,
 			Life: uint64(time.Now().UnixNano()), Terms: TermsHash(set.Terms()), Count: e.count, Take: e.takeView}
 		running.Go(func() {
 			if err := e.end.Run(feeds, e.list.At); err != nil {
@@ -126,7 +126,7 @@
 	case err = <-failed:
 	}
 	log.Info("draining", "relay", set.Relay)
-	relay.CloseEmpty(listener)
+	proxy.CloseEmpty(listener)
 	// The list goes on while there is something in hand: drains still bind.
 	until, cancel := context.WithTimeout(context.Background(), time.Duration(set.Clients.DrainTime*float64(time.Second)))
 	defer cancel()
@@ -143,7 +143,7 @@
 }
 
 // listen opens the clients' address. A shared one is spread over the edges there by the kernel, connection by connection.
-func listen(set *settings.Edge) (net.Listener, error) {
+func listen(set *config.Edge) (net.Listener, error) {
 	var lc net.ListenConfig
 	if set.Shared {
 		lc.Control = func(_, _ string, c syscall.RawConn) (err error) {
@@ -156,14 +156,14 @@
 	return lc.Listen(context.Background(), "tcp", set.Listen)
 }
 
-func (e *Edge) source(url string) stream.Source {
+func (e *Edge) source(url string) watch.Source {
 	s := e.set.Sources
-	return stream.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: e.log, Client: e.http}
+	return watch.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: e.log, Client: e.http}
 }
 
 // fromDisk starts on the last list there was.
 func (e *Edge) fromDisk() {
-	list, err := roster.Load(e.file)
+	list, err := endpoints.Load(e.file)
 	if err != nil {
 		e.log.Error("last list", "error", err)
 	}
@@ -178,7 +178,7 @@
 func wall() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // takeList is called by the list's stream alone.
-func (e *Edge) takeList(line *roster.Line) error {
+func (e *Edge) takeList(line *endpoints.Line) error {
 	if err := line.Check(); err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func (e *Edge) takeNews(line *release.News) error {
+func (e *Edge) takeNews(line *releases.News) error {
 	if line.Quiet {
 		return nil
 	}
@@ -203,7 +203,7 @@
 }
 
 // voted enters what became of a vote. Its reply may bring news.
-func (e *Edge) voted(_ release.Vote, reply policy.VoteReply, line *release.News) {
+func (e *Edge) voted(_ releases.Vote, reply policy.VoteReply, line *releases.News) {
 	if line != nil {
 		if err := e.news(line); err != nil {
 			e.log.Warn("reply to a vote", "error", err)
@@ -213,7 +213,7 @@
 }
 
 // news takes what came as a line or as a reply to a vote. What one overtook on the way is old.
-func (e *Edge) news(line *release.News) error {
+func (e *Edge) news(line *releases.News) error {
 	if err := line.Check(len(e.set.Release.Stages)); err != nil {
 		return err
 	}
--- a/edge/led.go
+++ b/internal/router/led.go
@@ -1,4 +1,4 @@
-package edge
+package router
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"flintspread/link/linkpb"
-	"flintspread/policy"
-	"flintspread/release"
-	"flintspread/roster"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 // TermsHash names the terms that an edge and its planner must share. What only one of them reads is left out.
@@ -46,7 +46,7 @@
 		}
 	}
 	if stage {
-		line := &release.News{Version: v.StageNo, Build: int(v.Build), Stage: int(v.Stage), Phase: v.Phase, Cap: v.Cap, Age: v.StageAge}
+		line := &releases.News{Version: v.StageNo, Build: int(v.Build), Stage: int(v.Stage), Phase: v.Phase, Cap: v.Cap, Age: v.StageAge}
 		if err := e.news(line); err != nil {
 			e.log.Error("news in a view", "error", err)
 		} else {
@@ -67,9 +67,9 @@
 
 // viewList takes a view's list, or that the one there is still holds.
 func (e *Edge) viewList(v *linkpb.View) error {
-	line := &roster.Line{Version: v.ListNo, Full: v.HasList, Age: max(0, wall()-v.ListAt)}
+	line := &endpoints.Line{Version: v.ListNo, Full: v.HasList, Age: max(0, wall()-v.ListAt)}
 	for _, u := range v.Units {
-		line.Units = append(line.Units, roster.Unit{ID: u.Id, Addr: u.Addr, State: u.State, Build: int(u.Build), Zone: uint16(u.Zone),
+		line.Units = append(line.Units, endpoints.Unit{ID: u.Id, Addr: u.Addr, State: u.State, Build: int(u.Build), Zone: uint16(u.Zone),
 			Cell: uint16(u.Cell), Heft: u.Heft, Start: u.Start})
 	}
 	return e.takeList(line)
@@ -77,8 +77,8 @@
 
 // remembered is the last news on disk: an edge that is started anew while its planner is away has no other.
 type remembered struct {
-	News release.News `json:"news"`
-	At   float64      `json:"at"` // when it was confirmed, s since 1970
+	News releases.News `json:"news"`
+	At   float64       `json:"at"` // when it was confirmed, s since 1970
 }
 
 const confirmEvery = 1.0 // s between writings of the same news
@@ -86,7 +86,7 @@
 func (e *Edge) newsFile() string { return filepath.Join(e.set.StateDir, "news.json") }
 
 // remember keeps news on disk. It is called by the link's goroutine alone.
-func (e *Edge) remember(line *release.News) {
+func (e *Edge) remember(line *releases.News) {
 	now := wall()
 	if line.Version == e.kept.News.Version && now < e.kept.At+confirmEvery {
 		return
@@ -94,7 +94,7 @@
 	e.kept = remembered{*line, now}
 	text, err := json.Marshal(e.kept)
 	if err == nil {
-		err = roster.Replace(e.newsFile(), text)
+		err = endpoints.Replace(e.newsFile(), text)
 	}
 	if err != nil {
 		e.log.Error("news not saved", "error", err)
--- a/edge/numbers.go
+++ b/internal/router/numbers.go
@@ -1,4 +1,4 @@
-package edge
+package router
 
 import (
 	"net/http"
@@ -7,17 +7,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"flintspread/accord"
-	"flintspread/link"
-	"flintspread/relay"
-	"flintspread/self"
-	"flintspread/settings"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/lease"
+	"flintspread/internal/processstats"
+	"flintspread/internal/proxy"
 )
 
 // numbers gives the relay's counts to Prometheus. They are read when asked for; nothing is counted twice.
 type numbers struct {
-	relay *relay.Relay
-	end   *link.EdgeEnd // nil without a planner
+	relay *proxy.Relay
+	end   *controlrpc.EdgeEnd // nil without a planner
 }
 
 func metric(name, help string, labels ...string) *prometheus.Desc {
@@ -96,7 +96,7 @@
 	gauge(memPeak, float64(v.MemoryPeak))
 	total(memPaused, float64(v.Paused))
 	total(memRefused, float64(v.MemoryRefused))
-	if drops, ok := self.Overflows(); ok {
+	if drops, ok := processstats.Overflows(); ok {
 		total(overflows, float64(drops))
 	}
 	if n.end == nil {
@@ -107,14 +107,14 @@
 	gauge(viewAge, l.Age)
 	total(links, float64(l.Links))
 	total(dropped, float64(l.Dropped))
-	for r := accord.Taken + 1; int(r) < accord.Reasons; r++ {
+	for r := lease.Taken + 1; int(r) < lease.Reasons; r++ {
 		total(viewsBad, float64(l.Refused[r]), r.String())
 	}
 }
 
 // bounds gives a histogram's buckets so that every service target and command timeout is a bound: what was in time is read
 // off, not interpolated.
-func bounds(ops []settings.OpType) (at []float64) {
+func bounds(ops []config.OpType) (at []float64) {
 	for _, op := range ops {
 		for _, part := range []float64{0.125, 0.25, 0.5, 0.75, 1} {
 			at = append(at, part*op.Target)
--- a/edge/versions.go
+++ b/internal/router/versions.go
@@ -1,4 +1,4 @@
-package edge
+package router
 
 import (
 	"bytes"
@@ -6,24 +6,24 @@
 	"fmt"
 	"sync"
 
-	"flintspread/history"
-	"flintspread/link/linkpb"
-	"flintspread/roster"
-	"flintspread/version"
-	"flintspread/xds"
+	"flintspread/internal/configstate"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/revisions"
+	"flintspread/internal/xds"
 )
 
 // versions follows a control service: its documents are the settings' versions, its endpoint assignments the list.
 type versions struct {
 	e     *Edge
-	store *history.Store
+	store *revisions.Store
 	mu    sync.Mutex // orders what several services send
 }
 
 // openVersions opens the history and puts the last version that was in force in force again.
 func (e *Edge) openVersions() (vs *versions, err error) {
 	vs = &versions{e: e}
-	vs.store, err = history.Resume(e.set.StateDir, e.log, func(v *version.Version) error {
+	vs.store, err = revisions.Resume(e.set.StateDir, e.log, func(v *configstate.Version) error {
 		_, err := e.relay.Offer(v) // what it belonged with came before; it needs nothing now
 		return err
 	})
@@ -38,7 +38,7 @@
 
 // list takes a list, unless it is older than the one there, or as old and different: it was overtaken, the service went back,
 // or two services disagree.
-func (vs *versions) list(line *roster.Line) error {
+func (vs *versions) list(line *endpoints.Line) error {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	if err := vs.e.list.Older(line); err != nil {
@@ -48,36 +48,36 @@
 }
 
 // take offers a version, and notes it before it is acknowledged: what was acknowledged is in force after a kill.
-func (vs *versions) take(v *version.Version) (version.Outcome, error) {
+func (vs *versions) take(v *configstate.Version) (configstate.Outcome, error) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	before := vs.e.relay.Version().No
 	o, err := vs.e.relay.Offer(v)
-	if err == nil && o == version.Applied {
+	if err == nil && o == configstate.Applied {
 		vs.note(v, before)
 	}
 	return o, err
 }
 
-func (vs *versions) look(mine *version.Version) (version.Outcome, error) {
+func (vs *versions) look(mine *configstate.Version) (configstate.Outcome, error) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	before := vs.e.relay.Version().No
 	v, o, err := vs.e.relay.Look()
-	if err == nil && v != nil && o == version.Applied {
+	if err == nil && v != nil && o == configstate.Applied {
 		vs.note(v, before)
 	}
 	switch {
 	case v == mine:
 		return o, err
 	case vs.e.relay.Version().No == mine.No:
-		return version.Applied, nil
+		return configstate.Applied, nil
 	}
-	return version.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
+	return configstate.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
 }
 
-func (vs *versions) note(v *version.Version, before uint64) {
-	err := vs.store.Add(history.Entry{No: v.No, Parent: before, Since: wall(), Sum: v.Sum, Needs: v.Needs, Text: string(v.Text)})
+func (vs *versions) note(v *configstate.Version, before uint64) {
+	err := vs.store.Add(revisions.Entry{No: v.No, Parent: before, Since: wall(), Sum: v.Sum, Needs: v.Needs, Text: string(v.Text)})
 	if err != nil { // it serves on; a restart would go on the one before
 		vs.e.log.Error("version of the settings not saved", "version", v.No, "error", err)
 	}
@@ -90,7 +90,7 @@
 	vs *versions
 
 	mu      sync.Mutex
-	have    *version.Version // the last whose text came
+	have    *configstate.Version // the last whose text came
 	fits    uint64
 	refused uint64
 	reason  string
@@ -110,7 +110,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if v.ConfigTextNo > 0 && (l.have == nil || l.have.No != v.ConfigTextNo || !bytes.Equal(l.have.Text, v.ConfigText)) {
-		got, err := version.Read(v.ConfigTextNo, v.ConfigText)
+		got, err := configstate.Read(v.ConfigTextNo, v.ConfigText)
 		if err != nil {
 			l.refused, l.reason = v.ConfigTextNo, err.Error()
 			return
--- a/edge/versions_test.go
+++ b/internal/router/versions_test.go
@@ -1,4 +1,4 @@
-package edge
+package router
 
 import (
 	"bytes"
@@ -20,21 +20,21 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/grpc/credentials"
 
-	"flintspread/link"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/standin"
-	"flintspread/standin/office"
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/fakes/testca"
 )
 
 // hall is an edge under a control service, with one unit, an installer that says nothing new, and a client that asks without
 // end and keeps what version answered what.
 type hall struct {
 	t       *testing.T
-	control *standin.Control
+	control *fakes.Control
 	dir     string
 	listen  string
-	unit    roster.Unit
+	unit    endpoints.Unit
 	address string
 	tls     string
 	creds   credentials.TransportCredentials
@@ -65,26 +65,26 @@
 		io.WriteString(w, "ok")
 	}))
 	t.Cleanup(unit.Close)
-	h.unit = roster.Unit{ID: 1, Addr: strings.TrimPrefix(unit.URL, "http://"), State: "ready", Build: 1}
+	h.unit = endpoints.Unit{ID: 1, Addr: strings.TrimPrefix(unit.URL, "http://"), State: "ready", Build: 1}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.address = fmt.Sprintf("%q", l.Addr().String())
 	// The service is named in its certificate, whatever its address.
-	o := office.New(t, "hall")
+	o := testca.New(t, "hall")
 	ends := time.Now().Add(time.Hour)
 	cert, key := o.Issue("control", "control.example.org", ends)
-	creds, err := link.Creds(&settings.Link{Cert: cert, Key: key, CA: o.CA(), Peer: "edge.example.org"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	creds, err := controlrpc.Creds(&config.Link{Cert: cert, Key: key, CA: o.CA(), Peer: "edge.example.org"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cert, key = o.Issue("edge", "edge.example.org", ends)
 	h.tls = fmt.Sprintf(":cert %q :key %q :ca %q :peer \"control.example.org\"", cert, key, o.CA())
 	h.creds = creds
-	h.control = standin.StartControl(l, creds)
+	h.control = fakes.StartControl(l, creds)
 	t.Cleanup(func() { h.control.Stop() })
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
  :sources {:installer %q :silence 5.0 :back-least 0.01 :back-most 0.05}
  :control {:addresses [%s] :silence 1.0 :back-least 0.01 :back-most 0.05 :patience 0.4 :most-bytes 1000000 %s}
  %s`, h.listen, freeAddr(h.t), h.dir, installer.URL, h.address, h.tls, h.text[1:])
-	set, err := settings.ParseEdge("edge.edn", []byte(file))
+	set, err := config.ParseEdge("edge.edn", []byte(file))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -194,10 +194,10 @@
 	h := newHall(t)
 	c := h.control
 	units := func(version uint64) *discovery.DiscoveryResponse {
-		return standin.UnitsResponse("r1", version, []roster.Unit{h.unit})
+		return fakes.UnitsResponse("r1", version, []endpoints.Unit{h.unit})
 	}
 	doc := func(n, needs uint64, text string) *discovery.DiscoveryResponse {
-		return standin.DocumentResponse("r1", n, needs, text)
+		return fakes.DocumentResponse("r1", n, needs, text)
 	}
 	stop := h.run()
 	defer func() { stop() }()
@@ -215,22 +215,22 @@
 	good := doc(2, 0, h.doc(2))
 	good.Nonce = "same"
 	h.after(func() { c.Send(good) })
-	h.after(func() { c.Send(good) })                                                          // the same nonce twice
-	h.after(func() { c.Send(doc(2, 0, h.doc(2))) })                                           // resent: the acknowledgement was lost
-	h.after(func() { c.Send(doc(2, 0, h.doc(3))) })                                           // the same number, another text
-	h.after(func() { c.Send(doc(1, 0, h.doc(1))) })                                           // an old one replayed
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })       // breaks the trial cap
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":grace         1.0", ":grace 9.0"))) })       // unkeepable
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":group :all", ":group :cell"))) })            // a group that no unit belongs to
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":connections 10000", ":connections 1"))) })   // under what is open
-	h.after(func() { c.Send(doc(3, 0, strings.Replace(h.doc(3), "]}", "", 1))) })             // cut off
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":window        4.0", ":widow 4.0"))) })       // unknown key
-	h.after(func() { c.Send(standin.DocumentResponse("r2", 3, 0, h.doc(3))) })                // for another relay
-	h.after(func() { c.Send(units(4)) })                                                      // an older list
-	h.after(func() { r := units(6); r.VersionInfo = "six"; c.Send(r) })                       // a version that is no number
-	h.after(func() { c.Send(standin.UnitsResponse("r1", 6, []roster.Unit{h.unit, h.unit})) }) // a unit twice
-	h.after(func() { c.Send(doc(4, 7, h.doc(4))) })                                           // belongs with a list that does not come
-	h.after(func() { c.Send(doc(5, 7, h.doc(5))); c.Send(units(7)) })                         // and with one that does
+	h.after(func() { c.Send(good) })                                                           // the same nonce twice
+	h.after(func() { c.Send(doc(2, 0, h.doc(2))) })                                            // resent: the acknowledgement was lost
+	h.after(func() { c.Send(doc(2, 0, h.doc(3))) })                                            // the same number, another text
+	h.after(func() { c.Send(doc(1, 0, h.doc(1))) })                                            // an old one replayed
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })        // breaks the trial cap
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":grace         1.0", ":grace 9.0"))) })        // unkeepable
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":group :all", ":group :cell"))) })             // a group that no unit belongs to
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":connections 10000", ":connections 1"))) })    // under what is open
+	h.after(func() { c.Send(doc(3, 0, strings.Replace(h.doc(3), "]}", "", 1))) })              // cut off
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":window        4.0", ":widow 4.0"))) })        // unknown key
+	h.after(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, h.doc(3))) })                   // for another relay
+	h.after(func() { c.Send(units(4)) })                                                       // an older list
+	h.after(func() { r := units(6); r.VersionInfo = "six"; c.Send(r) })                        // a version that is no number
+	h.after(func() { c.Send(fakes.UnitsResponse("r1", 6, []endpoints.Unit{h.unit, h.unit})) }) // a unit twice
+	h.after(func() { c.Send(doc(4, 7, h.doc(4))) })                                            // belongs with a list that does not come
+	h.after(func() { c.Send(doc(5, 7, h.doc(5))); c.Send(units(7)) })                          // and with one that does
 	h.soon("both", func() bool { return strings.Contains(strings.Join(c.Log(), "\n"), `"v5"`) })
 	serves(5)
 	h.after(func() { c.Set(units(7)) })
@@ -282,19 +282,19 @@
 	stop := h.run()
 	defer stop()
 	h.soon("the stream", func() bool { return len(c.Log()) == 2 })
-	h.after(func() { c.Set(standin.UnitsResponse("r1", 1, []roster.Unit{h.unit})) })
-	h.after(func() { c.Set(standin.DocumentResponse("r1", 1, 0, h.doc(1))) })
+	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Unit{h.unit})) })
+	h.after(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, h.doc(1))) })
 	got := make(chan string)
 	go func() { got <- h.ask("/chute/1", "X-Take", "250ms", "Flint-Time", "0.7") }()
 	time.Sleep(80 * time.Millisecond)
 	without := h.doc(2, "{:name \"chute-lookup\"  :target 0.3", "{:name \"look\"  :target 0.3")
 	without = strings.ReplaceAll(without, "\"chute-lookup\"", "\"look\"")
-	h.after(func() { c.Send(standin.DocumentResponse("r1", 2, 0, without)) })
-	h.after(func() { c.Send(standin.DocumentResponse("r1", 3, 0, h.doc(3))) })
+	h.after(func() { c.Send(fakes.DocumentResponse("r1", 2, 0, without)) })
+	h.after(func() { c.Send(fakes.DocumentResponse("r1", 3, 0, h.doc(3))) })
 	if a := <-got; a != "200 by version 1" {
 		t.Error("in hand:", a)
 	}
-	h.after(func() { c.Send(standin.DocumentResponse("r1", 4, 0, without)) })
+	h.after(func() { c.Send(fakes.DocumentResponse("r1", 4, 0, without)) })
 	h.soon("the op type has another name", func() bool { return h.ask("/chute/1") == "200 by version 4" })
 	log := strings.Join(c.Log(), "\n")
 	if !strings.Contains(log, `"chute-lookup" is left out while 1 of its commands are in hand`) || !strings.Contains(log, `"v4"`) {
@@ -309,13 +309,13 @@
 	stop := h.run()
 	defer stop()
 	h.soon("the stream", func() bool { return len(c.Log()) == 2 })
-	h.after(func() { c.Set(standin.UnitsResponse("r1", 1, []roster.Unit{h.unit})) })
-	h.after(func() { c.Set(standin.DocumentResponse("r1", 1, 0, h.doc(1))) })
-	var many []roster.Unit
+	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Unit{h.unit})) })
+	h.after(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, h.doc(1))) })
+	var many []endpoints.Unit
 	for id := range uint32(30000) {
-		many = append(many, roster.Unit{ID: id + 1, Addr: "127.0.0.1:9", State: "ready"})
+		many = append(many, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:9", State: "ready"})
 	}
-	for i, r := range []*discovery.DiscoveryResponse{standin.DocumentResponse("r1", 2, 0, h.doc(2)+strings.Repeat(" ", 1100000)), standin.UnitsResponse("r1", 2, many)} {
+	for i, r := range []*discovery.DiscoveryResponse{fakes.DocumentResponse("r1", 2, 0, h.doc(2)+strings.Repeat(" ", 1100000)), fakes.UnitsResponse("r1", 2, many)} {
 		c.Send(r)
 		h.soon("the stream again", func() bool { return strings.Count(strings.Join(c.Log(), "\n"), `Document begins at "v1"`) == i+1 })
 	}
@@ -331,13 +331,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := h.control, standin.StartControl(l, h.creds)
+	a, b := h.control, fakes.StartControl(l, h.creds)
 	defer b.Stop()
 	h.address += fmt.Sprintf(" %q", l.Addr().String())
 	stop := h.run()
 	defer stop()
 	h.soon("both streams", func() bool { return len(a.Log()) == 2 && len(b.Log()) == 2 })
-	last := func(c *standin.Control, n int) string {
+	last := func(c *fakes.Control, n int) string {
 		h.soon("an answer", func() bool { return len(c.Log()) >= n })
 		lines := c.Log()
 		return lines[len(lines)-1]
@@ -345,17 +345,17 @@
 	other := h.unit
 	other.Build = 9
 	for i, x := range []struct {
-		c    *standin.Control
+		c    *fakes.Control
 		r    *discovery.DiscoveryResponse
 		want string
 	}{
-		{a, standin.UnitsResponse("r1", 5, []roster.Unit{h.unit}), "ACK"},
-		{b, standin.UnitsResponse("r1", 5, []roster.Unit{h.unit}), "ACK"},
-		{b, standin.UnitsResponse("r1", 5, []roster.Unit{other}), "list version 5 is in force with other units: 1 differ"},
-		{a, standin.DocumentResponse("r1", 1, 0, h.doc(1)), "ACK"},
-		{b, standin.DocumentResponse("r1", 1, 0, h.doc(2)), "version 1 is in force with another text"},
-		{b, standin.DocumentResponse("r1", 2, 0, h.doc(2)), "ACK"},
-		{a, standin.DocumentResponse("r1", 1, 0, h.doc(1)), "version 1 is older than 2"},
+		{a, fakes.UnitsResponse("r1", 5, []endpoints.Unit{h.unit}), "ACK"},
+		{b, fakes.UnitsResponse("r1", 5, []endpoints.Unit{h.unit}), "ACK"},
+		{b, fakes.UnitsResponse("r1", 5, []endpoints.Unit{other}), "list version 5 is in force with other units: 1 differ"},
+		{a, fakes.DocumentResponse("r1", 1, 0, h.doc(1)), "ACK"},
+		{b, fakes.DocumentResponse("r1", 1, 0, h.doc(2)), "version 1 is in force with another text"},
+		{b, fakes.DocumentResponse("r1", 2, 0, h.doc(2)), "ACK"},
+		{a, fakes.DocumentResponse("r1", 1, 0, h.doc(1)), "version 1 is older than 2"},
 	} {
 		n := len(x.c.Log())
 		x.c.Send(x.r)
--- a/day/day_test.go
+++ b/internal/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"io"
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"flintspread/audit"
+	"flintspread/internal/invariants"
 )
 
 // programs builds what the days are played with.
 func programs(t *testing.T) string {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir, "flintspread/cmd/flintedge", "flintspread/cmd/flintplan").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir, "flintspread/cmd/flintspread-router", "flintspread/cmd/flintspread-controller").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return dir
@@ -113,21 +113,21 @@
 	}
 	script.Length, script.Events = 1.5, nil
 	file := programs(t)
-	var rec *audit.Record
-	watch = func(r *audit.Record) { rec = r }
-	defer func() { watch = func(*audit.Record) {} }()
+	var rec *invariants.Record
+	watch = func(r *invariants.Record) { rec = r }
+	defer func() { watch = func(*invariants.Record) {} }()
 	if _, err := Play(script, file, t.TempDir(), io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range rec.Deliveries {
-		if c := rec.Commands[d.Command]; c.Effect == audit.AtMostOnce {
+		if c := rec.Commands[d.Command]; c.Effect == invariants.AtMostOnce {
 			again := *d
 			again.At += 0.001
 			rec.Deliveries = append(rec.Deliveries, &again)
 			break
 		}
 	}
-	if rep := audit.Check(rec, script.bounds()); rep.Kept() {
+	if rep := invariants.Check(rec, script.bounds()); rep.Kept() {
 		t.Error("a second delivery went unseen")
 	}
 }
@@ -150,9 +150,9 @@
 		t.Fatal(err)
 	}
 	script.Length, script.Platform.Slack = 12, 0.15
-	var rec *audit.Record
-	watch = func(r *audit.Record) { rec = r }
-	defer func() { watch = func(*audit.Record) {} }()
+	var rec *invariants.Record
+	watch = func(r *invariants.Record) { rec = r }
+	defer func() { watch = func(*invariants.Record) {} }()
 	out, err := Play(script, programs(t), t.TempDir(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	// One parcel, followed by what the sockets saw alone: its command reached one box of the earlier build once, and the box's
 	// answer, the right one, reached the client in time.
 	followed := 0
-	of := map[uint64][]*audit.Delivery{}
+	of := map[uint64][]*invariants.Delivery{}
 	perUnit := map[uint32]int{}
 	for _, d := range rec.Deliveries {
 		of[d.Command] = append(of[d.Command], d)
@@ -211,9 +211,9 @@
 		if !with {
 			script.Queries = nil
 		}
-		var rec *audit.Record
-		watch = func(r *audit.Record) { rec = r }
-		defer func() { watch = func(*audit.Record) {} }()
+		var rec *invariants.Record
+		watch = func(r *invariants.Record) { rec = r }
+		defer func() { watch = func(*invariants.Record) {} }()
 		out, err := Play(script, programs(t), t.TempDir(), io.Discard)
 		if err != nil || !out.Kept() {
 			t.Fatal(err, out)
--- a/day/health.go
+++ b/internal/scenario/health.go
@@ -1,11 +1,11 @@
-package day
+package scenario
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"flintspread/standin"
+	"flintspread/internal/fakes"
 )
 
 // Queries is a day's query servers, and what the planners are told to ask them.
@@ -15,11 +15,11 @@
 }
 
 // faults are those that an event may name.
-var faults = map[string]standin.Fault{}
+var faults = map[string]fakes.Fault{}
 
 func init() {
-	for _, f := range []standin.Fault{standin.Blind, standin.Lies, standin.Flatters, standin.Late, standin.Hangs, standin.Truncated, standin.TooManyNow,
-		standin.Overloaded, standin.Elsewhere, standin.Warns, standin.Yesterday, standin.Exploded, standin.Garbage, standin.Dead} {
+	for _, f := range []fakes.Fault{fakes.Blind, fakes.Lies, fakes.Flatters, fakes.Late, fakes.Hangs, fakes.Truncated, fakes.TooManyNow,
+		fakes.Overloaded, fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead} {
 		faults[string(f)] = f
 	}
 }
@@ -30,7 +30,7 @@
 		return nil
 	}
 	for range r.script.Queries.Servers {
-		q, err := standin.StartQueries(r.clock)
+		q, err := fakes.StartQueries(r.clock)
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 }
 
 func (r *run) scrape() {
-	var list []standin.Scrape
+	var list []fakes.Scrape
 	r.mu.Lock()
 	for _, u := range r.units {
 		list = append(list, u.Shows()...)
@@ -149,7 +149,7 @@
 			s.Queries = nil
 		case "lied":
 			build = 3
-			s.Events = append(s.Events, Event{At: 0, Do: "query-server", Fault: string(standin.Lies)})
+			s.Events = append(s.Events, Event{At: 0, Do: "query-server", Fault: string(fakes.Lies)})
 		}
 		for j := range s.Events {
 			if s.Events[j].Do == "offer" {
--- a/day/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -16,15 +16,15 @@
 	"syscall"
 	"time"
 
-	"flintspread/audit"
-	"flintspread/standin"
+	"flintspread/internal/fakes"
+	"flintspread/internal/invariants"
 )
 
 // Outcome is what a day showed.
 type Outcome struct {
-	*audit.Report
-	History  []standin.Moment `json:"history"`
-	Versions *Versions        `json:"versions,omitempty"` // of the settings
+	*invariants.Report
+	History  []fakes.Moment `json:"history"`
+	Versions *Versions      `json:"versions,omitempty"` // of the settings
 }
 
 // run is a day in play.
@@ -32,23 +32,23 @@
 	script    *Script
 	dir       string
 	bin       string // the folder of the programs
-	rec       *audit.Record
+	rec       *invariants.Record
 	base      time.Time
 	wall      float64
 	from      float64
-	list      *standin.List
-	installer *standin.Installer
-	clients   *standin.Clients
+	list      *fakes.List
+	installer *fakes.Installer
+	clients   *fakes.Clients
 	edges     processes
 	planners  processes
 	storm     *storm
-	queries   []*standin.Queries
+	queries   []*fakes.Queries
 	control   string // address of list and installer
 	ctx       context.Context
 
 	mu     sync.Mutex
 	nextID uint32
-	units  map[uint32]*standin.Unit
+	units  map[uint32]*fakes.Unit
 	errs   []error
 	timers sync.WaitGroup
 }
@@ -75,7 +75,7 @@
 }
 
 // StartUnit and StopUnit are the installer's hands.
-func (r *run) StartUnit(_, build int) (*standin.Unit, error) {
+func (r *run) StartUnit(_, build int) (*fakes.Unit, error) {
 	r.mu.Lock()
 	r.nextID++
 	id := r.nextID
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	s, rules := r.script.Units, r.script.Rules
-	u, err := standin.StartUnit(id, build, does, standin.UnitShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.ColdFrom,
+	u, err := fakes.StartUnit(id, build, does, fakes.UnitShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.ColdFrom,
 		WarmUp: rules.WarmUp, FallFactor: rules.FallFactor, FallTime: rules.FallTime}, r.rec, r.clock)
 	if err == nil {
 		r.mu.Lock()
@@ -95,7 +95,7 @@
 	return u, err
 }
 
-func (r *run) StopUnit(u *standin.Unit) {
+func (r *run) StopUnit(u *fakes.Unit) {
 	u.Stop()
 	r.mu.Lock()
 	delete(r.units, u.ID)
@@ -108,16 +108,16 @@
 	now := time.Now()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	r := &run{script: script, dir: dir, bin: bin, rec: audit.NewRecord(), base: now, wall: float64(now.UnixNano()) / 1e9,
-		ctx: ctx, units: map[uint32]*standin.Unit{}}
+	r := &run{script: script, dir: dir, bin: bin, rec: invariants.NewRecord(), base: now, wall: float64(now.UnixNano()) / 1e9,
+		ctx: ctx, units: map[uint32]*fakes.Unit{}}
 	p, rel := script.Platform, script.Release
-	r.list = standin.NewList(p.ListLag, r.rec, r.clock)
+	r.list = fakes.NewList(p.ListLag, r.rec, r.clock)
 	first := 1 << 30
 	for b := range script.Builds {
 		first = min(first, b)
 	}
 	var err error
-	r.installer, err = standin.NewInstaller(standin.Plan{Stages: rel.Stages, Caps: rel.Caps, Places: script.Units.Places,
+	r.installer, err = fakes.NewInstaller(fakes.Plan{Stages: rel.Stages, Caps: rel.Caps, Places: script.Units.Places,
 		StartTime: script.Units.StartTime, DrainTime: script.Units.DrainTime, Bake: p.Bake, OnVotes: p.OnVotes,
 		BackVotes: rel.BackVotes, VoteLife: rel.VoteLife, Delay: p.Delay, Push: p.Push}, first, r, r.list, r.rec, r.clock)
 	if err != nil {
@@ -155,19 +155,19 @@
 		}
 		names = append(names, name)
 	}
-	var ops []standin.OpShape
+	var ops []fakes.OpShape
 	for _, op := range script.OpTypes {
 		method := http.MethodPost
 		if op.Effect == "redeliverable" {
 			method = http.MethodGet
 		}
-		ops = append(ops, standin.OpShape{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, Work: op.Work,
-			Target: op.Target, Timeout: op.Timeout, Importance: op.Importance, Effect: audit.Effect(op.Effect), Group: string(op.Group),
+		ops = append(ops, fakes.OpShape{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, Work: op.Work,
+			Target: op.Target, Timeout: op.Timeout, Importance: op.Importance, Effect: invariants.Effect(op.Effect), Group: string(op.Group),
 			Window: op.Window})
 	}
-	r.clients = standin.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
-	r.clients.Change(func(h *standin.Habits) {
-		*h = standin.Habits{Rate: script.Rate, Retries: script.Clients.Retries, AtOnce: script.Clients.AtOnce, Short: script.Clients.Short,
+	r.clients = fakes.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
+	r.clients.Change(func(h *fakes.Habits) {
+		*h = fakes.Habits{Rate: script.Rate, Retries: script.Clients.Retries, AtOnce: script.Clients.AtOnce, Short: script.Clients.Short,
 			Report: rel.ReportShare}
 	})
 	r.from = r.clock()
@@ -189,7 +189,7 @@
 		history[i].At -= r.from
 	}
 	watch(r.rec)
-	out := &Outcome{Report: audit.Check(r.rec, script.bounds()), History: history}
+	out := &Outcome{Report: invariants.Check(r.rec, script.bounds()), History: history}
 	if r.storm != nil {
 		out.Versions = r.storm.outcome()
 	}
@@ -197,12 +197,12 @@
 }
 
 // watch is shown a day's record before it is checked; tests look at it.
-var watch = func(*audit.Record) {}
+var watch = func(*invariants.Record) {}
 
 // bounds gives the checker the numbers that the relays were given.
-func (s *Script) bounds() audit.Bounds {
+func (s *Script) bounds() invariants.Bounds {
 	p, r := s.Platform, s.Rules
-	return audit.Bounds{Slack: p.Slack, Grace: r.Grace, ColdFrom: r.ColdFrom, WarmUp: r.WarmUp, FallFactor: r.FallFactor,
+	return invariants.Bounds{Slack: p.Slack, Grace: r.Grace, ColdFrom: r.ColdFrom, WarmUp: r.WarmUp, FallFactor: r.FallFactor,
 		FallTime: r.FallTime, Window: r.Window, Free: r.Free, Caps: s.Release.Caps, PerOp: r.CountPerOp, Guarded: r.Guarded,
 		OneWay: r.OneWayKeys}
 }
@@ -269,27 +269,27 @@
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
-	life *audit.Life
+	life *invariants.Life
 }
 
 type processes []*process
 
 // startRelay starts a relay's processes and gives the address that its clients use.
 func (r *run) startRelay(relay string) (string, error) {
-	listen, err := standin.FreePort()
+	listen, err := fakes.FreePort()
 	if err != nil {
 		return "", err
 	}
 	add := func(name string, planner bool) error {
-		admin, err := standin.FreePort()
+		admin, err := fakes.FreePort()
 		if err != nil {
 			return err
 		}
 		path := filepath.Join(r.dir, name)
-		p := &process{r: r, relay: relay, planner: planner, program: "flintedge", listen: admin, file: path + ".edn", logFile: path + ".log"}
+		p := &process{r: r, relay: relay, planner: planner, program: "flintspread-router", listen: admin, file: path + ".edn", logFile: path + ".log"}
 		var text []byte
 		if planner {
-			p.program = "flintplan"
+			p.program = "flintspread-controller"
 			text = r.script.planFile(relay, admin, path, r.link(relay), r.control)
 			r.planners = append(r.planners, p)
 		} else {
@@ -335,8 +335,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.life = &audit.Life{Relay: p.relay, Planner: p.planner, From: p.r.clock()}
-	p.r.rec.Enter(func(r *audit.Record) { r.Lives = append(r.Lives, p.life) })
+	p.life = &invariants.Life{Relay: p.relay, Planner: p.planner, From: p.r.clock()}
+	p.r.rec.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, p.life) })
 	p.cmd = cmd
 	for range 300 {
 		if c, err := net.DialTimeout("tcp", p.listen, 100*time.Millisecond); err == nil {
@@ -356,14 +356,14 @@
 	if p.cmd == nil {
 		return
 	}
-	p.r.rec.Enter(func(*audit.Record) {
+	p.r.rec.Enter(func(*invariants.Record) {
 		if p.life.Killed = sig == syscall.SIGKILL; !p.life.Killed {
 			p.life.Stopping = p.r.clock()
 		}
 	})
 	p.cmd.Process.Signal(sig)
 	err := p.cmd.Wait()
-	p.r.rec.Enter(func(*audit.Record) { p.life.To = p.r.clock() })
+	p.r.rec.Enter(func(*invariants.Record) { p.life.To = p.r.clock() })
 	if err != nil && sig != syscall.SIGKILL {
 		p.r.note(fmt.Errorf("%s, stopped: %w (log: %s)", p.file, err, p.logFile))
 	}
@@ -381,7 +381,7 @@
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.cmd.Process.Signal(syscall.SIGCONT)
-	p.r.rec.Enter(func(*audit.Record) { p.life.Stalls = append(p.life.Stalls, [2]float64{from, p.r.clock()}) })
+	p.r.rec.Enter(func(*invariants.Record) { p.life.Stalls = append(p.life.Stalls, [2]float64{from, p.r.clock()}) })
 }
 
 // edgeFile writes an edge's settings.
--- a/day/script.go
+++ b/internal/scenario/script.go
@@ -1,6 +1,6 @@
 // Package day plays a scripted day: real edge processes between the stand-ins of package standin, with the troubles that a
 // script names, and the rules checked from what was seen on the sockets.
-package day
+package scenario
 
 import (
 	"embed"
@@ -11,29 +11,29 @@
 
 	"olympos.io/encoding/edn"
 
-	"flintspread/settings"
-	"flintspread/standin"
+	"flintspread/internal/config"
+	"flintspread/internal/fakes"
 )
 
 // Script is a day's file. Times are seconds from its start, shares fractions of 1.
 type Script struct {
-	Seed     uint64                `edn:"seed" validate:"gte=0"`
-	Length   float64               `edn:"length" validate:"gt=0"`
-	Relays   int                   `edn:"relays" validate:"gt=0,lte=64"`
-	Edges    int                   `edn:"edges"`                // of each relay, led by a planner; 0: one, which judges for itself
-	Storm    *Storm                `edn:"-"`                    // versions of the settings from a control service
-	Rate     float64               `edn:"rate" validate:"gt=0"` // commands a second, all relays together
-	Units    Fleet                 `edn:"units"`
-	Clients  Habits                `edn:"clients"`
-	Rules    settings.Rules        `edn:"rules"`
-	Release  settings.Release      `edn:"release"`
-	Platform Platform              `edn:"platform"`
-	OpTypes  []OpType              `edn:"op-types" validate:"required,min=1,dive"`
-	Builds   map[int]standin.Build `edn:"builds" validate:"required"`
-	Events   []Event               `edn:"events"`
-	Queries  *Queries              `edn:"queries"` // optional: query servers, asked by planners
-	controls map[string]string     // addresses of control services, by relay
-	servers  []string              // addresses of query servers
+	Seed     uint64              `edn:"seed" validate:"gte=0"`
+	Length   float64             `edn:"length" validate:"gt=0"`
+	Relays   int                 `edn:"relays" validate:"gt=0,lte=64"`
+	Edges    int                 `edn:"edges"`                // of each relay, led by a planner; 0: one, which judges for itself
+	Storm    *Storm              `edn:"-"`                    // versions of the settings from a control service
+	Rate     float64             `edn:"rate" validate:"gt=0"` // commands a second, all relays together
+	Units    Fleet               `edn:"units"`
+	Clients  Habits              `edn:"clients"`
+	Rules    config.Rules        `edn:"rules"`
+	Release  config.Release      `edn:"release"`
+	Platform Platform            `edn:"platform"`
+	OpTypes  []OpType            `edn:"op-types" validate:"required,min=1,dive"`
+	Builds   map[int]fakes.Build `edn:"builds" validate:"required"`
+	Events   []Event             `edn:"events"`
+	Queries  *Queries            `edn:"queries"` // optional: query servers, asked by planners
+	controls map[string]string   // addresses of control services, by relay
+	servers  []string            // addresses of query servers
 }
 
 // Fleet is the units' part.
@@ -64,7 +64,7 @@
 
 // OpType is one kind of command, as relays and clients know it.
 type OpType struct {
-	settings.OpType
+	config.OpType
 	Share float64    `edn:"share" validate:"gt=0,lte=1"`
 	Work  [2]float64 `edn:"work"` // from, to
 }
@@ -104,18 +104,18 @@
 		name = file
 	}
 	s := &Script{}
-	if err := settings.Decode(name, text, s); err != nil {
+	if err := config.Decode(name, text, s); err != nil {
 		return nil, err
 	}
 	for i, e := range s.Events {
 		if _, ok := kinds[e.Do]; !ok {
-			return nil, &settings.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :do", i), What: "unknown trouble :" + string(e.Do)}
+			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :do", i), What: "unknown trouble :" + string(e.Do)}
 		}
 		if _, ok := s.Builds[e.Build]; e.Do == "offer" && !ok {
-			return nil, &settings.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :build", i), What: "no such build"}
+			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :build", i), What: "no such build"}
 		}
 		if n := len(e.Relay); n > 0 && !strings.HasPrefix(e.Relay, "r") {
-			return nil, &settings.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :relay", i), What: "relays are called r1, r2 and so on"}
+			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :relay", i), What: "relays are called r1, r2 and so on"}
 		}
 	}
 	return s, nil
--- a/day/storm.go
+++ b/internal/scenario/storm.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"google.golang.org/grpc/credentials/insecure"
 
-	"flintspread/roster"
-	"flintspread/standin"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
 )
 
 // Storm is a control service that sends a version of the settings each Every seconds, one in three of them bad.
@@ -22,26 +22,26 @@
 // storm serves the list and the documents of all relays over the discovery protocol, a service for each.
 type storm struct {
 	r       *run
-	control map[string]*standin.Control // by relay
+	control map[string]*fakes.Control // by relay
 	address map[string]string
 	sent    int
 	bad     int
 }
 
 func (r *run) newStorm() (*storm, error) {
-	s := &storm{r: r, control: map[string]*standin.Control{}, address: map[string]string{}}
+	s := &storm{r: r, control: map[string]*fakes.Control{}, address: map[string]string{}}
 	for i := range r.script.Relays {
 		name := fmt.Sprintf("r%d", i+1)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		s.address[name], s.control[name] = l.Addr().String(), standin.StartControl(l, insecure.NewCredentials())
+		s.address[name], s.control[name] = l.Addr().String(), fakes.StartControl(l, insecure.NewCredentials())
 		s.control[name].Relay = name
 	}
-	r.list.Mirror(func(relay string, version uint64, units []roster.Unit) {
+	r.list.Mirror(func(relay string, version uint64, units []endpoints.Unit) {
 		if c := s.control[relay]; c != nil {
-			c.Set(standin.UnitsResponse(relay, version+1, units))
+			c.Set(fakes.UnitsResponse(relay, version+1, units))
 		}
 	}, s.names())
 	return s, nil
@@ -66,7 +66,7 @@
 		}
 		s.sent++
 		for _, c := range s.control {
-			c.Set(standin.DocumentResponse(c.Relay, n, 0, doc))
+			c.Set(fakes.DocumentResponse(c.Relay, n, 0, doc))
 		}
 		select {
 		case <-s.r.ctx.Done():
--- a/wire/host.go
+++ b/internal/simadapter/host.go
@@ -1,6 +1,6 @@
 // Package wire is the adapter between the simulator's wire and the policy: framing, instances, timers and the
 // commands in hand. It decides nothing.
-package wire
+package simadapter
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"fmt"
 	"io"
 
-	"flintspread/policy"
-	"flintspread/terms"
+	"flintspread/internal/policy"
+	"flintspread/internal/policyconfig"
 )
 
 // Event and action codes.
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := terms.Read(terms.Lines(string(text)))
+	t, err := policyconfig.Read(policyconfig.Lines(string(text)))
 	if err != nil {
 		return err
 	}
--- a/wire/host_test.go
+++ b/internal/simadapter/host_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/stream/stream.go
+++ b/internal/watch/stream.go
@@ -1,5 +1,5 @@
 // Package stream follows JSON objects over a streamed HTTP response, and comes back when it breaks.
-package stream
+package watch
 
 import (
 	"bytes"
--- a/stream/stream_test.go
+++ b/internal/watch/stream_test.go
@@ -1,4 +1,4 @@
-package stream
+package watch
 
 import (
 	"context"
--- a/xds/client.go
+++ b/internal/xds/client.go
@@ -13,9 +13,9 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/keepalive"
 
-	"flintspread/roster"
-	"flintspread/stream"
-	"flintspread/version"
+	"flintspread/internal/configstate"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/watch"
 )
 
 // Client follows a control service.
@@ -29,10 +29,10 @@
 	Silence     float64 // s after which the service is asked whether it lives
 	MostBytes   int     // of one response; a larger one breaks the stream before it is held
 	// List takes a list; Settings takes a version or says that it waits; a reason turns it down. Neither may wait.
-	List     func(*roster.Line) error
-	Settings func(*version.Version) (version.Outcome, error)
+	List     func(*endpoints.Line) error
+	Settings func(*configstate.Version) (configstate.Outcome, error)
 	// Look is asked for a version that waited, each time that a list was taken and every Beat seconds.
-	Look func(*version.Version) (version.Outcome, error)
+	Look func(*configstate.Version) (configstate.Outcome, error)
 	Beat float64
 }
 
@@ -54,7 +54,7 @@
 			n = 0
 		}
 		// Half of the pause is chance: a hundred relays that lost the service together come back apart.
-		wait := stream.Pause(n, c.Least, c.Most, rand.Float64())
+		wait := watch.Pause(n, c.Least, c.Most, rand.Float64())
 		c.Log.Warn("control stream broke", "address", c.Address, "responses", came, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
@@ -117,7 +117,7 @@
 		if waits == nil {
 			continue
 		}
-		if o, err := c.Look(waits.v); o != version.Waits {
+		if o, err := c.Look(waits.v); o != configstate.Waits {
 			r := waits.r
 			waits = nil
 			if err := c.answer(s, r, err); err != nil {
@@ -130,7 +130,7 @@
 // waiting is a version that can't be answered yet.
 type waiting struct {
 	r *discovery.DiscoveryResponse
-	v *version.Version
+	v *configstate.Version
 }
 
 // why finds the stream's own error behind a failed sending.
@@ -167,7 +167,7 @@
 		return c.answer(s, r, err)
 	}
 	o, err := c.Settings(v)
-	if o == version.Waits && err == nil {
+	if o == configstate.Waits && err == nil {
 		c.Log.Info("settings wait for the list that they belong with", "version", v.No, "list", v.Needs)
 		*waits = &waiting{r, v}
 		return nil
--- a/xds/document.go
+++ b/internal/xds/document.go
@@ -6,13 +6,13 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"flintspread/settings"
-	"flintspread/version"
-	"flintspread/xds/xdspb"
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/xds/xdspb"
 )
 
 // Document reads the one document of a response, by the reader that reads a file.
-func Document(r *discovery.DiscoveryResponse, relay string) (*version.Version, error) {
+func Document(r *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
 	if len(r.Resources) != 1 {
 		return nil, fmt.Errorf("%d documents; one is wanted", len(r.Resources))
 	}
@@ -29,10 +29,10 @@
 	if d.Number == 0 {
 		return nil, fmt.Errorf("number 0, which is the file's")
 	}
-	if d.Schema != settings.DocumentSchema {
-		return nil, fmt.Errorf("schema %d; this program reads %d", d.Schema, settings.DocumentSchema)
+	if d.Schema != config.DocumentSchema {
+		return nil, fmt.Errorf("schema %d; this program reads %d", d.Schema, config.DocumentSchema)
 	}
-	v, err := version.Read(d.Number, []byte(d.Text))
+	v, err := configstate.Read(d.Number, []byte(d.Text))
 	if err != nil {
 		return nil, err
 	}
--- a/xds/follow.go
+++ b/internal/xds/follow.go
@@ -9,25 +9,25 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"flintspread/link"
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/version"
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/endpoints"
 )
 
 // Taker is what takes lists and versions. Its calls come from several goroutines where several services are followed.
 type Taker struct {
-	List     func(*roster.Line) error
-	Settings func(*version.Version) (version.Outcome, error)
-	Look     func(*version.Version) (version.Outcome, error)
+	List     func(*endpoints.Line) error
+	Settings func(*configstate.Version) (configstate.Outcome, error)
+	Look     func(*configstate.Version) (configstate.Outcome, error)
 }
 
 // FollowAll follows all services of a control's settings until ctx ends.
-func FollowAll(ctx context.Context, c *settings.Control, log *slog.Logger, node, relay string, beat float64, t Taker) error {
+func FollowAll(ctx context.Context, c *config.Control, log *slog.Logger, node, relay string, beat float64, t Taker) error {
 	var creds credentials.TransportCredentials = insecure.NewCredentials()
 	if c.Cert != "" {
 		var err error
-		if creds, err = link.Creds(&settings.Link{Cert: c.Cert, Key: c.Key, CA: c.CA, Peer: c.Peer}, log); err != nil {
+		if creds, err = controlrpc.Creds(&config.Link{Cert: c.Cert, Key: c.Key, CA: c.CA, Peer: c.Peer}, log); err != nil {
 			return fmt.Errorf(":control: %w", err)
 		}
 	}
--- a/xds/herd_test.go
+++ b/internal/xds/herd_test.go
@@ -5,7 +5,7 @@
 	"sort"
 	"testing"
 
-	"flintspread/stream"
+	"flintspread/internal/watch"
 )
 
 // BenchmarkHerd is a hundred clients that lose a service together and try it until it is back after so many seconds; reported
@@ -30,7 +30,7 @@
 						if chance {
 							c = rnd.Float64()
 						}
-						at += stream.Pause(n, 0.1, 5, c)
+						at += watch.Pause(n, 0.1, 5, c)
 					}
 					back = append(back, at-away)
 				}
--- a/xds/return_test.go
+++ b/internal/xds/return_test.go
@@ -14,18 +14,18 @@
 
 	"google.golang.org/grpc/credentials/insecure"
 
-	"flintspread/roster"
-	"flintspread/settings"
-	"flintspread/standin"
-	"flintspread/version"
-	"flintspread/xds"
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/xds"
 )
 
 // BenchmarkReturn is a hundred relays that lose a control service and have its version two seconds later, over sockets: the
 // time from its return until the last has taken the version, and the most that did so within a tenth of a second.
 func BenchmarkReturn(b *testing.B) {
 	const relays = 100
-	text, err := os.ReadFile("../deploy/edge.edn")
+	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -35,21 +35,21 @@
 		b.Fatal(err)
 	}
 	address := l.Addr().String()
-	control := standin.StartControl(l, insecure.NewCredentials())
+	control := fakes.StartControl(l, insecure.NewCredentials())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var mu sync.Mutex
 	var took []time.Time
-	set := &settings.Control{Addresses: []string{address}, Silence: 2, BackLeast: 0.1, BackMost: 5, MostBytes: 1 << 20}
+	set := &config.Control{Addresses: []string{address}, Silence: 2, BackLeast: 0.1, BackMost: 5, MostBytes: 1 << 20}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for i := range relays {
 		go xds.FollowAll(ctx, set, quiet, fmt.Sprint("relay-", i), "r1", 0.5, xds.Taker{
-			List: func(*roster.Line) error { return nil },
-			Settings: func(*version.Version) (version.Outcome, error) {
+			List: func(*endpoints.Line) error { return nil },
+			Settings: func(*configstate.Version) (configstate.Outcome, error) {
 				mu.Lock()
 				defer mu.Unlock()
 				took = append(took, time.Now())
-				return version.Applied, nil
+				return configstate.Applied, nil
 			}})
 	}
 	last, most := 0.0, 0
@@ -66,8 +66,8 @@
 			b.Fatal(err)
 		}
 		from := time.Now()
-		control = standin.StartControl(l, insecure.NewCredentials())
-		control.Set(standin.DocumentResponse("r1", no, 0, doc))
+		control = fakes.StartControl(l, insecure.NewCredentials())
+		control.Set(fakes.DocumentResponse("r1", no, 0, doc))
 		for done := 0; done < relays; time.Sleep(5 * time.Millisecond) {
 			mu.Lock()
 			done = len(took)
--- a/xds/units.go
+++ b/internal/xds/units.go
@@ -10,7 +10,7 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"flintspread/roster"
+	"flintspread/internal/endpoints"
 )
 
 // metadataKey is under which an endpoint's metadata holds what the published form has no field for.
@@ -19,12 +19,12 @@
 // Units reads endpoint assignments as a full list. An endpoint's metadata under "flintspread" gives id and build, and may
 // give zone, cell and start; its health tells ready from draining, and one that is unhealthy or unknown to fail is left out,
 // which makes it gone.
-func Units(r *discovery.DiscoveryResponse) (*roster.Line, error) {
+func Units(r *discovery.DiscoveryResponse) (*endpoints.Line, error) {
 	version, err := number(r.VersionInfo)
 	if err != nil {
 		return nil, err
 	}
-	line := &roster.Line{Version: version, Full: true}
+	line := &endpoints.Line{Version: version, Full: true}
 	for i, any := range r.Resources {
 		var a endpoint.ClusterLoadAssignment
 		if any.TypeUrl != TypeUnits {
@@ -48,7 +48,7 @@
 	return line, line.Check()
 }
 
-func unit(e *endpoint.LbEndpoint) (u roster.Unit, err error) {
+func unit(e *endpoint.LbEndpoint) (u endpoints.Unit, err error) {
 	addr := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if addr == nil {
 		return u, fmt.Errorf("no socket address")
