--- a/cmd/flintspread-controller/config.go
+++ b/cmd/flintspread-controller/config.go
@@ -78,7 +78,7 @@
 				}
 				d, err := config.ParseDocument(args[0], text)
 				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: schema %d, %d op types, %d routes, %d stages\n", args[0], d.Schema, len(d.OpTypes),
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: schema %d, %d op types, %d routes, %d stages\n", args[0], d.Schema, len(d.Classes),
 						len(d.Routes), len(d.Release.Stages))
 				}
 				return err
--- a/cmd/flintspread-controller/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -18,7 +18,7 @@
 			RunE: func(_ *cobra.Command, args []string) error { return run(args[0]) }},
 		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := config.ReadPlan(args[0])
+				set, err := config.ReadController(args[0])
 				if err == nil {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d stages, link %s\n",
 						args[0], set.Relay, len(set.OpTypes), len(set.Release.Stages), set.Link.Address)
@@ -35,14 +35,14 @@
 }
 
 func run(file string) error {
-	set, err := config.ReadPlan(file)
+	set, err := config.ReadController(file)
 	if err != nil {
 		return err
 	}
 	log, level := cli.Logger(set.Log)
-	ctx, stop := cli.Until(func() {
+	ctx, stop := cli.SignalContext(func() {
 		cli.Reload(log, level, func() (config.Log, error) {
-			set, err := config.ReadPlan(file)
+			set, err := config.ReadController(file)
 			if err != nil {
 				return config.Log{}, err
 			}
--- a/cmd/flintspread-router/main.go
+++ b/cmd/flintspread-router/main.go
@@ -21,10 +21,10 @@
 			RunE: func(*cobra.Command, []string) error { return node.Main() }},
 		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := config.ReadEdge(args[0])
+				set, err := config.ReadRouter(args[0])
 				if err == nil {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d routes, %d stages\n",
-						args[0], set.Relay, len(set.OpTypes), len(set.Routes), len(set.Release.Stages))
+						args[0], set.Relay, len(set.Classes), len(set.Routes), len(set.Release.Stages))
 				}
 				return err
 			}},
@@ -33,14 +33,14 @@
 }
 
 func run(file string) error {
-	set, err := config.ReadEdge(file)
+	set, err := config.ReadRouter(file)
 	if err != nil {
 		return err
 	}
 	log, level := cli.Logger(set.Log)
-	ctx, stop := cli.Until(func() {
+	ctx, stop := cli.SignalContext(func() {
 		cli.Reload(log, level, func() (config.Log, error) {
-			set, err := config.ReadEdge(file)
+			set, err := config.ReadRouter(file)
 			if err != nil {
 				return config.Log{}, err
 			}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -17,8 +17,8 @@
 
 // Exit codes.
 const (
-	Failed     = 1
-	BadSetting = 2 // the settings file is at fault; nothing was started
+	ExitFailed    = 1
+	ExitBadConfig = 2 // the settings file is at fault; nothing was started
 )
 
 // Main runs a root command and ends the process.
@@ -31,10 +31,10 @@
 		os.Exit(0)
 	}
 	fmt.Fprintf(os.Stderr, "%s: %v\n", root.Name(), err)
-	if config.IsFault(err) {
-		os.Exit(BadSetting)
+	if config.IsFieldError(err) {
+		os.Exit(ExitBadConfig)
 	}
-	os.Exit(Failed)
+	os.Exit(ExitFailed)
 }
 
 // Logger gives the log that settings ask for, and its level to change.
@@ -48,8 +48,8 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, opts)), level
 }
 
-// Until gives a context that ends on SIGTERM or an interrupt, and calls reload on each SIGHUP.
-func Until(reload func()) (context.Context, func()) {
+// SignalContext gives a context that ends on SIGTERM or an interrupt, and calls reload on each SIGHUP.
+func SignalContext(reload func()) (context.Context, func()) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -15,7 +15,7 @@
 	f.Add(strings.Replace(text, "[0.1 0.4 1.0]", "[1 2N 0.5M ##Inf]", 1))
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := ParseDocument("f", []byte(text))
-		var fault *Fault
+		var fault *FieldError
 		if err != nil && !errors.As(err, &fault) {
 			t.Fatalf("no fault: %v", err)
 		}
@@ -26,7 +26,7 @@
 			return
 		}
 		for _, r := range d.Routes {
-			if d.Op(r.Method, r.Path) < 0 {
+			if d.ClassOf(r.Method, r.Path) < 0 {
 				t.Fatalf("%s %s leads nowhere", r.Method, r.Path)
 			}
 		}
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -10,21 +10,21 @@
 	"flintspread/internal/policy"
 )
 
-// Edge is one edge's file. Times are seconds with fractions, sizes bytes, shares fractions of 1. Nothing has a value
+// Router is one edge's file. Times are seconds with fractions, sizes bytes, shares fractions of 1. Nothing has a value
 // of its own in the program: what the file leaves out is an error, but for what is marked optional here.
-type Edge struct {
-	Relay    string    `edn:"relay" validate:"required,printascii,excludesall= "` // its name to list and installer
-	Listen   string    `edn:"listen" validate:"required,hostname_port"`           // where clients connect
-	Admin    string    `edn:"admin" validate:"required,hostname_port"`            // metrics
-	StateDir string    `edn:"state-dir" validate:"required"`
-	Shared   bool      `edn:"share-port"` // optional: other edges on this host listen at the same address
-	Seed     uint64    `edn:"seed"`       // optional; 0: drawn anew at each start
-	Log      Log       `edn:"log"`
-	Sources  *Sources  `edn:"sources"`  // for an edge that judges for itself
-	Planner  *Link     `edn:"planner"`  // for one that a planner leads
-	Name     string    `edn:"edge"`     // optional: its name among the edges of a planner
-	Control  *Control  `edn:"control"`  // optional: where versions of the document, and the list, come from
-	Overload *Overload `edn:"overload"` // optional: what the edge does when it is the weakest part itself
+type Router struct {
+	Relay      string    `edn:"relay" validate:"required,printascii,excludesall= "` // its name to list and installer
+	Listen     string    `edn:"listen" validate:"required,hostname_port"`           // where clients connect
+	Admin      string    `edn:"admin" validate:"required,hostname_port"`            // metrics
+	StateDir   string    `edn:"state-dir" validate:"required"`
+	Shared     bool      `edn:"share-port"` // optional: other edges on this host listen at the same address
+	Seed       uint64    `edn:"seed"`       // optional; 0: drawn anew at each start
+	Log        Log       `edn:"log"`
+	Sources    *Sources  `edn:"sources"`  // for an edge that judges for itself
+	Controller *Link     `edn:"planner"`  // for one that a planner leads
+	Name       string    `edn:"edge"`     // optional: its name among the edges of a planner
+	Control    *Control  `edn:"control"`  // optional: where versions of the document, and the list, come from
+	Overload   *Overload `edn:"overload"` // optional: what the edge does when it is the weakest part itself
 	Document
 	file   string
 	places *places
@@ -36,16 +36,16 @@
 // Document is the part that may change while the program runs: in a file it stands beside the rest, from a control service
 // it comes by itself, in numbered versions.
 type Document struct {
-	Schema   int      `edn:"schema" validate:"eq=1"` // of this form
-	Clients  Clients  `edn:"clients"`
-	Units    Units    `edn:"units"`
-	Rules    Rules    `edn:"rules"`
-	Release  Release  `edn:"release"`
-	OpTypes  []OpType `edn:"op-types" validate:"required,min=1,max=256,dive"`
-	Routes   []Route  `edn:"routes" validate:"required,min=1,max=4096,dive"`
-	terms    policy.Terms
-	opByName map[string]int
-	byPath   map[string]*iradix.Tree[int] // op type by path, for each method
+	Schema    int            `edn:"schema" validate:"eq=1"` // of this form
+	Clients   Clients        `edn:"clients"`
+	Endpoints Endpoints      `edn:"units"`
+	Rules     Rules          `edn:"rules"`
+	Release   Release        `edn:"release"`
+	Classes   []RequestClass `edn:"op-types" validate:"required,min=1,max=256,dive"`
+	Routes    []Route        `edn:"routes" validate:"required,min=1,max=4096,dive"`
+	terms     policy.Config
+	opByName  map[string]int
+	byPath    map[string]*iradix.Tree[int] // op type by path, for each method
 }
 
 // Overload says what an edge may use itself.
@@ -80,8 +80,8 @@
 	Keep        int     `edn:"-"`                          // above it an idle one goes for each that comes, 0: none does
 }
 
-// Units bounds the connections to each unit.
-type Units struct {
+// Endpoints bounds the connections to each unit.
+type Endpoints struct {
 	Connections int     `edn:"connections" validate:"gt=0"`
 	DialTime    float64 `edn:"dial-time" validate:"gt=0"`
 	IdleTime    float64 `edn:"idle-time" validate:"gt=0"`
@@ -125,8 +125,8 @@
 	VotesASecond float64   `edn:"votes-a-second" validate:"gt=0"`
 }
 
-// OpType is one kind of command.
-type OpType struct {
+// RequestClass is one kind of command.
+type RequestClass struct {
 	Name       string      `edn:"name" validate:"required"`
 	Target     float64     `edn:"target" validate:"gt=0"`
 	Timeout    float64     `edn:"timeout" validate:"gt=0"`
@@ -143,19 +143,19 @@
 	OpType string `edn:"op-type" validate:"required"`
 }
 
-// Patience is how long a version of the settings may wait for what it belongs with, s.
-func (e *Edge) Patience() float64 {
+// ConfigWaitSeconds is how long a version of the settings may wait for what it belongs with, s.
+func (e *Router) ConfigWaitSeconds() float64 {
 	if e.Control == nil {
 		return 0
 	}
 	return e.Control.Patience
 }
 
-// Terms gives the module's part.
-func (d *Document) Terms() policy.Terms { return d.terms }
+// Policy gives the module's part.
+func (d *Document) Policy() policy.Config { return d.terms }
 
 // Check finds what an edge's fields alone do not show, and fills the module's terms.
-func (e *Edge) Check() error {
+func (e *Router) Check() error {
 	if e.Name == "" {
 		e.Name = e.Relay
 	}
@@ -164,9 +164,9 @@
 		return err
 	}
 	switch {
-	case e.Planner != nil:
-		e.terms.Led = true
-		if key, what := e.Planner.check(); key != "" {
+	case e.Controller != nil:
+		e.terms.HasController = true
+		if key, what := e.Controller.check(); key != "" {
 			return at.fault(":planner "+key, what)
 		}
 		if e.Shared && e.Rules.OneWayKeys {
@@ -201,12 +201,12 @@
 
 // check finds what makes a rule unkeepable, or a command unanswerable.
 func (d *Document) check(at place) (err error) {
-	if d.terms, err = terms(at, d.Rules, d.Release, d.OpTypes); err != nil {
+	if d.terms, err = terms(at, d.Rules, d.Release, d.Classes); err != nil {
 		return err
 	}
-	d.terms.ConnIdle = d.Units.IdleTime
+	d.terms.ConnIdleSeconds = d.Endpoints.IdleTime
 	d.opByName = map[string]int{}
-	for i, op := range d.OpTypes {
+	for i, op := range d.Classes {
 		d.opByName[op.Name] = i
 	}
 	d.byPath = map[string]*iradix.Tree[int]{}
@@ -228,7 +228,7 @@
 		}
 		d.byPath[route.Method], _, _ = tree.Insert([]byte(route.Path), d.opByName[route.OpType])
 	}
-	for i, op := range d.OpTypes {
+	for i, op := range d.Classes {
 		if !used[op.Name] {
 			return at.fault(fmt.Sprintf(":op-types %d :name", i), fmt.Sprintf("no route leads to %q", op.Name))
 		}
@@ -239,7 +239,7 @@
 // ParseDocument reads and checks a document by itself, as a control service sends it; name is what errors call it.
 func ParseDocument(name string, text []byte) (*Document, error) {
 	if len(text) > mostBytes {
-		return nil, &Fault{name, 1, "", fmt.Sprintf("%d bytes; %d at most", len(text), mostBytes)}
+		return nil, &FieldError{name, 1, "", fmt.Sprintf("%d bytes; %d at most", len(text), mostBytes)}
 	}
 	d := &Document{}
 	where, err := decode(name, text, d)
@@ -249,8 +249,8 @@
 	return d, d.check(place{name, where})
 }
 
-// Op gives the op type of a command by the longest route that its path begins with, -1 where there is none.
-func (d *Document) Op(method, path string) int {
+// ClassOf gives the op type of a command by the longest route that its path begins with, -1 where there is none.
+func (d *Document) ClassOf(method, path string) int {
 	tree := d.byPath[method]
 	if tree == nil {
 		return -1
--- a/internal/config/given.go
+++ b/internal/config/given.go
@@ -12,17 +12,17 @@
 	"flintspread/internal/policy"
 )
 
-// Given makes the settings of a relay that a platform tells what to do: it gives the module's terms and the names of their op
+// ForPlatform makes the settings of a relay that a platform tells what to do: it gives the module's terms and the names of their op
 // types itself, no file does. Routes it has none: a command names its op type.
-func Given(name string, terms policy.Terms, ops []string, clients Clients, units Units, memory int64) *Edge {
-	d := Document{Schema: DocumentSchema, Clients: clients, Units: units, terms: terms,
-		Rules: Rules{Round: terms.Round, MaxPause: terms.MaxPause, UnitsForget: terms.Forget, OneWayKeys: terms.OneWay,
-			CountPerOp: terms.PerOp}}
-	for i, op := range terms.Ops {
-		d.OpTypes = append(d.OpTypes, OpType{Name: ops[i], Target: op.Target, Timeout: op.Timeout, Importance: op.Importance,
-			Group: [...]edn.Keyword{"all", "zone", "cell"}[op.Group], Window: op.Window})
+func ForPlatform(name string, terms policy.Config, ops []string, clients Clients, units Endpoints, memory int64) *Router {
+	d := Document{Schema: DocumentSchema, Clients: clients, Endpoints: units, terms: terms,
+		Rules: Rules{Round: terms.MinTickSeconds, MaxPause: terms.MaxRetryAfterSeconds, UnitsForget: terms.ForgetEndpointSeconds, OneWayKeys: terms.OneWayKeys,
+			CountPerOp: terms.CanaryLimitPerClass}}
+	for i, op := range terms.Classes {
+		d.Classes = append(d.Classes, RequestClass{Name: ops[i], Target: op.LatencyObjectiveSeconds, Timeout: op.TimeoutSeconds, Importance: op.PriorityWeight,
+			Group: [...]edn.Keyword{"all", "zone", "cell"}[op.DedupScope], Window: op.DedupWindowSeconds})
 	}
-	return &Edge{Relay: name, Name: name, Document: d, Overload: &Overload{Memory: memory}}
+	return &Router{Relay: name, Name: name, Document: d, Overload: &Overload{Memory: memory}}
 }
 
 var jsonFields = func() *validator.Validate {
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -65,7 +65,7 @@
 // Questions gives the queries as the module of package health takes them.
 func (h *Health) Questions() (list []metricsanalysis.Question) {
 	for _, q := range h.Queries {
-		list = append(list, metricsanalysis.Question{Name: q.Name, Meaning: meanings[q.Meaning], Kind: slices.Index(policy.Kinds[:], string(q.Kind)),
+		list = append(list, metricsanalysis.Question{Name: q.Name, Meaning: meanings[q.Meaning], Kind: slices.Index(policy.FailureKinds[:], string(q.Kind)),
 			Stale: q.Stale, Skew: h.Skew, Weight: q.Weight, Limit: q.Limit, Apart: q.Apart})
 	}
 	return list
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -25,7 +25,7 @@
 		panic(err)
 	}
 	whole := strings.Replace(string(text), "\n :rules", "\n"+healthText, 1)
-	if _, err := ParsePlan("plan.edn", []byte(whole)); err != nil {
+	if _, err := ParseController("plan.edn", []byte(whole)); err != nil {
 		panic(err)
 	}
 	for _, change := range [][2]string{
@@ -54,8 +54,8 @@
 		if !strings.Contains(whole, change[0]) {
 			panic(change[0])
 		}
-		_, err := ParsePlan("plan.edn", []byte(strings.Replace(whole, change[0], change[1], 1)))
-		var f *Fault
+		_, err := ParseController("plan.edn", []byte(strings.Replace(whole, change[0], change[1], 1)))
+		var f *FieldError
 		if !errors.As(err, &f) {
 			fmt.Print("not a fault: ")
 		}
@@ -70,7 +70,7 @@
 	// plan.edn:29: :health :queries 0 :form: counters are followed by their samples: what is reckoned from them hides resets, gaps and ages
 	// plan.edn:30: :health :queries 0 :query: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
 	// plan.edn:31: :health :queries 0 :total: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
-	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Hall>: can't evaluate field Hall in type ask.fill
+	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Hall>: can't evaluate field Hall in type promquery.fill
 	// plan.edn:33: :health :queries 1 :query: 1:10: parse error: unexpected end of input inside braces
 	// plan.edn:33: :health :queries 1 :span: a :range needs a :span, and a :step not above it
 	// plan.edn:33: :health :queries 1 :limit: missing; above it a unit is marked
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -56,43 +56,43 @@
 	return "", ""
 }
 
-// Plan is a planner's file.
-type Plan struct {
-	Relay    string   `edn:"relay" validate:"required,printascii,excludesall= "` // the relay that its edges make up
-	Admin    string   `edn:"admin" validate:"required,hostname_port"`
-	StateDir string   `edn:"state-dir" validate:"required"`
-	Seed     uint64   `edn:"seed"` // optional
-	Log      Log      `edn:"log"`
-	Sources  Sources  `edn:"sources"`
-	Control  *Control `edn:"control"` // optional: where the list, and versions of the document for its edges, come from
-	Link     Link     `edn:"link"`
-	Health   *Health  `edn:"health"` // optional: query servers beside what edges count
-	Rules    Rules    `edn:"rules"`
-	Release  Release  `edn:"release"`
-	OpTypes  []OpType `edn:"op-types" validate:"required,min=1,max=256,dive"`
-	terms    policy.Terms
+// Controller is a planner's file.
+type Controller struct {
+	Relay    string         `edn:"relay" validate:"required,printascii,excludesall= "` // the relay that its edges make up
+	Admin    string         `edn:"admin" validate:"required,hostname_port"`
+	StateDir string         `edn:"state-dir" validate:"required"`
+	Seed     uint64         `edn:"seed"` // optional
+	Log      Log            `edn:"log"`
+	Sources  Sources        `edn:"sources"`
+	Control  *Control       `edn:"control"` // optional: where the list, and versions of the document for its edges, come from
+	Link     Link           `edn:"link"`
+	Health   *Health        `edn:"health"` // optional: query servers beside what edges count
+	Rules    Rules          `edn:"rules"`
+	Release  Release        `edn:"release"`
+	OpTypes  []RequestClass `edn:"op-types" validate:"required,min=1,max=256,dive"`
+	terms    policy.Config
 }
 
-// Terms gives the module's part of the file.
-func (p *Plan) Terms() policy.Terms { return p.terms }
+// Policy gives the module's part of the file.
+func (p *Controller) Policy() policy.Config { return p.terms }
 
 // Document gives the planner's part of the settings in the form of a version.
-func (p *Plan) Document() *Document {
-	return &Document{Schema: DocumentSchema, Rules: p.Rules, Release: p.Release, OpTypes: p.OpTypes, terms: p.terms}
+func (p *Controller) Document() *Document {
+	return &Document{Schema: DocumentSchema, Rules: p.Rules, Release: p.Release, Classes: p.OpTypes, terms: p.terms}
 }
 
-// ReadPlan reads and checks a planner's file.
-func ReadPlan(file string) (*Plan, error) {
+// ReadController reads and checks a planner's file.
+func ReadController(file string) (*Controller, error) {
 	text, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return ParsePlan(file, text)
+	return ParseController(file, text)
 }
 
-// ParsePlan reads and checks a planner's settings from their text.
-func ParsePlan(file string, text []byte) (*Plan, error) {
-	p := &Plan{}
+// ParseController reads and checks a planner's settings from their text.
+func ParseController(file string, text []byte) (*Controller, error) {
+	p := &Controller{}
 	where, err := decode(file, text, p)
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 }
 
 func (p place) fault(path, what string) error {
-	return &Fault{p.file, p.where.line1(path), path, what}
+	return &FieldError{p.file, p.where.line1(path), path, what}
 }
 
 func readFile(file string) ([]byte, error) {
@@ -129,20 +129,20 @@
 		return nil, err
 	}
 	if info.Size() > mostBytes {
-		return nil, &Fault{file, 1, "", fmt.Sprintf("%d bytes; %d at most", info.Size(), mostBytes)}
+		return nil, &FieldError{file, 1, "", fmt.Sprintf("%d bytes; %d at most", info.Size(), mostBytes)}
 	}
 	return os.ReadFile(file)
 }
 
-// IsFault tells whether an error lies in a settings file.
-func IsFault(err error) bool {
-	var f *Fault
+// IsFieldError tells whether an error lies in a settings file.
+func IsFieldError(err error) bool {
+	var f *FieldError
 	return errors.As(err, &f)
 }
 
 // terms fills the module's terms and finds what the fields alone do not show.
-func terms(at place, r Rules, rel Release, ops []OpType) (policy.Terms, error) {
-	none := policy.Terms{}
+func terms(at place, r Rules, rel Release, ops []RequestClass) (policy.Config, error) {
+	none := policy.Config{}
 	if len(rel.Caps) != len(rel.Stages) {
 		return none, at.fault(":release :caps", fmt.Sprintf("%d caps for %d stages", len(rel.Caps), len(rel.Stages)))
 	}
@@ -168,14 +168,14 @@
 	if r.OneWayKeys && r.KeysKept == 0 {
 		return none, at.fault(":rules :keys-kept", "one-way keys need room for some")
 	}
-	t := policy.Terms{
-		Balancers: r.Relays, BackVotes: rel.BackVotes, Round: r.Round, Parallel: r.Parallel, Cancel: true,
-		MaxPause: r.MaxPause, Streams: 1, Deliveries: r.Deliveries, ColdFrom: r.ColdFrom,
-		WarmUp: r.WarmUp, FallFactor: r.FallFactor, FallTime: r.FallTime, Window: r.Window, Free: r.Free,
-		Caps: rel.Caps, Stages: rel.Stages, PerOp: r.CountPerOp, Guarded: r.Guarded, OneWay: r.OneWayKeys,
-		Keys: r.KeysKept, Forget: r.UnitsForget, Automatic: rel.ByClock, Replace: rel.Replace,
-		HarmPrice: rel.HarmPrice, StalePrice: rel.StalePrice, Reported: rel.ReportShare, VoteLife: rel.VoteLife,
-		VoteTimeout: rel.VoteTimeout, VoteRate: rel.VotesASecond,
+	t := policy.Config{
+		Routers: r.Relays, RollbackVotes: rel.BackVotes, MinTickSeconds: r.Round, AllowHedging: r.Parallel, AllowCancel: true,
+		MaxRetryAfterSeconds: r.MaxPause, RequestsPerConn: 1, MaxAttempts: r.Deliveries, SlowStartInitialShare: r.ColdFrom,
+		SlowStartSeconds: r.WarmUp, SlowStartOverloadFactor: r.FallFactor, SlowStartOverloadSeconds: r.FallTime, CanaryWindowSeconds: r.Window, CanaryFreeAttempts: r.Free,
+		CanaryLimits: rel.Caps, StageShares: rel.Stages, CanaryLimitPerClass: r.CountPerOp, IdempotentOnlyStages: r.Guarded, OneWayKeys: r.OneWayKeys,
+		MaxRememberedKeys: r.KeysKept, ForgetEndpointSeconds: r.UnitsForget, AutomaticStages: rel.ByClock, ReplaceInPlace: rel.Replace,
+		WrongAnswerPrice: rel.HarmPrice, StaleBuildPrice: rel.StalePrice, WrongAnswerReportShare: rel.ReportShare, VoteLifetimeSeconds: rel.VoteLife,
+		VoteTimeoutSeconds: rel.VoteTimeout, VotesPerSecond: rel.VotesASecond,
 	}
 	names := map[string]bool{}
 	for i, op := range ops {
@@ -193,18 +193,18 @@
 		if op.Timeout >= r.UnitsForget {
 			return none, at.fault(":rules :forget-units", fmt.Sprintf("not above the timeout of %q", op.Name))
 		}
-		o := policy.OpType{Target: op.Target, Timeout: op.Timeout, Importance: op.Importance, Window: op.Window,
-			Effect: effects[op.Effect], Group: groups[op.Group]}
-		if o.Effect == policy.Deduplicated && (op.Window <= 0 || op.Group == "") {
+		o := policy.RequestClass{LatencyObjectiveSeconds: op.Target, TimeoutSeconds: op.Timeout, PriorityWeight: op.Importance, DedupWindowSeconds: op.Window,
+			Idempotency: effects[op.Effect], DedupScope: groups[op.Group]}
+		if o.Idempotency == policy.IdempotentWithKey && (op.Window <= 0 || op.Group == "") {
 			return none, at.fault(key, "a deduplicated op type needs :group and a :window above 0")
 		}
-		t.Ops = append(t.Ops, o)
+		t.Classes = append(t.Classes, o)
 	}
 	return t, nil
 }
 
-var effects = map[edn.Keyword]policy.Effect{
-	"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated, "at-most-once": policy.AtMostOnce,
+var effects = map[edn.Keyword]policy.Idempotency{
+	"redeliverable": policy.Idempotent, "deduplicated": policy.IdempotentWithKey, "at-most-once": policy.NonIdempotent,
 }
 
-var groups = map[edn.Keyword]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+var groups = map[edn.Keyword]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -13,33 +13,33 @@
 
 const mostBytes = 4 << 20 // a longer file is no settings file
 
-// Fault is what is wrong with a file, and where.
-type Fault struct {
+// FieldError is what is wrong with a file, and where.
+type FieldError struct {
 	File string
 	Line int
 	Key  string // the path to it, empty where the text itself is broken
 	What string
 }
 
-func (f *Fault) Error() string {
+func (f *FieldError) Error() string {
 	if f.Key == "" {
 		return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.What)
 	}
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.What)
 }
 
-// ReadEdge reads and checks an edge's file. Every error that lies in the text is a *Fault.
-func ReadEdge(file string) (*Edge, error) {
+// ReadRouter reads and checks an edge's file. Every error that lies in the text is a *Fault.
+func ReadRouter(file string) (*Router, error) {
 	text, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return ParseEdge(file, text)
+	return ParseRouter(file, text)
 }
 
-// ParseEdge reads and checks an edge's settings from their text; file is the name that errors give.
-func ParseEdge(file string, text []byte) (*Edge, error) {
-	e := &Edge{file: file}
+// ParseRouter reads and checks an edge's settings from their text; file is the name that errors give.
+func ParseRouter(file string, text []byte) (*Router, error) {
+	e := &Router{file: file}
 	where, err := decode(file, text, e)
 	if err != nil {
 		return nil, err
@@ -58,33 +58,33 @@
 func decode(file string, text []byte, into any) (*places, error) {
 	where, err := findPlaces(string(text))
 	if err != nil {
-		return nil, &Fault{file, where.line, "", err.Error()}
+		return nil, &FieldError{file, where.line, "", err.Error()}
 	}
 	if err := edn.Unmarshal(text, into); err != nil {
 		return nil, mistyped(file, text, where, into, err)
 	}
 	for _, key := range where.keys {
 		if !strings.Contains(key, "#_") && !known(reflect.TypeOf(into).Elem(), strings.Fields(key)) {
-			return nil, &Fault{file, where.of[key], key, "unknown key"}
+			return nil, &FieldError{file, where.of[key], key, "unknown key"}
 		}
 	}
 	// Keys that may be left out say so; the rest must stand in the file, since 0 is a value like any other.
 	if path, line := missing(where, reflect.TypeOf(into).Elem(), ""); path != "" {
-		return nil, &Fault{file, line, path, "missing"}
+		return nil, &FieldError{file, line, path, "missing"}
 	}
 	if err := fields.Struct(into); err != nil {
 		var bad validator.ValidationErrors
 		if !errors.As(err, &bad) {
-			return nil, &Fault{file, 1, "", err.Error()}
+			return nil, &FieldError{file, 1, "", err.Error()}
 		}
 		path := namespacePath(bad[0].Namespace())
-		return nil, &Fault{file, where.line1(path), path, complaint(bad[0])}
+		return nil, &FieldError{file, where.line1(path), path, complaint(bad[0])}
 	}
 	return where, nil
 }
 
-func (e *Edge) fault(path, what string) error {
-	return &Fault{e.file, e.places.line1(path), path, what}
+func (e *Router) fault(path, what string) error {
+	return &FieldError{e.file, e.places.line1(path), path, what}
 }
 
 // line1 is the line of a path, or of the nearest thing around it that stands in the text.
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	return &Fault{file, where.line1(path), path, strings.TrimPrefix(what.Error(), "edn: ")}
+	return &FieldError{file, where.line1(path), path, strings.TrimPrefix(what.Error(), "edn: ")}
 }
 
 // below gives the paths of a value's own keys or elements.
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -51,8 +51,8 @@
 		if !strings.Contains(text, change[0]) {
 			panic(change[0])
 		}
-		_, err := ParseEdge("edge.edn", []byte(strings.Replace(text, change[0], change[1], 1)))
-		var f *Fault
+		_, err := ParseRouter("edge.edn", []byte(strings.Replace(text, change[0], change[1], 1)))
+		var f *FieldError
 		if !errors.As(err, &f) {
 			fmt.Print("not a fault: ")
 		}
@@ -107,17 +107,17 @@
 }
 
 func Example_routes() {
-	e, err := ParseEdge("edge.edn", []byte(strings.Replace(example(), "{:method \"GET\"  :path \"/chute/\"",
+	e, err := ParseRouter("edge.edn", []byte(strings.Replace(example(), "{:method \"GET\"  :path \"/chute/\"",
 		"{:method \"GET\" :path \"/chute/b\" :op-type \"batch-table\"} {:method \"GET\" :path \"/chute/\"", 1)))
 	fmt.Println(err)
 	for _, x := range []string{"GET /chute/7", "GET /chute/b7", "POST /chute/7", "GET /", "POST /divert/1"} {
 		method, path, _ := strings.Cut(x, " ")
-		op := e.Op(method, path)
+		op := e.ClassOf(method, path)
 		if op < 0 {
 			fmt.Println(x, "none")
 			continue
 		}
-		fmt.Println(x, e.OpTypes[op].Name)
+		fmt.Println(x, e.Classes[op].Name)
 	}
 	// Output:
 	// <nil>
@@ -133,15 +133,15 @@
 	f.Add(example())
 	f.Add("{:a [1 #_ 2 \\} \"\\\"\" #{:b} (c)] ;\n}")
 	f.Fuzz(func(t *testing.T, text string) {
-		e, err := ParseEdge("f", []byte(text))
-		var fault *Fault
+		e, err := ParseRouter("f", []byte(text))
+		var fault *FieldError
 		if err != nil && !errors.As(err, &fault) {
 			t.Fatalf("no fault: %v", err)
 		}
 		if fault != nil && (fault.Line < 1 || fault.Line > 1+strings.Count(text, "\n")) {
 			t.Fatalf("%v", fault)
 		}
-		if err == nil && len(e.Terms().Ops) == 0 {
+		if err == nil && len(e.Policy().Classes) == 0 {
 			t.Fatal("settings without op types")
 		}
 	})
--- a/internal/configstate/machine_test.go
+++ b/internal/configstate/machine_test.go
@@ -36,25 +36,25 @@
 	if err != nil {
 		panic(err)
 	}
-	return &Version{No: no, Sum: xxhash.Sum64String(text), Text: []byte(text), Doc: doc, Needs: needs}
+	return &Version{Number: no, Hash: xxhash.Sum64String(text), Text: []byte(text), Document: doc, RequiredListVersion: needs}
 }
 
 // whole tells whether everything that a reader sees of a version is of that version.
 func whole(v *Version) error {
-	if v.No > 0 && v.Doc.Clients.BodyBytes != int64(1000+v.No) {
-		return fmt.Errorf("version %d has the limits of %d", v.No, v.Doc.Clients.BodyBytes-1000)
+	if v.Number > 0 && v.Document.Clients.BodyBytes != int64(1000+v.Number) {
+		return fmt.Errorf("version %d has the limits of %d", v.Number, v.Document.Clients.BodyBytes-1000)
 	}
-	for _, op := range v.Doc.OpTypes {
-		slot := v.Slot("GET", "/"+op.Name+"/x")
-		if slot < 0 || slot >= len(v.Terms.Ops) || v.Terms.Ops[slot].Timeout != op.Timeout {
-			return fmt.Errorf("version %d: %q is at place %d of %d with other terms", v.No, op.Name, slot, len(v.Terms.Ops))
+	for _, op := range v.Document.Classes {
+		slot := v.ClassOf("GET", "/"+op.Name+"/x")
+		if slot < 0 || slot >= len(v.Policy.Classes) || v.Policy.Classes[slot].TimeoutSeconds != op.Timeout {
+			return fmt.Errorf("version %d: %q is at place %d of %d with other terms", v.Number, op.Name, slot, len(v.Policy.Classes))
 		}
 	}
 	return nil
 }
 
 type inHand struct {
-	c    *policy.Command
+	c    *policy.Request
 	v    *Version
 	name string
 }
@@ -67,43 +67,43 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := 100.0
 		first := made(0, all[:2], 0)
-		k := NewKeeper(first.Doc, first.Text, first.Sum, 1)
-		b := policy.New(*k.Present().Terms, 1, now)
-		b.ListStart(true)
-		b.Listed(1, 0, 0, 1, policy.Ready, 1, 0)
-		b.ListEnd(now)
+		k := NewState(first.Document, first.Text, first.Hash, 1)
+		b := policy.New(*k.Current().Policy, 1, now)
+		b.BeginEndpointList(true)
+		b.UpdateEndpoint(1, 0, 0, 1, policy.Ready, 1, 0)
+		b.EndEndpointList(now)
 		var hands []inHand
 		listNo := uint64(1)
-		situation := func() Situation {
-			s := Situation{InHand: map[string]int{}, ListNo: listNo}
+		situation := func() Conditions {
+			s := Conditions{InFlight: map[string]int{}, ListVersion: listNo}
 			for _, h := range hands {
-				s.InHand[h.name]++
+				s.InFlight[h.name]++
 			}
 			return s
 		}
 		inForce := uint64(0)
 		applied := func(v *Version, o Outcome, err error) {
 			if o == Applied {
-				if v.No <= inForce {
-					t.Fatalf("%d after %d", v.No, inForce)
+				if v.Number <= inForce {
+					t.Fatalf("%d after %d", v.Number, inForce)
 				}
-				inForce = v.No
-				b.Adopt(v.Terms)
+				inForce = v.Number
+				b.SetConfig(v.Policy)
 			}
-			if k.Present().No != inForce || (o == TurnedDown) != (err != nil) {
-				t.Fatalf("%v %v, in force %d, present %d", o, err, inForce, k.Present().No)
+			if k.Current().Number != inForce || (o == Rejected) != (err != nil) {
+				t.Fatalf("%v %v, in force %d, present %d", o, err, inForce, k.Current().Number)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if err := whole(k.Present()); err != nil {
+				if err := whole(k.Current()); err != nil {
 					t.Fatal(err)
 				}
 				for _, h := range hands {
 					if err := whole(h.v); err != nil {
 						t.Fatal("in hand: ", err)
 					}
-					if h.c.Under != h.v.Terms {
+					if h.c.Config != h.v.Policy {
 						t.Fatal("a command is under other terms than it came under")
 					}
 				}
@@ -113,31 +113,31 @@
 				v := made(rapid.Uint64Range(1, 30).Draw(t, "no"), names, rapid.Uint64Range(0, 4).Draw(t, "needs"))
 				o, err := k.Offer(now, v, situation())
 				applied(v, o, err)
-				if again, _ := k.Offer(now, v, situation()); o == Applied && again != Again {
+				if again, _ := k.Offer(now, v, situation()); o == Applied && again != AlreadyApplied {
 					t.Fatalf("the same again is %v", again)
 				}
 			},
 			"list": func(t *rapid.T) {
 				listNo++
-				v, o, err := k.Look(now, situation())
+				v, o, err := k.Recheck(now, situation())
 				if v != nil {
 					applied(v, o, err)
 				}
 			},
 			"time": func(t *rapid.T) {
 				now += rapid.Float64Range(0, 1).Draw(t, "secs")
-				if v, o, err := k.Look(now, situation()); v != nil {
+				if v, o, err := k.Recheck(now, situation()); v != nil {
 					applied(v, o, err)
 				}
 			},
 			"command": func(t *rapid.T) {
-				v := k.Present()
+				v := k.Current()
 				name := rapid.SampledFrom(all).Draw(t, "name")
-				slot := v.Slot("GET", "/"+name+"/x")
+				slot := v.ClassOf("GET", "/"+name+"/x")
 				if slot < 0 {
 					return
 				}
-				c := &policy.Command{ID: uint32(len(hands)), Op: slot, Under: v.Terms, Came: now, Due: now + v.Terms.Ops[slot].Timeout}
+				c := &policy.Request{ID: uint32(len(hands)), Class: slot, Config: v.Policy, ReceivedAt: now, Deadline: now + v.Policy.Classes[slot].TimeoutSeconds}
 				b.Pick(now, c)
 				hands = append(hands, inHand{c, v, name})
 			},
--- a/internal/configstate/round.go
+++ b/internal/configstate/round.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Round is a version that a planner proposes to its edges. It is put in force once every edge alive has said that it could
+// Proposal is a version that a planner proposes to its edges. It is put in force once every edge alive has said that it could
 // take it; one that can not turns it down for all, so that no relay is under two versions.
-type Round struct {
-	V     *Version
-	until float64
-	fit   map[string]bool
-	no    string // why not, by the first edge that said so
+type Proposal struct {
+	Version *Version
+	until   float64
+	fit     map[string]bool
+	no      string // why not, by the first edge that said so
 }
 
-// NewRound proposes a version; patience is how long the edges, and the list that it belongs with, have.
-func NewRound(v *Version, now, patience float64) *Round {
-	return &Round{V: v, until: now + patience, fit: map[string]bool{}}
+// NewProposal proposes a version; patience is how long the edges, and the list that it belongs with, have.
+func NewProposal(v *Version, now, patience float64) *Proposal {
+	return &Proposal{Version: v, until: now + patience, fit: map[string]bool{}}
 }
 
-// Heard enters what an edge said of versions.
-func (r *Round) Heard(edge string, inForce, fits, refused uint64, reason string) {
-	switch r.V.No {
+// OnRouterStatus enters what an edge said of versions.
+func (r *Proposal) OnRouterStatus(edge string, inForce, fits, refused uint64, reason string) {
+	switch r.Version.Number {
 	case inForce, fits:
 		r.fit[edge] = true
 	case refused:
@@ -32,11 +32,11 @@
 	}
 }
 
-// Verdict says what becomes of it, alive being the edges there are. Those that died have no say; one that starts meanwhile is
+// Decide says what becomes of it, alive being the edges there are. Those that died have no say; one that starts meanwhile is
 // asked too.
-func (r *Round) Verdict(now float64, alive []string, listNo uint64) (Outcome, error) {
+func (r *Proposal) Decide(now float64, alive []string, listNo uint64) (Outcome, error) {
 	if r.no != "" {
-		return TurnedDown, fmt.Errorf("%s", r.no)
+		return Rejected, fmt.Errorf("%s", r.no)
 	}
 	var lack []string
 	for _, name := range alive {
@@ -44,15 +44,15 @@
 			lack = append(lack, name)
 		}
 	}
-	if len(lack) == 0 && r.V.Needs <= listNo {
+	if len(lack) == 0 && r.Version.RequiredListVersion <= listNo {
 		return Applied, nil
 	}
 	if now < r.until {
-		return Waits, nil
+		return Waiting, nil
 	}
-	if r.V.Needs > listNo {
-		return TurnedDown, fmt.Errorf("list version %d did not come in time; %d is here", r.V.Needs, listNo)
+	if r.Version.RequiredListVersion > listNo {
+		return Rejected, fmt.Errorf("list version %d did not come in time; %d is here", r.Version.RequiredListVersion, listNo)
 	}
 	sort.Strings(lack)
-	return TurnedDown, fmt.Errorf("no word in time from edges %s", strings.Join(lack, ", "))
+	return Rejected, fmt.Errorf("no word in time from edges %s", strings.Join(lack, ", "))
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -25,14 +25,14 @@
 			b.Run(fmt.Sprintf("units-%d/edges-%d", units, edges), func(b *testing.B) {
 				set := exampleSet(b)
 				p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
-				p.begin(1, State{})
-				line := endpoints.Line{Version: 1, Full: true}
+				p.begin(1, SavedState{})
+				line := endpoints.Update{Version: 1, Full: true}
 				for id := range units {
-					line.Units = append(line.Units, endpoints.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
+					line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 				}
-				p.list.Take(&line, p.now())
-				line.Tell(p.b, p.now())
-				p.b.Stage(p.now(), 2, 1, 0, 0.5, 0)
+				p.list.Apply(&line, p.now())
+				line.ApplyTo(p.b, p.now())
+				p.b.ApplyRelease(p.now(), 2, 1, 0, 0.5, 0)
 				digests := make([]*linkpb.Digest, edges)
 				for i := range digests {
 					d := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: p.terms}
@@ -56,7 +56,7 @@
 						if err := proto.Unmarshal(text, &got); err != nil {
 							b.Fatal(err)
 						}
-						if r := p.digest(&got); r != lease.Taken {
+						if r := p.digest(&got); r != lease.Accepted {
 							b.Fatal(r)
 						}
 						view, err := proto.Marshal(p.view(d.Edge, got.ListNo))
@@ -66,7 +66,7 @@
 						down += len(view)
 					}
 					p.mu.Lock()
-					p.b.Wait(p.now())
+					p.b.TickController(p.now())
 					p.mu.Unlock()
 				}
 				const beats = 10
@@ -92,9 +92,9 @@
 	set.Sources.List, set.Sources.Installer = url+"/list", url
 	from := time.Now()
 	got := make(chan struct{}, 1)
-	e := &controlrpc.EdgeEnd{Set: &set.Link, Log: quiet, Now: func() float64 { return time.Since(from).Seconds() }, Relay: "r1", Edge: "e", Life: 1,
-		Count: func(*linkpb.Digest) {},
-		Take: func(v *linkpb.View, list, stage bool, _ float64) {
+	e := &controlrpc.RouterClient{Config: &set.Link, Log: quiet, Now: func() float64 { return time.Since(from).Seconds() }, Relay: "r1", Router: "e", Incarnation: 1,
+		FillReport: func(*linkpb.Digest) {},
+		ApplyAssignment: func(v *linkpb.View, list, stage bool, _ float64) {
 			if v.ListAt > 0 && v.StageNo > 0 {
 				select {
 				case got <- struct{}{}:
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -15,18 +15,18 @@
 
 // witness is the planner's health source: it gives the policy the counts that it merged, and the edges the marks.
 type witness struct {
-	p      *Planner
+	p      *Controller
 	poller *promclient.Poller
 
 	mu      sync.Mutex // orders the source's calls; it may be taken under the planner's lock, never the other way round
 	source  *metricsanalysis.Source
 	news    bool // since the counts were handed on
-	marks   []policy.Mark
+	marks   []policy.HealthMark
 	marksNo uint64
 	marksAt float64
 }
 
-func (p *Planner) newWitness() (w *witness, err error) {
+func (p *Controller) newWitness() (w *witness, err error) {
 	set := p.set.Health
 	w = &witness{p: p, source: metricsanalysis.New(set.Questions(), len(set.Servers))}
 	w.poller, err = promclient.NewPoller(set, p.log, p.now, w.take)
@@ -51,7 +51,7 @@
 		if u.State == "gone" {
 			continue
 		}
-		units = append(units, metricsanalysis.Unit{ID: u.ID, Build: u.Build, Since: u.Start})
+		units = append(units, metricsanalysis.Unit{ID: u.ID, Build: u.Build, Since: u.StartedAt})
 		fleet.Units = append(fleet.Units, promclient.FleetUnit{ID: u.ID, Addr: u.Addr, Build: u.Build})
 		fleet.Builds = append(fleet.Builds, u.Build)
 	}
@@ -76,7 +76,7 @@
 	defer w.mu.Unlock()
 	// Also without news: what a silent server said goes stale.
 	if w.news || now >= w.marksAt+metricsanalysis.MarksEvery {
-		w.p.b.Sourced(w.source.Counted(now))
+		w.p.b.SetMetricsEvidence(w.source.Counted(now))
 		w.news = false
 	}
 	if now < w.marksAt+metricsanalysis.MarksEvery {
@@ -101,7 +101,7 @@
 	}
 	v.HasMarks, v.MarksAge = true, max(0, now-w.marksAt)
 	for _, m := range w.marks {
-		v.Marks = append(v.Marks, &linkpb.Mark{Unit: m.Unit, Wrong: float32(m.Wrong), Ailing: float32(m.Ailing)})
+		v.Marks = append(v.Marks, &linkpb.Mark{Unit: m.Endpoint, Wrong: float32(m.WrongShare), Ailing: float32(m.DegradedShare)})
 	}
 }
 
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -31,7 +31,7 @@
 )
 
 // healthSet is the example's planner with query servers.
-func healthSet(t testing.TB, urls ...string) *config.Plan {
+func healthSet(t testing.TB, urls ...string) *config.Controller {
 	var servers []string
 	for i, u := range urls {
 		servers = append(servers, fmt.Sprintf("{:name \"q%d\" :url %q}", i+1, u))
@@ -60,11 +60,11 @@
 // A pair of query servers beside an edge that saw two wrong answers only: the source lifts that to a back vote, marks units
 // for the edges, and when both servers die the marks end and the votes rest on what the edge saw.
 func TestWitness(t *testing.T) {
-	var servers []*fakes.Queries
+	var servers []*fakes.QueryServer
 	var urls []string
 	wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 	for range 2 {
-		q, err := fakes.StartQueries(wall)
+		q, err := fakes.StartQueryServer(wall)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,24 +77,24 @@
 	if p.witness, err = p.newWitness(); err != nil {
 		t.Fatal(err)
 	}
-	p.begin(1, State{})
-	h := &hall{news: releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
-	p.store, _, _, err = Open(t.TempDir())
+	p.begin(1, SavedState{})
+	h := &hall{news: releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	p.store, _, _, err = OpenStateStore(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.store.Close()
-	p.box = &releases.Box{Relay: "r1", URL: h.serve(t), Timeout: 0.5, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
+	p.box = &releases.VoteSender{Relay: "r1", URL: h.serve(t), Timeout: 0.5, Client: http.DefaultClient, Log: p.log, OnSend: p.asked, OnReply: p.replied}
 	p.box.Open()
-	line := &endpoints.Line{Version: 1, Full: true}
+	line := &endpoints.Update{Version: 1, Full: true}
 	for id := 1; id <= 4; id++ {
-		line.Units = append(line.Units, endpoints.Unit{ID: uint32(id), Addr: "127.0.0.1:1", State: "ready", Build: 1 + (id-1)/2})
+		line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: uint32(id), Addr: "127.0.0.1:1", State: "ready", Build: 1 + (id-1)/2})
 	}
 	p.saves = make(chan struct{}, 1)
 	if err := p.takeList(line); err != nil {
 		t.Fatal(err)
 	}
-	p.enter(releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
+	p.enter(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
 	own := func(seq uint64, flags float32) {
 		d := bad(seq)
 		for _, x := range d.Tally {
@@ -154,7 +154,7 @@
 	p.mu.Lock()
 	counts := p.witness.source.Counted(p.now())
 	p.mu.Unlock()
-	if len(counts.Tally) > 0 {
+	if len(counts.Samples) > 0 {
 		t.Error("a silent source is still heard:", counts)
 	}
 }
@@ -224,9 +224,9 @@
 		b.Run(fmt.Sprintf("units-%d", units), func(b *testing.B) {
 			wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 			var urls []string
-			var servers []*fakes.Queries
+			var servers []*fakes.QueryServer
 			for range 2 {
-				q, err := fakes.StartQueries(wall)
+				q, err := fakes.StartQueryServer(wall)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -242,15 +242,15 @@
 			if p.witness, err = p.newWitness(); err != nil {
 				b.Fatal(err)
 			}
-			p.box = &releases.Box{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log} // nobody takes the votes out of it
+			p.box = &releases.VoteSender{Relay: "r1", URL: "http://127.0.0.1:1", Log: p.log} // nobody takes the votes out of it
 			p.box.Open()
-			line := &endpoints.Line{Version: 1, Full: true}
+			line := &endpoints.Update{Version: 1, Full: true}
 			for id := range units {
-				line.Units = append(line.Units, endpoints.Unit{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
+				line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 			}
-			p.begin(1, State{})
+			p.begin(1, SavedState{})
 			p.takeList(line)
-			p.enter(releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
+			p.enter(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, p.now())
 			n := 0.0
 			scrape := func() {
 				n += 10
@@ -332,7 +332,7 @@
 }
 
 // p99 reads the quantile off the poller's histograms: the bound of its bucket, s, of the slower server.
-func p99(p *Planner, b *testing.B) (worst float64) {
+func p99(p *Controller, b *testing.B) (worst float64) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(p.witness.poller.Collectors()...)
 	families, err := reg.Gather()
--- a/internal/controller/numbers.go
+++ b/internal/controller/numbers.go
@@ -9,7 +9,7 @@
 	"flintspread/internal/lease"
 )
 
-type numbers struct{ p *Planner }
+type numbers struct{ p *Controller }
 
 func metric(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("flintplan_"+name, help, labels, nil)
@@ -47,28 +47,28 @@
 	}
 	gauge(epochNo, float64(p.leader.Epoch()))
 	lead := 0.0
-	if p.leader.Leads() {
+	if p.leader.IsLeader() {
 		lead = 1
 	}
 	gauge(leads, lead)
-	gauge(edges, float64(p.leader.Edges()))
-	gauge(lent, p.leader.Lent(now))
+	gauge(edges, float64(p.leader.RouterCount()))
+	gauge(lent, p.leader.LeasedShare(now))
 	total(digested, p.digests)
-	for r := lease.Taken + 1; int(r) < lease.Reasons; r++ {
+	for r := lease.Accepted + 1; int(r) < lease.ReasonCount; r++ {
 		total(refusedD, p.leader.Refused[r], r.String())
 	}
 	total(viewed, p.views)
 	total(skipped, p.skipped.Load())
 	gauge(listAge, now-p.list.At)
 	gauge(units, float64(p.list.Len()))
-	_, v := p.b.Standing()
+	_, v := p.b.CurrentVote()
 	gauge(stands, float64(v))
 	if w := p.witness; w != nil {
 		w.numbers(now, gauge)
 	}
 }
 
-func (p *Planner) admin() http.Handler {
+func (p *Controller) admin() http.Handler {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(numbers{p})
 	if p.witness != nil {
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -31,7 +31,7 @@
 // A child that saves votes without end, to be killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("FLINTPLAN_SAVE_IN"); dir != "" {
-		s, st, _, err := Open(dir)
+		s, st, _, err := OpenStateStore(dir)
 		if err != nil {
 			fmt.Println(err)
 			os.Exit(1)
@@ -42,8 +42,8 @@
 		}
 		for i := from + 1; ; i++ {
 			list := &endpoints.List{}
-			_, err := list.Take(&endpoints.Line{Version: uint64(i), Full: true, Units: []endpoints.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: i % 1000}}}, float64(i))
-			if err := errors.Join(err, s.List(list), s.Vote(Ballot{Build: i, Sure: true})); err != nil {
+			_, err := list.Apply(&endpoints.Update{Version: uint64(i), Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: i % 1000}}}, float64(i))
+			if err := errors.Join(err, s.SaveEndpoints(list), s.SaveVote(SavedVote{Build: i, Sure: true})); err != nil {
 				fmt.Println(err)
 				os.Exit(1)
 			}
@@ -76,7 +76,7 @@
 				t.Fatalf("%s", text)
 			}
 		}
-		s, st, aside, err := Open(dir)
+		s, st, aside, err := OpenStateStore(dir)
 		if err != nil || aside != "" {
 			t.Fatal(aside, err)
 		}
@@ -93,17 +93,17 @@
 // What the disk may give back: the state is set aside by name, and the planner starts empty.
 func TestBrokenState(t *testing.T) {
 	whole := func(dir string) []byte {
-		s, _, _, err := Open(dir)
+		s, _, _, err := OpenStateStore(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		line := &endpoints.Line{Version: 3, Full: true}
+		line := &endpoints.Update{Version: 3, Full: true}
 		for id := range uint32(2000) {
-			line.Units = append(line.Units, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready"})
+			line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:1", State: "ready"})
 		}
 		list := &endpoints.List{}
-		_, err = list.Take(line, 1)
-		if err := errors.Join(err, s.List(list), s.Vote(Ballot{Build: 2}), s.Close()); err != nil {
+		_, err = list.Apply(line, 1)
+		if err := errors.Join(err, s.SaveEndpoints(list), s.SaveVote(SavedVote{Build: 2}), s.Close()); err != nil {
 			t.Fatal(err)
 		}
 		text, err := os.ReadFile(stateFile(dir))
@@ -129,7 +129,7 @@
 			if err := os.WriteFile(stateFile(dir), spoil(whole(dir)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			s, st, aside, err := Open(dir)
+			s, st, aside, err := OpenStateStore(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -143,12 +143,12 @@
 		})
 	}
 	dir := t.TempDir()
-	s, _, _, err := Open(dir)
+	s, _, _, err := OpenStateStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, _, _, err := Open(dir); !errors.Is(err, boltstore.ErrInUse) {
+	if _, _, _, err := OpenStateStore(dir); !errors.Is(err, boltstore.ErrInUse) {
 		t.Errorf("a second planner on the same state: %v", err)
 	}
 }
@@ -156,8 +156,8 @@
 // hall is the services around a planner: a list, an installer that keeps what it was told, in a fixed state.
 type hall struct {
 	mu    sync.Mutex
-	votes []releases.Ballot
-	news  releases.News
+	votes []releases.VoteMessage
+	news  releases.Update
 	hold  bool // votes are taken and not answered
 }
 
@@ -172,17 +172,17 @@
 		}
 	}
 	mux.HandleFunc("GET /list", func(w http.ResponseWriter, req *http.Request) {
-		line := endpoints.Line{Version: 1, Full: true}
+		line := endpoints.Update{Version: 1, Full: true}
 		for id := range uint32(4) {
-			line.Units = append(line.Units, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, Start: 1000})
+			line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, StartedAt: 1000})
 		}
-		stream(w, req, func() any { l := line; line = endpoints.Line{Version: 1}; return l })
+		stream(w, req, func() any { l := line; line = endpoints.Update{Version: 1}; return l })
 	})
 	mux.HandleFunc("GET /stage", func(w http.ResponseWriter, req *http.Request) {
 		stream(w, req, func() any { h.mu.Lock(); defer h.mu.Unlock(); return h.news })
 	})
 	mux.HandleFunc("POST /vote", func(w http.ResponseWriter, req *http.Request) {
-		var b releases.Ballot
+		var b releases.VoteMessage
 		json.NewDecoder(req.Body).Decode(&b)
 		h.mu.Lock()
 		h.votes = append(h.votes, b)
@@ -210,19 +210,19 @@
 	return verdicts
 }
 
-func exampleSet(t testing.TB, changes ...string) *config.Plan {
+func exampleSet(t testing.TB, changes ...string) *config.Controller {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := config.ParsePlan("plan.edn", []byte(strings.NewReplacer(changes...).Replace(string(text))))
+	set, err := config.ParseController("plan.edn", []byte(strings.NewReplacer(changes...).Replace(string(text))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return set
 }
 
-func setOf(t *testing.T, dir, url string, backVotes int) *config.Plan {
+func setOf(t *testing.T, dir, url string, backVotes int) *config.Controller {
 	set := exampleSet(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", backVotes))
 	set.StateDir, set.Admin, set.Sources.List, set.Sources.Installer = dir, "127.0.0.1:0", url+"/list", url
 	set.Link.Address = "unix:" + filepath.Join(dir, "s")
@@ -240,7 +240,7 @@
 }
 
 // run runs a planner; the function that it gives stops it.
-func run(t *testing.T, set *config.Plan) (stop func() error) {
+func run(t *testing.T, set *config.Controller) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- Run(ctx, set, slog.New(slog.NewTextHandler(io.Discard, nil))) }()
@@ -264,23 +264,23 @@
 	for _, c := range []struct {
 		name  string
 		votes int // needed to send a build back
-		vote  Ballot
+		vote  SavedVote
 		want  string
 	}{
-		{"unsure, one vote decides", 1, Ballot{Build: 2, Verdict: policy.VoteBack}, "back on 2"},
-		{"sure, one vote decides", 1, Ballot{Build: 2, Verdict: policy.VoteBack, Sure: true}, ""},
-		{"unsure, others are needed, no reason any more", 2, Ballot{Build: 2, Verdict: policy.VoteBack}, "none on 2"},
-		{"unsure, of an earlier build", 2, Ballot{Build: 1, Verdict: policy.VoteBack}, ""},
+		{"unsure, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "back on 2"},
+		{"sure, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback, Sure: true}, ""},
+		{"unsure, others are needed, no reason any more", 2, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "none on 2"},
+		{"unsure, of an earlier build", 2, SavedVote{Build: 1, Verdict: policy.VoteRollback}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := &hall{news: releases.News{Version: 4, Build: 2, Phase: "released", Cap: 1}}
+			h := &hall{news: releases.Update{Version: 4, Build: 2, Phase: "released", Cap: 1}}
 			dir := t.TempDir()
-			s, _, _, err := Open(dir)
+			s, _, _, err := OpenStateStore(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.vote.At = float64(time.Now().Unix())
-			if err := errors.Join(s.Vote(c.vote), s.Close()); err != nil {
+			if err := errors.Join(s.SaveVote(c.vote), s.Close()); err != nil {
 				t.Fatal(err)
 			}
 			stop := run(t, setOf(t, dir, h.serve(t), c.votes))
@@ -301,23 +301,23 @@
 
 // Evidence of an edge brings the vote back; killed before the reply, the vote is on disk as unsure.
 func TestVoteIsNotedBeforeItLeaves(t *testing.T) {
-	h := &hall{hold: true, news: releases.News{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	h := &hall{hold: true, news: releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
 	dir := t.TempDir()
 	set := setOf(t, dir, h.serve(t), 1)
-	s, _, _, err := Open(dir)
+	s, _, _, err := OpenStateStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), s)
-	p.begin(1, State{News: &h.news, At: p.now()})
-	(&endpoints.Line{Full: true, Units: []endpoints.Unit{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
-		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).Tell(p.b, p.now())
-	p.box = &releases.Box{Relay: "r1", URL: set.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: p.log, Asked: p.asked, Replied: p.replied}
+	p.begin(1, SavedState{News: &h.news, At: p.now()})
+	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
+		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(p.b, p.now())
+	p.box = &releases.VoteSender{Relay: "r1", URL: set.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: p.log, OnSend: p.asked, OnReply: p.replied}
 	p.box.Open()
-	if r := p.digest(bad(1)); r != lease.Taken {
+	if r := p.digest(bad(1)); r != lease.Accepted {
 		t.Fatal(r)
 	}
-	if r := p.digest(bad(1)); r != lease.OldNumber {
+	if r := p.digest(bad(1)); r != lease.StaleSequence {
 		t.Error("the same digest twice:", r)
 	}
 	p.turn()
@@ -328,8 +328,8 @@
 	cancel()
 	<-done
 	s.Close()
-	_, st, _, err := Open(dir)
-	if err != nil || st.Vote == nil || st.Vote.Sure || st.Vote.Verdict != policy.VoteBack {
+	_, st, _, err := OpenStateStore(dir)
+	if err != nil || st.Vote == nil || st.Vote.Sure || st.Vote.Verdict != policy.VoteRollback {
 		t.Errorf("%+v %v", st.Vote, err)
 	}
 }
@@ -337,15 +337,15 @@
 // Whole after one message: a planner that knows nothing gives a view that binds as soon as it has heard list and stage, and
 // the list goes along only to those who lack it.
 func TestNewbornPlanner(t *testing.T) {
-	h := &hall{news: releases.News{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
+	h := &hall{news: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
 	set := setOf(t, t.TempDir(), h.serve(t), 1)
-	s, _, _, err := Open(set.StateDir)
+	s, _, _, err := OpenStateStore(set.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), s)
-	p.begin(9, State{})
+	p.begin(9, SavedState{})
 	p.digest(bad(1))
 	if v := p.view("e", 0); v.StageNo != 0 || v.HasList || v.Epoch != 9 || v.Echo != 1 || v.Share != 0 {
 		t.Error(v)
@@ -353,7 +353,7 @@
 	if err := p.takeNews(&h.news); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.takeList(&endpoints.Line{Version: 7, Full: true, Units: []endpoints.Unit{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
+	if err := p.takeList(&endpoints.Update{Version: 7, Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
 		t.Fatal(err)
 	}
 	if v := p.view("e", 0); v.StageNo != 4 || v.Cap != 0.5 || v.Stage != 1 || !v.HasList || len(v.Units) != 1 {
@@ -367,7 +367,7 @@
 	if err := p.takeNews(&old); err != nil || p.view("e", 7).Cap != 0.5 {
 		t.Error("old news widened the cap", err)
 	}
-	if err := p.takeNews(&releases.News{Version: 9, Phase: "later"}); err == nil {
+	if err := p.takeNews(&releases.Update{Version: 9, Phase: "later"}); err == nil {
 		t.Error("took news of an unknown phase")
 	}
 }
@@ -396,13 +396,13 @@
 	h := &hall{}
 	set := setOf(t, t.TempDir(), h.serve(t), 1)
 	set.Control = &config.Control{Patience: 0.5}
-	s, _, _, err := Open(set.StateDir)
+	s, _, _, err := OpenStateStore(set.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), s)
-	p.begin(9, State{})
+	p.begin(9, SavedState{})
 	if p.vs, err = p.openVersions(); err != nil {
 		t.Fatal(err)
 	}
@@ -420,7 +420,7 @@
 			t.Fatal(err)
 		}
 		last = v
-		if o, err := p.vs.propose(v); o != configstate.Waits || err != nil {
+		if o, err := p.vs.propose(v); o != configstate.Waiting || err != nil {
 			t.Fatal(o, err)
 		}
 	}
@@ -437,16 +437,16 @@
 	if v := say("a", 0, 0, 0, ""); v.ConfigNext != 4 || v.ConfigTextNo != 4 || string(v.ConfigText) != doc || v.ConfigNo != 0 {
 		t.Error(v.ConfigNo, v.ConfigNext, v.ConfigTextNo)
 	}
-	look(configstate.Waits, "")
+	look(configstate.Waiting, "")
 	say("a", 0, 4, 0, "")
 	say("b", 0, 0, 4, "commands in hand")
-	look(configstate.TurnedDown, `edge "b": commands in hand`)
+	look(configstate.Rejected, `edge "b": commands in hand`)
 	if v := say("a", 0, 4, 0, ""); v.ConfigNext != 0 || v.ConfigNo != 0 {
 		t.Error("a version that was turned down is still proposed")
 	}
 	propose(5, doc+" ")
 	say("a", 0, 5, 0, "")
-	look(configstate.Waits, "")
+	look(configstate.Waiting, "")
 	say("b", 0, 5, 0, "")
 	look(configstate.Applied, "")
 	if v := say("a", 0, 5, 0, ""); v.ConfigNo != 5 || v.ConfigTextNo != 0 {
@@ -459,14 +459,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := p.vs.propose(old); o != configstate.TurnedDown || err == nil {
+	if o, err := p.vs.propose(old); o != configstate.Rejected || err == nil {
 		t.Error("went back to 4", o, err)
 	}
 	propose(6, doc+"  ")
 	time.Sleep(600 * time.Millisecond)
-	look(configstate.TurnedDown, "no word in time from edges a, b, c")
+	look(configstate.Rejected, "no word in time from edges a, b, c")
 	p.vs.store.Close()
-	if p.vs, err = p.openVersions(); err != nil || p.vs.keeper.Present().No != 5 {
+	if p.vs, err = p.openVersions(); err != nil || p.vs.keeper.Current().Number != 5 {
 		t.Error("after a restart", err)
 	}
 	p.vs.store.Close()
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -26,13 +26,13 @@
 	"flintspread/internal/watch"
 )
 
-// Planner is a running planner.
-type Planner struct {
-	set   *config.Plan
+// Controller is a running planner.
+type Controller struct {
+	set   *config.Controller
 	log   *slog.Logger
-	store *Store
-	box   *releases.Box
-	end   *controlrpc.PlannerEnd
+	store *StateStore
+	box   *releases.VoteSender
+	end   *controlrpc.ControllerServer
 	base  time.Time
 	wall  float64
 	terms uint64
@@ -42,7 +42,7 @@
 	b      *policy.Balancer
 	leader *lease.Leader
 	list   endpoints.List
-	news   releases.News // Version 0: none yet; Age as of newsAt
+	news   releases.Update // Version 0: none yet; Age as of newsAt
 	newsAt float64
 	told   struct { // by the last views, to see that there is something to tell
 		build   int
@@ -61,8 +61,8 @@
 }
 
 // Run plans until ctx ends. An error before anything was served is a reason not to start.
-func Run(ctx context.Context, set *config.Plan, log *slog.Logger) error {
-	store, st, aside, err := Open(set.StateDir)
+func Run(ctx context.Context, set *config.Controller, log *slog.Logger) error {
+	store, st, aside, err := OpenStateStore(set.StateDir)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 		log.Error("state set aside; starting empty", "file", aside)
 	}
 	p := newPlanner(set, log, store)
-	epoch, err := store.Begin(st.Epoch, p.now())
+	epoch, err := store.BeginEpoch(st.Epoch, p.now())
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
@@ -95,12 +95,12 @@
 		return fmt.Errorf(":admin: %w", err)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	p.box = &releases.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: client, Log: log,
-		Asked: p.asked, Replied: p.replied}
+	p.box = &releases.VoteSender{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: client, Log: log,
+		OnSend: p.asked, OnReply: p.replied}
 	p.box.Open()
 	source := func(url string) watch.Source {
 		s := set.Sources
-		return watch.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: log, Client: client}
+		return watch.Source{URL: url, SilenceSeconds: s.Silence, BackoffMinSeconds: s.BackLeast, BackoffMaxSeconds: s.BackMost, Log: log, Client: client}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -137,23 +137,23 @@
 	return err
 }
 
-func newPlanner(set *config.Plan, log *slog.Logger, store *Store) *Planner {
+func newPlanner(set *config.Controller, log *slog.Logger, store *StateStore) *Controller {
 	now := time.Now()
-	p := &Planner{set: set, log: log, store: store, base: now, wall: float64(now.UnixNano()) / 1e9,
-		terms: router.TermsHash(set.Terms()), saves: make(chan struct{}, 1), odd: map[string]bool{}, said: map[string]said{}}
+	p := &Controller{set: set, log: log, store: store, base: now, wall: float64(now.UnixNano()) / 1e9,
+		terms: router.ConfigHash(set.Policy()), saves: make(chan struct{}, 1), odd: map[string]bool{}, said: map[string]said{}}
 	seed := set.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	p.b = policy.New(set.Terms(), seed, p.wall)
-	p.end = &controlrpc.PlannerEnd{Set: &set.Link, Log: log, Relay: set.Relay, Digest: p.digest, View: p.view}
+	p.b = policy.New(set.Policy(), seed, p.wall)
+	p.end = &controlrpc.ControllerServer{Config: &set.Link, Log: log, Relay: set.Relay, AcceptReport: p.digest, NextAssignment: p.view}
 	return p
 }
 
-func (p *Planner) now() float64 { return p.wall + time.Since(p.base).Seconds() }
+func (p *Controller) now() float64 { return p.wall + time.Since(p.base).Seconds() }
 
 // begin takes up what the process before left.
-func (p *Planner) begin(epoch uint64, st State) {
+func (p *Controller) begin(epoch uint64, st SavedState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -161,7 +161,7 @@
 	p.leader = lease.NewLeader(epoch, l.Lease, p.set.Rules.Window, l.Silence, now)
 	if st.List != nil {
 		p.list = *st.List
-		p.list.Full(now).Tell(p.b, now)
+		p.list.FullUpdate(now).ApplyTo(p.b, now)
 		p.listed()
 		p.log.Info("last list", "units", p.list.Len(), "version", p.list.Version, "age", fmt.Sprintf("%.1fs", now-p.list.At))
 	}
@@ -169,45 +169,45 @@
 		p.enter(*n, st.At)
 	}
 	if v := st.Vote; v != nil {
-		p.b.Stood(now, v.Build, v.Stage, v.Verdict, max(0, now-v.At), v.Sure)
+		p.b.RestoreVote(now, v.Build, v.Stage, v.Verdict, max(0, now-v.At), v.Sure)
 	}
 }
 
 // listed passes on a list that changed. Under the lock.
-func (p *Planner) listed() {
+func (p *Controller) listed() {
 	if p.witness != nil {
 		p.witness.know()
 	}
 }
 
 // enter takes news whose age was told at a time.
-func (p *Planner) enter(n releases.News, at float64) {
+func (p *Controller) enter(n releases.Update, at float64) {
 	p.news, p.newsAt = n, at
-	p.b.Stage(p.now(), n.Build, n.Stage, n.PhaseOf(), n.Cap, n.Age+max(0, p.now()-at))
+	p.b.ApplyRelease(p.now(), n.Build, n.Stage, n.PolicyPhase(), n.Cap, n.Age+max(0, p.now()-at))
 	if p.witness != nil {
 		p.witness.release(n.Build)
 	}
 }
 
-func (p *Planner) takeList(line *endpoints.Line) error {
+func (p *Controller) takeList(line *endpoints.Update) error {
 	if err := line.Check(); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	now := p.now()
-	changes, err := p.list.Take(line, now)
+	changes, err := p.list.Apply(line, now)
 	if err == nil {
-		changes.Tell(p.b, now)
+		changes.ApplyTo(p.b, now)
 	}
-	if err == nil && len(changes.Units) > 0 {
+	if err == nil && len(changes.Endpoints) > 0 {
 		p.listed()
 	}
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	p.end.Tell()
-	if len(changes.Units) > 0 {
+	p.end.NotifyAll()
+	if len(changes.Endpoints) > 0 {
 		select {
 		case p.saves <- struct{}{}:
 		default:
@@ -217,7 +217,7 @@
 }
 
 // save keeps the last list on disk. Changes that come while one is written are written together.
-func (p *Planner) save(ctx context.Context) {
+func (p *Controller) save(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -227,14 +227,14 @@
 		p.mu.Lock()
 		list := p.list.Clone()
 		p.mu.Unlock()
-		if err := p.store.List(list); err != nil {
+		if err := p.store.SaveEndpoints(list); err != nil {
 			p.log.Error("list not saved", "error", err)
 		}
 	}
 }
 
-func (p *Planner) takeNews(line *releases.News) error {
-	if line.Quiet {
+func (p *Controller) takeNews(line *releases.Update) error {
+	if line.Heartbeat {
 		return nil
 	}
 	if err := line.Check(len(p.set.Release.Stages)); err != nil {
@@ -250,9 +250,9 @@
 	at := p.now()
 	p.enter(*line, at)
 	p.mu.Unlock()
-	p.end.Tell() // drains and lower caps bind from when the relay was told: the edges come first, the disk after
+	p.end.NotifyAll() // drains and lower caps bind from when the relay was told: the edges come first, the disk after
 	if changed {
-		if err := p.store.News(*line, at); err != nil {
+		if err := p.store.SaveRelease(*line, at); err != nil {
 			p.log.Error("news not saved", "error", err)
 		}
 	}
@@ -260,31 +260,31 @@
 }
 
 // digest enters what an edge counted.
-func (p *Planner) digest(d *linkpb.Digest) lease.Reason {
+func (p *Controller) digest(d *linkpb.Digest) lease.Reason {
 	// What this planner is too late to read, the next digest says again; that its edge lives is entered all the same.
 	read := d.Seq%max(1, p.every.Load()) == 0
 	if !read {
 		p.skipped.Add(1)
 		d.Tally = nil
 	}
-	e := policy.Evidence{Build: int(d.Build), Rate: d.Rate, Tally: make([]policy.Tally, len(d.Tally))}
+	e := policy.Evidence{Build: int(d.Build), RequestsPerSecond: d.Rate, Samples: make([]policy.EndpointSample, len(d.Tally))}
 	for i, t := range d.Tally {
-		x := &e.Tally[i]
-		x.Unit, x.Build = t.Unit, int(t.Build)
-		for k := range x.N {
+		x := &e.Samples[i]
+		x.Endpoint, x.Build = t.Unit, int(t.Build)
+		for k := range x.Outcomes {
 			if k < len(t.N) && k < len(t.Bad) {
-				x.N[k], x.Bad[k] = float64(t.N[k]), float64(t.Bad[k])
+				x.Outcomes[k], x.Failures[k] = float64(t.N[k]), float64(t.Bad[k])
 			}
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.leader.Digest(p.now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
+	r := p.leader.AcceptReport(p.now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
 	if r == lease.Superseded && !p.superTold {
 		p.superTold = true
-		p.log.Error("a newer planner leads; this one votes and lends no more", "epoch", p.leader.Epoch(), "newer", p.leader.Newer())
+		p.log.Error("a newer planner leads; this one votes and lends no more", "epoch", p.leader.Epoch(), "newer", p.leader.NewerEpoch())
 	}
-	if r != lease.Taken {
+	if r != lease.Accepted {
 		return r
 	}
 	if d.Terms != p.terms && !p.odd[d.Edge] {
@@ -293,7 +293,7 @@
 	}
 	p.digests++
 	if read {
-		p.b.Heard(d.Edge, e)
+		p.b.ApplyReport(d.Edge, e)
 	}
 	p.said[d.Edge] = said{d.ConfigNo, d.ConfigFits, d.MarksNo}
 	if p.vs != nil {
@@ -303,13 +303,13 @@
 }
 
 // view makes the next view for an edge.
-func (p *Planner) view(name string, listNo uint64) *linkpb.View {
+func (p *Controller) view(name string, listNo uint64) *linkpb.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	h, share, life := p.leader.View(now, name)
-	build, verdict := p.b.Standing()
-	v := &linkpb.View{Major: h.Major, Minor: lease.SchemaMinor, Epoch: h.Epoch, Number: h.Number, Life: h.Life, Echo: h.Echo,
+	h, share, life := p.leader.NextAssignment(now, name)
+	build, verdict := p.b.CurrentVote()
+	v := &linkpb.View{Major: h.Major, Minor: lease.SchemaMinor, Epoch: h.Epoch, Number: h.Sequence, Life: h.Incarnation, Echo: h.AckedReport,
 		ListAt: p.list.At, ListNo: p.list.Version, VerdictBuild: int32(build), Verdict: int32(verdict), Share: share, Lease: life}
 	if n := p.news; n.Phase != "" {
 		v.StageNo, v.Build, v.Stage, v.Phase, v.Cap = n.Version, int32(n.Build), int32(n.Stage), n.Phase, n.Cap
@@ -319,7 +319,7 @@
 		v.HasList = true
 		for u := range p.list.All() {
 			v.Units = append(v.Units, &linkpb.Unit{Id: u.ID, Addr: u.Addr, State: u.State, Build: int32(u.Build), Zone: uint32(u.Zone),
-				Cell: uint32(u.Cell), Heft: u.Heft, Start: u.Start})
+				Cell: uint32(u.Cell), Heft: u.Weight, Start: u.StartedAt})
 		}
 	}
 	if p.vs != nil {
@@ -333,7 +333,7 @@
 }
 
 // turns does the periodic work on the one timer.
-func (p *Planner) turns(ctx context.Context) {
+func (p *Controller) turns(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -346,43 +346,43 @@
 	}
 }
 
-func (p *Planner) turn() time.Duration {
+func (p *Controller) turn() time.Duration {
 	p.mu.Lock()
 	now := p.now()
-	for _, name := range p.leader.Dead(now) {
-		p.b.Unheard(name)
+	for _, name := range p.leader.ExpireRouters(now) {
+		p.b.DropReport(name)
 		delete(p.odd, name)
 		delete(p.said, name)
 		p.log.Info("edge silent", "edge", name)
 	}
-	p.b.ListAge(now - p.list.At)
+	p.b.SetEndpointListAge(now - p.list.At)
 	p.duties(now)
 	tell := p.witness != nil && p.witness.turn(now)
-	var t policy.Turn
-	if p.leader.Leads() {
-		t = p.b.Wait(now)
+	var t policy.TickResult
+	if p.leader.IsLeader() {
+		t = p.b.TickController(now)
 	} else {
-		t = p.b.Tend(now)
+		t = p.b.TickRouter(now)
 	}
-	p.turnAt = now + t.In
+	p.turnAt = now + t.NextTickSeconds
 	p.mu.Unlock()
-	if t.Vote {
+	if t.CastVote {
 		p.box.Cast(releases.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict})
 	}
 	if tell {
-		p.end.Tell()
+		p.end.NotifyAll()
 	}
 	p.tellVerdict()
-	return time.Duration(t.In * float64(time.Second))
+	return time.Duration(t.NextTickSeconds * float64(time.Second))
 }
 
 // duties leaves out what can wait while this planner is late: queries first, then digests. Under the lock.
-func (p *Planner) duties(now float64) {
+func (p *Controller) duties(now float64) {
 	late := 0.0
 	if p.turnAt > 0 {
 		late = max(0, now-p.turnAt)
 	}
-	every, queries := loadshed.Duties(late, p.set.Link.Beat)
+	every, queries := loadshed.ControllerLoadShedding(late, p.set.Link.Beat)
 	p.every.Store(uint64(every))
 	if p.witness != nil {
 		p.witness.poller.Rest(!queries)
@@ -390,41 +390,41 @@
 }
 
 // tellVerdict tells the edges when another vote stands.
-func (p *Planner) tellVerdict() {
+func (p *Controller) tellVerdict() {
 	p.mu.Lock()
-	build, verdict := p.b.Standing()
+	build, verdict := p.b.CurrentVote()
 	news := build != p.told.build || verdict != p.told.verdict
 	p.told.build, p.told.verdict = build, verdict
 	p.mu.Unlock()
 	if news {
-		p.end.Tell()
+		p.end.NotifyAll()
 	}
 }
 
 // asked notes a vote before it leaves: should this process die now, the next knows that it may have counted.
-func (p *Planner) asked(v releases.Vote) {
+func (p *Controller) asked(v releases.Vote) {
 	p.keep(v, false)
 }
 
-func (p *Planner) keep(v releases.Vote, sure bool) {
-	if err := p.store.Vote(Ballot{Build: v.Build, Stage: v.Stage, Verdict: v.Verdict, At: p.now(), Sure: sure}); err != nil {
+func (p *Controller) keep(v releases.Vote, sure bool) {
+	if err := p.store.SaveVote(SavedVote{Build: v.Build, Stage: v.Stage, Verdict: v.Verdict, At: p.now(), Sure: sure}); err != nil {
 		p.log.Error("vote not saved", "error", err)
 	}
 }
 
-func (p *Planner) replied(v releases.Vote, reply policy.VoteReply, line *releases.News) {
+func (p *Controller) replied(v releases.Vote, reply policy.VoteReply, line *releases.Update) {
 	if line != nil {
 		if err := p.takeNews(line); err != nil {
 			p.log.Warn("reply to a vote", "error", err)
 		}
 	}
 	p.mu.Lock()
-	p.b.VoteAnswered(p.now(), reply)
-	build, verdict := p.b.Standing()
+	p.b.OnVoteReply(p.now(), reply)
+	build, verdict := p.b.CurrentVote()
 	p.mu.Unlock()
-	if reply == policy.Counted {
+	if reply == policy.VoteCounted {
 		p.keep(v, true)
-	} else if reply != policy.Unknown && build >= 0 {
+	} else if reply != policy.VoteUnknown && build >= 0 {
 		p.keep(releases.Vote{Build: build, Stage: v.Stage, Verdict: verdict}, true) // what stood before stands
 	}
 	p.tellVerdict()
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -15,14 +15,14 @@
 	"flintspread/internal/releases"
 )
 
-// Store is a planner's state on disk: its epoch, the vote that stands, the last news and the last list. Each change is one
+// StateStore is a planner's state on disk: its epoch, the vote that stands, the last news and the last list. Each change is one
 // transaction, synced before it counts, so that a kill leaves the state before it or after it.
-type Store struct {
+type StateStore struct {
 	db *bolt.DB
 }
 
-// Ballot is a vote on disk.
-type Ballot struct {
+// SavedVote is a vote on disk.
+type SavedVote struct {
 	Build   int            `json:"build"`
 	Stage   int            `json:"stage"`
 	Verdict policy.Verdict `json:"verdict"`
@@ -30,18 +30,18 @@
 	Sure    bool           `json:"sure"` // it is known whether it counted
 }
 
-// State is all that was in a store.
-type State struct {
-	Epoch uint64          `json:"epoch"`
-	Vote  *Ballot         `json:"vote,omitempty"`
-	News  *releases.News  `json:"news,omitempty"` // Age as of NewsAt
-	At    float64         `json:"news_at,omitempty"`
-	List  *endpoints.List `json:"list,omitempty"`
+// SavedState is all that was in a store.
+type SavedState struct {
+	Epoch uint64           `json:"epoch"`
+	Vote  *SavedVote       `json:"vote,omitempty"`
+	News  *releases.Update `json:"news,omitempty"` // Age as of NewsAt
+	At    float64          `json:"news_at,omitempty"`
+	List  *endpoints.List  `json:"list,omitempty"`
 }
 
 type savedNews struct {
-	News releases.News `json:"news"`
-	At   float64       `json:"at"`
+	News releases.Update `json:"news"`
+	At   float64         `json:"at"`
 }
 
 var (
@@ -54,22 +54,22 @@
 
 func stateFile(dir string) string { return filepath.Join(dir, "planner.db") }
 
-// Open opens the state in a folder and gives what is in it. A file that can't be read is set aside, and the state is empty;
+// OpenStateStore opens the state in a folder and gives what is in it. A file that can't be read is set aside, and the state is empty;
 // aside tells the file's name then, and why.
-func Open(dir string) (s *Store, st State, aside string, err error) {
+func OpenStateStore(dir string) (s *StateStore, st SavedState, aside string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, st, "", err
 	}
 	db, aside, err := boltstore.OpenOrSetAside(stateFile(dir), st.read)
 	if err != nil {
-		return nil, State{}, aside, err
+		return nil, SavedState{}, aside, err
 	}
-	return &Store{db}, st, aside, nil
+	return &StateStore{db}, st, aside, nil
 }
 
 // read fills a state from a store.
-func (st *State) read(tx *bolt.Tx) error {
-	*st = State{}
+func (st *SavedState) read(tx *bolt.Tx) error {
+	*st = SavedState{}
 	b := tx.Bucket(bucket)
 	if b == nil {
 		return nil
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (s *Store) put(key []byte, v any) error {
+func (s *StateStore) put(key []byte, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -102,26 +102,28 @@
 	})
 }
 
-// Begin takes the epoch of a new process: above every one before it, also where the state was lost.
-func (s *Store) Begin(before uint64, now float64) (uint64, error) {
+// BeginEpoch takes the epoch of a new process: above every one before it, also where the state was lost.
+func (s *StateStore) BeginEpoch(before uint64, now float64) (uint64, error) {
 	epoch := max(before+1, uint64(now*1000))
 	return epoch, s.put(keyEpoch, epoch)
 }
 
-func (s *Store) Vote(v Ballot) error { return s.put(keyVote, v) }
+func (s *StateStore) SaveVote(v SavedVote) error { return s.put(keyVote, v) }
 
-func (s *Store) News(n releases.News, at float64) error { return s.put(keyNews, savedNews{n, at}) }
+func (s *StateStore) SaveRelease(n releases.Update, at float64) error {
+	return s.put(keyNews, savedNews{n, at})
+}
 
-func (s *Store) List(l *endpoints.List) error { return s.put(keyList, l) }
+func (s *StateStore) SaveEndpoints(l *endpoints.List) error { return s.put(keyList, l) }
 
-func (s *Store) Close() error { return s.db.Close() }
+func (s *StateStore) Close() error { return s.db.Close() }
 
 // PrintState prints what is in a folder's state.
 func PrintState(w io.Writer, dir string) error {
 	if _, err := os.Stat(stateFile(dir)); err != nil {
 		return err
 	}
-	var st State
+	var st SavedState
 	db, err := boltstore.Open(stateFile(dir), true, st.read)
 	if err != nil {
 		return err
--- a/internal/controller/versions.go
+++ b/internal/controller/versions.go
@@ -15,16 +15,16 @@
 // versions is the planner's part in the versions of the settings: it takes them from a control service, proposes each to its
 // edges, and puts it in force once all of them can take it.
 type versions struct {
-	p      *Planner
+	p      *Controller
 	store  *revisions.Store
-	keeper *configstate.Keeper // under the planner's lock, as the next
-	round  *configstate.Round
+	keeper *configstate.State // under the planner's lock, as the next
+	round  *configstate.Proposal
 	listMu sync.Mutex // orders the lists of several services
 }
 
 // openVersions opens the history and goes on with the version that was in force last.
-func (p *Planner) openVersions() (vs *versions, err error) {
-	vs = &versions{p: p, keeper: configstate.NewKeeper(p.set.Document(), nil, 0, 0)}
+func (p *Controller) openVersions() (vs *versions, err error) {
+	vs = &versions{p: p, keeper: configstate.NewState(p.set.Document(), nil, 0, 0)}
 	vs.store, err = revisions.Resume(p.set.StateDir, p.log, func(v *configstate.Version) error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -40,11 +40,11 @@
 		xds.Taker{List: vs.list, Settings: vs.propose, Look: vs.look})
 }
 
-func (vs *versions) list(line *endpoints.Line) error {
+func (vs *versions) list(line *endpoints.Update) error {
 	vs.listMu.Lock()
 	defer vs.listMu.Unlock()
 	vs.p.mu.Lock()
-	err := vs.p.list.Older(line)
+	err := vs.p.list.CheckNewer(line)
 	vs.p.mu.Unlock()
 	if err != nil {
 		return err
@@ -53,10 +53,10 @@
 }
 
 // situation is what a version would meet here; what it would meet at the edges, they say.
-func (vs *versions) situation(v *configstate.Version) configstate.Situation {
-	s := configstate.Situation{ListNo: v.Needs}
+func (vs *versions) situation(v *configstate.Version) configstate.Conditions {
+	s := configstate.Conditions{ListVersion: v.RequiredListVersion}
 	for u := range vs.p.list.All() {
-		s.Zones, s.Cells = s.Zones || u.Zone > 0, s.Cells || u.Cell > 0
+		s.HasZones, s.HasCells = s.HasZones || u.Zone > 0, s.HasCells || u.Cell > 0
 	}
 	return s
 }
@@ -66,12 +66,12 @@
 	vs.p.mu.Lock()
 	defer vs.p.mu.Unlock()
 	vs.round = nil // overtaken
-	if o, err := vs.keeper.Fits(v, vs.situation(v)); o != configstate.Applied {
+	if o, err := vs.keeper.Check(v, vs.situation(v)); o != configstate.Applied {
 		return o, err
 	}
-	vs.round = configstate.NewRound(v, vs.p.now(), vs.p.set.Control.Patience)
-	go vs.p.end.Tell()
-	return configstate.Waits, nil
+	vs.round = configstate.NewProposal(v, vs.p.now(), vs.p.set.Control.Patience)
+	go vs.p.end.NotifyAll()
+	return configstate.Waiting, nil
 }
 
 // look ends the round when it can be ended.
@@ -79,27 +79,27 @@
 	vs.p.mu.Lock()
 	defer vs.p.mu.Unlock()
 	r := vs.round
-	if r == nil || r.V != mine {
-		if vs.keeper.Present().No == mine.No {
+	if r == nil || r.Version != mine {
+		if vs.keeper.Current().Number == mine.Number {
 			return configstate.Applied, nil
 		}
-		return configstate.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
+		return configstate.Rejected, fmt.Errorf("overtaken by another version while it waited")
 	}
-	o, err := r.Verdict(vs.p.now(), vs.p.leader.Names(), vs.p.list.Version)
-	if o == configstate.Waits {
+	o, err := r.Decide(vs.p.now(), vs.p.leader.Routers(), vs.p.list.Version)
+	if o == configstate.Waiting {
 		return o, nil
 	}
 	vs.round = nil
 	if o == configstate.Applied {
-		before := vs.keeper.Present().No
-		if o, err = vs.enter(r.V); o == configstate.Applied {
-			if e := vs.store.Add(revisions.Entry{No: r.V.No, Parent: before, Since: vs.p.now(), Sum: r.V.Sum, Needs: r.V.Needs, Text: string(r.V.Text)}); e != nil {
-				vs.p.log.Error("version of the settings not saved", "version", r.V.No, "error", e)
+		before := vs.keeper.Current().Number
+		if o, err = vs.enter(r.Version); o == configstate.Applied {
+			if e := vs.store.Add(revisions.Entry{No: r.Version.Number, Parent: before, Since: vs.p.now(), Sum: r.Version.Hash, Needs: r.Version.RequiredListVersion, Text: string(r.Version.Text)}); e != nil {
+				vs.p.log.Error("version of the settings not saved", "version", r.Version.Number, "error", e)
 			}
-			vs.p.log.Info("settings in force", "version", r.V.No, "before", before)
+			vs.p.log.Info("settings in force", "version", r.Version.Number, "before", before)
 		}
 	}
-	go vs.p.end.Tell()
+	go vs.p.end.NotifyAll()
 	return o, err
 }
 
@@ -107,7 +107,7 @@
 func (vs *versions) enter(v *configstate.Version) (configstate.Outcome, error) {
 	o, err := vs.keeper.Offer(vs.p.now(), v, vs.situation(v))
 	if o == configstate.Applied {
-		vs.p.b.Adopt(vs.keeper.Present().Terms)
+		vs.p.b.SetConfig(vs.keeper.Current().Policy)
 	}
 	return o, err
 }
@@ -115,21 +115,21 @@
 // heard enters what an edge says of versions. Under the planner's lock.
 func (vs *versions) heard(d *linkpb.Digest) {
 	if vs.round != nil {
-		vs.round.Heard(d.Edge, d.ConfigNo, d.ConfigFits, d.ConfigRefused, d.ConfigReason)
+		vs.round.OnRouterStatus(d.Edge, d.ConfigNo, d.ConfigFits, d.ConfigRefused, d.ConfigReason)
 	}
 }
 
 // tell adds to a view what an edge lacks. Under the planner's lock.
 func (vs *versions) tell(v *linkpb.View, has said) {
-	now := vs.keeper.Present()
-	v.ConfigNo = now.No
+	now := vs.keeper.Current()
+	v.ConfigNo = now.Number
 	text := now
-	if r := vs.round; r != nil && has.no == now.No {
-		v.ConfigNext = r.V.No
-		text = r.V
+	if r := vs.round; r != nil && has.no == now.Number {
+		v.ConfigNext = r.Version.Number
+		text = r.Version
 	}
-	if text.No > 0 && has.no != text.No && has.fits != text.No {
-		v.ConfigTextNo, v.ConfigText = text.No, text.Text
+	if text.Number > 0 && has.no != text.Number && has.fits != text.Number {
+		v.ConfigTextNo, v.ConfigText = text.Number, text.Text
 	}
 }
 
--- a/internal/controlrpc/creds.go
+++ b/internal/controlrpc/creds.go
@@ -112,8 +112,8 @@
 	return c.DNSNames[0]
 }
 
-// Creds gives a link's credentials. Where the link is a Unix socket, who may open it is the file's matter.
-func Creds(set *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
+// Credentials gives a link's credentials. Where the link is a Unix socket, who may open it is the file's matter.
+func Credentials(set *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
 	if _, ok := set.Unix(); ok {
 		return insecure.NewCredentials(), nil
 	}
--- a/internal/controlrpc/edge.go
+++ b/internal/controlrpc/edge.go
@@ -17,19 +17,19 @@
 	"flintspread/internal/watch"
 )
 
-// EdgeEnd is an edge's end of the link.
-type EdgeEnd struct {
-	Set   *config.Link
-	Log   *slog.Logger
-	Now   func() float64 // s since 1970, going forward
-	Relay string
-	Edge  string
-	Life  uint64
-	Terms uint64
+// RouterClient is an edge's end of the link.
+type RouterClient struct {
+	Config      *config.Link
+	Log         *slog.Logger
+	Now         func() float64 // s since 1970, going forward
+	Relay       string
+	Router      string
+	Incarnation uint64
+	ConfigHash  uint64
 	// Count fills a digest with what the edge counted and has. It is called once a beat, and must not wait.
-	Count func(*linkpb.Digest)
+	FillReport func(*linkpb.Digest)
 	// Take enters a view that counts; list and stage tell which parts are news, until when its lease ends. It must not wait.
-	Take func(v *linkpb.View, list, stage bool, until float64)
+	ApplyAssignment func(v *linkpb.View, list, stage bool, until float64)
 
 	mu       sync.Mutex
 	follower *lease.Follower
@@ -39,41 +39,41 @@
 	began    float64
 }
 
-// Numbers is what the end has seen.
-type Numbers struct {
-	Epoch, Number uint64 // of the view that is followed
-	Age           float64
-	Links         uint64 // made
-	Dropped       uint64 // digests that a newer one replaced before they were sent
-	Refused       [lease.Reasons]uint64
+// Stats is what the end has seen.
+type Stats struct {
+	Epoch, Sequence      uint64 // of the view that is followed
+	AssignmentAgeSeconds float64
+	Connects             uint64 // made
+	ReportsDropped       uint64 // digests that a newer one replaced before they were sent
+	Refused              [lease.ReasonCount]uint64
 }
 
-func (e *EdgeEnd) Numbers() Numbers {
+func (e *RouterClient) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := Numbers{Links: e.links, Dropped: e.dropped}
+	n := Stats{Connects: e.links, ReportsDropped: e.dropped}
 	if e.follower != nil {
-		n.Epoch, n.Number = e.follower.Follows()
-		n.Age, n.Refused = e.follower.Age(e.Now(), e.began), e.follower.Refused
+		n.Epoch, n.Sequence = e.follower.Following()
+		n.AssignmentAgeSeconds, n.Refused = e.follower.AssignmentAge(e.Now(), e.began), e.follower.Refused
 	}
 	return n
 }
 
 // Run keeps a link to the planner until ctx ends. listAt is when the list on the edge's disk was true.
-func (e *EdgeEnd) Run(ctx context.Context, listAt float64) error {
+func (e *RouterClient) Run(ctx context.Context, listAt float64) error {
 	e.mu.Lock()
-	e.follower, e.began = lease.NewFollower(e.Life), e.Now()
-	e.follower.Have(listAt)
+	e.follower, e.began = lease.NewFollower(e.Incarnation), e.Now()
+	e.follower.RestoreEndpointsAt(listAt)
 	e.mu.Unlock()
-	c, err := Creds(e.Set, e.Log)
+	c, err := Credentials(e.Config, e.Log)
 	if err != nil {
 		return fmt.Errorf(":planner: %w", err)
 	}
-	conn, err := grpc.NewClient(target(e.Set), grpc.WithTransportCredentials(c),
+	conn, err := grpc.NewClient(target(e.Config), grpc.WithTransportCredentials(c),
 		// The planner may know of a drain or a lower cap that this edge does not: it is tried again at the pace of the beat,
 		// which a few edges on one host can afford. Twice the beat is to stay well below the grace of the rules.
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: beat(e.Set.Beat / 2), Multiplier: 1.2, Jitter: 0.3,
-			MaxDelay: beat(e.Set.Beat)}, MinConnectTimeout: beat(e.Set.Silence)}),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: beat(e.Config.Beat / 2), Multiplier: 1.2, Jitter: 0.3,
+			MaxDelay: beat(e.Config.Beat)}, MinConnectTimeout: beat(e.Config.Silence)}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostMessage)))
 	if err != nil {
 		return fmt.Errorf(":planner: %w", err)
@@ -87,12 +87,12 @@
 		if views > 0 {
 			n = 0
 		}
-		wait := watch.Pause(n, e.Set.Beat/2, e.Set.Beat, rand.Float64())
+		wait := watch.Backoff(n, e.Config.Beat/2, e.Config.Beat, rand.Float64())
 		level := slog.LevelWarn
 		if n > 0 {
 			level = slog.LevelDebug // said once, not ten times a second
 		}
-		e.Log.Log(ctx, level, "link to the planner broke", "address", e.Set.Address, "views", views, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
+		e.Log.Log(ctx, level, "link to the planner broke", "address", e.Config.Address, "views", views, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
 		case <-time.After(beat(wait)):
@@ -113,11 +113,11 @@
 }
 
 // once holds one stream until it breaks, and tells how many views came.
-func (e *EdgeEnd) once(ctx context.Context, conn *grpc.ClientConn) (views int, err error) {
+func (e *RouterClient) once(ctx context.Context, conn *grpc.ClientConn) (views int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := beat(e.Set.Silence)
-	quiet := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", e.Set.Silence)) })
+	silence := beat(e.Config.Silence)
+	quiet := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", e.Config.Silence)) })
 	defer quiet.Stop()
 	why := func(err error) error {
 		if cause := context.Cause(ctx); cause != nil {
@@ -147,7 +147,7 @@
 		}
 	})
 	work.Go(func() {
-		tick := time.NewTicker(beat(e.Set.Beat))
+		tick := time.NewTicker(beat(e.Config.Beat))
 		defer tick.Stop()
 		for {
 			e.put(next)
@@ -174,11 +174,11 @@
 }
 
 // put makes a digest and leaves it for the stream.
-func (e *EdgeEnd) put(next chan *linkpb.Digest) {
-	d := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: e.Relay, Edge: e.Edge, Terms: e.Terms}
-	e.Count(d)
+func (e *RouterClient) put(next chan *linkpb.Digest) {
+	d := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: e.Relay, Edge: e.Router, Terms: e.ConfigHash}
+	e.FillReport(d)
 	e.mu.Lock()
-	d.Life, d.Seq, d.Following = e.follower.Digest(e.Now())
+	d.Life, d.Seq, d.Following = e.follower.NextReport(e.Now())
 	d.ListNo = e.listNo
 	e.mu.Unlock()
 	select {
@@ -192,22 +192,22 @@
 }
 
 // view enters one that came.
-func (e *EdgeEnd) view(v *linkpb.View) {
-	head := lease.Head{Major: v.Major, Epoch: v.Epoch, Number: v.Number, Life: v.Life, Echo: v.Echo}
+func (e *RouterClient) view(v *linkpb.View) {
+	head := lease.AssignmentHeader{Major: v.Major, Epoch: v.Epoch, Sequence: v.Number, Incarnation: v.Life, AckedReport: v.Echo}
 	e.mu.Lock()
-	before, _ := e.follower.Follows()
-	r, list, stage := e.follower.Accept(head, lease.Parts{ListAt: v.ListAt, StageNo: v.StageNo})
-	until := e.follower.Until(v.Lease)
-	if r == lease.Taken && list && v.HasList {
+	before, _ := e.follower.Following()
+	r, list, stage := e.follower.AcceptAssignment(head, lease.ContentVersions{EndpointsAt: v.ListAt, ReleaseVersion: v.StageNo})
+	until := e.follower.LeaseEnd(v.Lease)
+	if r == lease.Accepted && list && v.HasList {
 		e.listNo = v.ListNo
 	}
 	e.mu.Unlock()
-	if r != lease.Taken {
+	if r != lease.Accepted {
 		e.Log.Info("view refused", "reason", r, "view", head)
 		return
 	}
 	if before != v.Epoch {
 		e.Log.Info("following", "planner", v.Epoch, "before", before)
 	}
-	e.Take(v, list, stage, until)
+	e.ApplyAssignment(v, list, stage, until)
 }
--- a/internal/controlrpc/link_test.go
+++ b/internal/controlrpc/link_test.go
@@ -23,9 +23,9 @@
 )
 
 // issue writes a certificate of a name that ends then, and gives a link that uses it and expects peer.
-func issue(o *testca.Office, file, name string, ends time.Time, address, peer string) *config.Link {
+func issue(o *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
 	cert, key := o.Issue(file, name, ends)
-	return &config.Link{Address: address, Beat: 0.02, Silence: 0.5, Lease: 1, Peer: peer, CA: o.CA(), Cert: cert, Key: key}
+	return &config.Link{Address: address, Beat: 0.02, Silence: 0.5, Lease: 1, Peer: peer, CA: o.CAFile(), Cert: cert, Key: key}
 }
 
 // lines is a log that can be searched.
@@ -55,17 +55,17 @@
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, set.Lease, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
-	p := &PlannerEnd{Set: set, Log: log.logger(), Relay: "r1",
-		Digest: func(d *linkpb.Digest) lease.Reason {
+	p := &ControllerServer{Config: set, Log: log.logger(), Relay: "r1",
+		AcceptReport: func(d *linkpb.Digest) lease.Reason {
 			mu.Lock()
 			defer mu.Unlock()
-			return leader.Digest(now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
+			return leader.AcceptReport(now(), d.Major, d.Edge, d.Life, d.Seq, d.Following)
 		},
-		View: func(edge string, listNo uint64) *linkpb.View {
+		NextAssignment: func(edge string, listNo uint64) *linkpb.View {
 			mu.Lock()
 			defer mu.Unlock()
-			h, share, life := leader.View(now(), edge)
-			v := &linkpb.View{Major: h.Major, Epoch: h.Epoch, Number: h.Number, Life: h.Life, Echo: h.Echo, Share: share, Lease: life, ListAt: now(), ListNo: 5}
+			h, share, life := leader.NextAssignment(now(), edge)
+			v := &linkpb.View{Major: h.Major, Epoch: h.Epoch, Number: h.Sequence, Life: h.Incarnation, Echo: h.AckedReport, Share: share, Lease: life, ListAt: now(), ListNo: 5}
 			if listNo != 5 {
 				v.HasList, v.Units = true, []*linkpb.Unit{{Id: 1}}
 			}
@@ -87,12 +87,12 @@
 }
 
 // edge follows until stop is called; views counts those taken, lists those with the list.
-func edge(t *testing.T, set *config.Link, log *lines) (e *EdgeEnd, views, lists *atomic.Int64, stop func()) {
+func edge(t *testing.T, set *config.Link, log *lines) (e *RouterClient, views, lists *atomic.Int64, stop func()) {
 	views, lists = new(atomic.Int64), new(atomic.Int64)
 	from := time.Now()
-	e = &EdgeEnd{Set: set, Log: log.logger(), Now: func() float64 { return 100 + time.Since(from).Seconds() }, Relay: "r1", Edge: "e1", Life: 1,
-		Count: func(*linkpb.Digest) {},
-		Take: func(v *linkpb.View, list, stage bool, until float64) {
+	e = &RouterClient{Config: set, Log: log.logger(), Now: func() float64 { return 100 + time.Since(from).Seconds() }, Relay: "r1", Router: "e1", Incarnation: 1,
+		FillReport: func(*linkpb.Digest) {},
+		ApplyAssignment: func(v *linkpb.View, list, stage bool, until float64) {
 			views.Add(1)
 			if list && v.HasList {
 				lists.Add(1)
@@ -134,7 +134,7 @@
 		_, end := planner(t, set, epoch, log)
 		before := views.Load()
 		soon(t, "views", func() bool { return views.Load() > before+5 })
-		if n := e.Numbers(); n.Epoch != epoch {
+		if n := e.Stats(); n.Epoch != epoch {
 			t.Errorf("follows %d, not %d", n.Epoch, epoch)
 		}
 		end()
@@ -151,7 +151,7 @@
 	stale.Close()
 	_, end := planner(t, set, 12, log)
 	soon(t, "the older planner hears that it is", func() bool { return log.has("superseded") })
-	if n := e.Numbers(); n.Epoch != 13 {
+	if n := e.Stats(); n.Epoch != 13 {
 		t.Errorf("turned back to %d", n.Epoch)
 	}
 	end()
@@ -239,7 +239,7 @@
 	soon(t, "the relay is named", func() bool { return log.has(`is of relay \"r2\", this planner of \"r1\"`) })
 	cancel()
 	<-done
-	err := (&PlannerEnd{Relay: "r1"}).Follow(&oneDigest{d: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&ControllerServer{Relay: "r1"}).Follow(&oneDigest{d: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
@@ -277,7 +277,7 @@
 		{"planner unknown", `certificate of \"plan.example.org\" (plan.example.org): x509: certificate signed by unknown authority`,
 			func() *config.Link {
 				l := issue(good, "edge3", "edge.example.org", hour, addr, "plan.example.org")
-				l.CA = other.CA()
+				l.CA = other.CAFile()
 				return l
 			}()},
 	} {
@@ -313,12 +313,12 @@
 
 // A beat that finds the last digest still unsent replaces it.
 func TestNewestDigestWaits(t *testing.T) {
-	e := &EdgeEnd{Now: func() float64 { return 1 }, Count: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
+	e := &RouterClient{Now: func() float64 { return 1 }, FillReport: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
 	next := make(chan *linkpb.Digest, 1)
 	for range 5 {
 		e.put(next)
 	}
-	if d := <-next; d.Seq != 5 || e.Numbers().Dropped != 4 {
-		t.Errorf("digest %d waits, %d dropped", d.Seq, e.Numbers().Dropped)
+	if d := <-next; d.Seq != 5 || e.Stats().ReportsDropped != 4 {
+		t.Errorf("digest %d waits, %d dropped", d.Seq, e.Stats().ReportsDropped)
 	}
 }
--- a/internal/controlrpc/planner.go
+++ b/internal/controlrpc/planner.go
@@ -20,16 +20,16 @@
 	"flintspread/internal/lease"
 )
 
-// PlannerEnd is a planner's end of all its links.
-type PlannerEnd struct {
+// ControllerServer is a planner's end of all its links.
+type ControllerServer struct {
 	linkpb.UnimplementedPlannerServer
-	Set   *config.Link
-	Log   *slog.Logger
-	Relay string
+	Config *config.Link
+	Log    *slog.Logger
+	Relay  string
 	// Digest enters what an edge sent and says whether it counts. It must not wait.
-	Digest func(*linkpb.Digest) lease.Reason
+	AcceptReport func(*linkpb.Digest) lease.Reason
 	// View makes the next view for an edge that has a version of the list. It must not wait.
-	View func(edge string, listNo uint64) *linkpb.View
+	NextAssignment func(edge string, listNo uint64) *linkpb.View
 
 	mu    sync.Mutex
 	edges map[*planStream]struct{}
@@ -56,15 +56,15 @@
 }
 
 // Serve serves until ctx ends.
-func (p *PlannerEnd) Serve(ctx context.Context, l net.Listener) error {
-	c, err := Creds(p.Set, p.Log)
+func (p *ControllerServer) Serve(ctx context.Context, l net.Listener) error {
+	c, err := Credentials(p.Config, p.Log)
 	if err != nil {
 		return fmt.Errorf(":link: %w", err)
 	}
 	p.mu.Lock()
 	p.edges = map[*planStream]struct{}{}
 	p.mu.Unlock()
-	srv := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(mostMessage), grpc.ConnectionTimeout(beat(p.Set.Silence)))
+	srv := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(mostMessage), grpc.ConnectionTimeout(beat(p.Config.Silence)))
 	linkpb.RegisterPlannerServer(srv, p)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Tell has every edge get a view soon.
-func (p *PlannerEnd) Tell() {
+// NotifyAll has every edge get a view soon.
+func (p *ControllerServer) NotifyAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.edges {
@@ -92,7 +92,7 @@
 }
 
 // Follow serves one edge's link.
-func (p *PlannerEnd) Follow(s linkpb.Planner_FollowServer) error {
+func (p *ControllerServer) Follow(s linkpb.Planner_FollowServer) error {
 	first, err := s.Recv()
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 	var at sync.Mutex
 	listNo := uint64(0)
 	take := func(d *linkpb.Digest) {
-		if r := p.Digest(d); r != lease.Taken {
+		if r := p.AcceptReport(d); r != lease.Accepted {
 			p.Log.Info("digest refused", "edge", d.Edge, "reason", r, "life", d.Life, "seq", d.Seq)
 			return
 		}
@@ -138,7 +138,7 @@
 		}
 	}()
 	// Views are made when they can be sent: an edge that reads slowly gets fewer, never older ones.
-	alive := time.NewTicker(beat(p.Set.Beat * 2))
+	alive := time.NewTicker(beat(p.Config.Beat * 2))
 	defer alive.Stop()
 	for {
 		select {
@@ -151,7 +151,7 @@
 		at.Lock()
 		no := listNo
 		at.Unlock()
-		if err := s.Send(p.View(first.Edge, no)); err != nil {
+		if err := s.Send(p.NextAssignment(first.Edge, no)); err != nil {
 			return err
 		}
 	}
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -18,25 +18,25 @@
 	"flintspread/internal/policy"
 )
 
-// Unit is one entry. Addr is empty only where State is "gone".
-type Unit struct {
-	ID    uint32  `json:"id"`    // above 0, never given to another machine
-	Addr  string  `json:"addr"`  // HOST:PORT
-	State string  `json:"state"` // ready, draining or gone
-	Build int     `json:"build"`
-	Zone  uint16  `json:"zone,omitempty"`
-	Cell  uint16  `json:"cell,omitempty"`
-	Heft  float64 `json:"heft,omitempty"`  // relative size, 1 if left out
-	Start float64 `json:"start,omitempty"` // when its process started, s since 1970; 0: long ago
+// Endpoint is one entry. Addr is empty only where State is "gone".
+type Endpoint struct {
+	ID        uint32  `json:"id"`    // above 0, never given to another machine
+	Addr      string  `json:"addr"`  // HOST:PORT
+	State     string  `json:"state"` // ready, draining or gone
+	Build     int     `json:"build"`
+	Zone      uint16  `json:"zone,omitempty"`
+	Cell      uint16  `json:"cell,omitempty"`
+	Weight    float64 `json:"heft,omitempty"`  // relative size, 1 if left out
+	StartedAt float64 `json:"start,omitempty"` // when its process started, s since 1970; 0: long ago
 }
 
-// Line is one line of the list's stream. A full one names every unit there is; else only changes follow. A line
+// Update is one line of the list's stream. A full one names every unit there is; else only changes follow. A line
 // without units tells that nothing changed.
-type Line struct {
-	Version uint64  `json:"version"`
-	Full    bool    `json:"full,omitempty"`
-	Age     float64 `json:"age,omitempty"` // s since this was true, as the service reckons
-	Units   []Unit  `json:"units,omitempty"`
+type Update struct {
+	Version   uint64     `json:"version"`
+	Full      bool       `json:"full,omitempty"`
+	Age       float64    `json:"age,omitempty"` // s since this was true, as the service reckons
+	Endpoints []Endpoint `json:"units,omitempty"`
 }
 
 const (
@@ -45,15 +45,15 @@
 )
 
 // Check refuses a line that can't be meant.
-func (l *Line) Check() error {
-	if len(l.Units) > mostUnits {
-		return fmt.Errorf("%d units; %d at most", len(l.Units), mostUnits)
+func (l *Update) Check() error {
+	if len(l.Endpoints) > mostUnits {
+		return fmt.Errorf("%d units; %d at most", len(l.Endpoints), mostUnits)
 	}
 	if !(l.Age >= 0) {
 		return fmt.Errorf("age %v", l.Age)
 	}
-	seen := make(map[uint32]bool, len(l.Units))
-	for i, u := range l.Units {
+	seen := make(map[uint32]bool, len(l.Endpoints))
+	for i, u := range l.Endpoints {
 		bad := ""
 		switch {
 		case u.ID == 0:
@@ -64,7 +64,7 @@
 			bad = fmt.Sprintf("unknown state %q", u.State)
 		case u.Build < 0 || u.Build >= mostBuilds:
 			bad = fmt.Sprintf("build %d", u.Build)
-		case !(u.Heft >= 0) || !(u.Start >= 0):
+		case !(u.Weight >= 0) || !(u.StartedAt >= 0):
 			bad = "heft or start below 0"
 		case u.State != "gone":
 			if _, _, err := net.SplitHostPort(u.Addr); err != nil {
@@ -84,7 +84,7 @@
 type List struct {
 	Version uint64
 	At      float64 // when it was true, s since 1970
-	units   *immutable.SortedMap[uint32, Unit]
+	units   *immutable.SortedMap[uint32, Endpoint]
 }
 
 // Len is how many units there are.
@@ -96,16 +96,16 @@
 }
 
 // Get gives a unit.
-func (l *List) Get(id uint32) (Unit, bool) {
+func (l *List) Get(id uint32) (Endpoint, bool) {
 	if l.units == nil {
-		return Unit{}, false
+		return Endpoint{}, false
 	}
 	return l.units.Get(id)
 }
 
 // All gives the units in the order of their ids.
-func (l *List) All() iter.Seq[Unit] {
-	return func(yield func(Unit) bool) {
+func (l *List) All() iter.Seq[Endpoint] {
+	return func(yield func(Endpoint) bool) {
 		if l.units == nil {
 			return
 		}
@@ -117,28 +117,28 @@
 	}
 }
 
-// Take enters a checked line and gives what it changes, which is all that has to be told on. Changes of an older version than
+// Apply enters a checked line and gives what it changes, which is all that has to be told on. Changes of an older version than
 // the list's are refused: the stream went backwards.
-func (l *List) Take(line *Line, now float64) (changes *Line, err error) {
+func (l *List) Apply(line *Update, now float64) (changes *Update, err error) {
 	if line.Version < l.Version && !line.Full {
 		return nil, fmt.Errorf("changes of version %d after version %d", line.Version, l.Version)
 	}
 	units := l.units
 	if units == nil {
-		units = immutable.NewSortedMap[uint32, Unit](nil)
+		units = immutable.NewSortedMap[uint32, Endpoint](nil)
 	}
-	changes = &Line{Version: line.Version, Age: line.Age, Full: line.Full && l.units == nil}
+	changes = &Update{Version: line.Version, Age: line.Age, Full: line.Full && l.units == nil}
 	named := 0
-	for _, u := range line.Units {
+	for _, u := range line.Endpoints {
 		old, there := units.Get(u.ID)
 		switch {
 		case u.State == "gone" && !there, u.State != "gone" && there && old == u:
 		case u.State == "gone":
 			units = units.Delete(u.ID)
-			changes.Units = append(changes.Units, u)
+			changes.Endpoints = append(changes.Endpoints, u)
 		default:
 			units = units.Set(u.ID, u)
-			changes.Units = append(changes.Units, u)
+			changes.Endpoints = append(changes.Endpoints, u)
 		}
 		if u.State != "gone" {
 			named++
@@ -146,13 +146,13 @@
 	}
 	if line.Full && units.Len() > named {
 		keep := make(map[uint32]bool, named)
-		for _, u := range line.Units {
+		for _, u := range line.Endpoints {
 			keep[u.ID] = true
 		}
 		for it := units.Iterator(); !it.Done(); {
 			if id, _, _ := it.Next(); !keep[id] {
 				units = units.Delete(id)
-				changes.Units = append(changes.Units, Unit{ID: id, State: "gone"})
+				changes.Endpoints = append(changes.Endpoints, Endpoint{ID: id, State: "gone"})
 			}
 		}
 	}
@@ -163,17 +163,17 @@
 	return changes, nil
 }
 
-// Older says why a full line is not to be taken after this list: it is older, or as old and tells of other units.
-func (l *List) Older(line *Line) error {
+// CheckNewer says why a full line is not to be taken after this list: it is older, or as old and tells of other units.
+func (l *List) CheckNewer(line *Update) error {
 	if line.Version < l.Version {
 		return fmt.Errorf("list version %d is older than %d, which is in force", line.Version, l.Version)
 	}
 	if line.Version > l.Version || l.units == nil {
 		return nil
 	}
-	changes, err := l.Clone().Take(line, 0)
-	if err == nil && len(changes.Units) > 0 {
-		err = fmt.Errorf("list version %d is in force with other units: %d differ", line.Version, len(changes.Units))
+	changes, err := l.Clone().Apply(line, 0)
+	if err == nil && len(changes.Endpoints) > 0 {
+		err = fmt.Errorf("list version %d is in force with other units: %d differ", line.Version, len(changes.Endpoints))
 	}
 	return err
 }
@@ -183,9 +183,9 @@
 
 // saved is a list on disk.
 type saved struct {
-	Version uint64  `json:"version"`
-	At      float64 `json:"at"`
-	Units   []Unit  `json:"units"`
+	Version uint64     `json:"version"`
+	At      float64    `json:"at"`
+	Units   []Endpoint `json:"units"`
 }
 
 func (l *List) MarshalJSON() ([]byte, error) {
@@ -197,33 +197,33 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	line := &Line{Full: true, Version: s.Version, Units: s.Units}
+	line := &Update{Full: true, Version: s.Version, Endpoints: s.Units}
 	if err := line.Check(); err != nil {
 		return err
 	}
 	*l = List{}
-	_, err := l.Take(line, s.At)
+	_, err := l.Apply(line, s.At)
 	return err
 }
 
-// Tell enters a checked line into a policy.
-func (l *Line) Tell(b *policy.Balancer, now float64) {
-	b.ListAge(l.Age)
-	if !l.Full && len(l.Units) == 0 {
+// ApplyTo enters a checked line into a policy.
+func (l *Update) ApplyTo(b *policy.Balancer, now float64) {
+	b.SetEndpointListAge(l.Age)
+	if !l.Full && len(l.Endpoints) == 0 {
 		return // nothing changed
 	}
-	b.ListStart(l.Full)
-	for _, u := range l.Units {
-		b.Listed(u.ID, u.Zone, u.Cell, u.Build, states[u.State], u.Heft, u.Start)
+	b.BeginEndpointList(l.Full)
+	for _, u := range l.Endpoints {
+		b.UpdateEndpoint(u.ID, u.Zone, u.Cell, u.Build, states[u.State], u.Weight, u.StartedAt)
 	}
-	b.ListEnd(now)
+	b.EndEndpointList(now)
 }
 
-var states = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
+var states = map[string]policy.EndpointState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
 
-// Full gives the whole list as one line, as a start from disk takes it.
-func (l *List) Full(now float64) *Line {
-	return &Line{Version: l.Version, Full: true, Age: max(0, now-l.At), Units: slices.Collect(l.All())}
+// FullUpdate gives the whole list as one line, as a start from disk takes it.
+func (l *List) FullUpdate(now float64) *Update {
+	return &Update{Version: l.Version, Full: true, Age: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
 }
 
 // Save writes the list.
@@ -232,11 +232,11 @@
 	if err != nil {
 		return err
 	}
-	return Replace(file, text)
+	return ReplaceFile(file, text)
 }
 
-// Replace writes a file so that a kill at any point leaves the old one or the new one, whole.
-func Replace(file string, text []byte) (err error) {
+// ReplaceFile writes a file so that a kill at any point leaves the old one or the new one, whole.
+func ReplaceFile(file string, text []byte) (err error) {
 	dir := filepath.Dir(file)
 	tmp, err := os.CreateTemp(dir, filepath.Base(file)+".new-*")
 	if err != nil {
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestCheck(t *testing.T) {
-	fine := Unit{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: 1}
-	with := func(edit func(*Unit)) Unit { u := fine; edit(&u); return u }
-	for want, units := range map[string][]Unit{
-		"":              {fine, with(func(u *Unit) { u.ID, u.State, u.Addr = 2, "gone", "" })},
-		"no id":         {with(func(u *Unit) { u.ID = 0 })},
+	fine := Endpoint{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: 1}
+	with := func(edit func(*Endpoint)) Endpoint { u := fine; edit(&u); return u }
+	for want, units := range map[string][]Endpoint{
+		"":              {fine, with(func(u *Endpoint) { u.ID, u.State, u.Addr = 2, "gone", "" })},
+		"no id":         {with(func(u *Endpoint) { u.ID = 0 })},
 		"named twice":   {fine, fine},
-		"unknown state": {with(func(u *Unit) { u.State = "well" })},
-		"no HOST:PORT":  {with(func(u *Unit) { u.Addr = "here" })},
-		"build -1":      {with(func(u *Unit) { u.Build = -1 })},
-		"below 0":       {with(func(u *Unit) { u.Heft = -1 })},
-		"units;":        make([]Unit, mostUnits+1),
+		"unknown state": {with(func(u *Endpoint) { u.State = "well" })},
+		"no HOST:PORT":  {with(func(u *Endpoint) { u.Addr = "here" })},
+		"build -1":      {with(func(u *Endpoint) { u.Build = -1 })},
+		"below 0":       {with(func(u *Endpoint) { u.Weight = -1 })},
+		"units;":        make([]Endpoint, mostUnits+1),
 	} {
-		err := (&Line{Units: units}).Check()
+		err := (&Update{Endpoints: units}).Check()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
@@ -30,22 +30,22 @@
 
 func Example_changes() {
 	l := &List{}
-	take := func(line Line) {
-		changes, err := l.Take(&line, 100)
+	take := func(line Update) {
+		changes, err := l.Apply(&line, 100)
 		fmt.Print("version ", l.Version, " at ", l.At, " units ", l.Len())
 		if changes != nil {
-			for _, u := range changes.Units {
+			for _, u := range changes.Endpoints {
 				fmt.Print(" ", u.ID, " ", u.State)
 			}
 		}
 		fmt.Println("", err)
 	}
-	a, b := Unit{ID: 1, State: "ready"}, Unit{ID: 2, State: "ready"}
-	take(Line{Version: 5, Full: true, Units: []Unit{a, b}})
-	take(Line{Version: 6, Age: 2, Units: []Unit{{ID: 1, State: "gone"}, {ID: 3, State: "draining"}}})
-	take(Line{Version: 4, Units: []Unit{a}})
-	take(Line{Version: 6})
-	take(Line{Version: 1, Full: true, Units: []Unit{b}}) // the service began anew
+	a, b := Endpoint{ID: 1, State: "ready"}, Endpoint{ID: 2, State: "ready"}
+	take(Update{Version: 5, Full: true, Endpoints: []Endpoint{a, b}})
+	take(Update{Version: 6, Age: 2, Endpoints: []Endpoint{{ID: 1, State: "gone"}, {ID: 3, State: "draining"}}})
+	take(Update{Version: 4, Endpoints: []Endpoint{a}})
+	take(Update{Version: 6})
+	take(Update{Version: 1, Full: true, Endpoints: []Endpoint{b}}) // the service began anew
 	// Output:
 	// version 5 at 100 units 2 1 ready 2 ready <nil>
 	// version 6 at 98 units 2 1 gone 3 draining <nil>
@@ -60,8 +60,8 @@
 	if l, err := Load(file); err != nil || l.Len() != 0 {
 		t.Fatal(l, err)
 	}
-	l, one := &List{}, Unit{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: 2}
-	if _, err := l.Take(&Line{Version: 7, Full: true, Units: []Unit{one}}, 5); err != nil {
+	l, one := &List{}, Endpoint{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: 2}
+	if _, err := l.Apply(&Update{Version: 7, Full: true, Endpoints: []Endpoint{one}}, 5); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Save(file); err != nil {
@@ -103,29 +103,29 @@
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("units-", n), func(b *testing.B) {
-			line := func(version int) *Line {
-				l := &Line{Version: uint64(version), Full: true, Units: make([]Unit, n)}
-				for i := range l.Units {
-					l.Units[i] = Unit{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
+			line := func(version int) *Update {
+				l := &Update{Version: uint64(version), Full: true, Endpoints: make([]Endpoint, n)}
+				for i := range l.Endpoints {
+					l.Endpoints[i] = Endpoint{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
 					if i%100 == 0 {
-						l.Units[i].Build = 1 + version%2
+						l.Endpoints[i].Build = 1 + version%2
 					}
 				}
 				return l
 			}
-			lines := [2]*Line{line(0), line(1)}
+			lines := [2]*Update{line(0), line(1)}
 			list := &List{}
-			if _, err := list.Take(lines[0], 1); err != nil {
+			if _, err := list.Apply(lines[0], 1); err != nil {
 				b.Fatal(err)
 			}
 			changed := 0
 			b.ReportAllocs()
 			for i := 1; b.Loop(); i++ {
-				changes, err := list.Take(lines[i%2], 1)
+				changes, err := list.Apply(lines[i%2], 1)
 				if err != nil {
 					b.Fatal(err)
 				}
-				changed = len(changes.Units)
+				changed = len(changes.Endpoints)
 			}
 			b.ReportMetric(float64(changed), "changed")
 		})
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -27,7 +27,7 @@
 	Address string // where its clients connect
 	admin   string
 	cmd     *exec.Cmd
-	units   []*fakes.Quick
+	units   []*fakes.FastEndpoint
 	stop    func()
 	dir     string
 }
@@ -81,7 +81,7 @@
 		return b, err
 	}
 	for range max(1, e.Units) {
-		u, err := fakes.StartQuick()
+		u, err := fakes.StartFastEndpoint()
 		if err != nil {
 			return b, err
 		}
--- a/internal/fakes/control.go
+++ b/internal/fakes/control.go
@@ -174,13 +174,13 @@
 }
 
 // UnitsResponse makes a response with a list of units.
-func UnitsResponse(relay string, version uint64, units []endpoints.Unit) *discovery.DiscoveryResponse {
+func UnitsResponse(relay string, version uint64, units []endpoints.Endpoint) *discovery.DiscoveryResponse {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{{}}}
 	for _, u := range units {
 		host, port, _ := net.SplitHostPort(u.Addr)
 		var n uint32
 		fmt.Sscan(port, &n)
-		fields, _ := structpb.NewStruct(map[string]any{"id": float64(u.ID), "build": float64(u.Build), "start": u.Start, "zone": float64(u.Zone), "cell": float64(u.Cell)})
+		fields, _ := structpb.NewStruct(map[string]any{"id": float64(u.ID), "build": float64(u.Build), "start": u.StartedAt, "zone": float64(u.Zone), "cell": float64(u.Cell)})
 		health := core.HealthStatus_HEALTHY
 		if u.State == "draining" {
 			health = core.HealthStatus_DRAINING
--- a/internal/fakes/installer.go
+++ b/internal/fakes/installer.go
@@ -36,12 +36,12 @@
 
 // Fleet starts and stops units for the installer.
 type Fleet interface {
-	StartUnit(place, build int) (*Unit, error)
-	StopUnit(u *Unit)
+	StartUnit(place, build int) (*Endpoint, error)
+	StopUnit(u *Endpoint)
 }
 
 type ballot struct {
-	releases.Ballot
+	releases.VoteMessage
 	at float64
 }
 
@@ -65,7 +65,7 @@
 	readyAt float64 // when the stage's units are all there
 	version uint64
 	sent    map[string]uint64 // by relay: the newest it was sent
-	places  []*Unit
+	places  []*Endpoint
 	pending []pending
 	votes   map[string]ballot
 	offers  []int
@@ -92,8 +92,8 @@
 	return in, nil
 }
 
-func entry(u *Unit, state string) endpoints.Unit {
-	return endpoints.Unit{ID: u.ID, Addr: u.Addr, State: state, Build: u.Build, Start: u.Start}
+func entry(u *Endpoint, state string) endpoints.Endpoint {
+	return endpoints.Endpoint{ID: u.ID, Addr: u.Addr, State: state, Build: u.Build, StartedAt: u.Start}
 }
 
 // Offer queues a build; it starts once the one before is released or withdrawn.
@@ -118,10 +118,10 @@
 }
 
 // Units are those in the places now.
-func (in *Installer) Units() []*Unit {
+func (in *Installer) Units() []*Endpoint {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return append([]*Unit(nil), in.places...)
+	return append([]*Endpoint(nil), in.places...)
 }
 
 // Restart replaces the unit of a place by a new process of its build; crash: without a drain.
@@ -255,17 +255,17 @@
 	})
 }
 
-func (in *Installer) line() releases.News {
+func (in *Installer) line() releases.Update {
 	limit := in.plan.Caps[in.stage]
 	if in.phase == "going-back" || in.phase == "withdrawn" {
 		limit = 0
 	} else if in.phase == "released" {
 		limit = 1
 	}
-	return releases.News{Version: in.version, Build: in.build, Stage: in.stage, Phase: in.phase, Cap: limit, Age: in.clock() - in.since}
+	return releases.Update{Version: in.version, Build: in.build, Stage: in.stage, Phase: in.phase, Cap: limit, Age: in.clock() - in.since}
 }
 
-func (in *Installer) told(relay string, l releases.News) {
+func (in *Installer) told(relay string, l releases.Update) {
 	now := in.clock()
 	in.mu.Lock()
 	old := l.Version < in.sent[relay] // overtaken on the way; relays drop it
@@ -317,7 +317,7 @@
 // Vote takes a relay's vote.
 func (in *Installer) Vote(w http.ResponseWriter, req *http.Request) {
 	relay := req.PathValue("relay")
-	var b releases.Ballot
+	var b releases.VoteMessage
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 1<<16)).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/fakes/list.go
+++ b/internal/fakes/list.go
@@ -20,34 +20,34 @@
 	down    bool
 	version uint64
 	pending []change
-	shown   map[uint32]endpoints.Unit
+	shown   map[uint32]endpoints.Endpoint
 	known   map[string]map[uint32]bool // by relay: units it was told are ready (false: not)
 	subs    map[*sub]struct{}
-	mirror  func(relay string, version uint64, units []endpoints.Unit)
+	mirror  func(relay string, version uint64, units []endpoints.Endpoint)
 	relays  []string
 }
 
 type change struct {
 	at   float64
-	unit endpoints.Unit
+	unit endpoints.Endpoint
 }
 
-type sub struct{ lines chan endpoints.Line }
+type sub struct{ lines chan endpoints.Update }
 
 func NewList(lag float64, rec *invariants.Record, clock func() float64) *List {
-	return &List{rec: rec, clock: clock, lag: lag, shown: map[uint32]endpoints.Unit{}, known: map[string]map[uint32]bool{},
+	return &List{rec: rec, clock: clock, lag: lag, shown: map[uint32]endpoints.Endpoint{}, known: map[string]map[uint32]bool{},
 		subs: map[*sub]struct{}{}}
 }
 
 // Mirror has each change told by another way too, whole, to relays of those names. What is told so is noted as told.
-func (l *List) Mirror(tell func(relay string, version uint64, units []endpoints.Unit), relays []string) {
+func (l *List) Mirror(tell func(relay string, version uint64, units []endpoints.Endpoint), relays []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mirror, l.relays = tell, relays
 }
 
 // Put enters what became of a unit.
-func (l *List) Put(u endpoints.Unit) {
+func (l *List) Put(u endpoints.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, change{l.clock(), u})
@@ -78,7 +78,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	var line endpoints.Line
+	var line endpoints.Update
 	for len(l.pending) > 0 && l.pending[0].at+l.lag <= now {
 		u := l.pending[0].unit
 		l.pending = l.pending[1:]
@@ -88,30 +88,30 @@
 		} else {
 			l.shown[u.ID] = u
 		}
-		line.Units = append(line.Units, u)
+		line.Endpoints = append(line.Endpoints, u)
 	}
-	if line.Version = l.version; len(line.Units) == 0 {
+	if line.Version = l.version; len(line.Endpoints) == 0 {
 		return
 	}
 	// A unit that changed twice is told as it is last.
 	last := map[uint32]int{}
-	for i, u := range line.Units {
+	for i, u := range line.Endpoints {
 		last[u.ID] = i
 	}
-	units := line.Units
-	line.Units = nil
+	units := line.Endpoints
+	line.Endpoints = nil
 	for i, u := range units {
 		if last[u.ID] == i {
-			line.Units = append(line.Units, u)
+			line.Endpoints = append(line.Endpoints, u)
 		}
 	}
 	if l.mirror != nil {
-		full := endpoints.Line{Version: l.version, Full: true}
+		full := endpoints.Update{Version: l.version, Full: true}
 		for _, u := range l.shown {
-			full.Units = append(full.Units, u)
+			full.Endpoints = append(full.Endpoints, u)
 		}
 		for _, relay := range l.relays {
-			l.mirror(relay, l.version, full.Units)
+			l.mirror(relay, l.version, full.Endpoints)
 			l.note(relay, full)
 		}
 	}
@@ -126,13 +126,13 @@
 }
 
 // told notes what a relay is sent.
-func (l *List) told(relay string, line endpoints.Line) {
+func (l *List) told(relay string, line endpoints.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.note(relay, line)
 }
 
-func (l *List) note(relay string, line endpoints.Line) {
+func (l *List) note(relay string, line endpoints.Update) {
 	known := l.known[relay]
 	if known == nil {
 		known = map[uint32]bool{}
@@ -141,7 +141,7 @@
 	now := l.clock()
 	var news []invariants.Told
 	named := map[uint32]bool{}
-	for _, u := range line.Units {
+	for _, u := range line.Endpoints {
 		named[u.ID] = true
 		known[u.ID] = u.State == "ready"
 		news = append(news, invariants.Told{At: now, Relay: relay, Unit: u.ID, Ready: u.State == "ready"})
@@ -158,7 +158,7 @@
 // ServeHTTP streams the list to a relay, named by the path's first part.
 func (l *List) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	relay := req.PathValue("relay")
-	s := &sub{lines: make(chan endpoints.Line, 1024)}
+	s := &sub{lines: make(chan endpoints.Update, 1024)}
 	l.mu.Lock()
 	if l.down {
 		l.mu.Unlock()
@@ -166,12 +166,12 @@
 		return
 	}
 	l.subs[s] = struct{}{}
-	first := endpoints.Line{Version: l.version, Full: true}
+	first := endpoints.Update{Version: l.version, Full: true}
 	for _, u := range l.shown {
-		first.Units = append(first.Units, u)
+		first.Endpoints = append(first.Endpoints, u)
 	}
 	l.mu.Unlock()
-	send := func(line endpoints.Line) bool {
+	send := func(line endpoints.Update) bool {
 		text, _ := json.Marshal(line)
 		if _, err := w.Write(append(text, '\n')); err != nil {
 			return false
@@ -197,7 +197,7 @@
 			l.mu.Lock()
 			version := l.version
 			l.mu.Unlock()
-			ok = send(endpoints.Line{Version: version})
+			ok = send(endpoints.Update{Version: version})
 		}
 	}
 	l.mu.Lock()
--- a/internal/fakes/queries.go
+++ b/internal/fakes/queries.go
@@ -42,8 +42,8 @@
 	lieShare         = 0.6         // of outcomes
 )
 
-// Queries is a query server: it scrapes what it is shown and answers selectors over the HTTP API.
-type Queries struct {
+// QueryServer is a query server: it scrapes what it is shown and answers selectors over the HTTP API.
+type QueryServer struct {
 	URL    string
 	clock  func() float64
 	srv    *http.Server
@@ -66,13 +66,13 @@
 	Value  float64
 }
 
-// StartQueries listens on a loopback port of its own.
-func StartQueries(clock func() float64) (*Queries, error) {
+// StartQueryServer listens on a loopback port of its own.
+func StartQueryServer(clock func() float64) (*QueryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	q := &Queries{URL: "http://" + l.Addr().String(), clock: clock, parse: parser.NewParser(parser.Options{}), series: map[string]*scraped{}}
+	q := &QueryServer{URL: "http://" + l.Addr().String(), clock: clock, parse: parser.NewParser(parser.Options{}), series: map[string]*scraped{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/api/v1/query", q.serve(false))
 	mux.HandleFunc("/api/v1/query_range", q.serve(true))
@@ -82,10 +82,10 @@
 }
 
 // Stop ends it.
-func (q *Queries) Stop() { q.srv.Close() }
+func (q *QueryServer) Stop() { q.srv.Close() }
 
 // Ail sets its fault.
-func (q *Queries) Ail(f Fault) {
+func (q *QueryServer) Ail(f Fault) {
 	if f == Exploded {
 		explosion() // takes a while, the first time
 	}
@@ -95,7 +95,7 @@
 }
 
 // Heal ends a fault, unless another has taken its place.
-func (q *Queries) Heal(f Fault) {
+func (q *QueryServer) Heal(f Fault) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == f {
@@ -104,14 +104,14 @@
 }
 
 // Asked tells how many queries it was sent.
-func (q *Queries) Asked() int {
+func (q *QueryServer) Asked() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.asked
 }
 
 // Enter adds what was scraped at a time. Series that are not among it end.
-func (q *Queries) Enter(at float64, list []Scrape) {
+func (q *QueryServer) Enter(at float64, list []Scrape) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == Blind {
@@ -169,7 +169,7 @@
 	Result     any    `json:"result"`
 }
 
-func (q *Queries) serve(ranged bool) http.HandlerFunc {
+func (q *QueryServer) serve(ranged bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		req.ParseForm() // a server sees that its client left only once it has read what came
 		q.mu.Lock()
@@ -222,7 +222,7 @@
 	}
 }
 
-func (q *Queries) answer(req *http.Request, ranged bool, fault Fault) (*apiAnswer, int) {
+func (q *QueryServer) answer(req *http.Request, ranged bool, fault Fault) (*apiAnswer, int) {
 	bad := func(format string, args ...any) (*apiAnswer, int) {
 		return &apiAnswer{Status: "error", ErrorType: "bad_data", Error: fmt.Sprintf(format, args...)}, http.StatusBadRequest
 	}
@@ -310,7 +310,7 @@
 	return m
 }
 
-func (q *Queries) match(by []*labels.Matcher) (found []*scraped) {
+func (q *QueryServer) match(by []*labels.Matcher) (found []*scraped) {
 	for _, s := range q.series {
 		if !slices.ContainsFunc(by, func(m *labels.Matcher) bool { return !m.Matches(s.labels.Get(m.Name)) }) {
 			found = append(found, s)
@@ -343,7 +343,7 @@
 }
 
 // Shows gives what a unit shows to a scrape.
-func (u *Unit) Shows() []Scrape {
+func (u *Endpoint) Shows() []Scrape {
 	l := map[string]string{"unit": strconv.Itoa(int(u.ID)), "build": strconv.Itoa(u.Build), "instance": u.Addr}
 	t := u.ails.Load()
 	if t.Silent || u.stop.Err() != nil {
--- a/internal/fakes/quick.go
+++ b/internal/fakes/quick.go
@@ -16,8 +16,8 @@
 	"flintspread/internal/releases"
 )
 
-// Quick is a unit that answers at once, for loads that a full stand-in could not take. It can pause.
-type Quick struct {
+// FastEndpoint is a unit that answers at once, for loads that a full stand-in could not take. It can pause.
+type FastEndpoint struct {
 	Addr   string
 	l      net.Listener
 	until  atomic.Int64 // ns since 1970 until which it answers nothing
@@ -28,13 +28,13 @@
 	conns  map[net.Conn]struct{}
 }
 
-// StartQuick listens on a loopback port of its own.
-func StartQuick() (*Quick, error) {
+// StartFastEndpoint listens on a loopback port of its own.
+func StartFastEndpoint() (*FastEndpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	q := &Quick{Addr: l.Addr().String(), l: l, conns: map[net.Conn]struct{}{}}
+	q := &FastEndpoint{Addr: l.Addr().String(), l: l, conns: map[net.Conn]struct{}{}}
 	q.size.Store(7)
 	go func() {
 		for {
@@ -52,16 +52,16 @@
 }
 
 // Pause makes it answer nothing for a while; what comes waits.
-func (q *Quick) Pause(d time.Duration) { q.until.Store(time.Now().Add(d).UnixNano()) }
+func (q *FastEndpoint) Pause(d time.Duration) { q.until.Store(time.Now().Add(d).UnixNano()) }
 
 // Answers sets how many bytes an answer has and how long the work takes.
-func (q *Quick) Answers(bytes int, work time.Duration) {
+func (q *FastEndpoint) Answers(bytes int, work time.Duration) {
 	q.size.Store(int64(bytes))
 	q.wait.Store(int64(work))
 }
 
 // Stop ends it.
-func (q *Quick) Stop() {
+func (q *FastEndpoint) Stop() {
 	q.l.Close()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-func (q *Quick) serve(c net.Conn) {
+func (q *FastEndpoint) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		q.mu.Lock()
@@ -117,16 +117,16 @@
 }
 
 // Still serves a list that does not change and an installer that offers nothing, at an address of its own.
-func Still(units []*Quick) (address string, stop func(), err error) {
+func Still(units []*FastEndpoint) (address string, stop func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
-	line := endpoints.Line{Version: 1, Full: true}
+	line := endpoints.Update{Version: 1, Full: true}
 	for i, u := range units {
-		line.Units = append(line.Units, endpoints.Unit{ID: uint32(i + 1), Addr: u.Addr, State: "ready", Build: 1})
+		line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: uint32(i + 1), Addr: u.Addr, State: "ready", Build: 1})
 	}
-	news := releases.News{Version: 1, Build: 1, Phase: "released", Cap: 1, Age: 1000}
+	news := releases.Update{Version: 1, Build: 1, Phase: "released", Cap: 1, Age: 1000}
 	again := func(x any) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
 			for {
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -17,13 +17,13 @@
 	"flintspread/internal/platform/resp"
 )
 
-// SiteTrial is the build that is on trial at a site; what its settings say of the rules stands in SiteBounds.
-const SiteTrial = 2
+// PlatformSiteCanary is the build that is on trial at a site; what its settings say of the rules stands in SiteBounds.
+const PlatformSiteCanary = 2
 
-var SiteBounds = invariants.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
+var PlatformSiteBounds = invariants.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
 
-// Site plays what is around one relay in the platform's protocol, and enters what it sees on its sockets.
-type Site struct {
+// PlatformSite plays what is around one relay in the platform's protocol, and enters what it sees on its sockets.
+type PlatformSite struct {
 	Rec   *invariants.Record
 	Relay string
 
@@ -40,14 +40,14 @@
 	open  []interface{ Close() error }
 }
 
-// NewSite begins with no units and a build on trial in its first stage.
-func NewSite(relay string) *Site {
-	return &Site{Rec: invariants.NewRecord(), Relay: relay, base: time.Now(), watch: map[chan []byte]bool{},
+// NewPlatformSite begins with no units and a build on trial in its first stage.
+func NewPlatformSite(relay string) *PlatformSite {
+	return &PlatformSite{Rec: invariants.NewRecord(), Relay: relay, base: time.Now(), watch: map[chan []byte]bool{},
 		desks: map[net.Conn]bool{}, phase: "trial", stop: make(chan struct{})}
 }
 
 // Close ends all that the site serves.
-func (s *Site) Close() {
+func (s *PlatformSite) Close() {
 	close(s.stop)
 	s.mu.Lock()
 	open := s.open
@@ -58,23 +58,23 @@
 }
 
 // Clock is the one that all watch by, s since 1970 as units' starts are.
-func (s *Site) Clock() float64 { return float64(time.Now().UnixNano()) / 1e9 }
+func (s *PlatformSite) Clock() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // Votes and Released tell how far the release has come.
-func (s *Site) Votes() int {
+func (s *PlatformSite) Votes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes
 }
 
-func (s *Site) Released() bool {
+func (s *PlatformSite) Released() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase == "released"
 }
 
 // kept notes a listener to close, and gives its address.
-func (s *Site) kept(l net.Listener, err error) (string, error) {
+func (s *PlatformSite) kept(l net.Listener, err error) (string, error) {
 	if err != nil {
 		return "", err
 	}
@@ -90,7 +90,7 @@
 }
 
 // Unit starts one that ends a share of its deliveries badly, in every way there is, and lists it.
-func (s *Site) Unit(n, build int, bad float64) error {
+func (s *PlatformSite) Unit(n, build int, bad float64) error {
 	at, err := s.kept(Serve(func(c net.Conn) { s.serve(c, uint32(n), bad) }))
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (s *Site) serve(c net.Conn, unit uint32, bad float64) {
+func (s *PlatformSite) serve(c net.Conn, unit uint32, bad float64) {
 	br := bufio.NewReader(c)
 	for {
 		args, err := resp.Command(br)
@@ -140,7 +140,7 @@
 }
 
 // List changes one entry, and tells all who watch.
-func (s *Site) List(host, dial string, build int, health string) {
+func (s *PlatformSite) List(host, dial string, build int, health string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := map[string]any{"host": host, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health, "share": 1.0, "born_ms": 0, "image_id": build}
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *Site) told(e map[string]any) {
+func (s *PlatformSite) told(e map[string]any) {
 	at := s.Clock()
 	s.Rec.Enter(func(r *invariants.Record) {
 		r.Told = append(r.Told, invariants.Told{At: at, Relay: s.Relay, Unit: unitID(e["host"].(string)), Ready: e["health"] == "SERVING"})
@@ -167,7 +167,7 @@
 }
 
 // Discovery starts an agent and gives its address, and a way to end it. While spoil, if it is not nil, says so, its answers are spoilt.
-func (s *Site) Discovery(spoil func() bool) (at string, end func() error, err error) {
+func (s *PlatformSite) Discovery(spoil func() bool) (at string, end func() error, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -186,7 +186,7 @@
 	return l.Addr().String(), srv.Close, nil
 }
 
-func (s *Site) stream(w http.ResponseWriter, req *http.Request) {
+func (s *PlatformSite) stream(w http.ResponseWriter, req *http.Request) {
 	ch := make(chan []byte, 100)
 	s.mu.Lock()
 	s.watch[ch] = true
@@ -216,26 +216,26 @@
 }
 
 // whole words the whole list. Under the lock.
-func (s *Site) whole() []byte {
+func (s *PlatformSite) whole() []byte {
 	text, _ := json.Marshal(map[string]any{"seq": s.seq, "whole": true, "hosts": s.hosts})
 	return text
 }
 
 // state words how the trial build stands. Under the lock.
-func (s *Site) state() string {
-	return fmt.Sprintf("%d %d %s %v %d", SiteTrial, s.stage, s.phase, s.cap(), time.Since(s.base).Milliseconds())
+func (s *PlatformSite) state() string {
+	return fmt.Sprintf("%d %d %s %v %d", PlatformSiteCanary, s.stage, s.phase, s.cap(), time.Since(s.base).Milliseconds())
 }
 
-func (s *Site) cap() float64 {
+func (s *PlatformSite) cap() float64 {
 	if s.phase == "released" {
 		return 1
 	}
-	return SiteBounds.Caps[s.stage]
+	return PlatformSiteBounds.Caps[s.stage]
 }
 
 // tell enters what the relay hears of the release; released and trial are the audit's words as well, but for the latter.
-func (s *Site) tell() {
-	n := invariants.News{At: s.Clock(), Relay: s.Relay, Build: SiteTrial, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], Cap: s.cap()}
+func (s *PlatformSite) tell() {
+	n := invariants.News{At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], Cap: s.cap()}
 	if n.Phase == "" {
 		n.Phase = s.phase
 	}
@@ -244,7 +244,7 @@
 
 // Desk starts a control service and gives its address, and a way to end its taking new connections. Each PROCEED moves the build on;
 // every third answer to a vote is spoilt.
-func (s *Site) Desk() (at string, end func() error, err error) {
+func (s *PlatformSite) Desk() (at string, end func() error, err error) {
 	l, err := Desk(s.answer, func(c net.Conn) { io.WriteString(c, "*\r\n") })
 	if at, err = s.kept(l, err); err != nil {
 		return "", nil, err
@@ -252,14 +252,14 @@
 	return at, l.Close, nil
 }
 
-func (s *Site) answer(c net.Conn, line string) {
+func (s *PlatformSite) answer(c net.Conn, line string) {
 	f := strings.Fields(line)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if line == "follow" {
 		s.desks[c] = true
 		s.tell()
-		fmt.Fprintf(c, "OK\r\n* progress %s\r\n* metrics %d lookup 5 0 1.5 100\r\n*\r\n", s.state(), SiteTrial)
+		fmt.Fprintf(c, "OK\r\n* progress %s\r\n* metrics %d lookup 5 0 1.5 100\r\n*\r\n", s.state(), PlatformSiteCanary)
 		return
 	}
 	if s.votes++; s.votes%3 == 1 {
@@ -268,8 +268,8 @@
 	}
 	if f[3] == "PROCEED" && f[2] == strconv.Itoa(s.stage) && s.phase == "trial" {
 		s.base = time.Now()
-		if s.stage++; s.stage == len(SiteBounds.Caps) {
-			s.stage, s.phase = len(SiteBounds.Caps)-1, "released"
+		if s.stage++; s.stage == len(PlatformSiteBounds.Caps) {
+			s.stage, s.phase = len(PlatformSiteBounds.Caps)-1, "released"
 		}
 	}
 	s.tell()
@@ -282,13 +282,13 @@
 }
 
 // Config words the platform's file for a relay that listens at an address.
-func (s *Site) Config(address, discovery, desk string) string {
+func (s *PlatformSite) Config(address, discovery, desk string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "platform":{"address":%q,"news":{"build":%d,"stage":0,"phase":"trial","cap":%v,"age_ms":0}},
-"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, SiteTrial, SiteBounds.Caps[0], s.whole(), siteSettings)
+"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.Caps[0], s.whole(), siteSettings)
 }
 
 const siteSettings = `{"balancers":1,"round":5.0,"discovery":"push",
@@ -302,7 +302,7 @@
  "api_timeout":300.0,"votes_per_s":20.0}}`
 
 // Client asks until it is told to stop, one command after the other, each on the connection before it while that lasts.
-func (s *Site) Client(n int, address string, until <-chan struct{}) {
+func (s *PlatformSite) Client(n int, address string, until <-chan struct{}) {
 	var c net.Conn
 	var br *bufio.Reader
 	for i := 0; ; i++ {
--- a/internal/fakes/testca/office.go
+++ b/internal/fakes/testca/office.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Office is an authority. Its files are in a folder that ends with the test.
-type Office struct {
+// CA is an authority. Its files are in a folder that ends with the test.
+type CA struct {
 	t    testing.TB
 	dir  string
 	cert *x509.Certificate
@@ -24,8 +24,8 @@
 }
 
 // New makes an authority of a name.
-func New(t testing.TB, name string) *Office {
-	o := &Office{t: t, dir: t.TempDir()}
+func New(t testing.TB, name string) *CA {
+	o := &CA{t: t, dir: t.TempDir()}
 	o.key = o.newKey()
 	o.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour)}
@@ -33,11 +33,11 @@
 	return o
 }
 
-// CA is the file of the authority's own certificate.
-func (o *Office) CA() string { return filepath.Join(o.dir, "ca.pem") }
+// CAFile is the file of the authority's own certificate.
+func (o *CA) CAFile() string { return filepath.Join(o.dir, "ca.pem") }
 
 // Issue writes the certificate of a name that ends then, and its key; one issued before under the same file is replaced.
-func (o *Office) Issue(file, name string, ends time.Time) (cert, key string) {
+func (o *CA) Issue(file, name string, ends time.Time) (cert, key string) {
 	k := o.newKey()
 	der := o.sign(&x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: ends}, &k.PublicKey)
@@ -48,7 +48,7 @@
 	return o.write(file+".pem", "CERTIFICATE", der), o.write(file+".key", "EC PRIVATE KEY", raw)
 }
 
-func (o *Office) newKey() *ecdsa.PrivateKey {
+func (o *CA) newKey() *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		o.t.Fatal(err)
@@ -56,7 +56,7 @@
 	return key
 }
 
-func (o *Office) sign(c *x509.Certificate, pub *ecdsa.PublicKey) []byte {
+func (o *CA) sign(c *x509.Certificate, pub *ecdsa.PublicKey) []byte {
 	der, err := x509.CreateCertificate(rand.Reader, c, o.cert, pub, o.key)
 	if err != nil {
 		o.t.Fatal(err)
@@ -64,7 +64,7 @@
 	return der
 }
 
-func (o *Office) write(file, kind string, der []byte) string {
+func (o *CA) write(file, kind string, der []byte) string {
 	path := filepath.Join(o.dir, file)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		o.t.Fatal(err)
--- a/internal/fakes/unit.go
+++ b/internal/fakes/unit.go
@@ -36,8 +36,8 @@
 	LateError float64 `edn:"late-error"` // share that fails
 }
 
-// Trouble is what ails a unit, all at once. The zero value is none.
-type Trouble struct {
+// EndpointFault is what ails a unit, all at once. The zero value is none.
+type EndpointFault struct {
 	Slow      float64 // times slower, 0: not
 	Errors    float64 // share that fails at once
 	Silent    bool    // neither answers nor accepts
@@ -50,8 +50,8 @@
 	Wrong     float64 // share of answers that are wrong, and quick
 }
 
-// UnitShape is what all units of a fleet have in common.
-type UnitShape struct {
+// EndpointShape is what all units of a fleet have in common.
+type EndpointShape struct {
 	Cores      int
 	Queue      int // commands in hand above which one is turned away
 	ColdFrom   float64
@@ -60,13 +60,13 @@
 	FallTime   float64
 }
 
-// Unit is one process of a unit, from its start to its end; another process is another Unit.
-type Unit struct {
+// Endpoint is one process of a unit, from its start to its end; another process is another Unit.
+type Endpoint struct {
 	ID     uint32
 	Addr   string
 	Build  int
 	Start  float64
-	shape  UnitShape
+	shape  EndpointShape
 	does   Build
 	rec    *invariants.Record
 	clock  func() float64
@@ -74,7 +74,7 @@
 	cores  chan struct{}
 	inHand atomic.Int64
 	conns  atomic.Int64
-	ails   atomic.Pointer[Trouble]
+	ails   atomic.Pointer[EndpointFault]
 	stop   context.Context
 	kill   context.CancelFunc
 
@@ -89,7 +89,7 @@
 type done struct{ all, failed, wrong, usual float64 }
 
 // count enters one outcome.
-func (u *Unit) count(failed, wrong bool, took float64) {
+func (u *Endpoint) count(failed, wrong bool, took float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.did.all++
@@ -102,15 +102,15 @@
 	u.did.usual += 0.05 * (took - u.did.usual)
 }
 
-// StartUnit listens on a loopback port of its own.
-func StartUnit(id uint32, build int, does Build, shape UnitShape, rec *invariants.Record, clock func() float64) (*Unit, error) {
+// StartEndpoint listens on a loopback port of its own.
+func StartEndpoint(id uint32, build int, does Build, shape EndpointShape, rec *invariants.Record, clock func() float64) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	u := &Unit{ID: id, Addr: l.Addr().String(), Build: build, Start: clock(), shape: shape, does: does, rec: rec, clock: clock,
+	u := &Endpoint{ID: id, Addr: l.Addr().String(), Build: build, Start: clock(), shape: shape, does: does, rec: rec, clock: clock,
 		cores: make(chan struct{}, shape.Cores), seen: map[string]float64{}}
-	u.ails.Store(&Trouble{})
+	u.ails.Store(&EndpointFault{})
 	u.stop, u.kill = context.WithCancel(context.Background())
 	u.srv = &http.Server{Handler: http.HandlerFunc(u.serve), ConnState: func(_ net.Conn, s http.ConnState) {
 		if s == http.StateClosed || s == http.StateHijacked {
@@ -124,11 +124,11 @@
 	return u, nil
 }
 
-// Ail sets the unit's trouble.
-func (u *Unit) Ail(t Trouble) { u.ails.Store(&t) }
+// InjectFault sets the unit's trouble.
+func (u *Endpoint) InjectFault(t EndpointFault) { u.ails.Store(&t) }
 
 // Stop ends the process at once; what it holds gets no answer.
-func (u *Unit) Stop() {
+func (u *Endpoint) Stop() {
 	u.kill()
 	u.srv.Close()
 }
@@ -136,7 +136,7 @@
 // door accepts as the unit's trouble lets it.
 type door struct {
 	net.Listener
-	u *Unit
+	u *Endpoint
 }
 
 func (d door) Accept() (net.Conn, error) {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (u *Unit) ramp(now float64) float64 {
+func (u *Endpoint) ramp(now float64) float64 {
 	if u.shape.WarmUp <= 0 || now-u.Start >= u.shape.WarmUp {
 		return 1
 	}
@@ -167,7 +167,7 @@
 }
 
 // pushed enters work that reached a cold unit and tells whether the unit lies.
-func (u *Unit) pushed(now, work float64) bool {
+func (u *Endpoint) pushed(now, work float64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.fell || now-u.Start > u.shape.WarmUp {
@@ -191,7 +191,7 @@
 }
 
 // repeats tells whether a mark was met before.
-func (u *Unit) repeats(mark string, now float64) bool {
+func (u *Endpoint) repeats(mark string, now float64) bool {
 	if mark == "" {
 		return false
 	}
@@ -209,7 +209,7 @@
 	return fmt.Sprintf("chute %d", h.Sum32()%97)
 }
 
-func (u *Unit) serve(w http.ResponseWriter, req *http.Request) {
+func (u *Endpoint) serve(w http.ResponseWriter, req *http.Request) {
 	now := u.clock()
 	if req.URL.Path == "/health" {
 		if u.ails.Load().Probes {
@@ -227,7 +227,7 @@
 	}
 	t := u.ails.Load()
 	if t.From != "" && req.Header.Get("X-Relay") != t.From {
-		t = &Trouble{}
+		t = &EndpointFault{}
 	}
 	if u.pushed(now, work) || t.Silent {
 		<-u.waitEnd(req.Context(), func() bool { return !u.lies() && !u.ails.Load().Silent })
@@ -288,14 +288,14 @@
 	io.WriteString(w, text)
 }
 
-func (u *Unit) lies() bool {
+func (u *Endpoint) lies() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.fell
 }
 
 // waitEnd is closed once the client or the unit is gone, or the trouble over.
-func (u *Unit) waitEnd(ctx context.Context, over func() bool) <-chan struct{} {
+func (u *Endpoint) waitEnd(ctx context.Context, over func() bool) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -13,7 +13,7 @@
 	ledger   *Ledger
 	edges    map[string]*edge
 	newer    uint64 // epoch of a planner that has come after this one, 0: none
-	Refused  [Reasons]uint64
+	Refused  [ReasonCount]uint64
 	lifeTime float64
 }
 
@@ -28,46 +28,46 @@
 	return &Leader{epoch: epoch, silence: silence, ledger: NewLedger(life, window, now), edges: map[string]*edge{}, lifeTime: life}
 }
 
-// Digest says whether an edge's digest counts. following is the epoch that the edge follows: where that is above this
+// AcceptReport says whether an edge's digest counts. following is the epoch that the edge follows: where that is above this
 // planner's, another has come after it, and it has to step down.
-func (l *Leader) Digest(now float64, major uint32, name string, life, seq, following uint64) (r Reason) {
+func (l *Leader) AcceptReport(now float64, major uint32, name string, life, seq, following uint64) (r Reason) {
 	e := l.edges[name]
 	switch {
 	case major != SchemaMajor:
-		r = OtherSchema
+		r = SchemaMismatch
 	case following > l.epoch:
 		l.newer = max(l.newer, following)
 		r = Superseded
 	case e != nil && life < e.life:
-		r = OtherLife
+		r = OtherIncarnation
 	case e != nil && life == e.life && seq <= e.seq:
-		r = OldNumber
+		r = StaleSequence
 	}
-	if r != Taken {
+	if r != Accepted {
 		l.Refused[r]++
 		return r
 	}
 	l.edges[name] = &edge{life: life, seq: seq, heard: now}
-	return Taken
+	return Accepted
 }
 
-// Leads tells whether this planner is the newest, as far as it knows. One that is not casts no vote and lends nothing.
-func (l *Leader) Leads() bool { return l.newer == 0 }
+// IsLeader tells whether this planner is the newest, as far as it knows. One that is not casts no vote and lends nothing.
+func (l *Leader) IsLeader() bool { return l.newer == 0 }
 
-// Newer is the epoch that came after this one.
-func (l *Leader) Newer() uint64 { return l.newer }
+// NewerEpoch is the epoch that came after this one.
+func (l *Leader) NewerEpoch() uint64 { return l.newer }
 
 // Epoch is this planner's.
 func (l *Leader) Epoch() uint64 { return l.epoch }
 
-// View gives the head of the next view for an edge, and what is lent to it.
-func (l *Leader) View(now float64, name string) (h Head, share, life float64) {
+// NextAssignment gives the head of the next view for an edge, and what is lent to it.
+func (l *Leader) NextAssignment(now float64, name string) (h AssignmentHeader, share, life float64) {
 	l.number++
-	h = Head{Major: SchemaMajor, Epoch: l.epoch, Number: l.number}
+	h = AssignmentHeader{Major: SchemaMajor, Epoch: l.epoch, Sequence: l.number}
 	if e := l.edges[name]; e != nil {
-		h.Life, h.Echo = e.life, e.seq
-		if l.Leads() {
-			share = l.ledger.Lend(now, holder(name, e.life), len(l.edges))
+		h.Incarnation, h.AckedReport = e.life, e.seq
+		if l.IsLeader() {
+			share = l.ledger.Grant(now, holder(name, e.life), len(l.edges))
 		}
 	}
 	return h, share, l.lifeTime
@@ -76,8 +76,8 @@
 // holder names one process of an edge: what the process before it spent still counts.
 func holder(name string, life uint64) string { return name + "/" + strconv.FormatUint(life, 10) }
 
-// Dead gives the edges that have been silent for too long, and forgets them.
-func (l *Leader) Dead(now float64) (names []string) {
+// ExpireRouters gives the edges that have been silent for too long, and forgets them.
+func (l *Leader) ExpireRouters(now float64) (names []string) {
 	for name, e := range l.edges {
 		if now-e.heard > l.silence {
 			names = append(names, name)
@@ -87,8 +87,8 @@
 	return names
 }
 
-// Names gives the edges alive.
-func (l *Leader) Names() []string {
+// Routers gives the edges alive.
+func (l *Leader) Routers() []string {
 	names := make([]string, 0, len(l.edges))
 	for name := range l.edges {
 		names = append(names, name)
@@ -97,8 +97,8 @@
 	return names
 }
 
-// Edges is how many are alive.
-func (l *Leader) Edges() int { return len(l.edges) }
+// RouterCount is how many are alive.
+func (l *Leader) RouterCount() int { return len(l.edges) }
 
-// Lent is the sum of the parts that may be in use or count still.
-func (l *Leader) Lent(now float64) float64 { return l.ledger.Out(now) }
+// LeasedShare is the sum of the parts that may be in use or count still.
+func (l *Leader) LeasedShare(now float64) float64 { return l.ledger.Outstanding(now) }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -24,8 +24,8 @@
 	return &Ledger{life: life, window: window, from: now + life + window, out: map[string][]lease{}}
 }
 
-// Lend gives who a part for a lease's life from now on, alive being how many edges want one.
-func (l *Ledger) Lend(now float64, who string, alive int) (share float64) {
+// Grant gives who a part for a lease's life from now on, alive being how many edges want one.
+func (l *Ledger) Grant(now float64, who string, alive int) (share float64) {
 	l.expire(now)
 	if now < l.from {
 		return 0
@@ -71,8 +71,8 @@
 	}
 }
 
-// Out is the sum of what may be in use or count still, for the operator to see.
-func (l *Ledger) Out(now float64) (sum float64) {
+// Outstanding is the sum of what may be in use or count still, for the operator to see.
+func (l *Ledger) Outstanding(now float64) (sum float64) {
 	l.expire(now)
 	names := make([]string, 0, len(l.out))
 	for who := range l.out {
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -26,8 +26,8 @@
 	f        *Follower
 	b        *policy.Balancer
 	cmds     uint32
-	followed Head
-	parts    Parts
+	followed AssignmentHeader
+	parts    ContentVersions
 }
 
 type mDigest struct {
@@ -37,8 +37,8 @@
 
 type mView struct {
 	edge  string
-	head  Head
-	parts Parts
+	head  AssignmentHeader
+	parts ContentVersions
 	share float64
 	life  float64
 }
@@ -48,8 +48,8 @@
 	lives   uint64
 	epoch   uint64
 	leader  *Leader
-	truth   Parts // of the list service and the installer
-	planner Parts // what the planner has of it; from its disk it may be old
+	truth   ContentVersions // of the list service and the installer
+	planner ContentVersions // what the planner has of it; from its disk it may be old
 	edges   []*mEdge
 	digests []mDigest
 	views   []mView
@@ -59,38 +59,38 @@
 
 func (m *machine) startEdge(i int) {
 	m.lives++
-	t := policy.Terms{Balancers: 1, BackVotes: 1, Round: 0.001, Deliveries: 1, Cancel: true, MaxPause: 1, ConnIdle: 15, Streams: 100,
-		Ops:      []policy.OpType{{Target: 0.5, Timeout: 1, Importance: 1}},
-		ColdFrom: 1, FallFactor: 3, FallTime: 2, Window: mWindow, Free: mFree, Caps: []float64{mCap, 1}, Stages: []float64{0.1, 1},
-		HarmPrice: 1, StalePrice: 1, Reported: 1, VoteLife: 10, VoteTimeout: 1, VoteRate: 20, Led: true}
+	t := policy.Config{Routers: 1, RollbackVotes: 1, MinTickSeconds: 0.001, MaxAttempts: 1, AllowCancel: true, MaxRetryAfterSeconds: 1, ConnIdleSeconds: 15, RequestsPerConn: 100,
+		Classes:               []policy.RequestClass{{LatencyObjectiveSeconds: 0.5, TimeoutSeconds: 1, PriorityWeight: 1}},
+		SlowStartInitialShare: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 2, CanaryWindowSeconds: mWindow, CanaryFreeAttempts: mFree, CanaryLimits: []float64{mCap, 1}, StageShares: []float64{0.1, 1},
+		WrongAnswerPrice: 1, StaleBuildPrice: 1, WrongAnswerReportShare: 1, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 20, HasController: true}
 	b := policy.New(t, m.lives, m.now)
-	b.ListStart(true)
+	b.BeginEndpointList(true)
 	for id := range uint32(8) { // nearly all run the trial build: all is sent there that may be
-		b.Listed(id+1, 0, 0, 1+min(1, int(id)), policy.Ready, 1, 0)
+		b.UpdateEndpoint(id+1, 0, 0, 1+min(1, int(id)), policy.Ready, 1, 0)
 	}
-	b.ListEnd(m.now)
+	b.EndEndpointList(m.now)
 	m.edges[i] = &mEdge{name: fmt.Sprint("e", i), life: m.lives, f: NewFollower(m.lives), b: b}
 }
 
 func (m *machine) startPlanner(behind float64) {
 	m.epoch++
 	m.leader = NewLeader(m.epoch, mLife, mWindow, 1, m.now)
-	m.planner = Parts{ListAt: max(0, m.truth.ListAt-behind), StageNo: m.truth.StageNo / 2}
+	m.planner = ContentVersions{EndpointsAt: max(0, m.truth.EndpointsAt-behind), ReleaseVersion: m.truth.ReleaseVersion / 2}
 }
 
 // command is one that comes to an edge; where it goes to the trial build, that counts.
 func (m *machine) command(t *rapid.T, e *mEdge) {
 	e.cmds++
-	c := &policy.Command{ID: e.cmds, Came: m.now, Due: m.now + 1}
+	c := &policy.Request{ID: e.cmds, ReceivedAt: m.now, Deadline: m.now + 1}
 	m.taken = append(m.taken, m.now)
 	s := e.b.Pick(m.now, c)
-	if s.Do != policy.Send {
+	if s.Action != policy.Send {
 		return
 	}
-	c.Sent = append(c.Sent, policy.Delivery{Unit: s.Unit, At: m.now, Maybe: true})
-	c.Ended = true
-	e.b.After(m.now, c, s.Unit, policy.Acked, 0.01)
-	if s.Unit == 1 {
+	c.Attempts = append(c.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: m.now, MayHaveRun: true})
+	c.Completed = true
+	e.b.OnAttemptDone(m.now, c, s.Endpoint, policy.Succeeded, 0.01)
+	if s.Endpoint == 1 {
 		return
 	}
 	m.tried = append(m.tried, m.now)
@@ -114,24 +114,24 @@
 			e = x
 		}
 	}
-	r, list, stage := e.f.Accept(v.head, v.parts)
-	if r != Taken {
+	r, list, stage := e.f.AcceptAssignment(v.head, v.parts)
+	if r != Accepted {
 		return
 	}
-	if h := e.followed; v.head.Life != e.life || v.head.Epoch < h.Epoch || v.head.Epoch == h.Epoch && v.head.Number <= h.Number {
+	if h := e.followed; v.head.Incarnation != e.life || v.head.Epoch < h.Epoch || v.head.Epoch == h.Epoch && v.head.Sequence <= h.Sequence {
 		t.Fatalf("%s of life %d followed %v, then %v", e.name, e.life, h, v.head)
 	}
-	if list && v.parts.ListAt <= e.parts.ListAt || stage && v.parts.StageNo < e.parts.StageNo {
+	if list && v.parts.EndpointsAt <= e.parts.EndpointsAt || stage && v.parts.ReleaseVersion < e.parts.ReleaseVersion {
 		t.Fatalf("%s had %v and took %v", e.name, e.parts, v.parts)
 	}
 	e.followed = v.head
 	if list {
-		e.parts.ListAt = v.parts.ListAt
+		e.parts.EndpointsAt = v.parts.EndpointsAt
 	}
 	if stage {
-		e.parts.StageNo = v.parts.StageNo
+		e.parts.ReleaseVersion = v.parts.ReleaseVersion
 	}
-	e.b.Follow(0, policy.VoteNone, v.share, e.f.Until(v.life))
+	e.b.ApplyAssignment(0, policy.VoteNone, v.share, e.f.LeaseEnd(v.life))
 }
 
 // beats is whole round trips of some edges, as on an ordinary day.
@@ -139,14 +139,14 @@
 	for range n {
 		m.now += 0.5
 		for _, e := range edges {
-			life, seq, following := e.f.Digest(m.now)
-			if m.leader.Digest(m.now, SchemaMajor, e.name, life, seq, following) == Taken {
-				h, share, lease := m.leader.View(m.now, e.name)
+			life, seq, following := e.f.NextReport(m.now)
+			if m.leader.AcceptReport(m.now, SchemaMajor, e.name, life, seq, following) == Accepted {
+				h, share, lease := m.leader.NextAssignment(m.now, e.name)
 				m.take(t, mView{e.name, h, m.planner, share, lease})
 			}
 		}
-		m.leader.Dead(m.now)
-		if out := m.leader.Lent(m.now); out > 1+1e-9 {
+		m.leader.ExpireRouters(m.now)
+		if out := m.leader.LeasedShare(m.now); out > 1+1e-9 {
 			t.Fatalf("parts out sum to %v", out)
 		}
 	}
@@ -154,7 +154,7 @@
 
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{now: 100, edges: make([]*mEdge, 3), truth: Parts{ListAt: 100, StageNo: 1}}
+		m := &machine{now: 100, edges: make([]*mEdge, 3), truth: ContentVersions{EndpointsAt: 100, ReleaseVersion: 1}}
 		for i := range m.edges {
 			m.startEdge(i)
 		}
@@ -177,18 +177,18 @@
 			},
 			"digest": func(t *rapid.T) {
 				e := edge(t)
-				life, seq, following := e.f.Digest(m.now)
+				life, seq, following := e.f.NextReport(m.now)
 				m.digests = append(m.digests, mDigest{e.name, life, seq, following})
 			},
 			"digest arrives": func(t *rapid.T) { // any of those ever sent, as often as may be
 				if len(m.digests) > 0 {
 					d := m.digests[rapid.IntRange(0, len(m.digests)-1).Draw(t, "which")]
-					m.leader.Digest(m.now, SchemaMajor, d.edge, d.life, d.seq, d.following)
+					m.leader.AcceptReport(m.now, SchemaMajor, d.edge, d.life, d.seq, d.following)
 				}
 			},
 			"view": func(t *rapid.T) {
 				e := edge(t)
-				h, share, lease := m.leader.View(m.now, e.name)
+				h, share, lease := m.leader.NextAssignment(m.now, e.name)
 				m.views = append(m.views, mView{e.name, h, m.planner, share, lease})
 			},
 			"view arrives": func(t *rapid.T) {
@@ -196,7 +196,7 @@
 					m.take(t, m.views[rapid.IntRange(0, len(m.views)-1).Draw(t, "which")])
 				}
 			},
-			"news":    func(*rapid.T) { m.truth = Parts{m.now, m.truth.StageNo + 1}; m.planner = m.truth },
+			"news":    func(*rapid.T) { m.truth = ContentVersions{m.now, m.truth.ReleaseVersion + 1}; m.planner = m.truth },
 			"edge":    func(t *rapid.T) { m.startEdge(rapid.IntRange(0, 2).Draw(t, "edge")) },
 			"planner": func(t *rapid.T) { m.startPlanner(rapid.Float64Range(0, 3600).Draw(t, "behind")) },
 		})
@@ -207,7 +207,7 @@
 func Example_ledger() {
 	l := NewLedger(1, 4, 0)
 	show := func(now float64, who string, alive int) {
-		fmt.Printf("%4.1f s, %d alive: %s gets %.2f, out %.2f\n", now, alive, who, l.Lend(now, who, alive), l.Out(now))
+		fmt.Printf("%4.1f s, %d alive: %s gets %.2f, out %.2f\n", now, alive, who, l.Grant(now, who, alive), l.Outstanding(now))
 	}
 	show(4.9, "a", 1) // what the planner before lent may count still
 	show(5.1, "a", 1)
@@ -232,32 +232,32 @@
 
 func Example_fencing() {
 	f := NewFollower(7)
-	f.Have(50)
-	life, seq, _ := f.Digest(100)
-	accept := func(what string, h Head, p Parts) {
-		r, list, stage := f.Accept(h, p)
-		epoch, number := f.Follows()
-		fmt.Printf("%s: %v, list %t, stage %t; follows %d/%d, lease until %.1f\n", what, r, list, stage, epoch, number, f.Until(1))
+	f.RestoreEndpointsAt(50)
+	life, seq, _ := f.NextReport(100)
+	accept := func(what string, h AssignmentHeader, p ContentVersions) {
+		r, list, stage := f.AcceptAssignment(h, p)
+		epoch, number := f.Following()
+		fmt.Printf("%s: %v, list %t, stage %t; follows %d/%d, lease until %.1f\n", what, r, list, stage, epoch, number, f.LeaseEnd(1))
 	}
-	h := Head{SchemaMajor, 3, 1, life, seq}
-	accept("first", h, Parts{60, 4})
-	accept("again", h, Parts{60, 4})
-	h.Number = 2
-	accept("its list is from its disk", h, Parts{40, 3})
-	h.Number, h.Life = 3, 6
-	accept("for the process before", h, Parts{70, 5})
-	h.Life, h.Echo = 7, 9
-	accept("answers what was never sent", h, Parts{70, 5})
-	h = Head{SchemaMajor, 2, 99, life, seq}
-	accept("an earlier planner, late", h, Parts{80, 6})
-	h.Epoch, h.Number = 4, 1
-	accept("the next planner", h, Parts{80, 4})
+	h := AssignmentHeader{SchemaMajor, 3, 1, life, seq}
+	accept("first", h, ContentVersions{60, 4})
+	accept("again", h, ContentVersions{60, 4})
+	h.Sequence = 2
+	accept("its list is from its disk", h, ContentVersions{40, 3})
+	h.Sequence, h.Incarnation = 3, 6
+	accept("for the process before", h, ContentVersions{70, 5})
+	h.Incarnation, h.AckedReport = 7, 9
+	accept("answers what was never sent", h, ContentVersions{70, 5})
+	h = AssignmentHeader{SchemaMajor, 2, 99, life, seq}
+	accept("an earlier planner, late", h, ContentVersions{80, 6})
+	h.Epoch, h.Sequence = 4, 1
+	accept("the next planner", h, ContentVersions{80, 4})
 	h.Major = 2
-	accept("another schema", h, Parts{90, 7})
+	accept("another schema", h, ContentVersions{90, 7})
 	for range 100 {
-		f.Digest(200)
+		f.NextReport(200)
 	}
-	accept("answers too old a digest", Head{SchemaMajor, 4, 2, life, seq}, Parts{90, 7})
+	accept("answers too old a digest", AssignmentHeader{SchemaMajor, 4, 2, life, seq}, ContentVersions{90, 7})
 	fmt.Println("refused:", f.Refused)
 	// Output:
 	// first: taken, list true, stage true; follows 3/1, lease until 101.0
@@ -275,20 +275,20 @@
 func Example_leader() {
 	l := NewLeader(5, 1, 4, 1, 0)
 	say := func(now float64, major uint32, life, seq, following uint64) {
-		fmt.Println(l.Digest(now, major, "e", life, seq, following), "edges", l.Edges(), "leads", l.Leads())
+		fmt.Println(l.AcceptReport(now, major, "e", life, seq, following), "edges", l.RouterCount(), "leads", l.IsLeader())
 	}
 	say(1, 1, 7, 1, 0)
 	say(1.1, 1, 7, 1, 5)
 	say(1.2, 1, 8, 1, 0)
 	say(1.3, 1, 7, 2, 5)
 	say(1.4, 2, 8, 2, 5)
-	fmt.Println("dead", l.Dead(2), l.Dead(2.3))
+	fmt.Println("dead", l.ExpireRouters(2), l.ExpireRouters(2.3))
 	say(6, 1, 8, 3, 5)
-	_, share, _ := l.View(6, "e")
+	_, share, _ := l.NextAssignment(6, "e")
 	fmt.Println("share", share)
 	say(6.1, 1, 8, 4, 6)
-	_, share, _ = l.View(6.2, "e")
-	fmt.Println("share", share, "newer", l.Newer())
+	_, share, _ = l.NextAssignment(6.2, "e")
+	fmt.Println("share", share, "newer", l.NewerEpoch())
 	// Output:
 	// taken edges 1 leads true
 	// old number edges 1 leads true
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -95,7 +95,7 @@
 
 // A stand-in that pauses: what was due in the pause shows its wait, each command by itself, where a closed loop sees one or two.
 func TestPauseIsSeen(t *testing.T) {
-	q, err := fakes.StartQuick()
+	q, err := fakes.StartFastEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 
 // Clients whose time is over get no answer counted, and a run with a dead address ends.
 func TestNobodyThere(t *testing.T) {
-	q, err := fakes.StartQuick()
+	q, err := fakes.StartFastEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loadshed/leave.go
+++ b/internal/loadshed/leave.go
@@ -9,18 +9,18 @@
 	overtime   = 3.0 // s after that, in which a kill that comes late finds it still finishing what it owes
 )
 
-// Leaving is when a relay that was told to stop does what, s from the signal.
-type Leaving struct {
-	Listen float64 // it takes new connections until then
-	Serve  float64 // and new commands on those that there are
-	Answer float64 // all that it took is answered
-	Kill   float64 // it may be killed from then on
-	End    float64 // it gives up what is left: answers that are not taken, for all else has ended
+// ShutdownPlan is when a relay that was told to stop does what, s from the signal.
+type ShutdownPlan struct {
+	AcceptUntil float64 // it takes new connections until then
+	ServeUntil  float64 // and new commands on those that there are
+	AnswerBy    float64 // all that it took is answered
+	KillAfter   float64 // it may be killed from then on
+	GiveUpAt    float64 // it gives up what is left: answers that are not taken, for all else has ended
 }
 
-// Leave plans a stop by the longest command timeout: as long as others may not know, or may not be there, clients are served, with
+// PlanShutdown plans a stop by the longest command timeout: as long as others may not know, or may not be there, clients are served, with
 // time enough left to answer each before the kill.
-func Leave(longest float64) Leaving {
+func PlanShutdown(longest float64) ShutdownPlan {
 	kill := min(longest, mostWait) + stopAfter
-	return Leaving{comeOn, kill - lastLook, kill - lastAnswer, kill, kill + overtime}
+	return ShutdownPlan{comeOn, kill - lastLook, kill - lastAnswer, kill, kill + overtime}
 }
--- a/internal/loadshed/own.go
+++ b/internal/loadshed/own.go
@@ -7,21 +7,21 @@
 	pauseMost = 0.25 // s that a reading waits for room; then what is full answers it
 )
 
-// Late is how much a process may be late with what it hears of others.
-type Late struct{ worst float64 }
+// DelayTracker is how much a process may be late with what it hears of others.
+type DelayTracker struct{ worst float64 }
 
-// Look enters a look's timer delay and wait for a processor, s, and gives for how much longer a unit's silence may be the
+// Observe enters a look's timer delay and wait for a processor, s, and gives for how much longer a unit's silence may be the
 // process's own: never less than a round, between two of which it need not act at all.
-func (l *Late) Look(lag, queue, round float64) float64 {
+func (l *DelayTracker) Observe(lag, queue, round float64) float64 {
 	l.worst = max(lag, queue, lagFades*l.worst)
 	return round + 2*l.worst
 }
 
-// Behind tells whether the process is late enough for the age of commands to be looked at one by one.
-func (g *Gate) Behind(r Reading) bool { return g.level > 0 || g.Pressure(r) > lookFrom }
+// Overloaded tells whether the process is late enough for the age of commands to be looked at one by one.
+func (g *Shedder) Overloaded(r LoadSample) bool { return g.level > 0 || g.Pressure(r) > lookFrom }
 
-// Pause says for how long a reading from a client waits at most, s, with so much of the memory budget used; 0: it does not.
-func Pause(share float64) float64 {
+// ReadPauseSeconds says for how long a reading from a client waits at most, s, with so much of the memory budget used; 0: it does not.
+func ReadPauseSeconds(share float64) float64 {
 	if share > pauseFrom {
 		return pauseMost
 	}
--- a/internal/loadshed/room.go
+++ b/internal/loadshed/room.go
@@ -16,70 +16,70 @@
 	untaken   = 256 << 10
 )
 
-// Rest is the s after a unit's answer in which its connection is not used again, where answers name no command: the platform's units
+// ConnReuseDelaySeconds is the s after a unit's answer in which its connection is not used again, where answers name no command: the platform's units
 // may send a second one some milliseconds late, which would be taken for the next command's.
-const Rest = 0.025
+const ConnReuseDelaySeconds = 0.025
 
-// Parts is what a machine's limits come to.
-type Parts struct {
-	Clients, Keep, Units int   // connections; Keep: of clients, from which idle ones go
-	Heap, Buffers        int64 // bytes
+// ResourceLimits is what a machine's limits come to.
+type ResourceLimits struct {
+	ClientConns, IdleEvictionThreshold, EndpointConns int   // connections; Keep: of clients, from which idle ones go
+	HeapBytes, BufferBytes                            int64 // bytes
 }
 
-// Part shares out descriptors and bytes.
-func Part(descriptors int, memory int64) Parts {
+// SplitLimits shares out descriptors and bytes.
+func SplitLimits(descriptors int, memory int64) ResourceLimits {
 	of := func(share float64) int { return int(share * float64(descriptors)) }
-	return Parts{of(forClients), of(keepIdle), of(forUnits), int64(forHeap * float64(memory)), int64(forBuffers * float64(memory))}
+	return ResourceLimits{of(forClients), of(keepIdle), of(forUnits), int64(forHeap * float64(memory)), int64(forBuffers * float64(memory))}
 }
 
-// IdleTime is how long a connection to a unit may stand idle here, where the unit closes it after a time: what is written to it from
+// EndpointIdleSeconds is how long a connection to a unit may stand idle here, where the unit closes it after a time: what is written to it from
 // then on may have run.
-func IdleTime(theirs float64) float64 { return below * theirs }
+func EndpointIdleSeconds(theirs float64) float64 { return below * theirs }
 
-// Crammed tells whether even the room for connections that are just going is used up: without a bound descriptors would run out,
+// OverCapacity tells whether even the room for connections that are just going is used up: without a bound descriptors would run out,
 // and units could not be reached either.
-func Crammed(connections, most int) bool { return connections >= most+max(2, most/8) }
+func OverCapacity(connections, most int) bool { return connections >= most+max(2, most/8) }
 
-// Guest is a client's connection, as far as its place matters.
-type Guest struct {
-	Busy    bool    // it has a command in hand
-	Reading bool    // a command is on its way
-	Spoke   bool    // one came before
-	Since   float64 // idle since, s
+// ClientConn is a client's connection, as far as its place matters.
+type ClientConn struct {
+	Busy           bool    // it has a command in hand
+	Reading        bool    // a command is on its way
+	HasSentRequest bool    // one came before
+	IdleSince      float64 // idle since, s
 }
 
-// Sooner tells whether a connection is to make room before another: first those that never sent a command though they had time
+// EvictBefore tells whether a connection is to make room before another: first those that never sent a command though they had time
 // to, then idle ones, the longest idle ahead; then one that has just come, last one whose first command is on its way.
-func (g Guest) Sooner(now float64, than Guest) bool {
+func (g ClientConn) EvictBefore(now float64, than ClientConn) bool {
 	if a, b := g.rank(now), than.rank(now); a != b {
 		return a < b
 	}
-	return g.Since < than.Since
+	return g.IdleSince < than.IdleSince
 }
 
-// Stays tells whether a connection never makes room.
-func (g Guest) Stays() bool { return g.Busy || g.Reading && g.Spoke }
+// Pinned tells whether a connection never makes room.
+func (g ClientConn) Pinned() bool { return g.Busy || g.Reading && g.HasSentRequest }
 
-func (g Guest) rank(now float64) int {
+func (g ClientConn) rank(now float64) int {
 	switch {
 	case g.Reading:
 		return 3
-	case g.Spoke:
+	case g.HasSentRequest:
 		return 1
-	case now-g.Since < speakSoon:
+	case now-g.IdleSince < speakSoon:
 		return 2
 	}
 	return 0
 }
 
-// Patience is how long a command may take to come on a connection, s, where most is usual: half a one must not keep the room that
+// ReadTimeoutSeconds is how long a command may take to come on a connection, s, where most is usual: half a one must not keep the room that
 // others wait for.
-func Patience(most float64, going bool) float64 {
+func ReadTimeoutSeconds(most float64, going bool) float64 {
 	if going {
 		return min(most, goingTime)
 	}
 	return most
 }
 
-// Ahead tells whether a client to whom so many answers are owed, and which has not taken so many bytes, may send further commands.
-func Ahead(owed, bytes int) bool { return owed < askAhead && bytes < untaken }
+// MayPipeline tells whether a client to whom so many answers are owed, and which has not taken so many bytes, may send further commands.
+func MayPipeline(owed, bytes int) bool { return owed < askAhead && bytes < untaken }
--- a/internal/loadshed/room_test.go
+++ b/internal/loadshed/room_test.go
@@ -8,37 +8,37 @@
 )
 
 // Who makes room, in order: silent ones first, then the longest idle, newcomers, half-spoken ones.
-func ExampleGuest_Sooner() {
+func ExampleClientConn_EvictBefore() {
 	const now = 10
-	guests := map[string]loadshed.Guest{
-		"half":      {Reading: true, Since: 1},
-		"newcomer":  {Since: 9.9},
-		"idle":      {Spoke: true, Since: 8},
-		"idler":     {Spoke: true, Since: 7},
-		"silent":    {Since: 9},
-		"in hand":   {Busy: true, Spoke: true},
-		"next came": {Reading: true, Spoke: true},
+	guests := map[string]loadshed.ClientConn{
+		"half":      {Reading: true, IdleSince: 1},
+		"newcomer":  {IdleSince: 9.9},
+		"idle":      {HasSentRequest: true, IdleSince: 8},
+		"idler":     {HasSentRequest: true, IdleSince: 7},
+		"silent":    {IdleSince: 9},
+		"in hand":   {Busy: true, HasSentRequest: true},
+		"next came": {Reading: true, HasSentRequest: true},
 	}
 	var names []string
 	for name, g := range guests {
-		if !g.Stays() {
+		if !g.Pinned() {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		if guests[a].Sooner(now, guests[b]) {
+		if guests[a].EvictBefore(now, guests[b]) {
 			return -1
 		}
 		return 1
 	})
 	fmt.Println(names)
 	for _, sockets := range []int{64, 256, 1024} {
-		p := loadshed.Part(sockets, 64<<20)
+		p := loadshed.SplitLimits(sockets, 64<<20)
 		going := 0
-		for !loadshed.Crammed(p.Clients+going, p.Clients) {
+		for !loadshed.OverCapacity(p.ClientConns+going, p.ClientConns) {
 			going++
 		}
-		fmt.Println(sockets, p.Clients, p.Keep, p.Units, "left for the rest:", sockets-p.Clients-going-p.Units)
+		fmt.Println(sockets, p.ClientConns, p.IdleEvictionThreshold, p.EndpointConns, "left for the rest:", sockets-p.ClientConns-going-p.EndpointConns)
 	}
 	// Output:
 	// [silent idler idle newcomer half]
--- a/internal/loadshed/shed.go
+++ b/internal/loadshed/shed.go
@@ -43,28 +43,28 @@
 	mostSeen  = 10_000   // clients told apart in a window
 )
 
-// OpType is what is known of one.
-type OpType struct {
-	Target     float64 // service target, s
-	Importance float64
+// RequestClass is what is known of one.
+type RequestClass struct {
+	LatencyObjectiveSeconds float64 // service target, s
+	PriorityWeight          float64
 }
 
-// Reading is what the process measured of itself since the last one.
-type Reading struct {
-	Lag     float64 // s that its timer came late
-	Queue   float64 // s that its goroutines waited for a processor, the 99th part of a hundred
-	GC      float64 // share of the processors' time that went to collecting
-	CPU     float64 // share of the processors that this process used, 0: not known
-	Heap    float64 // share of its limit, 0: there is none
-	Buffers float64 // share of the budget for buffers, 0: there is none
+// LoadSample is what the process measured of itself since the last one.
+type LoadSample struct {
+	TimerDelaySeconds     float64 // s that its timer came late
+	SchedulerDelaySeconds float64 // s that its goroutines waited for a processor, the 99th part of a hundred
+	GCShare               float64 // share of the processors' time that went to collecting
+	CPUShare              float64 // share of the processors that this process used, 0: not known
+	HeapShare             float64 // share of its limit, 0: there is none
+	BufferShare           float64 // share of the budget for buffers, 0: there is none
 }
 
-// Command is what is told of one that came.
-type Command struct {
-	Op     int
-	Client uint64  // whom it is from
-	Retry  bool    // its client asks again
-	Left   float64 // s until its client gives up
+// Request is what is told of one that came.
+type Request struct {
+	Class            int
+	Client           uint64  // whom it is from
+	Retry            bool    // its client asks again
+	RemainingSeconds float64 // s until its client gives up
 }
 
 // class is what counts alike.
@@ -80,9 +80,9 @@
 	shed  float64 // share of it that is turned away, as of the last look
 }
 
-// Gate holds the bound and what is needed to keep it.
-type Gate struct {
-	ops      []OpType
+// Shedder holds the bound and what is needed to keep it.
+type Shedder struct {
+	ops      []RequestClass
 	shortest float64
 	seed     uint64
 	counter  uint64
@@ -109,18 +109,18 @@
 }
 
 // New makes a gate that sheds nothing yet.
-func New(ops []OpType, seed uint64, now float64) *Gate {
-	g := &Gate{seed: seed, hash: fnv.New64a(), bound: math.Inf(1), began: now, easy: now, cutAt: math.Inf(-1), tallies: map[class]*tally{},
+func New(ops []RequestClass, seed uint64, now float64) *Shedder {
+	g := &Shedder{seed: seed, hash: fnv.New64a(), bound: math.Inf(1), began: now, easy: now, cutAt: math.Inf(-1), tallies: map[class]*tally{},
 		shares: map[class]float64{}, clients: map[uint64]float64{}}
-	g.Adopt(ops)
+	g.SetClasses(ops)
 	return g
 }
 
-// Adopt takes op types for what comes from now on. They keep their places, and more may follow.
-func (g *Gate) Adopt(ops []OpType) {
+// SetClasses takes op types for what comes from now on. They keep their places, and more may follow.
+func (g *Shedder) SetClasses(ops []RequestClass) {
 	g.ops, g.shortest = ops, math.Inf(1)
 	for i, op := range ops {
-		g.shortest = min(g.shortest, op.Target)
+		g.shortest = min(g.shortest, op.LatencyObjectiveSeconds)
 		if i == len(g.usual) {
 			g.usual, g.size = append(g.usual, 0), append(g.size, 0)
 		}
@@ -129,17 +129,17 @@
 
 // Cost is what a command of an op type is expected to cost, against a small one: in halves, for a few bytes are no reason to
 // put one op type before another that is worth as much.
-func (g *Gate) Cost(op int) float64 { return 1 + math.Round(2*g.size[op]/large)/2 }
+func (g *Shedder) Cost(op int) float64 { return 1 + math.Round(2*g.size[op]/large)/2 }
 
 // Admit tells whether a command is taken.
-func (g *Gate) Admit(now float64, c Command) bool {
-	cost := g.Cost(c.Op)
+func (g *Shedder) Admit(now float64, c Request) bool {
+	cost := g.Cost(c.Class)
 	g.offered += cost
 	if len(g.clients) < mostSeen || g.clients[c.Client] > 0 {
 		g.clients[c.Client] += cost
 		g.work += cost
 	}
-	k := class{c.Op, c.Retry, false}
+	k := class{c.Class, c.Retry, false}
 	// Of a client that asks for more than its fair part, what is above it goes before others' work: by chance, so that it is
 	// spread over time as its commands are.
 	if n := float64(len(g.clients)); n > 1 && g.level > 0 {
@@ -154,7 +154,7 @@
 	t.work += cost
 	if g.level > 0 {
 		// Nobody can use an answer that comes too late: it goes first, whatever it is worth.
-		if c.Left < g.usual[c.Op]+g.lag {
+		if c.RemainingSeconds < g.usual[c.Class]+g.lag {
 			return false
 		}
 		if share := g.share(k); share >= 1 || share > 0 && g.chance() < share {
@@ -167,7 +167,7 @@
 
 // share is how much of a class is shed. One that the last window did not hold is treated as the nearest that is worth as
 // much or less, so that what is new is not let in past what is worth more.
-func (g *Gate) share(k class) float64 {
+func (g *Shedder) share(k class) float64 {
 	if s, ok := g.shares[k]; ok {
 		return s
 	}
@@ -188,8 +188,8 @@
 }
 
 // score is a class's worth by its cost.
-func (g *Gate) score(k class) float64 {
-	s := g.ops[k.op].Importance / g.Cost(k.op)
+func (g *Shedder) score(k class) float64 {
+	s := g.ops[k.op].PriorityWeight / g.Cost(k.op)
 	if k.retry {
 		s *= retry
 	}
@@ -199,31 +199,31 @@
 	return s
 }
 
-// Answered enters an acked command's time, s, and the bytes that it took both ways.
-func (g *Gate) Answered(op int, took float64, bytes int) {
+// OnSuccess enters an acked command's time, s, and the bytes that it took both ways.
+func (g *Shedder) OnSuccess(op int, took float64, bytes int) {
 	if g.usual[op] == 0 {
 		g.usual[op], g.size[op] = took, float64(bytes)
 	}
-	if took <= g.ops[op].Target {
+	if took <= g.ops[op].LatencyObjectiveSeconds {
 		g.served += g.Cost(op)
 	}
-	g.usual[op] += quick * (min(took, g.ops[op].Target) - g.usual[op])
+	g.usual[op] += quick * (min(took, g.ops[op].LatencyObjectiveSeconds) - g.usual[op])
 	g.size[op] += quick * (float64(bytes) - g.size[op])
 }
 
 // Pressure is how far a reading is from the line that is too much, 1.
-func (g *Gate) Pressure(r Reading) float64 {
-	return max(max(r.Lag, r.Queue)/(behind*g.shortest), r.GC/mostGC, r.Heap/mostHeap, r.Buffers/mostHeap)
+func (g *Shedder) Pressure(r LoadSample) float64 {
+	return max(max(r.TimerDelaySeconds, r.SchedulerDelaySeconds)/(behind*g.shortest), r.GCShare/mostGC, r.HeapShare/mostHeap, r.BufferShare/mostHeap)
 }
 
-// Look enters a reading; it is to come some times a second.
-func (g *Gate) Look(now float64, r Reading) {
+// Observe enters a reading; it is to come some times a second.
+func (g *Shedder) Observe(now float64, r LoadSample) {
 	span := now - g.began
 	if span <= 0 {
 		return
 	}
 	p := g.Pressure(r)
-	g.lag = max(r.Lag, r.Queue)
+	g.lag = max(r.TimerDelaySeconds, r.SchedulerDelaySeconds)
 	rate, offered := g.taken/span, g.offered/span
 	// A bound far below what was served lately has lost its sense: it would take seconds to come back from there.
 	g.bound = max(g.bound, g.best/4)
@@ -252,8 +252,8 @@
 		calm := now - g.cutAt
 		g.bound *= 1 + min(faster, slowly*(1+calm*calm/8))
 	}
-	if p <= atEase && r.CPU > 0 && offered > g.bound { // what is not used of the processors could serve more
-		g.bound *= 1 + idle*max(0, busy-r.CPU)
+	if p <= atEase && r.CPUShare > 0 && offered > g.bound { // what is not used of the processors could serve more
+		g.bound *= 1 + idle*max(0, busy-r.CPUShare)
 	}
 	if offered > g.bound {
 		g.easy = now
@@ -269,7 +269,7 @@
 }
 
 // part decides what each class loses, and begins a new window.
-func (g *Gate) part(now, span float64) {
+func (g *Shedder) part(now, span float64) {
 	g.level = 0
 	if g.offered > g.bound*span {
 		g.level = 1 - g.bound*span/g.offered
@@ -319,14 +319,14 @@
 	return 0
 }
 
-// Level is the share of the offered work that is shed now.
-func (g *Gate) Level() float64 { return g.level }
+// ShedShare is the share of the offered work that is shed now.
+func (g *Shedder) ShedShare() float64 { return g.level }
 
-// Bound is the work a second that is taken at most, infinite where there is none; 1 is a small command.
-func (g *Gate) Bound() float64 { return g.bound }
+// Limit is the work a second that is taken at most, infinite where there is none; 1 is a small command.
+func (g *Shedder) Limit() float64 { return g.bound }
 
 // chance is a number from 0 to 1 out of the seed and a counter.
-func (g *Gate) chance() float64 {
+func (g *Shedder) chance() float64 {
 	g.counter++
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], g.counter)
@@ -336,9 +336,9 @@
 	return float64(g.hash.Sum64()>>11) / (1 << 53)
 }
 
-// Duties says what a planner leaves out while it is late by so many seconds, against the beat of its edges: of their
+// ControllerLoadShedding says what a planner leaves out while it is late by so many seconds, against the beat of its edges: of their
 // digests it takes every so many-th, for each is whole, and queries wait. Votes and views are never left out.
-func Duties(late, beat float64) (digests int, queries bool) {
+func ControllerLoadShedding(late, beat float64) (digests int, queries bool) {
 	switch {
 	case late > 8*beat:
 		return 8, false
--- a/internal/loadshed/shed_test.go
+++ b/internal/loadshed/shed_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-var ops = []OpType{{0.3, 2}, {0.6, 3}, {0.3, 1}}
+var ops = []RequestClass{{0.3, 2}, {0.6, 3}, {0.3, 1}}
 
 // plant is a relay of so much capacity: what comes waits in front of it, as in a kernel's buffers, and is met in turn. How
 // long it waits is the process's delay, as far as a process can see that.
 type plant struct {
-	g        *Gate
+	g        *Shedder
 	now      float64
 	capacity float64 // work a second
 	waits    []waiting
@@ -26,7 +26,7 @@
 }
 
 type waiting struct {
-	c  Command
+	c  Request
 	at float64
 }
 
@@ -42,19 +42,19 @@
 }
 
 // offer lets one command come, and does the work that there is time for until the next; each is told what became of one.
-func (p *plant) offer(rate float64, c Command, each func(Command, bool)) {
+func (p *plant) offer(rate float64, c Request, each func(Request, bool)) {
 	p.now += 1 / rate
 	p.waits = append(p.waits, waiting{c, p.now})
 	p.spare = min(p.spare+p.capacity/rate, 2)
 	for len(p.waits) > 0 && p.spare > 0 {
 		w := p.waits[0]
 		p.waits = p.waits[1:]
-		w.c.Left -= p.now - w.at
+		w.c.RemainingSeconds -= p.now - w.at
 		taken := p.g.Admit(p.now, w.c)
 		if each(w.c, taken); taken {
 			p.spare--
 			p.did++
-			p.g.Answered(w.c.Op, p.now-w.at, 100)
+			p.g.OnSuccess(w.c.Class, p.now-w.at, 100)
 		} else {
 			p.spare -= 0.1 // what it costs to turn one away
 			p.did += 0.1
@@ -64,8 +64,8 @@
 		busy := min(1, p.did/p.capacity/(p.now-p.next+0.1))
 		p.next, p.did = p.now+0.1, 0
 		lag := min(p.age(), 0.25)
-		p.g.Look(p.now, Reading{Lag: lag, Queue: lag / 2, CPU: busy})
-		p.levels = append(p.levels, p.g.Level())
+		p.g.Observe(p.now, LoadSample{TimerDelaySeconds: lag, SchedulerDelaySeconds: lag / 2, CPUShare: busy})
+		p.levels = append(p.levels, p.g.ShedShare())
 	}
 }
 
@@ -74,9 +74,9 @@
 	p.shed, p.came, p.levels = [3]int{}, [3]int{}, nil
 	for i, end := 0, p.now+secs; p.now < end; i++ {
 		id, retry := client(i)
-		p.offer(rate, Command{Op: i % 3, Client: id, Retry: retry, Left: 1}, func(c Command, taken bool) {
-			p.came[c.Op]++
-			p.shed[c.Op] += one(!taken)
+		p.offer(rate, Request{Class: i % 3, Client: id, Retry: retry, RemainingSeconds: 1}, func(c Request, taken bool) {
+			p.came[c.Class]++
+			p.shed[c.Class] += one(!taken)
 		})
 	}
 }
@@ -118,7 +118,7 @@
 			if hot(i) {
 				id = 0
 			}
-			p.offer(2000, Command{Client: id, Retry: retry(i), Left: 1}, func(c Command, taken bool) {
+			p.offer(2000, Request{Client: id, Retry: retry(i), RemainingSeconds: 1}, func(c Request, taken bool) {
 				k := one(c.Client == 0 || c.Retry)
 				came[k]++
 				shed[k] += one(!taken)
@@ -133,12 +133,12 @@
 	fmt.Printf("half are retries: %t that they lose 90%% or more, %t that first tries lose less than half of that\n", pct(shed[1], came[1]) >= 90, 2*pct(shed[0], came[0]) < pct(shed[1], came[1]))
 	g := New(ops, 1, 0)
 	for i := range 1000 {
-		g.Admit(float64(i)/1000, Command{Op: i % 3, Client: uint64(i), Left: 1})
+		g.Admit(float64(i)/1000, Request{Class: i % 3, Client: uint64(i), RemainingSeconds: 1})
 	}
-	g.Answered(0, 0.2, 100)
-	fmt.Println("no time left, at ease:", g.Admit(1, Command{Op: 0, Left: 0.1}))
-	g.Look(1, Reading{Lag: 0.06})
-	fmt.Println("no time left, behind:", g.Admit(1, Command{Op: 0, Left: 0.1}))
+	g.OnSuccess(0, 0.2, 100)
+	fmt.Println("no time left, at ease:", g.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
+	g.Observe(1, LoadSample{TimerDelaySeconds: 0.06})
+	fmt.Println("no time left, behind:", g.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
 	// Output:
 	// a hot client: true that it loses half or more, true that the others lose under 15%
 	// half are retries: true that they lose 90% or more, true that first tries lose less than half of that
@@ -173,9 +173,9 @@
 // means that less is shed.
 func TestWorth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		many := make([]OpType, rapid.IntRange(1, 6).Draw(t, "ops"))
+		many := make([]RequestClass, rapid.IntRange(1, 6).Draw(t, "ops"))
 		for i := range many {
-			many[i] = OpType{Target: 0.3, Importance: float64(rapid.IntRange(1, 4).Draw(t, "importance"))}
+			many[i] = RequestClass{LatencyObjectiveSeconds: 0.3, PriorityWeight: float64(rapid.IntRange(1, 4).Draw(t, "importance"))}
 		}
 		offer := make([]int, len(many))
 		sizes := make([]int, len(many))
@@ -184,16 +184,16 @@
 			sizes[i] = rapid.SampledFrom([]int{0, 8192, 16384}).Draw(t, "bytes")
 		}
 		bound := rapid.Float64Range(1, 200).Draw(t, "bound")
-		after := func(times int) *Gate {
+		after := func(times int) *Shedder {
 			g := New(many, 3, 0)
 			g.bound = bound
 			for op, n := range offer {
-				g.Answered(op, 0.01, sizes[op])
+				g.OnSuccess(op, 0.01, sizes[op])
 				for i := range n * times {
-					g.Admit(0.1, Command{Op: op, Client: uint64(i), Retry: i%5 == 0, Left: 1})
+					g.Admit(0.1, Request{Class: op, Client: uint64(i), Retry: i%5 == 0, RemainingSeconds: 1})
 				}
 			}
-			g.Look(1, Reading{})
+			g.Observe(1, LoadSample{})
 			return g
 		}
 		g := after(1)
@@ -204,22 +204,22 @@
 				}
 			}
 		}
-		if more := after(2); more.Level() < g.Level() {
-			t.Fatalf("level %g, with twice the load %g", g.Level(), more.Level())
+		if more := after(2); more.ShedShare() < g.ShedShare() {
+			t.Fatalf("level %g, with twice the load %g", g.ShedShare(), more.ShedShare())
 		}
 		// From the same state, more pressure never leaves a higher bound.
 		x := rapid.Float64Range(0, 1).Draw(t, "lag")
 		y := x + rapid.Float64Range(0, 1).Draw(t, "more lag")
 		calm, hard := after(1), after(1)
-		for _, h := range []*Gate{calm, hard} {
+		for _, h := range []*Shedder{calm, hard} {
 			for i := range 30 {
-				h.Admit(1.1, Command{Client: uint64(i), Left: 1e9})
+				h.Admit(1.1, Request{Client: uint64(i), RemainingSeconds: 1e9})
 			}
 		}
-		calm.Look(1.2, Reading{Lag: x})
-		hard.Look(1.2, Reading{Lag: y})
-		if hard.Bound() > calm.Bound() {
-			t.Fatalf("bound %g at a lag of %g, %g at %g", calm.Bound(), x, hard.Bound(), y)
+		calm.Observe(1.2, LoadSample{TimerDelaySeconds: x})
+		hard.Observe(1.2, LoadSample{TimerDelaySeconds: y})
+		if hard.Limit() > calm.Limit() {
+			t.Fatalf("bound %g at a lag of %g, %g at %g", calm.Limit(), x, hard.Limit(), y)
 		}
 	})
 }
--- a/internal/loadshed/start.go
+++ b/internal/loadshed/start.go
@@ -5,9 +5,9 @@
 	first   = 2.0 // s that it gets to send one where there is none
 )
 
-// Start is for how long after its start, s, a relay that has not heard from discovery does not call itself ready. It is short: who
+// ReadinessDelaySeconds is for how long after its start, s, a relay that has not heard from discovery does not call itself ready. It is short: who
 // restarts relays gives them some seconds, and one that has no unit turns away what it gets, with a time to come back.
-func Start(known bool) float64 {
+func ReadinessDelaySeconds(known bool) float64 {
 	if known {
 		return correct
 	}
--- a/internal/metricsanalysis/health.go
+++ b/internal/metricsanalysis/health.go
@@ -174,7 +174,7 @@
 }
 
 // fades tells whether a question's counts are forgotten with time.
-func (q *Question) fades() bool { return q.Meaning == Counts && policy.Kinds[q.Kind] == "slow" }
+func (q *Question) fades() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
 
 // Release begins the counts of a new build.
 func (s *Source) Release(build int) {
@@ -411,34 +411,34 @@
 }
 
 // Counted gives the counts of the present build against earlier ones.
-func (s *Source) Counted(now float64) policy.Sourced {
-	out := policy.Sourced{Evidence: policy.Evidence{Build: s.build}}
+func (s *Source) Counted(now float64) policy.MetricsEvidence {
+	out := policy.MetricsEvidence{Evidence: policy.Evidence{Build: s.build}}
 	at := map[seriesKey]int{}
 	for i := range s.questions {
 		q := &s.questions[i]
 		if q.Meaning != Counts {
 			continue
 		}
-		out.Apart[q.Kind] = q.Apart
+		out.Independent[q.Kind] = q.Apart
 		s.each(now, i, func(k seriesKey, x said) {
 			if x.sum.n == 0 {
 				return
 			}
 			j, ok := at[k]
 			if !ok {
-				j = len(out.Tally)
+				j = len(out.Samples)
 				at[k] = j
-				out.Tally = append(out.Tally, policy.Tally{Unit: k.unit, Build: k.build})
+				out.Samples = append(out.Samples, policy.EndpointSample{Endpoint: k.unit, Build: k.build})
 			}
-			out.Tally[j].N[q.Kind], out.Tally[j].Bad[q.Kind] = x.sum.n*q.Weight, x.sum.bad*q.Weight
+			out.Samples[j].Outcomes[q.Kind], out.Samples[j].Failures[q.Kind] = x.sum.n*q.Weight, x.sum.bad*q.Weight
 		})
 	}
 	return out
 }
 
 // Marks gives the units that are marked, in order.
-func (s *Source) Marks(now float64) []policy.Mark {
-	of := map[uint32]*policy.Mark{}
+func (s *Source) Marks(now float64) []policy.HealthMark {
+	of := map[uint32]*policy.HealthMark{}
 	for i := range s.questions {
 		q := &s.questions[i]
 		s.each(now, i, func(k seriesKey, x said) {
@@ -447,21 +447,21 @@
 			}
 			m := of[k.unit]
 			if m == nil {
-				m = &policy.Mark{Unit: k.unit}
+				m = &policy.HealthMark{Endpoint: k.unit}
 				of[k.unit] = m
 			}
-			if q.Meaning == Counts && policy.Kinds[q.Kind] == "wrong" {
-				m.Wrong = max(m.Wrong, x.mark)
+			if q.Meaning == Counts && policy.FailureKinds[q.Kind] == "wrong" {
+				m.WrongShare = max(m.WrongShare, x.mark)
 			} else {
-				m.Ailing = max(m.Ailing, x.mark)
+				m.DegradedShare = max(m.DegradedShare, x.mark)
 			}
 		})
 	}
-	list := make([]policy.Mark, 0, len(of))
+	list := make([]policy.HealthMark, 0, len(of))
 	for _, m := range of {
 		list = append(list, *m)
 	}
-	slices.SortFunc(list, func(a, b policy.Mark) int { return cmp.Compare(a.Unit, b.Unit) })
+	slices.SortFunc(list, func(a, b policy.HealthMark) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return list
 }
 
--- a/internal/metricsanalysis/health_test.go
+++ b/internal/metricsanalysis/health_test.go
@@ -43,15 +43,15 @@
 
 func (p *play) show(name string) {
 	var b strings.Builder
-	for _, t := range p.s.Counted(p.now).Tally {
-		for k := range t.N {
-			if t.N[k] > 0 {
-				fmt.Fprintf(&b, " unit %d of build %d: %.0f of %.0f %s;", t.Unit, t.Build, t.Bad[k], t.N[k], policy.Kinds[k])
+	for _, t := range p.s.Counted(p.now).Samples {
+		for k := range t.Outcomes {
+			if t.Outcomes[k] > 0 {
+				fmt.Fprintf(&b, " unit %d of build %d: %.0f of %.0f %s;", t.Endpoint, t.Build, t.Failures[k], t.Outcomes[k], policy.FailureKinds[k])
 			}
 		}
 	}
 	for _, m := range p.s.Marks(p.now) {
-		fmt.Fprintf(&b, " mark on %d: wrong %.2f, ailing %.2f;", m.Unit, m.Wrong, m.Ailing)
+		fmt.Fprintf(&b, " mark on %d: wrong %.2f, ailing %.2f;", m.Endpoint, m.WrongShare, m.DegradedShare)
 	}
 	if b.Len() == 0 {
 		b.WriteString(" nothing")
@@ -236,16 +236,16 @@
 			p.say(0, 11, 8, rows...)
 			from = to
 		}
-		got := policy.Tally{}
-		if list := p.s.Counted(p.now).Tally; len(list) > 0 {
+		got := policy.EndpointSample{}
+		if list := p.s.Counted(p.now).Samples; len(list) > 0 {
 			got = list[0]
 		}
 		// Unseen restarts may lose what came before them; nothing may be added.
-		if got.N[failedKind] > sum || got.Bad[failedKind] > sumBad {
-			t.Fatalf("counted %g of %g, happened %g of %g", got.Bad[failedKind], got.N[failedKind], sumBad, sum)
+		if got.Outcomes[failedKind] > sum || got.Failures[failedKind] > sumBad {
+			t.Fatalf("counted %g of %g, happened %g of %g", got.Failures[failedKind], got.Outcomes[failedKind], sumBad, sum)
 		}
-		if !restarts && got.N[failedKind] != all[len(all)-1].all-all[0].all {
-			t.Fatalf("counted %g, happened %g", got.N[failedKind], all[len(all)-1].all-all[0].all)
+		if !restarts && got.Outcomes[failedKind] != all[len(all)-1].all-all[0].all {
+			t.Fatalf("counted %g, happened %g", got.Outcomes[failedKind], all[len(all)-1].all-all[0].all)
 		}
 	})
 }
