--- a/internal/platform/control/platform.go
+++ b/internal/platform/control/platform.go
@@ -34,12 +34,12 @@
 
 var (
 	verdicts = [...]string{"WITHDRAW", "PROCEED", "HOLD", "ROLLBACK"}
-	replies  = map[string]policy.VoteReply{"Throttling": policy.Refused, "ConditionFailed": policy.Moot,
-		"InternalFailure": policy.Refused, "ValidationError": policy.Refused}
+	replies  = map[string]policy.VoteReply{"Throttling": policy.VoteRefused, "ConditionFailed": policy.VoteMoot,
+		"InternalFailure": policy.VoteRefused, "ValidationError": policy.VoteRefused}
 )
 
 // ParseNews reads a state as the configuration holds it; none is nil.
-func ParseNews(text []byte, stages int) (*releases.News, error) {
+func ParseNews(text []byte, stages int) (*releases.Update, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
 	}
@@ -55,17 +55,17 @@
 	return news(s.Build, s.Stage, s.Phase, s.Cap, s.AgeMS, stages)
 }
 
-func news(build, stage int, phase string, limit, ageMS float64, stages int) (*releases.News, error) {
+func news(build, stage int, phase string, limit, ageMS float64, stages int) (*releases.Update, error) {
 	word, ok := phases[phase]
 	if !ok {
 		return nil, fmt.Errorf("unknown phase %.32q", phase)
 	}
-	n := &releases.News{Build: build, Stage: stage, Phase: word, Cap: limit, Age: ageMS / 1000}
+	n := &releases.Update{Build: build, Stage: stage, Phase: word, Cap: limit, Age: ageMS / 1000}
 	return n, n.Check(stages)
 }
 
 // parseState reads the five fields of a state.
-func parseState(f []string, stages int) (*releases.News, error) {
+func parseState(f []string, stages int) (*releases.Update, error) {
 	if len(f) != 5 {
 		return nil, fmt.Errorf("a state of %d fields", len(f))
 	}
@@ -84,25 +84,25 @@
 	return news(int(build), stage, f[2], limit, age, stages)
 }
 
-// Told is one thing that the platform said.
-type Told struct {
-	News      *releases.News // of the newest build
-	Unit      string         // a complaint: this unit gave a wrong answer
-	AgeMS     float64
-	Answer    bool // to the oldest call
-	Reply     policy.VoteReply
-	Following bool // the answer to follow
+// Message is one thing that the platform said.
+type Message struct {
+	Release       *releases.Update // of the newest build
+	WrongEndpoint string           // a complaint: this unit gave a wrong answer
+	AgeMS         float64
+	Answer        bool // to the oldest call
+	Reply         policy.VoteReply
+	Following     bool // the answer to follow
 }
 
 // Parse reads one line. first: the oldest call is the one that asked to follow. An error says that the line was spoilt.
-func Parse(line string, stages int, first bool) (t Told, err error) {
+func Parse(line string, stages int, first bool) (t Message, err error) {
 	f := strings.Split(line, " ")
 	switch {
 	case line == "*":
 	case f[0] == "*" && len(f) == 7 && f[1] == "progress":
-		t.News, err = parseState(f[2:], stages)
+		t.Release, err = parseState(f[2:], stages)
 	case f[0] == "*" && len(f) == 5 && f[1] == "complaint":
-		t.Unit = f[2]
+		t.WrongEndpoint = f[2]
 		if t.AgeMS, err = strconv.ParseFloat(f[4], 64); err == nil && !(t.AgeMS >= 0) {
 			err = fmt.Errorf("age %v", t.AgeMS)
 		}
@@ -123,22 +123,22 @@
 	case first && line == "OK":
 		t.Answer, t.Following = true, true
 	case !first && f[0] == "OK":
-		t.Answer, t.Reply = true, policy.Counted
-		t.News, err = parseState(f[1:], stages)
+		t.Answer, t.Reply = true, policy.VoteCounted
+		t.Release, err = parseState(f[1:], stages)
 	default:
 		err = errors.New("no answer of the platform's")
 	}
 	return t, err
 }
 
-// Line is a relay's connection to the platform. Its functions are called one at a time, and must not wait.
-type Line struct {
-	Stages  int
-	Timeout float64 // s that the answer to a vote is waited for
-	Log     *slog.Logger
-	News    func(*releases.News)
-	Blamed  func(unit string, age float64)
-	Replied func(releases.Vote, policy.VoteReply)
+// Client is a relay's connection to the platform. Its functions are called one at a time, and must not wait.
+type Client struct {
+	Stages        int
+	Timeout       float64 // s that the answer to a vote is waited for
+	Log           *slog.Logger
+	OnRelease     func(*releases.Update)
+	OnWrongAnswer func(unit string, age float64)
+	OnVoteReply   func(releases.Vote, policy.VoteReply)
 
 	mu      sync.Mutex
 	address string
@@ -156,10 +156,10 @@
 }
 
 // Open makes the line ready; it is to be called before all else.
-func (l *Line) Open(address string) { l.address, l.moved = address, make(chan struct{}, 1) }
+func (l *Client) Open(address string) { l.address, l.moved = address, make(chan struct{}, 1) }
 
-// Move has the line go on at another address: what is there already is joined before the present connection is left.
-func (l *Line) Move(address string) {
+// SetAddress has the line go on at another address: what is there already is joined before the present connection is left.
+func (l *Client) SetAddress(address string) {
 	l.mu.Lock()
 	same := l.address == address
 	l.address = address
@@ -173,7 +173,7 @@
 }
 
 // Run follows until ctx ends.
-func (l *Line) Run(ctx context.Context) {
+func (l *Client) Run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		from := time.Now()
 		err := l.once(ctx)
@@ -183,7 +183,7 @@
 		if time.Since(from).Seconds() > 2*silence {
 			n = 0
 		}
-		wait := watch.Pause(n, least, most, rand.Float64())
+		wait := watch.Backoff(n, least, most, rand.Float64())
 		l.Log.Warn("platform", "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
@@ -193,7 +193,7 @@
 	}
 }
 
-func (l *Line) dial(ctx context.Context) (net.Conn, error) {
+func (l *Client) dial(ctx context.Context) (net.Conn, error) {
 	l.mu.Lock()
 	address := l.address
 	l.mu.Unlock()
@@ -216,7 +216,7 @@
 	spoke chan error
 }
 
-func (l *Line) join(ctx context.Context) (*joined, error) {
+func (l *Client) join(ctx context.Context) (*joined, error) {
 	conn, err := l.dial(ctx)
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 }
 
 // once serves one connection to its end, and those that follow it where the address moves.
-func (l *Line) once(ctx context.Context) error {
+func (l *Client) once(ctx context.Context) error {
 	now, err := l.join(ctx)
 	if err != nil {
 		return err
@@ -259,7 +259,7 @@
 
 // successor gives the next connection once something comes on it: until then what the platform tells comes on the present one, whose
 // end it is told of. An error says that there is none.
-func (l *Line) successor(ctx context.Context, ended chan error) (*joined, error) {
+func (l *Client) successor(ctx context.Context, ended chan error) (*joined, error) {
 	var next *joined
 	var spoke chan error
 	over := ended
@@ -294,14 +294,14 @@
 	}
 }
 
-func (l *Line) take(conn net.Conn) {
+func (l *Client) take(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn, l.up, l.calls = conn, false, []*call{{follow: true}}
 }
 
 // leave ends a connection. What was asked on it and has no answer may have been carried out.
-func (l *Line) leave(conn net.Conn) {
+func (l *Client) leave(conn net.Conn) {
 	conn.Close()
 	l.mu.Lock()
 	calls := l.calls
@@ -310,12 +310,12 @@
 	}
 	l.mu.Unlock()
 	for _, c := range calls {
-		l.answered(c, policy.Unknown, "the connection ended")
+		l.answered(c, policy.VoteUnknown, "the connection ended")
 	}
 }
 
 // answered tells what became of a vote, once.
-func (l *Line) answered(c *call, reply policy.VoteReply, why string) {
+func (l *Client) answered(c *call, reply policy.VoteReply, why string) {
 	l.mu.Lock()
 	over := c.given || c.follow
 	c.given = true
@@ -325,11 +325,11 @@
 	}
 	c.over.Stop()
 	l.Log.Info("vote", "build", c.vote.Build, "stage", c.vote.Stage, "verdict", verdicts[c.vote.Verdict], "reply", reply, "why", why)
-	l.Replied(c.vote, reply)
+	l.OnVoteReply(c.vote, reply)
 }
 
 // read takes what comes on a connection. A spoilt line ends it: what follows can't be told apart.
-func (l *Line) read(j *joined) error {
+func (l *Client) read(j *joined) error {
 	conn, br := j.conn, j.br
 	for {
 		conn.SetReadDeadline(time.Now().Add(time.Duration(silence * float64(time.Second))))
@@ -351,11 +351,11 @@
 		if err != nil {
 			return fmt.Errorf("line %.60q: %w", line, err)
 		}
-		if t.News != nil {
-			l.News(t.News)
+		if t.Release != nil {
+			l.OnRelease(t.Release)
 		}
-		if t.Unit != "" {
-			l.Blamed(t.Unit, t.AgeMS/1000)
+		if t.WrongEndpoint != "" {
+			l.OnWrongAnswer(t.WrongEndpoint, t.AgeMS/1000)
 		}
 		if !t.Answer {
 			continue
@@ -374,9 +374,9 @@
 }
 
 // Cast casts a vote without waiting. Where no connection follows it is not cast: the module asks again.
-func (l *Line) Cast(v releases.Vote) {
+func (l *Client) Cast(v releases.Vote) {
 	c := &call{vote: v}
-	c.over = time.AfterFunc(time.Duration(l.Timeout*float64(time.Second)), func() { l.answered(c, policy.Unknown, "no answer in time") })
+	c.over = time.AfterFunc(time.Duration(l.Timeout*float64(time.Second)), func() { l.answered(c, policy.VoteUnknown, "no answer in time") })
 	l.mu.Lock()
 	if conn := l.conn; conn != nil && l.up {
 		l.calls = append(l.calls, c)
@@ -390,5 +390,5 @@
 		return
 	}
 	l.mu.Unlock()
-	go l.answered(c, policy.Refused, "no connection")
+	go l.answered(c, policy.VoteRefused, "no connection")
 }
--- a/internal/platform/control/platform_test.go
+++ b/internal/platform/control/platform_test.go
@@ -16,7 +16,7 @@
 	"flintspread/internal/releases"
 )
 
-func stood(n *releases.News) string {
+func stood(n *releases.Update) string {
 	return fmt.Sprint(n.Build, n.Stage, " ", n.Phase, " ", n.Cap, n.Age)
 }
 
@@ -44,15 +44,15 @@
 			got = err.Error()
 		case told.Following:
 			got = "following"
-		case told.Unit != "":
-			got = fmt.Sprint(told.Unit, " ", told.AgeMS)
+		case told.WrongEndpoint != "":
+			got = fmt.Sprint(told.WrongEndpoint, " ", told.AgeMS)
 		case told.Answer:
 			got = [...]string{"counted", "moot", "refused", "unknown"}[told.Reply]
-			if told.News != nil {
-				got += " state " + stood(told.News)
+			if told.Release != nil {
+				got += " state " + stood(told.Release)
 			}
-		case told.News != nil:
-			got = "state " + stood(told.News)
+		case told.Release != nil:
+			got = "state " + stood(told.Release)
 		default:
 			got = "quiet"
 		}
@@ -75,8 +75,8 @@
 	}
 	f.Fuzz(func(t *testing.T, line string, first bool) {
 		told, err := Parse(line, 3, first)
-		if err == nil && told.News != nil && told.News.Check(3) != nil {
-			t.Fatalf("%q gave %+v", line, told.News)
+		if err == nil && told.Release != nil && told.Release.Check(3) != nil {
+			t.Fatalf("%q gave %+v", line, told.Release)
 		}
 	})
 }
@@ -116,12 +116,12 @@
 }
 
 // open follows a desk and gives what the line tells, in order.
-func open(t *testing.T, d *desk) (*Line, chan string) {
+func open(t *testing.T, d *desk) (*Client, chan string) {
 	told := make(chan string, 1000)
-	l := &Line{Stages: 2, Timeout: 0.3, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		News:    func(n *releases.News) { told <- fmt.Sprintf("news %d %d %s", n.Build, n.Stage, n.Phase) },
-		Blamed:  func(unit string, age float64) { told <- fmt.Sprintf("blamed %s %g", unit, age) },
-		Replied: func(v releases.Vote, r policy.VoteReply) { told <- fmt.Sprintf("vote %d", r) }}
+	l := &Client{Stages: 2, Timeout: 0.3, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		OnRelease:     func(n *releases.Update) { told <- fmt.Sprintf("news %d %d %s", n.Build, n.Stage, n.Phase) },
+		OnWrongAnswer: func(unit string, age float64) { told <- fmt.Sprintf("blamed %s %g", unit, age) },
+		OnVoteReply:   func(v releases.Vote, r policy.VoteReply) { told <- fmt.Sprintf("vote %d", r) }}
 	l.Open(d.l.Addr().String())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -172,7 +172,7 @@
 		if got := next(t, told); got != "news 42 1 on-trial" {
 			t.Fatal(got)
 		}
-		l.Cast(releases.Vote{Build: 42, Stage: 1, Verdict: policy.VoteOn})
+		l.Cast(releases.Vote{Build: 42, Stage: 1, Verdict: policy.VotePromote})
 		for _, want := range strings.Split(c.want, "/") {
 			if got := next(t, told); got != want {
 				t.Errorf("%.40q: %s, want %s", c.reply, got, want)
@@ -209,15 +209,15 @@
 	})
 	l, told := open(t, d)
 	next(t, told)
-	l.Cast(releases.Vote{Build: 42, Verdict: policy.VoteOn})
+	l.Cast(releases.Vote{Build: 42, Verdict: policy.VotePromote})
 	if got := next(t, told); got != "vote 3" {
 		t.Error(got)
 	}
-	l.Cast(releases.Vote{Build: 42, Verdict: policy.VoteBack})
+	l.Cast(releases.Vote{Build: 42, Verdict: policy.VoteRollback})
 	if got := next(t, told); got != "vote 1" {
 		t.Error("the second vote got the first one's answer:", got)
 	}
-	gone := &Line{Timeout: 1, Log: l.Log, Replied: l.Replied}
+	gone := &Client{Timeout: 1, Log: l.Log, OnVoteReply: l.OnVoteReply}
 	gone.Open("127.0.0.1:1")
 	gone.Cast(releases.Vote{})
 	if got := next(t, told); got != "vote 2" {
@@ -235,13 +235,13 @@
 	if got := next(t, told); got != "news 1 0 on-trial" {
 		t.Error(got)
 	}
-	l.Move(b.l.Addr().String())
-	l.Move(c.l.Addr().String())
+	l.SetAddress(b.l.Addr().String())
+	l.SetAddress(c.l.Addr().String())
 	for got := ""; got != "news 3 0 on-trial"; {
 		got = next(t, told)
 	}
-	l.Move(c.l.Addr().String())
-	l.Move(a.l.Addr().String())
+	l.SetAddress(c.l.Addr().String())
+	l.SetAddress(a.l.Addr().String())
 	for got := ""; got != "news 1 0 on-trial"; { // that of the third may come twice: it was joined for either move
 		if got = next(t, told); got == "news 2 0 on-trial" {
 			t.Error("back at the second")
@@ -269,7 +269,7 @@
 	if got := next(t, told); got != "news 1 0 on-trial" {
 		t.Error(got)
 	}
-	l.Move(silent.l.Addr().String())
+	l.SetAddress(silent.l.Addr().String())
 	for silent.count("follow") == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/platform/discovery/catalog.go
+++ b/internal/platform/discovery/catalog.go
@@ -9,15 +9,15 @@
 	"flintspread/internal/endpoints"
 )
 
-// Object is one of discovery's: the whole list, or the entries that changed.
-type Object struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []Entry `json:"hosts"`
+// Message is one of discovery's: the whole list, or the entries that changed.
+type Message struct {
+	Seq   uint64   `json:"seq"`
+	Whole bool     `json:"whole"`
+	Hosts []Member `json:"hosts"`
 }
 
-// Entry is one unit as discovery names it.
-type Entry struct {
+// Member is one unit as discovery names it.
+type Member struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -35,8 +35,8 @@
 var states = map[string]string{"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 // Parse reads an object and refuses one with an entry that can't be meant: what it would leave out might be what matters.
-func Parse(text []byte) (*Object, error) {
-	o := &Object{}
+func Parse(text []byte) (*Message, error) {
+	o := &Message{}
 	if err := json.Unmarshal(text, o); err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 }
 
 // Check finds an entry that can't be meant: what its form alone shows, the rest is the list's own check.
-func (o *Object) Check() error {
+func (o *Message) Check() error {
 	seen := make(map[string]bool, len(o.Hosts))
 	for i, e := range o.Hosts {
 		what := ""
@@ -58,7 +58,7 @@
 		case e.Image != math.Trunc(e.Image) || e.Block != math.Trunc(e.Block) || !(e.Block >= 0 && e.Block < math.MaxUint16):
 			what = fmt.Sprintf("image_id %v, block %v", e.Image, e.Block)
 		default:
-			if err := (&endpoints.Line{Units: []endpoints.Unit{e.unit(1, 0)}}).Check(); err != nil {
+			if err := (&endpoints.Update{Endpoints: []endpoints.Endpoint{e.unit(1, 0)}}).Check(); err != nil {
 				what = err.Error()
 			}
 		}
@@ -71,21 +71,21 @@
 }
 
 // unit words an entry by the numbers that the module knows it and its site by.
-func (e *Entry) unit(id uint32, zone uint16) endpoints.Unit {
-	u := endpoints.Unit{ID: id, State: states[e.Health], Build: int(e.Image), Heft: e.Share, Start: e.BornMS / 1000, Zone: zone, Cell: uint16(e.Block) + 1}
+func (e *Member) unit(id uint32, zone uint16) endpoints.Endpoint {
+	u := endpoints.Endpoint{ID: id, State: states[e.Health], Build: int(e.Image), Weight: e.Share, StartedAt: e.BornMS / 1000, Zone: zone, Cell: uint16(e.Block) + 1}
 	if u.State != "gone" {
 		u.Addr = e.Dial
 	}
 	return u
 }
 
-// Names gives hosts and sites the numbers that the module knows them by. A host keeps its number for as long as it is listed
+// IDs gives hosts and sites the numbers that the module knows them by. A host keeps its number for as long as it is listed
 // and Kept s more; then its name is forgotten, and a number is never another's.
-type Names struct {
-	Kept  float64
-	hosts map[string]*named
-	sites map[string]uint16
-	last  uint32
+type IDs struct {
+	KeepSeconds float64
+	hosts       map[string]*named
+	sites       map[string]uint16
+	last        uint32
 }
 
 type named struct {
@@ -93,8 +93,8 @@
 	left float64 // when it left the list, 0 while it is listed
 }
 
-// Host gives a listed host's number, 0 where it is not known.
-func (n *Names) Host(host string) uint32 {
+// EndpointID gives a listed host's number, 0 where it is not known.
+func (n *IDs) EndpointID(host string) uint32 {
 	if x := n.hosts[host]; x != nil {
 		return x.id
 	}
@@ -102,10 +102,10 @@
 }
 
 // Len is how many hosts are remembered.
-func (n *Names) Len() int { return len(n.hosts) }
+func (n *IDs) Len() int { return len(n.hosts) }
 
-// Line words an object for the list.
-func (n *Names) Line(o *Object, now float64) *endpoints.Line {
+// Update words an object for the list.
+func (n *IDs) Update(o *Message, now float64) *endpoints.Update {
 	if n.hosts == nil {
 		n.hosts, n.sites = map[string]*named{}, map[string]uint16{}
 	}
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	line := &endpoints.Line{Version: o.Seq, Full: o.Whole}
+	line := &endpoints.Update{Version: o.Seq, Full: o.Whole}
 	for _, e := range o.Hosts {
 		x := n.hosts[e.Host]
 		if x == nil {
@@ -131,10 +131,10 @@
 		if states[e.Health] == "gone" {
 			x.left = now
 		}
-		line.Units = append(line.Units, e.unit(x.id, n.sites[e.Site]))
+		line.Endpoints = append(line.Endpoints, e.unit(x.id, n.sites[e.Site]))
 	}
 	for host, x := range n.hosts {
-		if x.left > 0 && now-x.left > n.Kept {
+		if x.left > 0 && now-x.left > n.KeepSeconds {
 			delete(n.hosts, host)
 		}
 	}
--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -14,8 +14,8 @@
 	"flintspread/internal/releases"
 )
 
-// Told is what the platform tells a relay in one file.
-type Told struct {
+// Config is what the platform tells a relay in one file.
+type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
@@ -24,28 +24,28 @@
 	Cores     float64
 	Memory    int64 // bytes
 	Sockets   int
-	News      *releases.News    // nil: none yet
-	Known     *discovery.Object // nil: no list yet
-	Terms     policy.Terms
+	News      *releases.Update   // nil: none yet
+	Known     *discovery.Message // nil: no list yet
+	Terms     policy.Config
 	Ops       []string // the names of the terms' op types
 	Dial      float64  // s that a connection to a unit may take
 }
 
-// Read reads and checks the file whole. An error names file and key.
-func Read(file string) (*Told, error) {
+// ReadConfig reads and checks the file whole. An error names file and key.
+func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	t, err := Parse(text)
+	t, err := ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return t, nil
 }
 
-// Parse reads the file's text.
-func Parse(text []byte) (*Told, error) {
+// ParseConfig reads the file's text.
+func ParseConfig(text []byte) (*Config, error) {
 	var f struct {
 		Name      string `json:"name" validate:"required"`
 		Listen    string `json:"listen" validate:"hostname_port"`
@@ -66,7 +66,7 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	t := &Told{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address, Cores: f.Limits.Cores,
+	t := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address, Cores: f.Limits.Cores,
 		Memory: int64(f.Limits.Memory * (1 << 20)), Sockets: f.Limits.Sockets}
 	if err := config.CheckJSON(&f); err != nil {
 		return nil, err
@@ -75,20 +75,20 @@
 	if t.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %.32q is no number of 16 hex digits", f.Seed)
 	}
-	pairs, err := policyconfig.Tree(f.Settings)
+	pairs, err := policyconfig.ParseJSON(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if t.Terms, err = policyconfig.Read(pairs); err != nil {
+	if t.Terms, err = policyconfig.Decode(pairs); err != nil {
 		return nil, err
 	}
-	if t.Ops, err = policyconfig.Names(pairs); err != nil {
+	if t.Ops, err = policyconfig.ClassNames(pairs); err != nil {
 		return nil, err
 	}
-	if t.Dial, err = policyconfig.Secs(pairs, "policy_limits.dial_timeout"); err != nil {
+	if t.Dial, err = policyconfig.Seconds(pairs, "policy_limits.dial_timeout"); err != nil {
 		return nil, err
 	}
-	if t.News, err = control.ParseNews(f.Platform.News, len(t.Terms.Stages)); err != nil {
+	if t.News, err = control.ParseNews(f.Platform.News, len(t.Terms.StageShares)); err != nil {
 		return nil, fmt.Errorf("platform.news: %w", err)
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -42,14 +42,14 @@
 
 // Node is one relay.
 type Node struct {
-	told  *Told
+	told  *Config
 	log   *slog.Logger
-	relay *proxy.Relay
-	line  *control.Line
+	relay *proxy.Proxy
+	line  *control.Client
 	http  *http.Client
 
 	mu      sync.Mutex // orders lists and news
-	names   discovery.Names
+	names   discovery.IDs
 	list    endpoints.List
 	from    string // discovery's address
 	feed    int    // the follower whose objects count; earlier ones may still add changes
@@ -58,7 +58,7 @@
 	ended   bool // nothing new is followed
 	running sync.WaitGroup
 
-	plan     loadshed.Leaving
+	plan     loadshed.ShutdownPlan
 	unheard  float64 // s after which it is ready though discovery said nothing
 	mostList int64   // bytes of a list
 
@@ -67,28 +67,28 @@
 }
 
 // New makes a relay of what it was told.
-func New(t *Told, log *slog.Logger) *Node {
+func New(t *Config, log *slog.Logger) *Node {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(t.Cores))))
-	parts := loadshed.Part(t.Sockets, t.Memory)
-	debug.SetMemoryLimit(parts.Heap)
+	parts := loadshed.SplitLimits(t.Sockets, t.Memory)
+	debug.SetMemoryLimit(parts.HeapBytes)
 	terms := t.Terms
-	terms.Forget, terms.Keys = forget, keysKept
-	terms.Streams = 1 // whatever units allow, this relay has one delivery out on a connection
-	set := config.Given(t.Name, terms, t.Ops,
-		config.Clients{Connections: parts.Clients, Keep: parts.Keep, ReadTime: speakUp, IdleTime: idleTime},
-		config.Units{Connections: parts.Units, Total: parts.Units, DialTime: t.Dial, IdleTime: loadshed.IdleTime(terms.ConnIdle)}, parts.Buffers)
-	n := &Node{told: t, log: log, from: t.Discovery, mostList: parts.Buffers / 2, names: discovery.Names{Kept: 2 * forget},
+	terms.ForgetEndpointSeconds, terms.MaxRememberedKeys = forget, keysKept
+	terms.RequestsPerConn = 1 // whatever units allow, this relay has one delivery out on a connection
+	set := config.ForPlatform(t.Name, terms, t.Ops,
+		config.Clients{Connections: parts.ClientConns, Keep: parts.IdleEvictionThreshold, ReadTime: speakUp, IdleTime: idleTime},
+		config.Endpoints{Connections: parts.EndpointConns, Total: parts.EndpointConns, DialTime: t.Dial, IdleTime: loadshed.EndpointIdleSeconds(terms.ConnIdleSeconds)}, parts.BufferBytes)
+	n := &Node{told: t, log: log, from: t.Discovery, mostList: parts.BufferBytes / 2, names: discovery.IDs{KeepSeconds: 2 * forget},
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	longest := 0.0
-	for _, op := range terms.Ops {
-		longest = max(longest, op.Timeout)
+	for _, op := range terms.Classes {
+		longest = max(longest, op.TimeoutSeconds)
 	}
-	n.plan = loadshed.Leave(longest)
+	n.plan = loadshed.PlanShutdown(longest)
 	n.feeds, n.stopFeeds = context.WithCancel(context.Background())
-	n.line = &control.Line{Stages: len(terms.Stages), Timeout: terms.VoteTimeout, Log: log, News: n.news, Blamed: n.blamed,
-		Replied: func(_ releases.Vote, reply policy.VoteReply) { n.relay.VoteAnswered(reply) }}
+	n.line = &control.Client{Stages: len(terms.StageShares), Timeout: terms.VoteTimeoutSeconds, Log: log, OnRelease: n.news, OnWrongAnswer: n.blamed,
+		OnVoteReply: func(_ releases.Vote, reply policy.VoteReply) { n.relay.OnVoteReply(reply) }}
 	n.line.Open(t.Platform)
-	n.relay = proxy.NewPlatform(set, t.Seed, log, n.cast)
+	n.relay = proxy.NewRESP(set, t.Seed, log, n.cast)
 	if t.News != nil {
 		n.news(t.News)
 	}
@@ -97,7 +97,7 @@
 			log.Error("known list", "error", err) // discovery tells it anew
 		}
 	}
-	n.unheard = loadshed.Start(n.units() > 0)
+	n.unheard = loadshed.ReadinessDelaySeconds(n.units() > 0)
 	return n
 }
 
@@ -109,23 +109,23 @@
 	failed := make(chan error, 1)
 	n.running.Go(func() { failed <- n.relay.Serve(l) })
 	n.running.Go(func() { n.report(n.feeds) })
-	unheard := time.AfterFunc(span(n.unheard), n.relay.Ready)
+	unheard := time.AfterFunc(span(n.unheard), n.relay.SetReady)
 	defer unheard.Stop()
 	n.log.Info("serving", "relay", n.told.Name, "listen", l.Addr().String())
 	var err error
 	select {
 	case <-ctx.Done():
 		n.log.Info("leaving", "relay", n.told.Name)
-		n.relay.AnswerBy(n.relay.Now() + n.plan.Answer)
-		closed := time.AfterFunc(span(n.plan.Listen), func() { proxy.CloseEmpty(l) })
-		time.Sleep(span(n.plan.Serve))
-		n.relay.Leave()
-		time.Sleep(span(n.plan.Listen - n.plan.Serve))
+		n.relay.SetAnswerDeadline(n.relay.Now() + n.plan.AnswerBy)
+		closed := time.AfterFunc(span(n.plan.AcceptUntil), func() { proxy.CloseListener(l) })
+		time.Sleep(span(n.plan.ServeUntil))
+		n.relay.StopServing()
+		time.Sleep(span(n.plan.AcceptUntil - n.plan.ServeUntil))
 		closed.Stop()
 	case err = <-failed:
 	}
-	proxy.CloseEmpty(l)
-	until, cancel := context.WithTimeout(context.Background(), span(n.plan.End-max(n.plan.Serve, n.plan.Listen)))
+	proxy.CloseListener(l)
+	until, cancel := context.WithTimeout(context.Background(), span(n.plan.GiveUpAt-max(n.plan.ServeUntil, n.plan.AcceptUntil)))
 	defer cancel()
 	if late := n.relay.Drain(until); late != nil {
 		n.log.Error("drain", "error", late)
@@ -148,13 +148,13 @@
 	return n.list.Len()
 }
 
-// Move takes the addresses of a configuration that was replaced.
-func (n *Node) Move(t *Told) {
+// Reload takes the addresses of a configuration that was replaced.
+func (n *Node) Reload(t *Config) {
 	if !reflect.DeepEqual([]any{t.Terms, t.Ops, t.Dial, t.Cores, t.Memory, t.Sockets, t.Name, t.Listen},
 		[]any{n.told.Terms, n.told.Ops, n.told.Dial, n.told.Cores, n.told.Memory, n.told.Sockets, n.told.Name, n.told.Listen}) {
 		n.log.Warn("the file has other settings or limits than those in force; they count from the next start")
 	}
-	n.line.Move(t.Platform)
+	n.line.SetAddress(t.Platform)
 	n.mu.Lock()
 	same := n.from == t.Discovery
 	n.from = t.Discovery
@@ -180,18 +180,18 @@
 		n.joined = max(n.joined, me)
 		return n.feed != me
 	}
-	source := watch.Source{Silence: silence, Opening: opening, Object: n.mostList, Least: backLeast, Most: backMost, Log: n.log, Client: n.http,
-		Alive: func() {
+	source := watch.Source{SilenceSeconds: silence, OpenSeconds: opening, MaxObjectBytes: n.mostList, BackoffMinSeconds: backLeast, BackoffMaxSeconds: backMost, Log: n.log, Client: n.http,
+		OnHeartbeat: func() {
 			heard()
-			n.relay.Unchanged()
+			n.relay.ConfirmEndpoints()
 		},
-		Next: func() string {
+		NextURL: func() string {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			return fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", from, n.list.Version)
 		}}
 	n.running.Go(func() {
-		watch.Follow(mine, source, func(o *discovery.Object) error {
+		watch.Follow(mine, source, func(o *discovery.Message) error {
 			if err := o.Check(); err != nil {
 				return err
 			}
@@ -202,7 +202,7 @@
 				return err
 			}
 			if n.units() > 0 {
-				n.relay.Ready()
+				n.relay.SetReady()
 			}
 			return nil
 		}, func() {})
@@ -231,7 +231,7 @@
 }
 
 // object enters one of discovery's. Changes that came already by another way are passed over.
-func (n *Node) object(o *discovery.Object) error {
+func (n *Node) object(o *discovery.Message) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.relay.Now()
@@ -241,54 +241,56 @@
 	if o.Whole && !n.renewal.Takes(o.Seq, n.list.Version, now, forget) {
 		return fmt.Errorf("list version %d is older than %d, which is in force", o.Seq, n.list.Version)
 	}
-	line := n.names.Line(o, now)
+	line := n.names.Update(o, now)
 	if err := line.Check(); err != nil {
 		return err
 	}
-	changes, err := n.list.Take(line, now)
+	changes, err := n.list.Apply(line, now)
 	if err != nil {
 		return err
 	}
-	n.relay.List(changes)
+	n.relay.ApplyEndpoints(changes)
 	return nil
 }
 
 // cast hands a vote on. One that sends a build back is logged with what it rests on.
 func (n *Node) cast(v releases.Vote) {
-	if v.Verdict == policy.VoteBack {
-		type sum struct{ Units, N, Bad [len(policy.Kinds)]float64 }
+	if v.Verdict == policy.VoteRollback {
+		type sum struct {
+			Units, N, Bad [len(policy.FailureKinds)]float64
+		}
 		by := map[int]*sum{}
-		for _, t := range n.relay.Counted().Tally {
+		for _, t := range n.relay.LocalEvidence().Samples {
 			s := by[t.Build]
 			if s == nil {
 				s = &sum{}
 				by[t.Build] = s
 			}
-			for i := range t.N {
-				s.N[i] += t.N[i]
-				s.Bad[i] += t.Bad[i]
-				if t.Bad[i] > 0 {
+			for i := range t.Outcomes {
+				s.N[i] += t.Outcomes[i]
+				s.Bad[i] += t.Failures[i]
+				if t.Failures[i] > 0 {
 					s.Units[i]++
 				}
 			}
 		}
 		for build, s := range by {
-			n.log.Info("evidence", "trial", v.Build, "build", build, "kinds", policy.Kinds, "outcomes", s.N, "failures", s.Bad, "failing_units", s.Units)
+			n.log.Info("evidence", "trial", v.Build, "build", build, "kinds", policy.FailureKinds, "outcomes", s.N, "failures", s.Bad, "failing_units", s.Units)
 		}
 	}
 	n.line.Cast(v)
 }
 
-func (n *Node) news(s *releases.News) {
-	n.relay.Stage(s.Build, s.Stage, s.PhaseOf(), s.Cap, s.Age)
+func (n *Node) news(s *releases.Update) {
+	n.relay.ApplyRelease(s.Build, s.Stage, s.PolicyPhase(), s.Cap, s.Age)
 }
 
 func (n *Node) blamed(unit string, age float64) {
 	n.mu.Lock()
-	id := n.names.Host(unit)
+	id := n.names.EndpointID(unit)
 	n.mu.Unlock()
 	if id > 0 {
-		n.relay.Flagged(id, age)
+		n.relay.ReportWrongAnswer(id, age)
 	}
 }
 
@@ -302,7 +304,7 @@
 			return
 		case <-tick.C:
 		}
-		c := n.relay.Numbers()
+		c := n.relay.Stats()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		text, _ := json.Marshal(c)
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -27,7 +27,7 @@
 
 // site is a stand-in's, with a relay that runs on it until the test ends it.
 type site struct {
-	*fakes.Site
+	*fakes.PlatformSite
 	t     *testing.T
 	n     *Node
 	at    string
@@ -55,7 +55,7 @@
 func startWith(t *testing.T, discovery, desk string, clients int, site *site, edit func(*Node)) *site {
 	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	site.t, site.at, site.until = t, l.Addr().String(), make(chan struct{})
-	told := must[*Told](t)(Parse([]byte(site.Config(site.at, discovery, desk))))
+	told := must[*Config](t)(ParseConfig([]byte(site.Config(site.at, discovery, desk))))
 	site.n = New(told, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.n)
 	site.life = &invariants.Life{Relay: site.Relay, From: site.Clock()}
@@ -80,7 +80,7 @@
 func (s *site) kept(rules int) *invariants.Report {
 	s.asked.Wait()
 	s.life.To = s.Clock()
-	rep := invariants.Check(s.Rec, fakes.SiteBounds)
+	rep := invariants.Check(s.Rec, fakes.PlatformSiteBounds)
 	for _, r := range rep.Rules[:rules] {
 		if r.Broken > 0 {
 			s.t.Errorf("%s: %d of %d broken: %v", r.Name, r.Broken, r.Checked, r.First)
@@ -91,11 +91,11 @@
 
 // newSite lists units by build; a share of what those of earlier builds get ends badly.
 func newSite(t *testing.T, bad float64, builds ...int) *site {
-	s := &site{Site: fakes.NewSite("n1")}
+	s := &site{PlatformSite: fakes.NewPlatformSite("n1")}
 	t.Cleanup(s.Close)
 	for i, build := range builds {
 		share := bad
-		if build == fakes.SiteTrial {
+		if build == fakes.PlatformSiteCanary {
 			share = 0
 		}
 		if err := s.Unit(i+1, build, share); err != nil {
@@ -118,7 +118,7 @@
 // A short day: units that fail in every way, a release that goes its stages by votes of which some answers are spoilt, a unit that
 // drains, addresses that change under load. The rules are checked from what was seen on the sockets.
 func TestDay(t *testing.T) {
-	s := newSite(t, 0.05, 1, 1, 1, 1, fakes.SiteTrial, fakes.SiteTrial)
+	s := newSite(t, 0.05, 1, 1, 1, 1, fakes.PlatformSiteCanary, fakes.PlatformSiteCanary)
 	var spoilt atomic.Int32
 	discovery, desk, endOld := s.serves(t, func() bool { return spoilt.Add(1) <= 3 })
 	start(t, discovery, desk, 12, s)
@@ -126,8 +126,8 @@
 	// New addresses, twice at once; the old ones are gone a little later.
 	told := *s.n.told
 	told.Discovery, told.Platform, _ = s.serves(t, nil)
-	s.n.Move(&told)
-	s.n.Move(&told)
+	s.n.Reload(&told)
+	s.n.Reload(&told)
 	time.Sleep(300 * time.Millisecond)
 	endOld()
 	s.List("u1", "127.0.0.1:1", 1, "DRAINING")
@@ -138,7 +138,7 @@
 	s.asked.Wait()
 	s.end()
 	rep := s.kept(5)
-	if rep.Answers["acked"] < rep.Asked*8/10 || rep.PerBuild[fakes.SiteTrial] == 0 {
+	if rep.Answers["acked"] < rep.Asked*8/10 || rep.PerBuild[fakes.PlatformSiteCanary] == 0 {
 		t.Errorf("%d asked, %v, %v", rep.Asked, rep.Answers, rep.PerBuild)
 	}
 }
@@ -160,17 +160,17 @@
 	s := newSite(t, 0.2, 1, 1, 1)
 	discovery, desk, _ := s.serves(t, nil)
 	start(t, discovery, desk, 6, s)
-	soon(t, "traffic", func() bool { return s.n.relay.Numbers().Acked > 50 })
-	s.n.plan = loadshed.Leave(2) // as where clients wait longer than here
+	soon(t, "traffic", func() bool { return s.n.relay.Stats().Succeeded > 50 })
+	s.n.plan = loadshed.PlanShutdown(2) // as where clients wait longer than here
 	from := s.Clock()
 	s.end()
-	if took := s.Clock() - from; took < s.n.plan.Serve || took > s.n.plan.Kill {
+	if took := s.Clock() - from; took < s.n.plan.ServeUntil || took > s.n.plan.KillAfter {
 		t.Errorf("%.2f s until the end, planned %+v", took, s.n.plan)
 	}
 	s.kept(2)
 	late := 0
 	for _, c := range s.Rec.Commands {
-		if c.Asked > from+s.n.plan.Listen && len(c.Answers) == 1 && c.Answers[0].Kind == "acked" {
+		if c.Asked > from+s.n.plan.AcceptUntil && len(c.Answers) == 1 && c.Answers[0].Kind == "acked" {
 			late++
 		}
 	}
@@ -183,7 +183,7 @@
 func TestConfig(t *testing.T) {
 	s := newSite(t, 0)
 	good := s.Config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for what, edit := range map[string][2]string{
@@ -203,16 +203,16 @@
 		"unexpected end of JSON input":                 {good, good[:len(good)/2]},
 	} {
 		text := strings.Replace(good, edit[0], edit[1], 1)
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), what) {
+		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	if _, err := Read(file); err == nil || !strings.Contains(err.Error(), file) {
+	if _, err := ReadConfig(file); err == nil || !strings.Contains(err.Error(), file) {
 		t.Error(err)
 	}
 	os.WriteFile(file, []byte("{}"), 0o600)
-	if _, err := Read(file); err == nil || !strings.HasPrefix(err.Error(), file+": ") {
+	if _, err := ReadConfig(file); err == nil || !strings.HasPrefix(err.Error(), file+": ") {
 		t.Error(err)
 	}
 	t.Setenv("LB_CONFIG", file)
@@ -226,35 +226,35 @@
 	s := start(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.end()
 	n := s.n
-	entry := func(host, health string, build int) discovery.Entry {
-		return discovery.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: float64(build)}
+	entry := func(host, health string, build int) discovery.Member {
+		return discovery.Member{Host: host, Dial: "127.0.0.1:1", Health: health, Image: float64(build)}
 	}
-	enter := func(o *discovery.Object) {
+	enter := func(o *discovery.Message) {
 		if err := n.object(o); err != nil {
 			t.Error(err)
 		}
 	}
-	enter(&discovery.Object{Seq: 5, Whole: true, Hosts: []discovery.Entry{entry("a", "SERVING", 1), entry("b", "SERVING", 1)}})
-	enter(&discovery.Object{Seq: 7, Hosts: []discovery.Entry{entry("b", "DELETED", 1), entry("c", "DRAINING", 2)}})
-	enter(&discovery.Object{Seq: 6, Hosts: []discovery.Entry{entry("b", "SERVING", 1)}}) // by the way that is left
+	enter(&discovery.Message{Seq: 5, Whole: true, Hosts: []discovery.Member{entry("a", "SERVING", 1), entry("b", "SERVING", 1)}})
+	enter(&discovery.Message{Seq: 7, Hosts: []discovery.Member{entry("b", "DELETED", 1), entry("c", "DRAINING", 2)}})
+	enter(&discovery.Message{Seq: 6, Hosts: []discovery.Member{entry("b", "SERVING", 1)}}) // by the way that is left
 	if got := fmt.Sprint(n.list.Len(), n.list.Version); got != "2 7" {
 		t.Error(got)
 	}
 	for i := range 500 { // units ever new
-		enter(&discovery.Object{Seq: uint64(8 + i), Whole: true, Hosts: []discovery.Entry{entry(fmt.Sprint("x", i), "SERVING", i)}})
+		enter(&discovery.Message{Seq: uint64(8 + i), Whole: true, Hosts: []discovery.Member{entry(fmt.Sprint("x", i), "SERVING", i)}})
 	}
-	if n.list.Len() != 1 || n.names.Host("x499") == 0 {
+	if n.list.Len() != 1 || n.names.EndpointID("x499") == 0 {
 		t.Error(n.list.Len())
 	}
 	late := n.relay.Now() + 1000
-	n.names.Line(&discovery.Object{Whole: true}, late)
-	n.names.Line(&discovery.Object{Whole: true}, late+1000)
+	n.names.Update(&discovery.Message{Whole: true}, late)
+	n.names.Update(&discovery.Message{Whole: true}, late+1000)
 	if n.names.Len() != 0 {
 		t.Errorf("%d names kept", n.names.Len())
 	}
-	for _, bad := range []discovery.Entry{{}, entry("a", "ILL", 1), entry("a", "SERVING", -1), {Host: "a", Health: "SERVING", Dial: "x"},
+	for _, bad := range []discovery.Member{{}, entry("a", "ILL", 1), entry("a", "SERVING", -1), {Host: "a", Health: "SERVING", Dial: "x"},
 		{Host: "a", Health: "DELETED", Block: 1e9}, {Host: "a", Health: "DELETED", Share: -1}} {
-		if err := (&discovery.Object{Hosts: []discovery.Entry{bad}}).Check(); err == nil {
+		if err := (&discovery.Message{Hosts: []discovery.Member{bad}}).Check(); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
--- a/internal/platform/node/owed_test.go
+++ b/internal/platform/node/owed_test.go
@@ -103,7 +103,7 @@
 	defer s.end()
 	c := s.dial()
 	c.send("PING")
-	soon(t, "it is asked", func() bool { return s.n.relay.Numbers().ClientConns == 1 })
+	soon(t, "it is asked", func() bool { return s.n.relay.Stats().ClientConns == 1 })
 	if err := s.Unit(1, 1, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -117,15 +117,15 @@
 func TestListBehind(t *testing.T) {
 	s := start(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.end()
-	entry := func(host, health string) discovery.Entry {
-		return discovery.Entry{Host: host, Dial: "127.0.0.1:1", Health: health, Image: 1}
+	entry := func(host, health string) discovery.Member {
+		return discovery.Member{Host: host, Dial: "127.0.0.1:1", Health: health, Image: 1}
 	}
-	enter := func(o *discovery.Object) error { return s.n.object(o) }
-	if err := enter(&discovery.Object{Seq: 9, Whole: true, Hosts: []discovery.Entry{entry("a", "DRAINING"), entry("b", "SERVING")}}); err != nil {
+	enter := func(o *discovery.Message) error { return s.n.object(o) }
+	if err := enter(&discovery.Message{Seq: 9, Whole: true, Hosts: []discovery.Member{entry("a", "DRAINING"), entry("b", "SERVING")}}); err != nil {
 		t.Error(err)
 	}
-	old := &discovery.Object{Seq: 8, Whole: true, Hosts: []discovery.Entry{entry("a", "SERVING"), entry("c", "SERVING")}}
-	if err := enter(old); err == nil || !strings.Contains(err.Error(), "older") || s.n.units() != 2 || s.n.names.Host("c") != 0 {
+	old := &discovery.Message{Seq: 8, Whole: true, Hosts: []discovery.Member{entry("a", "SERVING"), entry("c", "SERVING")}}
+	if err := enter(old); err == nil || !strings.Contains(err.Error(), "older") || s.n.units() != 2 || s.n.names.EndpointID("c") != 0 {
 		t.Errorf("%v, %d units", err, s.n.units())
 	}
 	var r discovery.Renewal
@@ -149,11 +149,11 @@
 	soon(t, "the list", func() bool { return s.n.units() == 1 })
 	told := *s.n.told
 	told.Discovery, told.Platform = silent, silent
-	s.n.Move(&told)
+	s.n.Reload(&told)
 	soon(t, "the silent one is asked", func() bool { return asked() >= 2 })
 	endOld()
 	told.Discovery, told.Platform, _ = s.serves(t, nil)
-	s.n.Move(&told)
+	s.n.Reload(&told)
 	if err := s.Unit(2, 1, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 	s.end()
 	before, feed := asked(), s.n.feed
 	told.Discovery, told.Platform = silent, silent
-	s.n.Move(&told)
+	s.n.Reload(&told)
 	s.n.running.Wait()
 	if asked() != before || s.n.feed != feed {
 		t.Error("something is followed after the end")
@@ -174,7 +174,7 @@
 	discovery, desk, _ := s.serves(t, nil)
 	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	s.t, s.at = t, l.Addr().String()
-	told := must[*Told](t)(Parse([]byte(s.Config(s.at, discovery, desk))))
+	told := must[*Config](t)(ParseConfig([]byte(s.Config(s.at, discovery, desk))))
 	s.n = New(told, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c := s.dial() // the kernel has it, the program has not
 	c.send("API.READ", "k", fmt.Sprintf("%016x", 1), "c=lookup,d=500")
@@ -187,7 +187,7 @@
 	}
 	other, _, _ := s.serves(t, nil)
 	told.Discovery = other
-	s.n.Move(told)
+	s.n.Reload(told)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
--- a/internal/platform/node/program.go
+++ b/internal/platform/node/program.go
@@ -21,7 +21,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	told, err := Read(file)
+	told, err := ReadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -33,13 +33,13 @@
 	}
 	go func() {
 		for range hup {
-			t, err := Read(file)
+			t, err := ReadConfig(file)
 			if err != nil {
 				log.Error("configuration not taken; the last good one stays", "error", err)
 				continue
 			}
 			log.Info("configuration read", "discovery", t.Discovery, "platform", t.Platform)
-			n.Move(t)
+			n.Reload(t)
 		}
 	}()
 	return n.Run(ctx, l)
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -16,75 +16,75 @@
 type machine struct {
 	id    uint32
 	build int
-	state State
+	state EndpointState
 	since float64
 }
 
 // newFleet gives three op types, one of each effect, and machines 1 to 4 of build 7, warm for long.
-func newFleet(edit func(*Terms)) *fleet {
-	t := Terms{
-		Balancers: 2, Round: 0.005, Parallel: false, Cancel: true, MaxPause: 1, Deliveries: 4, ConnIdle: 15, Streams: 100,
-		Ops: []OpType{
-			{Target: 0.3, Importance: 2, Effect: Redeliverable, Window: 1},
-			{Target: 0.3, Importance: 2, Effect: Deduplicated, Window: 1},
-			{Target: 0.3, Importance: 5, Effect: AtMostOnce},
+func newFleet(edit func(*Config)) *fleet {
+	t := Config{
+		Routers: 2, MinTickSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
+		Classes: []RequestClass{
+			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: Idempotent, DedupWindowSeconds: 1},
+			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupWindowSeconds: 1},
+			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 5, Idempotency: NonIdempotent},
 		},
-		ColdFrom: 0.4, WarmUp: 4, FallFactor: 3, FallTime: 2, Window: 4, Free: 2,
-		Caps: []float64{0.1, 0.5, 1}, Stages: []float64{0.1, 0.5, 1}, HarmPrice: 3, StalePrice: 0.5, Reported: 0.2,
-		VoteLife: 10, VoteTimeout: 1, VoteRate: 20,
+		SlowStartInitialShare: 0.4, SlowStartSeconds: 4, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 2, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2,
+		CanaryLimits: []float64{0.1, 0.5, 1}, StageShares: []float64{0.1, 0.5, 1}, WrongAnswerPrice: 3, StaleBuildPrice: 0.5, WrongAnswerReportShare: 0.2,
+		VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 20,
 	}
 	if edit != nil {
 		edit(&t)
 	}
 	f := &fleet{b: New(t, 42, 100), now: 100}
 	f.list(true, machine{id: 1, build: 7}, machine{id: 2, build: 7}, machine{id: 3, build: 7}, machine{id: 4, build: 7})
-	f.b.Stage(f.now, 7, 2, Released, 1, 50)
+	f.b.ApplyRelease(f.now, 7, 2, PhaseReleased, 1, 50)
 	return f
 }
 
 func (f *fleet) list(full bool, machines ...machine) {
-	f.b.ListStart(full)
+	f.b.BeginEndpointList(full)
 	for _, m := range machines {
-		f.b.Listed(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.since)
+		f.b.UpdateEndpoint(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.since)
 	}
-	f.b.ListEnd(f.now)
+	f.b.EndEndpointList(f.now)
 }
 
 // command makes a command, asks where it goes and enters the delivery.
-func (f *fleet) command(op int) (*Command, Step) {
+func (f *fleet) command(op int) (*Request, Decision) {
 	f.id++
-	c := &Command{ID: f.id, Op: op, Came: f.now, Due: f.now + 0.8}
+	c := &Request{ID: f.id, Class: op, ReceivedAt: f.now, Deadline: f.now + 0.8}
 	return c, f.pick(c)
 }
 
-func (f *fleet) pick(c *Command) Step { return f.did(c, f.b.Pick(f.now, c)) }
+func (f *fleet) pick(c *Request) Decision { return f.did(c, f.b.Pick(f.now, c)) }
 
-func (f *fleet) did(c *Command, s Step) Step {
-	switch s.Do {
+func (f *fleet) did(c *Request, s Decision) Decision {
+	switch s.Action {
 	case Send:
-		c.Sent = append(c.Sent, Delivery{Unit: s.Unit, At: f.now, Out: true})
-	case Nack, Fail:
-		c.Ended = true
+		c.Attempts = append(c.Attempts, Attempt{Endpoint: s.Endpoint, StartedAt: f.now, InFlight: true})
+	case Reject, Fail:
+		c.Completed = true
 	}
 	return s
 }
 
 // answer ends the last delivery of a command.
-func (f *fleet) answer(c *Command, r Result) Step {
-	d := &c.Sent[len(c.Sent)-1]
-	d.Out, d.Maybe = false, r != Full && r != Unconnected && r != Unsent
-	c.Ended = c.Ended || r == Acked
-	return f.did(c, f.b.After(f.now, c, d.Unit, r, f.now-d.At))
+func (f *fleet) answer(c *Request, r Outcome) Decision {
+	d := &c.Attempts[len(c.Attempts)-1]
+	d.InFlight, d.MayHaveRun = false, r != Overloaded && r != NotConnected && r != NotSent
+	c.Completed = c.Completed || r == Succeeded
+	return f.did(c, f.b.OnAttemptDone(f.now, c, d.Endpoint, r, f.now-d.StartedAt))
 }
 
 // run plays n redeliverable commands over so many seconds; outcome says how each delivery ends and after how long.
 // It returns the deliveries by build.
-func (f *fleet) run(n int, secs float64, outcome func(u uint32, build int) (Result, float64)) map[int]int {
+func (f *fleet) run(n int, secs float64, outcome func(u uint32, build int) (Outcome, float64)) map[int]int {
 	sent := map[int]int{}
 	type end struct {
 		at float64
-		c  *Command
-		r  Result
+		c  *Request
+		r  Outcome
 	}
 	var out []end
 	finish := func(until float64) {
@@ -98,8 +98,8 @@
 		at := start + secs*float64(i)/float64(n)
 		finish(at)
 		f.now = at
-		if c, s := f.command(0); s.Do == Send {
-			u := f.b.byID[s.Unit]
+		if c, s := f.command(0); s.Action == Send {
+			u := f.b.byID[s.Endpoint]
 			sent[u.build]++
 			r, took := outcome(u.id, u.build)
 			out = append(out, end{f.now + took, c, r})
@@ -110,27 +110,27 @@
 	return sent
 }
 
-func fine(uint32, int) (Result, float64) { return Acked, 0.05 }
+func fine(uint32, int) (Outcome, float64) { return Succeeded, 0.05 }
 
 // vote asks for the periodic work until a vote comes or the time is up, and prints it.
 func (f *fleet) vote(secs float64, reply VoteReply) {
 	for end := f.now + secs; f.now < end; {
-		t := f.b.Wait(f.now)
-		if t.Vote {
+		t := f.b.TickController(f.now)
+		if t.CastVote {
 			names := [...]string{"none", "on", "hold", "back"}
 			fmt.Printf("vote %s on build %d stage %d\n", names[t.Verdict], t.Build, t.Stage)
-			f.now += t.In
-			f.b.VoteAnswered(f.now, reply)
+			f.now += t.NextTickSeconds
+			f.b.OnVoteReply(f.now, reply)
 			return
 		}
-		f.now += t.In
+		f.now += t.NextTickSeconds
 	}
 	fmt.Println("no vote")
 }
 
-func (s Step) String() string {
-	if s.Do == Nothing && s.Recall {
+func (s Decision) String() string {
+	if s.Action == NoAction && s.CancelInFlight {
 		return "recall"
 	}
-	return [...]string{"nothing", "send", "hold", fmt.Sprintf("nack, back in %.1f s", s.Pause), "fail"}[s.Do]
+	return [...]string{"nothing", "send", "hold", fmt.Sprintf("nack, back in %.1f s", s.RetryAfterSeconds), "fail"}[s.Action]
 }
--- a/internal/policy/life_test.go
+++ b/internal/policy/life_test.go
@@ -4,35 +4,37 @@
 
 // A long life: units come and go, keys are never met twice. What is kept stays bounded and no key goes back.
 func Example_longLife() {
-	f := newFleet(func(t *Terms) { t.OneWay, t.Keys, t.Forget, t.Caps = true, 50, 10, []float64{0.5, 0.5, 1} })
+	f := newFleet(func(t *Config) {
+		t.OneWayKeys, t.MaxRememberedKeys, t.ForgetEndpointSeconds, t.CanaryLimits = true, 50, 10, []float64{0.5, 0.5, 1}
+	})
 	f.list(false, machine{5, 8, Ready, 50}, machine{6, 8, Ready, 50})
-	f.b.Stage(f.now, 8, 0, OnTrial, 0.5, 0)
+	f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.5, 0)
 	builds := map[uint64]int{}
 	back, trial := 0, 0
 	ask := func(key uint64) {
 		f.id++
-		c := &Command{ID: f.id, Key: key, Came: f.now, Due: f.now + 0.8}
-		if s := f.pick(c); s.Do == Send {
-			build := f.b.byID[s.Unit].build
+		c := &Request{ID: f.id, Key: key, ReceivedAt: f.now, Deadline: f.now + 0.8}
+		if s := f.pick(c); s.Action == Send {
+			build := f.b.byID[s.Endpoint].build
 			if build < builds[key] {
 				back++
 			}
 			builds[key] = max(builds[key], build)
 			trial += one(build == 8)
-			f.answer(c, Acked)
+			f.answer(c, Succeeded)
 		}
 		f.now += 0.05
 	}
 	for i := range uint64(400) {
 		ask(i + 1)
-		f.b.Wait(f.now)
+		f.b.TickController(f.now)
 	}
 	fmt.Println("on trial: kept", len(f.b.answered), "keys, trial deliveries above 0:", trial > 0)
 	for i := range uint64(400) {
 		ask(i + 1)
 	}
 	fmt.Println("asked again: kept", len(f.b.answered), "went back", back)
-	f.b.Stage(f.now, 8, 2, Released, 1, 0)
+	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 	for i := range uint64(400) {
 		ask(1000 + i)
 	}
@@ -42,10 +44,10 @@
 		for i := range uint64(100) {
 			ask(uint64(day)*1000 + i)
 		}
-		f.b.Wait(f.now)
+		f.b.TickController(f.now)
 	}
 	fmt.Println("after 100 changes: units", len(f.b.units), len(f.b.byID), "samples", len(f.b.samples), "went back", back)
-	f.b.Stage(f.now, 8, 2, GoingBack, 0, 0)
+	f.b.ApplyRelease(f.now, 8, 2, PhaseRollingBack, 0, 0)
 	fmt.Println("gone back: floor", f.b.floor)
 	// Output:
 	// on trial: kept 50 keys, trial deliveries above 0: true
@@ -59,21 +61,21 @@
 func Example_oldList() {
 	f := newFleet(nil)
 	f.list(false, machine{5, 8, Ready, f.now}, machine{6, 8, Ready, f.now})
-	f.b.Stage(f.now, 8, 0, OnTrial, 0.1, 0)
-	f.b.ListAge(60)
+	f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.1, 0)
+	f.b.SetEndpointListAge(60)
 	f.run(400, 6, fine)
-	f.vote(2, Counted)
-	f.b.ListAge(0.5)
-	f.vote(2, Counted)
-	f.b.Stage(f.now, 8, 2, OnTrial, 1, 0)
-	f.b.ListAge(60)
-	f.run(600, 6, func(_ uint32, build int) (Result, float64) {
+	f.vote(2, VoteCounted)
+	f.b.SetEndpointListAge(0.5)
+	f.vote(2, VoteCounted)
+	f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 0)
+	f.b.SetEndpointListAge(60)
+	f.run(600, 6, func(_ uint32, build int) (Outcome, float64) {
 		if build == 8 {
-			return Errored, 0.01
+			return ServerError, 0.01
 		}
-		return Acked, 0.05
+		return Succeeded, 0.05
 	})
-	f.vote(2, Counted)
+	f.vote(2, VoteCounted)
 	// Output:
 	// no vote
 	// vote on on build 8 stage 0
@@ -85,39 +87,39 @@
 func Example_seats() {
 	names := [...]string{"none", "on", "hold", "back"}
 	planner := newFleet(nil)
-	edges := []*fleet{newFleet(func(t *Terms) { t.Led = true }), newFleet(func(t *Terms) { t.Led = true })}
+	edges := []*fleet{newFleet(func(t *Config) { t.HasController = true }), newFleet(func(t *Config) { t.HasController = true })}
 	for _, f := range append(edges, planner) {
 		f.list(false, machine{1, 7, Gone, 0}, machine{5, 8, Ready, 50}, machine{6, 8, Ready, 50})
-		f.b.Stage(f.now, 8, 0, OnTrial, 0.1, 0)
+		f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.1, 0)
 	}
 	trial := func(f *fleet) int {
-		return f.run(100, 4, func(_ uint32, build int) (Result, float64) {
+		return f.run(100, 4, func(_ uint32, build int) (Outcome, float64) {
 			if build == 8 {
-				return Errored, 0.01
+				return ServerError, 0.01
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})[8]
 	}
 	fmt.Println("without a lease, of 100 commands at most 10:", trial(edges[0]) <= 10)
-	edges[1].b.Follow(0, VoteNone, 1, edges[1].now+1)
+	edges[1].b.ApplyAssignment(0, VoteNone, 1, edges[1].now+1)
 	fmt.Println("lent the whole free part, 10 and 2 more:", trial(edges[1]) <= 12)
 	for range 6 {
 		for _, f := range edges {
 			f.now += 4
-			f.b.Tend(f.now)
+			f.b.TickRouter(f.now)
 			trial(f)
 		}
 	}
 	fmt.Println("an edge's vote:", names[edges[0].b.standing.verdict])
 	for i, f := range edges {
-		planner.b.Heard([]string{"a", "b"}[i], f.b.Counted(f.now))
+		planner.b.ApplyReport([]string{"a", "b"}[i], f.b.LocalEvidence(f.now))
 	}
-	planner.vote(1, Counted)
-	build, v := planner.b.Standing()
-	edges[0].b.Follow(build, v, 0.5, edges[0].now+1)
+	planner.vote(1, VoteCounted)
+	build, v := planner.b.CurrentVote()
+	edges[0].b.ApplyAssignment(build, v, 0.5, edges[0].now+1)
 	fmt.Println("the edge that follows sends the build nothing more:", trial(edges[0]))
-	planner.b.Unheard("a")
-	planner.b.Unheard("b")
+	planner.b.DropReport("a")
+	planner.b.DropReport("b")
 	fmt.Println("nothing heard any more:", len(planner.b.evidence()))
 	// Output:
 	// without a lease, of 100 commands at most 10: true
@@ -131,10 +133,10 @@
 // An edge that starts anew while its planner is away goes on by the news that it had, but not by old news.
 func Example_recall() {
 	for _, ago := range []float64{2, 60} {
-		f := newFleet(func(t *Terms) { t.Led = true })
+		f := newFleet(func(t *Config) { t.HasController = true })
 		f.b = New(*f.b.t, 1, f.now)
 		f.list(true, machine{4, 7, Ready, 0}, machine{5, 8, Ready, 50}, machine{6, 8, Ready, 50}, machine{7, 8, Ready, 50})
-		f.b.Recall(f.now, 8, 2, OnTrial, 1, 5, ago)
+		f.b.RestoreRelease(f.now, 8, 2, PhaseCanary, 1, 5, ago)
 		fmt.Println("news confirmed", ago, "s ago; most go to the trial build:", f.run(100, 4, fine)[8] > 50)
 	}
 	// Output:
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -58,79 +58,79 @@
 	kinds
 )
 
-func New(t Terms, seed uint64, now float64) *Balancer {
+func New(t Config, seed uint64, now float64) *Balancer {
 	b := &Balancer{seed: seed, hash: fnv.New64a(), byID: map[uint32]*unit{}, answered: map[uint64]int{}}
-	b.Adopt(&t)
+	b.SetConfig(&t)
 	b.tokens, b.limit, b.watchAt = retryMost/2, math.Inf(1), math.Inf(-1)
-	b.share = float64(one(!t.Led))
+	b.share = float64(one(!t.HasController))
 	return b
 }
 
-// Adopt takes terms for what comes from now on; nobody changes them any more. Op types keep their places, and more may
+// SetConfig takes terms for what comes from now on; nobody changes them any more. Op types keep their places, and more may
 // follow. A command goes to its end by the terms it came under, but for what is about all commands together: caps, windows,
 // drains and cold units go by the present terms at once, which is sooner than the grace would have it.
-func (b *Balancer) Adopt(t *Terms) {
+func (b *Balancer) SetConfig(t *Config) {
 	b.t, b.worth = t, 0
-	for i, op := range t.Ops {
+	for i, op := range t.Classes {
 		if i == len(b.usual) {
 			b.taken, b.tried = append(b.taken, nil), append(b.tried, nil)
 			b.usual, b.plain = append(b.usual, 0), append(b.plain, 0)
 			b.missed, b.given = append(b.missed, math.Inf(-1)), append(b.given, majority{})
 		}
-		b.worth = max(b.worth, op.Importance)
+		b.worth = max(b.worth, op.PriorityWeight)
 	}
 }
 
 // Pick says where to send a command, or not yet, or never. It is asked when a command comes, when a step's
 // Again is reached, and by After.
-func (b *Balancer) Pick(now float64, c *Command) Step {
+func (b *Balancer) Pick(now float64, c *Request) Decision {
 	b.wake(now)
-	if c.Under == nil {
-		c.Under = b.t
+	if c.Config == nil {
+		c.Config = b.t
 	}
-	t := c.Under
-	op := &t.Ops[c.Op]
-	if c.Ended || c.Begun {
-		return Step{Recall: c.Ended && t.Cancel} // nobody waits for what is still out
+	t := c.Config
+	op := &t.Classes[c.Class]
+	if c.Completed || c.Streaming {
+		return Decision{CancelInFlight: c.Completed && t.AllowCancel} // nobody waits for what is still out
 	}
-	if len(c.Sent) == 0 && now <= c.Came {
+	if len(c.Attempts) == 0 && now <= c.ReceivedAt {
 		b.take(now, c)
 	}
 	outs := c.outs()
 	if outs > 0 && !b.silent(now, c) {
-		return Step{Again: now + b.patience(c)}
+		return Decision{PickAgainAt: now + b.patience(c)}
 	}
-	further := len(c.Sent) > 0
+	further := len(c.Attempts) > 0
 	// Half a round early: a hair before the end a held command would be asked about for ever.
 	// Under load nothing goes to a client that asks again after its first try's target has passed.
-	over := now >= c.Due-2.5*t.Round || now-c.Came >= op.Target ||
-		b.ratio > hopeful && !further && now-c.Asked >= op.Target
-	if over || !b.mayRepeat(now, c) || further && b.tokens < 1 && !c.Unmet {
+	over := now >= c.Deadline-2.5*t.MinTickSeconds || now-c.ReceivedAt >= op.LatencyObjectiveSeconds ||
+		b.ratio > hopeful && !further && now-c.FirstSeenAt >= op.LatencyObjectiveSeconds
+	if over || !b.mayRepeat(now, c) || further && b.tokens < 1 && !c.NotConnected {
 		return b.end(now, c, outs)
 	}
-	if outs > 0 && !t.Parallel {
-		return Step{Recall: t.Cancel}
+	if outs > 0 && !t.AllowHedging {
+		return Decision{CancelInFlight: t.AllowCancel}
 	}
 	// What is said to be too heavy to be answered in time would only take its unit from others.
-	if c.Work > hopeless && b.usual[c.Op]*(1+c.Work)/2 > c.Asked+op.Target-now {
+	if c.Work > hopeless && b.usual[c.Class]*(1+c.Work)/2 > c.FirstSeenAt+op.LatencyObjectiveSeconds-now {
 		return b.end(now, c, outs)
 	}
-	hold := Step{Do: Hold, Again: min(now+holdStep, c.Due-2*t.Round)}
+	hold := Decision{Action: Hold, PickAgainAt: min(now+holdStep, c.Deadline-2*t.MinTickSeconds)}
 	// Overload: what is open is bounded; the less important waits, then is nacked.
-	if !further && float64(b.open) >= b.limit*(0.6+0.4*op.Importance/b.worth) {
-		if now-c.Asked+2*b.usual[c.Op] > op.Target {
+	if !further && float64(b.open) >= b.limit*(0.6+0.4*op.PriorityWeight/b.worth) {
+		if now-c.FirstSeenAt+2*b.usual[c.Class] > op.LatencyObjectiveSeconds {
 			return b.end(now, c, outs)
 		}
 		return hold
 	}
 	u := b.choose(now, c)
 	if u == nil && outs > 0 {
-		return Step{}
+		return Decision{}
 	} else if u == nil {
 		return hold
 	}
 	// The ordinary end: the delivery is on its way, with the time to look again if it stays silent.
-	if further && !c.Unmet { // a delivery that met no unit has cost none any work
+	if further && !c.NotConnected { // a delivery that met no unit has cost none any work
 		b.tokens--
 	}
 	if u.open == 0 {
@@ -141,13 +141,13 @@
 	b.open++
 	b.peak = max(b.peak, b.open)
 	if b.onTrial(u.build) {
-		i := b.bucket(c.Op)
+		i := b.bucket(c.Class)
 		b.tried[i] = append(b.tried[i], now)
 	}
 	u.credit -= c.Work
-	s := Step{Do: Send, Unit: u.id, Until: c.Due - 2*t.Round}
-	if look := now + b.patience(c); op.Effect != AtMostOnce && look < c.Asked+op.Target {
-		s.Again = look
+	s := Decision{Action: Send, Endpoint: u.id, AttemptDeadline: c.Deadline - 2*t.MinTickSeconds}
+	if look := now + b.patience(c); op.Idempotency != NonIdempotent && look < c.FirstSeenAt+op.LatencyObjectiveSeconds {
+		s.PickAgainAt = look
 	}
 	return s
 }
@@ -162,19 +162,19 @@
 }
 
 // patience is how long a delivery is left alone: some usual answer times, by the work it is said to need.
-func (b *Balancer) patience(c *Command) float64 {
-	if b.usual[c.Op] == 0 {
+func (b *Balancer) patience(c *Request) float64 {
+	if b.usual[c.Class] == 0 {
 		return math.Inf(1)
 	}
-	return patience*b.usual[c.Op]*max(1, c.Work) + b.lag
+	return patience*b.usual[c.Class]*max(1, c.Work) + b.lag
 }
 
 // silent tells whether what is out has met units that have answered nothing since.
-func (b *Balancer) silent(now float64, c *Command) bool {
-	for _, d := range c.Sent {
+func (b *Balancer) silent(now float64, c *Request) bool {
+	for _, d := range c.Attempts {
 		// A unit that has nothing else out has been given no other chance to be heard: it gets more time.
-		u := b.byID[d.Unit]
-		if d.Out && (u.heard > d.At || now < max(d.At, b.woke)+b.patience(c)*(1+1/float64(u.open))-1e-6) {
+		u := b.byID[d.Endpoint]
+		if d.InFlight && (u.heard > d.StartedAt || now < max(d.StartedAt, b.woke)+b.patience(c)*(1+1/float64(u.open))-1e-6) {
 			return false
 		}
 	}
@@ -182,8 +182,8 @@
 }
 
 // take notes a command that came.
-func (b *Balancer) take(now float64, c *Command) {
-	i := b.bucket(c.Op)
+func (b *Balancer) take(now float64, c *Request) {
+	i := b.bucket(c.Class)
 	b.taken[i] = append(b.taken[i], now)
 	b.tokens = min(b.tokens+retryRate, retryMost)
 
@@ -195,25 +195,25 @@
 	}
 	// Most tries are given one time. What is given another, and enough, is a later try: its client gives up a
 	// command timeout after it first asked.
-	op, given := &c.Under.Ops[c.Op], c.Due-c.Came
-	if c.Asked = now; !b.given[c.Op].most(given) && given > op.Target {
-		c.Asked = c.Due - op.Timeout
+	op, given := &c.Config.Classes[c.Class], c.Deadline-c.ReceivedAt
+	if c.FirstSeenAt = now; !b.given[c.Class].most(given) && given > op.LatencyObjectiveSeconds {
+		c.FirstSeenAt = c.Deadline - op.TimeoutSeconds
 	}
 	// One caller's instant repeats are one failure, not many.
-	c.Repeat = c.Repeat || now-b.missed[c.Op] <= repeatIn
+	c.ClientRetry = c.ClientRetry || now-b.missed[c.Class] <= repeatIn
 }
 
 // mayRepeat is rule 2: whether another delivery can do no harm.
-func (b *Balancer) mayRepeat(now float64, c *Command) bool {
-	op := &c.Under.Ops[c.Op]
-	if len(c.Sent) >= c.Under.Deliveries {
+func (b *Balancer) mayRepeat(now float64, c *Request) bool {
+	op := &c.Config.Classes[c.Class]
+	if len(c.Attempts) >= c.Config.MaxAttempts {
 		return false
 	}
-	for _, d := range c.Sent {
-		if !d.Maybe && !d.Out || op.Effect == Redeliverable {
+	for _, d := range c.Attempts {
+		if !d.MayHaveRun && !d.InFlight || op.Idempotency == Idempotent {
 			continue
 		}
-		if op.Effect == AtMostOnce || now+2*c.Under.Round >= d.At+op.Window {
+		if op.Idempotency == NonIdempotent || now+2*c.Config.MinTickSeconds >= d.StartedAt+op.DedupWindowSeconds {
 			return false
 		}
 	}
@@ -221,39 +221,39 @@
 }
 
 // end gives a command its final answer at once, a nack where a retry is harmless, unless a delivery is out.
-func (b *Balancer) end(now float64, c *Command, outs int) Step {
+func (b *Balancer) end(now float64, c *Request, outs int) Decision {
 	if outs > 0 {
-		return Step{}
+		return Decision{}
 	}
-	op := &c.Under.Ops[c.Op]
-	b.missed[c.Op] = now
-	for _, d := range c.Sent {
-		if d.Maybe && (op.Effect == AtMostOnce || op.Effect == Deduplicated && op.Group != GroupAll) {
-			return Step{Do: Fail}
+	op := &c.Config.Classes[c.Class]
+	b.missed[c.Class] = now
+	for _, d := range c.Attempts {
+		if d.MayHaveRun && (op.Idempotency == NonIdempotent || op.Idempotency == IdempotentWithKey && op.DedupScope != DedupAll) {
+			return Decision{Action: Fail}
 		}
 	}
-	return Step{Do: Nack, Pause: c.Under.MaxPause}
+	return Decision{Action: Reject, RetryAfterSeconds: c.Config.MaxRetryAfterSeconds}
 }
 
 // onTrial tells whether a build is on trial for this balancer. Before any news only the oldest build is not.
 func (b *Balancer) onTrial(build int) bool {
-	return !b.told && build > b.oldest || b.told && (build > b.build || build == b.build && b.phase != Released)
+	return !b.told && build > b.oldest || b.told && (build > b.build || build == b.build && b.phase != PhaseReleased)
 }
 
 // room is rule 5: how many more trial deliveries the window holds.
-func (b *Balancer) room(now float64, c *Command, build int) float64 {
+func (b *Balancer) room(now float64, c *Request, build int) float64 {
 	capNow, stage := b.cap, b.stage
 	if !b.told || build > b.build {
-		capNow, stage = b.t.Caps[0], 0
+		capNow, stage = b.t.CanaryLimits[0], 0
 	}
-	if capNow <= 0 || stage < b.t.Guarded && c.Under.Ops[c.Op].Effect != Redeliverable {
+	if capNow <= 0 || stage < b.t.IdempotentOnlyStages && c.Config.Classes[c.Class].Idempotency != Idempotent {
 		return 0
 	}
-	i := b.bucket(c.Op)
-	b.taken[i] = after(b.taken[i], now-b.t.Window+b.t.Round)
-	b.tried[i] = after(b.tried[i], now-b.t.Window-b.t.Round)
-	free := b.t.Free * b.share
-	if b.t.Led && now >= b.lent {
+	i := b.bucket(c.Class)
+	b.taken[i] = after(b.taken[i], now-b.t.CanaryWindowSeconds+b.t.MinTickSeconds)
+	b.tried[i] = after(b.tried[i], now-b.t.CanaryWindowSeconds-b.t.MinTickSeconds)
+	free := b.t.CanaryFreeAttempts * b.share
+	if b.t.HasController && now >= b.lent {
 		free = 0 // the lease is over: the planner may have lent this part to another edge
 	}
 	return free + capNow*float64(len(b.taken[i])) - float64(len(b.tried[i]))
@@ -286,7 +286,7 @@
 	}
 	// A balancer uses as many units, each balancer others, as its traffic keeps connections open to and shows it
 	// something of: more cost a handshake for each command.
-	part := min(1, max(leastUsed, b.rate(now)*b.t.ConnIdle*inIdle)/float64(max(1, b.ready)))
+	part := min(1, max(leastUsed, b.rate(now)*b.t.ConnIdleSeconds*inIdle)/float64(max(1, b.ready)))
 	for i := range b.sides {
 		b.sides[i], b.heft[i] = b.sides[i][:0], 0
 	}
@@ -303,9 +303,9 @@
 
 // choose takes the build by its share of the list, unless this balancer's vote alone sends it back, and the
 // better of two random choices within it; the other build where none can take the command.
-func (b *Balancer) choose(now float64, c *Command) *unit {
+func (b *Balancer) choose(now float64, c *Request) *unit {
 	first, second := b.sides[1], b.sides[0]
-	if b.t.BackVotes <= 1 && b.standing.verdict == VoteBack && b.standing.build == b.build ||
+	if b.t.RollbackVotes <= 1 && b.standing.verdict == VoteRollback && b.standing.build == b.build ||
 		b.chance() >= b.heft[1]/(b.heft[0]+b.heft[1]) {
 		first, second = second, first
 	}
@@ -316,15 +316,15 @@
 }
 
 // mayTake tells whether a unit may have the command at all, whatever its load.
-func (b *Balancer) mayTake(now float64, c *Command, u *unit) bool {
-	op := &c.Under.Ops[c.Op]
-	for _, d := range c.Sent {
-		v := b.byID[d.Unit]
-		if v == u && (d.Out || !c.Under.Parallel && len(b.units) > 1 && d.Maybe && len(c.Sent) == 1) {
+func (b *Balancer) mayTake(now float64, c *Request, u *unit) bool {
+	op := &c.Config.Classes[c.Class]
+	for _, d := range c.Attempts {
+		v := b.byID[d.Endpoint]
+		if v == u && (d.InFlight || !c.Config.AllowHedging && len(b.units) > 1 && d.MayHaveRun && len(c.Attempts) == 1) {
 			return false // not where it is, nor where it just failed
 		}
-		if op.Effect == Deduplicated && (d.Out || d.Maybe) && (op.Group == GroupZone && v.zone != u.zone ||
-			op.Group == GroupCell && v.cell != u.cell) {
+		if op.Idempotency == IdempotentWithKey && (d.InFlight || d.MayHaveRun) && (op.DedupScope == DedupZone && v.zone != u.zone ||
+			op.DedupScope == DedupCell && v.cell != u.cell) {
 			return false
 		}
 	}
@@ -333,12 +333,12 @@
 
 // keyFits keeps keys one-way: none goes to a build before the one that answered it. What can't be remembered any
 // more must not be answered by a build on trial either.
-func (b *Balancer) keyFits(c *Command, u *unit) bool {
-	if !b.t.OneWay || c.Key == 0 {
+func (b *Balancer) keyFits(c *Request, u *unit) bool {
+	if !b.t.OneWayKeys || c.Key == 0 {
 		return true
 	}
 	at, known := b.answered[c.Key]
-	return u.build >= max(at, b.floor) && (known || b.t.Keys == 0 || len(b.answered) < b.t.Keys || !b.onTrial(u.build))
+	return u.build >= max(at, b.floor) && (known || b.t.MaxRememberedKeys == 0 || len(b.answered) < b.t.MaxRememberedKeys || !b.onTrial(u.build))
 }
 
 // remember notes which build answered a key. A balancer lives for months: where a released build's keys fill the
@@ -348,7 +348,7 @@
 		return
 	}
 	b.answered[key] = max(b.answered[key], build)
-	if b.t.Keys > 0 && len(b.answered) >= b.t.Keys && b.told && b.phase == Released {
+	if b.t.MaxRememberedKeys > 0 && len(b.answered) >= b.t.MaxRememberedKeys && b.told && b.phase == PhaseReleased {
 		b.floor = b.build
 		clear(b.answered)
 	}
@@ -357,11 +357,13 @@
 // forget drops what only a long life gathers: keys whose build has none before it left (one that comes back gets no
 // keys), and units that left the list long ago. Their counts go on together, as of one machine.
 func (b *Balancer) forget(now float64) {
-	if b.t.Keys > 0 && b.ready > 0 && b.oldest > b.floor {
+	if b.t.MaxRememberedKeys > 0 && b.ready > 0 && b.oldest > b.floor {
 		b.floor = b.oldest
 		maps.DeleteFunc(b.answered, func(_ uint64, build int) bool { return build <= b.floor })
 	}
-	gone := func(u *unit) bool { return b.t.Forget > 0 && !u.ready && u.open == 0 && now-u.left > b.t.Forget }
+	gone := func(u *unit) bool {
+		return b.t.ForgetEndpointSeconds > 0 && !u.ready && u.open == 0 && now-u.left > b.t.ForgetEndpointSeconds
+	}
 	if !slices.ContainsFunc(b.units, gone) {
 		return
 	}
@@ -385,7 +387,7 @@
 	})
 }
 
-func (b *Balancer) twoChoices(now float64, c *Command, group []*unit) *unit {
+func (b *Balancer) twoChoices(now float64, c *Request, group []*unit) *unit {
 	if len(group) == 0 || b.onTrial(group[0].build) && b.room(now, c, group[0].build) < 1 {
 		return nil
 	}
@@ -404,7 +406,7 @@
 		u := group[at]
 		for i := range group {
 			if v := group[(at+i)%len(group)]; b.mayTake(now, c, v) {
-				if u = v; !few || try == 1 && !c.Unmet || b.linked(now, v) {
+				if u = v; !few || try == 1 && !c.NotConnected || b.linked(now, v) {
 					break
 				}
 			}
@@ -447,10 +449,10 @@
 
 // ramp is the least share of its capacity that a unit has by now, by the rule's own figures.
 func (b *Balancer) ramp(now float64, u *unit) float64 {
-	if u.since <= 0 || now-u.since >= b.t.WarmUp {
+	if u.since <= 0 || now-u.since >= b.t.SlowStartSeconds {
 		return 1
 	}
-	return b.t.ColdFrom + (1-b.t.ColdFrom)*max(0, now-u.since)/b.t.WarmUp
+	return b.t.SlowStartInitialShare + (1-b.t.SlowStartInitialShare)*max(0, now-u.since)/b.t.SlowStartSeconds
 }
 
 // warmEnough is rule 4: this balancer's part of what a cold unit may be sent, by what a warm one is sent from
@@ -462,44 +464,44 @@
 		return true
 	}
 	used := float64(len(b.sides[0]) + len(b.sides[1])) // others use other units
-	part := coldPart * b.t.FallFactor * r * b.rate(now) / used
-	u.credit = min(u.credit+part*(now-u.creditAt), max(1, part*b.t.FallTime))
+	part := coldPart * b.t.SlowStartOverloadFactor * r * b.rate(now) / used
+	u.credit = min(u.credit+part*(now-u.creditAt), max(1, part*b.t.SlowStartOverloadSeconds))
 	u.creditAt = now
 	return u.credit >= 1
 }
 
-// After says what to do with a command after one of its deliveries, sent to id, ended.
-func (b *Balancer) After(now float64, c *Command, id uint32, r Result, took float64) Step {
+// OnAttemptDone says what to do with a command after one of its deliveries, sent to id, ended.
+func (b *Balancer) OnAttemptDone(now float64, c *Request, id uint32, r Outcome, took float64) Decision {
 	b.wake(now)
 	u := b.byID[id]
 	b.link(now, u, r)
-	c.Unmet = r == Unconnected || r == Unsent
+	c.NotConnected = r == NotConnected || r == NotSent
 	u.open--
 	u.work -= c.Work
 	b.open--
-	if r != Unsent && (r != Cancelled || !c.Ended) {
+	if r != NotSent && (r != Cancelled || !c.Completed) {
 		b.judge(now, c, u, r, took)
 	}
-	if r == Acked && b.t.OneWay && c.Key != 0 {
+	if r == Succeeded && b.t.OneWayKeys && c.Key != 0 {
 		b.remember(c.Key, u.build)
 	}
-	if c.Ended {
-		return Step{Recall: b.t.Cancel}
+	if c.Completed {
+		return Decision{CancelInFlight: b.t.AllowCancel}
 	}
 	return b.Pick(now, c)
 }
 
 // link notes whether a connection is open, and how often a new one could not be had lately: on trial machines
 // that is a matter of the build.
-func (b *Balancer) link(now float64, u *unit, r Result) {
-	met := r == Acked || r == Errored || r == Full
-	if !b.onTrial(u.build) && (r == Unconnected || met && !b.linked(now, u)) {
-		b.refused.add(now, failFade, quick, r == Unconnected)
+func (b *Balancer) link(now float64, u *unit, r Outcome) {
+	met := r == Succeeded || r == ServerError || r == Overloaded
+	if !b.onTrial(u.build) && (r == NotConnected || met && !b.linked(now, u)) {
+		b.refused.add(now, failFade, quick, r == NotConnected)
 	}
-	if r == Unconnected {
+	if r == NotConnected {
 		u.links = 0
 	} else if met {
-		u.links, u.linkAt = (u.open+b.t.Streams-1)/b.t.Streams, now
+		u.links, u.linkAt = (u.open+b.t.RequestsPerConn-1)/b.t.RequestsPerConn, now
 	}
 }
 
@@ -507,42 +509,42 @@
 
 // linked tells whether a unit has an open connection with room.
 func (b *Balancer) linked(now float64, u *unit) bool {
-	return u.open < u.links*b.t.Streams && now-u.linkAt < b.t.ConnIdle
+	return u.open < u.links*b.t.RequestsPerConn && now-u.linkAt < b.t.ConnIdleSeconds
 }
 
 // judge enters an outcome into the unit's health, the usual times and MaxSPRT-AB's counts.
-func (b *Balancer) judge(now float64, c *Command, u *unit, r Result, took float64) {
-	op := c.Op
-	if r == Cancelled && !c.Ended {
+func (b *Balancer) judge(now float64, c *Request, u *unit, r Outcome, took float64) {
+	op := c.Class
+	if r == Cancelled && !c.Completed {
 		r = TimedOut // called off for its unit's silence
 	}
-	if r == TimedOut && took < b.patience(c) || now == b.woke && r != Errored {
+	if r == TimedOut && took < b.patience(c) || now == b.woke && r != ServerError {
 		return // its client had little time left, or nobody was here: no unit's silence, no build's lateness
 	}
-	bad := r == Errored || r == TimedOut || r == Broken || r == Unconnected
+	bad := r == ServerError || r == TimedOut || r == ConnectionLost || r == NotConnected
 	if r != TimedOut {
 		u.heard = now
 	}
-	u.fail.add(now, failFade, failStep, bad || r == Full)
+	u.fail.add(now, failFade, failStep, bad || r == Overloaded)
 	sent := now - took
 	same := sent >= u.since // it went to this process, not to an earlier one of the id
 	// Warm, and rid of what queued while it was cold: longer in a full fleet, and where few votes decide.
-	warm := same && sent-u.since >= b.t.WarmUp*(1+min(1, b.ratio/hopeful)/float64(max(1, b.t.BackVotes)))
+	warm := same && sent-u.since >= b.t.SlowStartSeconds*(1+min(1, b.ratio/hopeful)/float64(max(1, b.t.RollbackVotes)))
 	size := (1 + c.Work) / 2 // a part of an answer's time goes with the work, a part is waiting
-	if r == Acked || r == TimedOut {
+	if r == Succeeded || r == TimedOut {
 		if b.usual[op] > 0 {
 			mean(&u.slow, took/b.usual[op]/size)
 		}
-		mean(&b.usual[op], min(took/size, c.Under.Ops[op].Target)) // a few silent units are no overload
+		mean(&b.usual[op], min(took/size, c.Config.Classes[op].LatencyObjectiveSeconds)) // a few silent units are no overload
 	}
-	if c.Repeat || len(c.Sent) > 1 || !same || now-u.since < settle || u.build > b.build || !b.told {
+	if c.ClientRetry || len(c.Attempts) > 1 || !same || now-u.since < settle || u.build > b.build || !b.told {
 		return
 	}
 	of := &b.sampleOf(u.id, u.build).of
-	if r == Acked {
+	if r == Succeeded {
 		of[wrong].add(false)
 	}
-	if r == Acked || r == Errored {
+	if r == Succeeded || r == ServerError {
 		of[failed].add(bad)
 	}
 	// Without earlier machines beside it, a burst, a slow fleet or vanished machines meet the trial build
@@ -550,10 +552,10 @@
 	if !b.paired {
 		return
 	}
-	if r != Full && (r != TimedOut || warm) {
-		of[lost].add(bad && r != Errored)
+	if r != Overloaded && (r != TimedOut || warm) {
+		of[lost].add(bad && r != ServerError)
 	}
-	if !warm || r != Acked && r != TimedOut && r != Full {
+	if !warm || r != Succeeded && r != TimedOut && r != Overloaded {
 		return
 	}
 	mark := slowMark * slack
@@ -562,12 +564,12 @@
 		median(&b.plain[op], took, medianStep) // slow machines of the earlier build don't move it
 	}
 	if b.plain[op] > 0 {
-		of[slow].add(r == Full || took > mark*b.plain[op])
+		of[slow].add(r == Overloaded || took > mark*b.plain[op])
 	}
 }
 
-// Flagged enters a wrong answer that a client found, sent age ago.
-func (b *Balancer) Flagged(now float64, id uint32, age float64) {
+// ReportWrongAnswer enters a wrong answer that a client found, sent age ago.
+func (b *Balancer) ReportWrongAnswer(now float64, id uint32, age float64) {
 	u := b.byID[id]
 	if u == nil {
 		return
@@ -641,7 +643,7 @@
 		sum = whole
 	}
 	// The voters needed may bring three flags among them.
-	voters, least := float64(max(1, b.t.BackVotes)), leastBad
+	voters, least := float64(max(1, b.t.RollbackVotes)), leastBad
 	if kind == wrong {
 		least /= voters
 	}
@@ -651,7 +653,7 @@
 	l := nats(sum[0], sum[1]) / differ
 	// Right answers are flagged too: the less the harm costs against a good build sent back, the surer the vote.
 	if more := sum[1].bad/sum[1].n - sum[0].bad/sum[0].n; kind == wrong && more > 0 {
-		l -= max(0, math.Log(b.t.StalePrice/(b.t.HarmPrice*more/reported)))
+		l -= max(0, math.Log(b.t.StaleBuildPrice/(b.t.WrongAnswerPrice*more/reported)))
 	}
 	return l
 }
@@ -660,17 +662,17 @@
 // less likely under them than without, the source is contradicted and counts for nothing; else it adds to what they
 // explain, at most what a clean sample of this size would speak against it, and half the line.
 func (b *Balancer) lifted(kind int, line float64, list, outside []*sample) float64 {
-	own := b.excess(kind, list, b.t.Reported)
+	own := b.excess(kind, list, b.t.WrongAnswerReportShare)
 	said := b.excess(kind, outside, 1)
 	if said <= 0 {
 		return own
 	}
 	seen := 1.0
 	if kind == wrong {
-		seen = b.t.Reported
+		seen = b.t.WrongAnswerReportShare
 	}
 	if seen == 0 { // nobody here could contradict it, and all who hear it are one voice
-		return max(own, said*line/(backNats+math.Log(float64(b.t.Balancers))))
+		return max(own, said*line/(backNats+math.Log(float64(b.t.Routers))))
 	}
 	told, met := sides(outside, kind, b.build), sides(list, kind, b.build)
 	a, c := met[0], met[1]
@@ -678,7 +680,7 @@
 	q := min(p+seen*(told[1].bad/told[1].n-told[0].bad/told[0].n), (1+p)/2)
 	bad, good := math.Log(q/p), math.Log((1-q)/(1-p))
 	explained := c.bad*bad + (c.n-c.bad)*good
-	if !(q > p) || explained < 0 || a.n == 0 || c.n*float64(max(1, b.t.BackVotes)) < leastSeen {
+	if !(q > p) || explained < 0 || a.n == 0 || c.n*float64(max(1, b.t.RollbackVotes)) < leastSeen {
 		return own
 	}
 	return max(own, explained+min(said, -c.n*(p*bad+(1-p)*good), line/2))
@@ -697,12 +699,12 @@
 	return max(1, x2/float64(len(list)-1))
 }
 
-// Stage is news of the newest build.
-func (b *Balancer) Stage(now float64, build, stage int, phase Phase, limit, age float64) {
+// ApplyRelease is news of the newest build.
+func (b *Balancer) ApplyRelease(now float64, build, stage int, phase Phase, limit, age float64) {
 	if !b.told || build != b.build {
 		b.samples = nil
 	}
-	if phase == GoingBack || phase == Withdrawn {
+	if phase == PhaseRollingBack || phase == PhaseWithdrawn {
 		clear(b.answered)
 		b.floor = 0
 	}
@@ -711,39 +713,39 @@
 	b.arrange(now)
 }
 
-// Follow enters what the planner says of an edge's part: the vote that stands, on which build, and which share of what
+// ApplyAssignment enters what the planner says of an edge's part: the vote that stands, on which build, and which share of what
 // all edges may spend is lent to this one, until when. It has no view for ever: what was told of drains and caps stays
 // binding, what is unannounced is in its first stage, and what was lent is spent no more once the lease is over.
-func (b *Balancer) Follow(build int, v Verdict, share, until float64) {
+func (b *Balancer) ApplyAssignment(build int, v Verdict, share, until float64) {
 	b.standing = vote{build: build, verdict: v}
 	b.share, b.lent = share, until
 }
 
-// Recall enters, at an edge's start, the news that the process before it had, confirmed some time ago. While its planner is
+// RestoreRelease enters, at an edge's start, the news that the process before it had, confirmed some time ago. While its planner is
 // away nobody else tells it, and a fleet that is all of one build on trial would be held to the first stage's cap. Such news
 // holds for as long as a vote does without word from who cast it.
-func (b *Balancer) Recall(now float64, build, stage int, phase Phase, limit, age, ago float64) {
-	if ago < b.t.VoteLife {
-		b.Stage(now, build, stage, phase, limit, age+ago)
+func (b *Balancer) RestoreRelease(now float64, build, stage int, phase Phase, limit, age, ago float64) {
+	if ago < b.t.VoteLifetimeSeconds {
+		b.ApplyRelease(now, build, stage, phase, limit, age+ago)
 	}
 }
 
-// Stood enters, at a start, the vote that was cast age ago by the process before. An unsure one may have counted or not: it
+// RestoreVote enters, at a start, the vote that was cast age ago by the process before. An unsure one may have counted or not: it
 // is renewed, or withdrawn, at once.
-func (b *Balancer) Stood(now float64, build, stage int, v Verdict, age float64, sure bool) {
+func (b *Balancer) RestoreVote(now float64, build, stage int, v Verdict, age float64, sure bool) {
 	if !sure {
-		age = max(age, b.t.VoteLife/2)
+		age = max(age, b.t.VoteLifetimeSeconds/2)
 	}
 	b.standing, b.votedAt = vote{build, stage, v}, now-age
 }
 
-// VoteAnswered is what became of the vote last cast.
-func (b *Balancer) VoteAnswered(now float64, r VoteReply) {
+// OnVoteReply is what became of the vote last cast.
+func (b *Balancer) OnVoteReply(now float64, r VoteReply) {
 	if !b.calling {
 		return
 	}
 	b.calling = false
-	if r == Counted {
+	if r == VoteCounted {
 		b.standing, b.votedAt = b.asked, b.callAt
 	} else {
 		b.mute = now + voteAgain
@@ -752,13 +754,13 @@
 
 // verdict is the vote that the counts call for.
 func (b *Balancer) verdict(now float64) Verdict {
-	if !b.told || b.phase == GoingBack || b.phase == Withdrawn {
+	if !b.told || b.phase == PhaseRollingBack || b.phase == PhaseWithdrawn {
 		return VoteNone
 	}
 	// ln(balancers) guards against the one of many that crosses by chance; where k votes are needed, any k of n
 	// have to: the line is where that is as unlikely. Clients find wrong answers each for themselves; what fails
 	// or is late troubles many balancers at once, so there they only share the guard.
-	n, k := float64(b.t.Balancers), float64(max(1, b.t.BackVotes))
+	n, k := float64(b.t.Routers), float64(max(1, b.t.RollbackVotes))
 	l, line := 0.0, (backNats+lnChoose(n, k))/k
 	list := b.evidence()
 	outside := b.outside(list)
@@ -766,17 +768,17 @@
 		l = max(l, b.lifted(kind, line, list, outside)/line)
 		line = backNats + math.Log(n/k)
 	}
-	kept := b.standing.verdict == VoteBack && b.standing.build == b.build
+	kept := b.standing.verdict == VoteRollback && b.standing.build == b.build
 	switch {
-	case l >= 1 || kept && (k == 1 && !b.t.Automatic || l > 0.5):
-		return VoteBack
-	case b.t.Automatic && l > holdAt && b.phase != Released:
+	case l >= 1 || kept && (k == 1 && !b.t.AutomaticStages || l > 0.5):
+		return VoteRollback
+	case b.t.AutomaticStages && l > holdAt && b.phase != PhaseReleased:
 		return VoteHold
-	case b.t.Automatic || l > 0.5 || b.phase == Released || b.listAge > onBlind:
+	case b.t.AutomaticStages || l > 0.5 || b.phase == PhaseReleased || b.listAge > onBlind:
 		return VoteNone // the clock moves the stage, or there is doubt
 	}
 	seen, places := 0.0, float64(b.earlier)
-	if b.t.Replace {
+	if b.t.ReplaceInPlace {
 		places = float64(b.earlier + b.newer)
 	}
 	for _, s := range list {
@@ -784,7 +786,7 @@
 			seen += s.of[lost].n
 		}
 	}
-	share := b.t.Stages[min(b.stage, len(b.t.Stages)-1)]
+	share := b.t.StageShares[min(b.stage, len(b.t.StageShares)-1)]
 	// More time is taken where it would bring the outcomes lacking; who sees little would wait in vain.
 	wait := onWaitFew
 	if more := (b.rate(now) + b.others) * b.heft[1] / (b.heft[0] + b.heft[1]) * (onWaitFew - onWait); seen >= leastSeen ||
@@ -795,13 +797,13 @@
 		float64(b.newer) < math.Ceil(places*share-1e-6) && now-b.stageAt < onBlind {
 		return VoteNone
 	}
-	return VoteOn
+	return VotePromote
 }
 
-// Tend does an edge's periodic work, which casts no vote: it steers the open limit.
-func (b *Balancer) Tend(now float64) Turn {
+// TickRouter does an edge's periodic work, which casts no vote: it steers the open limit.
+func (b *Balancer) TickRouter(now float64) TickResult {
 	b.wake(now)
-	if now-b.steeredAt >= steerIn-b.t.Round {
+	if now-b.steeredAt >= steerIn-b.t.MinTickSeconds {
 		b.steeredAt = now
 		b.steer()
 		b.forget(now)
@@ -810,43 +812,43 @@
 			s.of[slow].n, s.of[slow].bad = s.of[slow].n*lagFade, s.of[slow].bad*lagFade
 		}
 	}
-	return Turn{In: check}
+	return TickResult{NextTickSeconds: check}
 }
 
-// Wait does the periodic work where this balancer judges too: it looks at the counts, its own and those of its edges, and
+// TickController does the periodic work where this balancer judges too: it looks at the counts, its own and those of its edges, and
 // casts or renews its vote.
-func (b *Balancer) Wait(now float64) Turn {
-	t := b.Tend(now)
-	if b.t.Ask && !b.watching && now-b.watchAt >= 1 {
-		t.Subscribe, b.watchAt = true, now
+func (b *Balancer) TickController(now float64) TickResult {
+	t := b.TickRouter(now)
+	if b.t.SubscribeToEndpoints && !b.watching && now-b.watchAt >= 1 {
+		t.SubscribeToEndpoints, b.watchAt = true, now
 	}
-	if b.calling && now-b.callAt > b.t.VoteTimeout+2*voteAgain {
+	if b.calling && now-b.callAt > b.t.VoteTimeoutSeconds+2*voteAgain {
 		b.calling = false
 	}
 	want := vote{b.build, b.stage, b.verdict(now)}
-	if want.verdict == VoteBack {
+	if want.verdict == VoteRollback {
 		want.stage = 0
 	}
-	over := b.phase == GoingBack || b.phase == Withdrawn
-	stands := b.standing.verdict != VoteNone && now-b.votedAt < b.t.VoteLife
-	fresh := stands && now-b.votedAt < b.t.VoteLife/2
-	if want.verdict == VoteNone && (!stands || b.standing.build != b.build || b.standing.verdict == VoteOn) ||
+	over := b.phase == PhaseRollingBack || b.phase == PhaseWithdrawn
+	stands := b.standing.verdict != VoteNone && now-b.votedAt < b.t.VoteLifetimeSeconds
+	fresh := stands && now-b.votedAt < b.t.VoteLifetimeSeconds/2
+	if want.verdict == VoteNone && (!stands || b.standing.build != b.build || b.standing.verdict == VotePromote) ||
 		want == b.standing && fresh || over || b.calling || now < b.mute ||
-		want.verdict != VoteBack && now-b.callAt < float64(b.t.Balancers)/b.t.VoteRate {
+		want.verdict != VoteRollback && now-b.callAt < float64(b.t.Routers)/b.t.VotesPerSecond {
 		return t
 	}
 	b.asked, b.callAt, b.calling = want, now, true
-	t.Vote, t.Build, t.Stage, t.Verdict = true, b.build, b.stage, want.verdict
+	t.CastVote, t.Build, t.Stage, t.Verdict = true, b.build, b.stage, want.verdict
 	return t
 }
 
 // steer bounds what is open by how quickly answers come, against overload, bursts and slow fleets alike; not
 // below this balancer's even part of two deliveries a unit, where a fleet idles.
 func (b *Balancer) steer() {
-	least := 2 + 2*b.share*float64(b.ready)/float64(b.t.Balancers)
+	least := 2 + 2*b.share*float64(b.ready)/float64(b.t.Routers)
 	b.ratio, b.longest = 0, slices.Max(b.usual)
-	for i, op := range b.t.Ops {
-		b.ratio = max(b.ratio, b.usual[i]/op.Target)
+	for i, op := range b.t.Classes {
+		b.ratio = max(b.ratio, b.usual[i]/op.LatencyObjectiveSeconds)
 	}
 	switch {
 	case b.ratio > hopeful:
@@ -857,12 +859,12 @@
 	b.peak = b.open
 }
 
-// ListAge tells how long ago what is known of the list was true: on a list that long has shown nothing new, a machine
+// SetEndpointListAge tells how long ago what is known of the list was true: on a list that long has shown nothing new, a machine
 // of the trial build may be gone as well as ready, and no on rests on it.
-func (b *Balancer) ListAge(age float64) { b.listAge = age }
+func (b *Balancer) SetEndpointListAge(age float64) { b.listAge = age }
 
-// ListEnd closes a list: what a full one does not name is gone.
-func (b *Balancer) ListEnd(now float64) {
+// EndEndpointList closes a list: what a full one does not name is gone.
+func (b *Balancer) EndEndpointList(now float64) {
 	for _, u := range b.units {
 		if u.ready = u.ready && u.known; u.ready {
 			u.left = 0
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -8,14 +8,14 @@
 	f.list(true)
 	c, s := f.command(0)
 	start := f.now
-	for s.Do == Hold {
-		f.now += 2 * (s.Again - f.now)
+	for s.Action == Hold {
+		f.now += 2 * (s.PickAgainAt - f.now)
 		s = f.pick(c)
 	}
-	fmt.Println(s, "ahead of the time-out:", f.now < c.Due, "not before the target:", f.now-start >= 0.3)
+	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the target:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(c))
 	// A hair before the end there is no asking again at the same moment.
-	fmt.Println(f.pick(&Command{ID: 99, Came: f.now - 0.1, Due: f.now + 2*f.b.t.Round + 1e-10}))
+	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.t.MinTickSeconds + 1e-10}))
 	// Output:
 	// nack, back in 1.0 s ahead of the time-out: true not before the target: true
 	// then: recall
@@ -27,8 +27,8 @@
 	names := []string{"redeliverable", "deduplicated", "at-most-once"}
 	results := []struct {
 		name string
-		r    Result
-	}{{"error", Errored}, {"full", Full}, {"no connection", Unconnected}, {"broken", Broken}}
+		r    Outcome
+	}{{"error", ServerError}, {"full", Overloaded}, {"no connection", NotConnected}, {"broken", ConnectionLost}}
 	for op, name := range names {
 		fmt.Print(name)
 		for _, r := range results {
@@ -40,13 +40,13 @@
 		fmt.Println()
 	}
 	// Past the window in which repeats are dropped, and outside the group, nothing more is sent.
-	f := newFleet(func(t *Terms) { t.Ops[1].Window = 0.1; t.Ops[1].Group = GroupCell })
+	f := newFleet(func(t *Config) { t.Classes[1].DedupWindowSeconds = 0.1; t.Classes[1].DedupScope = DedupCell })
 	c, _ := f.command(1)
 	f.now += 0.02
-	s := f.answer(c, Errored)
-	fmt.Println("same cell:", c.Sent[0].Unit%2 == c.Sent[1].Unit%2, s)
+	s := f.answer(c, ServerError)
+	fmt.Println("same cell:", c.Attempts[0].Endpoint%2 == c.Attempts[1].Endpoint%2, s)
 	f.now += 0.1
-	fmt.Println("window over:", f.answer(c, Errored))
+	fmt.Println("window over:", f.answer(c, ServerError))
 	// Output:
 	// redeliverable, error: send, full: send, no connection: send, broken: send
 	// deduplicated, error: send, full: send, no connection: send, broken: send
@@ -61,7 +61,7 @@
 	f.list(false, machine{id: 1, build: 7, state: Draining}, machine{id: 2, build: 7, state: Gone})
 	f.list(true, machine{id: 1, build: 7, state: Draining}, machine{id: 4, build: 7}) // 3 left unnamed
 	met := map[uint32]int{}
-	f.run(40, 2, func(u uint32, _ int) (Result, float64) { met[u]++; return Acked, 0.05 })
+	f.run(40, 2, func(u uint32, _ int) (Outcome, float64) { met[u]++; return Succeeded, 0.05 })
 	fmt.Println(met)
 	// Output: map[4:40]
 }
@@ -72,34 +72,36 @@
 	f := newFleet(nil)
 	f.list(true, all...)
 	fmt.Print("unannounced: ", f.run(200, 4, fine)[8] <= 22)
-	f.b.Stage(f.now, 8, 1, OnTrial, 0.5, 0)
+	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 0)
 	fmt.Print(", half allowed: ", f.run(200, 4, fine)[8] <= 102)
-	f.b.Stage(f.now, 8, 1, GoingBack, 0, 0)
+	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
 	fmt.Print(", going back: ", f.run(200, 4, fine)[8])
-	f.b.Stage(f.now, 8, 2, Released, 1, 0)
+	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 	fmt.Println(", released:", f.run(200, 4, fine)[8] > 100)
 
-	f = newFleet(func(t *Terms) { t.Guarded, t.PerOp, t.Free, t.Caps[0] = 1, true, 1, 0.04 })
+	f = newFleet(func(t *Config) {
+		t.IdempotentOnlyStages, t.CanaryLimitPerClass, t.CanaryFreeAttempts, t.CanaryLimits[0] = 1, true, 1, 0.04
+	})
 	f.list(true, all...)
-	f.b.Stage(f.now, 8, 0, OnTrial, 0.04, 0)
+	f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.04, 0)
 	trial := [3]int{}
 	for i := 0; i < 300; i++ {
 		c, s := f.command(i % 3)
-		if f.b.byID[s.Unit].build == 8 {
-			trial[c.Op]++
+		if f.b.byID[s.Endpoint].build == 8 {
+			trial[c.Class]++
 		}
-		f.answer(c, Acked)
+		f.answer(c, Succeeded)
 		f.now += 0.01
 	}
 	fmt.Println("guarded stage, by op type:", trial[0] > 0 && trial[0] <= 5, trial[1:])
 
-	f = newFleet(func(t *Terms) { t.OneWay = true })
+	f = newFleet(func(t *Config) { t.OneWayKeys = true })
 	f.list(true, all...)
-	f.b.Stage(f.now, 8, 2, OnTrial, 1, 0)
+	f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 0)
 	f.b.answered[99] = 8
 	for i := 0; i < 10; i++ {
-		c := &Command{ID: 1000, Key: 99, Came: f.now, Due: f.now + 0.8}
-		fmt.Print(f.b.byID[f.pick(c).Unit].build, " ")
+		c := &Request{ID: 1000, Key: 99, ReceivedAt: f.now, Deadline: f.now + 0.8}
+		fmt.Print(f.b.byID[f.pick(c).Endpoint].build, " ")
 	}
 	fmt.Println("one-way key")
 	// Output:
@@ -114,7 +116,7 @@
 	f.b = New(*f.b.t, 43, f.now)
 	f.list(true, machine{id: 1, build: 7}, machine{id: 5, build: 8}, machine{id: 6, build: 8}, machine{id: 7, build: 8})
 	fmt.Println("within the first stage:", f.run(100, 2, fine)[8] <= 12)
-	f.vote(1, Counted)
+	f.vote(1, VoteCounted)
 	// Output:
 	// within the first stage: true
 	// no vote
@@ -123,14 +125,14 @@
 // What is out at a silent unit is called off, or doubled where two may be out; at a unit that answers it is left.
 func Example_silence() {
 	for _, parallel := range []bool{false, true} {
-		f := newFleet(func(t *Terms) { t.Parallel = parallel })
+		f := newFleet(func(t *Config) { t.AllowHedging = parallel })
 		f.run(40, 2, fine)
 		c, s := f.command(0)
-		f.now += 2 * (s.Again - f.now)
+		f.now += 2 * (s.PickAgainAt - f.now)
 		fmt.Print("silent: ", f.pick(c))
 		c, s = f.command(0)
-		f.now += 2 * (s.Again - f.now)
-		f.b.byID[s.Unit].heard = f.now - 0.01
+		f.now += 2 * (s.PickAgainAt - f.now)
+		f.b.byID[s.Endpoint].heard = f.now - 0.01
 		fmt.Println(", heard:", f.pick(c))
 	}
 	// Output:
@@ -140,16 +142,16 @@
 
 // A failing unit gets little, whatever way it fails, and is tried again later.
 func Example_failingUnit() {
-	for _, r := range []Result{Errored, Full, Unconnected, Broken} {
+	for _, r := range []Outcome{ServerError, Overloaded, NotConnected, ConnectionLost} {
 		f := newFleet(nil)
 		f.run(40, 2, fine)
 		met := 0
-		f.run(200, 4, func(u uint32, _ int) (Result, float64) {
+		f.run(200, 4, func(u uint32, _ int) (Outcome, float64) {
 			if u == 2 {
 				met++
 				return r, 0.001
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})
 		fmt.Print("little but not none: ", met > 0 && met < 25, " ")
 	}
@@ -160,17 +162,17 @@
 // Overload: with answers slow, less is held open, and the less important gives way first.
 func Example_overload() {
 	f := newFleet(nil)
-	f.run(300, 3, func(uint32, int) (Result, float64) { return Acked, 0.25 })
+	f.run(300, 3, func(uint32, int) (Outcome, float64) { return Succeeded, 0.25 })
 	for i := 0; i < 20; i++ {
-		f.b.Wait(f.now)
+		f.b.TickController(f.now)
 		f.now += 0.25
 	}
 	for _, op := range []int{0, 2} {
 		_, s := f.command(op)
-		for s.Do == Send {
+		for s.Action == Send {
 			_, s = f.command(op)
 		}
-		fmt.Printf("importance %v: %v with %d open\n", f.b.t.Ops[op].Importance, s, f.b.open)
+		fmt.Printf("importance %v: %v with %d open\n", f.b.t.Classes[op].PriorityWeight, s, f.b.open)
 	}
 	// Output:
 	// importance 2: nack, back in 1.0 s with 5 open
@@ -183,19 +185,19 @@
 	for i := uint32(0); i < 60; i++ {
 		f.list(false, machine{id: 100 + i, build: 7}, machine{id: 200 + i, build: 8})
 	}
-	f.b.Stage(f.now, 8, 1, OnTrial, 0.5, 20)
+	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 20)
 	for _, open := range []uint32{1000, 6, 6, 6} { // every so many units take a connection
-		met := map[Result]int{}
-		f.run(200, 4, func(u uint32, _ int) (Result, float64) {
-			r := Acked
+		met := map[Outcome]int{}
+		f.run(200, 4, func(u uint32, _ int) (Outcome, float64) {
+			r := Succeeded
 			if open < 1000 && u%open != 0 {
-				r = Unconnected
+				r = NotConnected
 			}
 			met[r]++
 			return r, 0.02
 		})
-		fmt.Printf("%d acked, %d met nobody, ", met[Acked], met[Unconnected])
-		f.vote(0.3, Counted)
+		fmt.Printf("%d acked, %d met nobody, ", met[Succeeded], met[NotConnected])
+		f.vote(0.3, VoteCounted)
 	}
 	// Output:
 	// 200 acked, 0 met nobody, vote on on build 8 stage 1
@@ -208,11 +210,11 @@
 func Example_ownPause() {
 	f := newFleet(nil)
 	f.run(40, 2, fine)
-	f.b.Wait(f.now)
+	f.b.TickController(f.now)
 	for _, pause := range []float64{0.2, 1.2} {
 		c, s := f.command(0)
-		u := f.b.byID[s.Unit]
-		f.b.Wait(f.now + 0.09)
+		u := f.b.byID[s.Endpoint]
+		f.b.TickController(f.now + 0.09)
 		f.now += 0.1 + pause
 		f.answer(c, TimedOut)
 		fmt.Printf("after %.1f s: failing %v\n", pause, f.b.failing(f.now, u) > 0)
@@ -227,13 +229,13 @@
 	for _, n := range []int{1, 100} {
 		sum := 0
 		for i := 0; i < n; i++ {
-			f := newFleet(func(t *Terms) { t.Balancers = n })
+			f := newFleet(func(t *Config) { t.Routers = n })
 			f.b.seed = uint64(i)
 			f.run(400/n, 4, fine)
 			f.list(false, machine{id: 4, build: 7, since: f.now})
-			f.run(200/n, 2, func(u uint32, _ int) (Result, float64) {
+			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
 				sum += one(u == 4)
-				return [...]Result{Full, Acked}[one(u == 4)], 0.01 // the cold one looks far better than the others
+				return [...]Outcome{Overloaded, Succeeded}[one(u == 4)], 0.01 // the cold one looks far better than the others
 			})
 		}
 		fmt.Println(n, "balancers:", sum)
@@ -245,17 +247,17 @@
 
 // Under load a command whose client, by the time it is given, first asked longer ago than the target is nacked.
 func Example_laterTries() {
-	f := newFleet(func(t *Terms) { t.Ops[0].Timeout = 1 })
+	f := newFleet(func(t *Config) { t.Classes[0].TimeoutSeconds = 1 })
 	f.run(40, 2, fine) // first tries are given 0.8 s
 	for _, ratio := range []float64{0.1, 0.9} {
 		fmt.Print("time over target ", ratio)
 		for _, given := range []float64{0.8, 0.75, 0.6, 0.1} {
 			f.b.ratio, f.id = ratio, f.id+1
-			c := &Command{ID: f.id, Came: f.now, Due: f.now + given}
+			c := &Request{ID: f.id, ReceivedAt: f.now, Deadline: f.now + given}
 			s := f.pick(c)
 			fmt.Printf(", given %.2f s: %v", given, s)
-			if s.Do == Send {
-				f.answer(c, Acked)
+			if s.Action == Send {
+				f.answer(c, Succeeded)
 			}
 		}
 		fmt.Println()
--- a/internal/policy/source_test.go
+++ b/internal/policy/source_test.go
@@ -7,36 +7,36 @@
 )
 
 // said makes a source's counts: n outcomes and bad ones for each unit, of one kind.
-func said(kind int, n, earlier, trial float64) Sourced {
-	s := Sourced{Evidence: Evidence{Build: 8}}
+func said(kind int, n, earlier, trial float64) MetricsEvidence {
+	s := MetricsEvidence{Evidence: Evidence{Build: 8}}
 	for _, u := range []uint32{1, 2, 3, 4, 11, 12} {
-		t := Tally{Unit: u, Build: 7}
-		t.N[kind], t.Bad[kind] = n, n*earlier
+		t := EndpointSample{Endpoint: u, Build: 7}
+		t.Outcomes[kind], t.Failures[kind] = n, n*earlier
 		if u > 10 {
-			t.Build, t.Bad[kind] = 8, n*trial
+			t.Build, t.Failures[kind] = 8, n*trial
 		}
-		s.Tally = append(s.Tally, t)
+		s.Samples = append(s.Samples, t)
 	}
 	return s
 }
 
 // A health source beside the own sample: it lifts what the own sample shows too little of, and is not believed against it.
 func Example_source() {
-	play := func(name string, reported float64, own int, flags int, s Sourced) {
-		f := newFleet(func(t *Terms) { t.Automatic, t.Reported = true, reported })
+	play := func(name string, reported float64, own int, flags int, s MetricsEvidence) {
+		f := newFleet(func(t *Config) { t.AutomaticStages, t.WrongAnswerReportShare = true, reported })
 		f.trial(2, 10)
 		if own > 0 {
 			f.run(own, 3, fine)
 		}
 		for i := range flags {
-			f.b.Flagged(f.now, uint32(11+i%2), 1)
+			f.b.ReportWrongAnswer(f.now, uint32(11+i%2), 1)
 		}
-		f.b.Sourced(s)
+		f.b.SetMetricsEvidence(s)
 		fmt.Print(name, ": ")
-		f.vote(1, Counted)
+		f.vote(1, VoteCounted)
 	}
 	bad, good := said(wrong, 400, 0.01, 0.3), said(wrong, 400, 0.01, 0.01)
-	play("two flags", 0.3, 120, 2, Sourced{})
+	play("two flags", 0.3, 120, 2, MetricsEvidence{})
 	play("two flags, and the source says so", 0.3, 120, 2, bad)
 	play("two flags, and the source says all is well", 0.3, 120, 2, good)
 	play("eight flags, and the source says all is well", 0.3, 120, 8, good)
@@ -46,7 +46,7 @@
 	play("answers come, and the source says they fail", 0.3, 120, 0, said(failed, 400, 0, 0.5))
 	few := said(wrong, 12, 0, 0.3)
 	play("two flags, the source knows little more than what came from here", 0.3, 120, 2, few)
-	few.Apart[wrong] = true
+	few.Independent[wrong] = true
 	play("the same, and it is of others' commands", 0.3, 120, 2, few)
 	old := bad
 	old.Build = 7
@@ -67,43 +67,43 @@
 
 // Marks: what deliveries would show counts only where they show something; wrong answers count; both are forgotten.
 func Example_marks() {
-	share := func(name string, m Mark, age float64) {
+	share := func(name string, m HealthMark, age float64) {
 		f := newFleet(nil)
 		f.run(100, 1, fine)
 		count := 0
-		f.b.Marked(f.now, age, []Mark{m})
-		f.run(400, 4, func(u uint32, _ int) (Result, float64) {
-			f.b.Marked(f.now, age, []Mark{m})
+		f.b.SetHealthMarks(f.now, age, []HealthMark{m})
+		f.run(400, 4, func(u uint32, _ int) (Outcome, float64) {
+			f.b.SetHealthMarks(f.now, age, []HealthMark{m})
 			if u == 1 {
 				count++
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})
 		fmt.Printf("%s: about its part %t, less than a third of it %t\n", name, count > 70 && count < 130, count < 33)
 	}
-	share("no mark", Mark{Unit: 2}, 0)
-	share("probes fail, serves well", Mark{Unit: 1, Ailing: 1}, 0)
-	share("answers fast but wrongly", Mark{Unit: 1, Wrong: 0.5}, 0)
-	share("said long ago", Mark{Unit: 1, Wrong: 0.5}, 30)
+	share("no mark", HealthMark{Endpoint: 2}, 0)
+	share("probes fail, serves well", HealthMark{Endpoint: 1, DegradedShare: 1}, 0)
+	share("answers fast but wrongly", HealthMark{Endpoint: 1, WrongShare: 0.5}, 0)
+	share("said long ago", HealthMark{Endpoint: 1, WrongShare: 0.5}, 30)
 	// A fifth of what unit 1 is sent fails: the mark confirms it, and costs it the more.
-	part := func(m ...Mark) (n int) {
+	part := func(m ...HealthMark) (n int) {
 		f := newFleet(nil)
 		f.run(100, 1, fine)
 		tries := 0
-		f.run(2000, 20, func(u uint32, _ int) (Result, float64) {
-			f.b.Marked(f.now, 0, m)
+		f.run(2000, 20, func(u uint32, _ int) (Outcome, float64) {
+			f.b.SetHealthMarks(f.now, 0, m)
 			if u != 1 {
-				return Acked, 0.05
+				return Succeeded, 0.05
 			}
 			n++
 			if tries++; tries%5 == 0 {
-				return Errored, 0.05
+				return ServerError, 0.05
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})
 		return n
 	}
-	fmt.Println("fails at times, with a mark against without, less than half:", part(Mark{Unit: 1, Ailing: 1}) < part()/2)
+	fmt.Println("fails at times, with a mark against without, less than half:", part(HealthMark{Endpoint: 1, DegradedShare: 1}) < part()/2)
 	// Output:
 	// no mark: about its part true, less than a third of it false
 	// probes fail, serves well: about its part true, less than a third of it false
@@ -119,20 +119,20 @@
 		back := 0
 		for seed := range uint64(400) {
 			rnd := rand.New(rand.NewPCG(seed, 5))
-			f := newFleet(func(t *Terms) { t.Automatic = true })
+			f := newFleet(func(t *Config) { t.AutomaticStages = true })
 			f.trial(2, 10)
 			lie := []float64{rate + 0.02, rate + 0.1, 0.5, 1}[seed%4]
 			for range 10 {
-				f.run(60, 0.5, func(uint32, int) (Result, float64) {
+				f.run(60, 0.5, func(uint32, int) (Outcome, float64) {
 					if rnd.Float64() < rate {
-						return Errored, 0.02
+						return ServerError, 0.02
 					}
-					return Acked, 0.05
+					return Succeeded, 0.05
 				})
 				s := said(failed, 1000, rate, lie)
-				s.Apart[failed] = true
-				f.b.Sourced(s)
-				if f.b.verdict(f.now) == VoteBack {
+				s.Independent[failed] = true
+				f.b.SetMetricsEvidence(s)
+				if f.b.verdict(f.now) == VoteRollback {
 					back++
 					break
 				}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -73,7 +73,7 @@
 
 // Balancer is one instance's decisions.
 type Balancer struct {
-	t       *Terms
+	t       *Config
 	seed    uint64
 	counter uint64
 	hash    hash.Hash64
@@ -132,7 +132,7 @@
 	merged      []*sample           // what they counted together
 	mergeDue    bool
 	others      float64 // rate of the edges heard
-	source      Sourced
+	source      MetricsEvidence
 	watchAt     float64
 }
 
@@ -145,22 +145,22 @@
 func (b *Balancer) rate(now float64) float64 {
 	n := 0
 	for i := range b.taken {
-		b.taken[i] = after(b.taken[i], now-b.t.Window+b.t.Round)
+		b.taken[i] = after(b.taken[i], now-b.t.CanaryWindowSeconds+b.t.MinTickSeconds)
 		n += len(b.taken[i])
 	}
-	return float64(n) / b.t.Window
+	return float64(n) / b.t.CanaryWindowSeconds
 }
 
 // outs is how many of a command's deliveries are out.
-func (c *Command) outs() (n int) {
-	for _, d := range c.Sent {
-		n += one(d.Out)
+func (c *Request) outs() (n int) {
+	for _, d := range c.Attempts {
+		n += one(d.InFlight)
 	}
 	return n
 }
 
 func (b *Balancer) bucket(op int) int {
-	if b.t.PerOp {
+	if b.t.CanaryLimitPerClass {
 		return op
 	}
 	return 0
@@ -227,21 +227,21 @@
 	return s
 }
 
-// Counted gives an edge's counts.
-func (b *Balancer) Counted(now float64) Evidence {
-	e := Evidence{Build: b.build, Rate: b.rate(now), Tally: make([]Tally, 0, len(b.samples))}
+// LocalEvidence gives an edge's counts.
+func (b *Balancer) LocalEvidence(now float64) Evidence {
+	e := Evidence{Build: b.build, RequestsPerSecond: b.rate(now), Samples: make([]EndpointSample, 0, len(b.samples))}
 	for _, s := range b.samples {
-		t := Tally{Unit: s.unit, Build: s.build}
+		t := EndpointSample{Endpoint: s.unit, Build: s.build}
 		for i, c := range s.of {
-			t.N[i], t.Bad[i] = c.n, c.bad
+			t.Outcomes[i], t.Failures[i] = c.n, c.bad
 		}
-		e.Tally = append(e.Tally, t)
+		e.Samples = append(e.Samples, t)
 	}
 	return e
 }
 
-// Heard replaces what an edge had counted.
-func (b *Balancer) Heard(edge string, e Evidence) {
+// ApplyReport replaces what an edge had counted.
+func (b *Balancer) ApplyReport(edge string, e Evidence) {
 	if b.heard == nil {
 		b.heard = map[string]Evidence{}
 	}
@@ -249,8 +249,8 @@
 	b.mergeDue = true
 }
 
-// Unheard drops an edge's counts.
-func (b *Balancer) Unheard(edge string) {
+// DropReport drops an edge's counts.
+func (b *Balancer) DropReport(edge string) {
 	delete(b.heard, edge)
 	b.mergeDue = true
 }
@@ -265,31 +265,31 @@
 	at := map[key]*sample{}
 	for _, edge := range slices.Sorted(maps.Keys(b.heard)) {
 		e := b.heard[edge]
-		b.others += e.Rate
+		b.others += e.RequestsPerSecond
 		if e.Build != b.build || !b.told {
 			continue
 		}
-		for _, t := range e.Tally {
-			s := at[key{t.Unit, t.Build}]
+		for _, t := range e.Samples {
+			s := at[key{t.Endpoint, t.Build}]
 			if s == nil {
-				s = &sample{unit: t.Unit, build: t.Build}
-				at[key{t.Unit, t.Build}] = s
+				s = &sample{unit: t.Endpoint, build: t.Build}
+				at[key{t.Endpoint, t.Build}] = s
 				b.merged = append(b.merged, s)
 			}
 			for i := range s.of {
-				s.of[i] = s.of[i].with(count{t.N[i], t.Bad[i]}, 1)
+				s.of[i] = s.of[i].with(count{t.Outcomes[i], t.Failures[i]}, 1)
 			}
 		}
 	}
 }
 
-// Sourced replaces what a health source had counted.
-func (b *Balancer) Sourced(s Sourced) { b.source = s }
+// SetMetricsEvidence replaces what a health source had counted.
+func (b *Balancer) SetMetricsEvidence(s MetricsEvidence) { b.source = s }
 
 // outside is what a health source counted of the present build and own, which is given, could not know: own outcomes are
 // among what the fleet counted, of wrong answers the share that clients report.
 func (b *Balancer) outside(own []*sample) []*sample {
-	if b.source.Build != b.build || len(b.source.Tally) == 0 {
+	if b.source.Build != b.build || len(b.source.Samples) == 0 {
 		return nil
 	}
 	type key struct {
@@ -300,15 +300,15 @@
 	for _, s := range own {
 		known[key{s.unit, s.build}] = s
 	}
-	list := make([]*sample, 0, len(b.source.Tally))
-	for _, t := range b.source.Tally {
-		s := &sample{unit: t.Unit, build: t.Build}
+	list := make([]*sample, 0, len(b.source.Samples))
+	for _, t := range b.source.Samples {
+		s := &sample{unit: t.Endpoint, build: t.Build}
 		for i := range s.of {
-			c := count{t.N[i], t.Bad[i]}
-			if k := known[key{t.Unit, t.Build}]; k != nil && !b.source.Apart[i] {
+			c := count{t.Outcomes[i], t.Failures[i]}
+			if k := known[key{t.Endpoint, t.Build}]; k != nil && !b.source.Independent[i] {
 				seen := 1.0
 				if i == wrong {
-					seen = b.t.Reported
+					seen = b.t.WrongAnswerReportShare
 				}
 				c = count{max(0, c.n-seen*k.of[i].n), max(0, c.bad-k.of[i].bad)}
 			}
@@ -328,23 +328,23 @@
 	return sum
 }
 
-// Marked replaces what a health source says of units, age ago. Those that are not named have no mark.
-func (b *Balancer) Marked(now, age float64, marks []Mark) {
+// SetHealthMarks replaces what a health source says of units, age ago. Those that are not named have no mark.
+func (b *Balancer) SetHealthMarks(now, age float64, marks []HealthMark) {
 	for _, u := range b.units {
 		u.wrong, u.ailing = fading{}, fading{}
 	}
 	for _, m := range marks {
-		if u := b.byID[m.Unit]; u != nil {
-			u.wrong, u.ailing = fading{m.Wrong, now - age}, fading{m.Ailing, now - age}
+		if u := b.byID[m.Endpoint]; u != nil {
+			u.wrong, u.ailing = fading{m.WrongShare, now - age}, fading{m.DegradedShare, now - age}
 		}
 	}
 }
 
-// Lagging tells by how much the caller itself may be late with what units said: as much longer is a delivery left alone.
-func (b *Balancer) Lagging(lag float64) { b.lag = lag }
+// SetOwnDelay tells by how much the caller itself may be late with what units said: as much longer is a delivery left alone.
+func (b *Balancer) SetOwnDelay(lag float64) { b.lag = lag }
 
-// Standing gives the vote that stands.
-func (b *Balancer) Standing() (build int, v Verdict) { return b.standing.build, b.standing.verdict }
+// CurrentVote gives the vote that stands.
+func (b *Balancer) CurrentVote() (build int, v Verdict) { return b.standing.build, b.standing.verdict }
 
 // evidence is what the verdict rests on.
 func (b *Balancer) evidence() []*sample {
@@ -357,16 +357,16 @@
 	return b.merged
 }
 
-// ListStart begins a list; full names every unit there is, else only changes follow.
-func (b *Balancer) ListStart(full bool) {
+// BeginEndpointList begins a list; full names every unit there is, else only changes follow.
+func (b *Balancer) BeginEndpointList(full bool) {
 	b.watching = true
 	for _, u := range b.units {
 		u.known = !full
 	}
 }
 
-// Listed is one entry.
-func (b *Balancer) Listed(id uint32, zone, cell uint16, build int, state State, heft, since float64) {
+// UpdateEndpoint is one entry.
+func (b *Balancer) UpdateEndpoint(id uint32, zone, cell uint16, build int, state EndpointState, heft, since float64) {
 	u := b.byID[id]
 	if u == nil {
 		u = &unit{id: id, rank: b.draw(uint64(id)), before: build, build: build, since: since, credit: b.share * b.chance(), creditAt: since}
@@ -388,8 +388,8 @@
 	u.ready, u.known = state == Ready, true
 }
 
-// ListFailed: a call for the list failed; it is asked again from Wait.
-func (b *Balancer) ListFailed() { b.watching = false }
+// EndpointListFailed: a call for the list failed; it is asked again from Wait.
+func (b *Balancer) EndpointListFailed() { b.watching = false }
 
 func (b *Balancer) chance() float64 {
 	b.counter++
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -10,27 +10,27 @@
 	for i := 0; i < n; i++ {
 		f.list(false, machine{id: uint32(11 + i), build: 8, since: f.now - age})
 	}
-	f.b.Stage(f.now, 8, 1, OnTrial, 0.5, age)
+	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, age)
 }
 
 // The back rule: errors on all trial machines.
 func Example_back() {
 	f := newFleet(nil)
 	f.trial(2, 10)
-	f.run(600, 4, func(u uint32, build int) (Result, float64) {
+	f.run(600, 4, func(u uint32, build int) (Outcome, float64) {
 		if build == 8 {
-			return Errored, 0.01
+			return ServerError, 0.01
 		}
-		return Acked, 0.05
+		return Succeeded, 0.05
 	})
-	f.vote(1, Refused) // cast again when it came back refused
-	f.vote(2, Counted)
-	f.vote(4, Counted) // it stands
-	f.vote(4, Counted) // renewed before it lapses
-	f.b.Stage(f.now, 8, 2, Released, 1, 0)
-	f.vote(6, Counted) // also after a release
-	f.b.Stage(f.now, 8, 1, GoingBack, 0, 0)
-	f.vote(6, Counted)
+	f.vote(1, VoteRefused) // cast again when it came back refused
+	f.vote(2, VoteCounted)
+	f.vote(4, VoteCounted) // it stands
+	f.vote(4, VoteCounted) // renewed before it lapses
+	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
+	f.vote(6, VoteCounted) // also after a release
+	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
+	f.vote(6, VoteCounted)
 	// Output:
 	// vote back on build 8 stage 1
 	// vote back on build 8 stage 1
@@ -42,26 +42,26 @@
 
 // The trouble is in one machine, on either side, or in all alike: no back vote.
 func Example_notTheBuild() {
-	play := func(name string, n int, age, secs float64, r Result, took float64, ids ...uint32) {
-		f := newFleet(func(t *Terms) { t.Automatic = true })
+	play := func(name string, n int, age, secs float64, r Outcome, took float64, ids ...uint32) {
+		f := newFleet(func(t *Config) { t.AutomaticStages = true })
 		f.trial(n, age)
-		f.run(1200, secs, func(u uint32, _ int) (Result, float64) {
+		f.run(1200, secs, func(u uint32, _ int) (Outcome, float64) {
 			if slices.Contains(ids, u) {
 				return r, took
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})
 		fmt.Print(name, ": ")
-		f.vote(1, Counted)
+		f.vote(1, VoteCounted)
 	}
-	play("one trial machine fails", 2, 10, 8, Errored, 0.01, 11)
-	play("two of twelve trial machines fail", 12, 10, 8, Errored, 0.01, 11, 12)
-	play("all fail", 2, 10, 8, Errored, 0.01, 1, 2, 3, 4, 11, 12)
+	play("one trial machine fails", 2, 10, 8, ServerError, 0.01, 11)
+	play("two of twelve trial machines fail", 12, 10, 8, ServerError, 0.01, 11, 12)
+	play("all fail", 2, 10, 8, ServerError, 0.01, 1, 2, 3, 4, 11, 12)
 	play("a lone trial machine times out", 1, 10, 8, TimedOut, 0.6, 11)
-	play("a lone trial machine fails", 1, 10, 8, Errored, 0.01, 11)
+	play("a lone trial machine fails", 1, 10, 8, ServerError, 0.01, 11)
 	play("cold trial machines time out", 2, 0, 3.5, TimedOut, 0.6, 11, 12)
 	play("trial machines time out", 2, 10, 8, TimedOut, 0.6, 11, 12)
-	play("trial machines are slow", 2, 10, 8, Acked, 0.2, 11, 12)
+	play("trial machines are slow", 2, 10, 8, Succeeded, 0.2, 11, 12)
 	// Output:
 	// one trial machine fails: no vote
 	// two of twelve trial machines fail: no vote
@@ -76,14 +76,14 @@
 // After the release nothing but errors and wrong answers speak against a build: a burst has no earlier machine to be
 // compared with.
 func Example_afterRelease() {
-	for _, r := range []Result{TimedOut, Unconnected, Errored} {
+	for _, r := range []Outcome{TimedOut, NotConnected, ServerError} {
 		f := newFleet(nil)
 		f.trial(4, 10)
 		f.run(200, 2, fine)
-		f.b.Stage(f.now, 8, 2, Released, 1, 0)
+		f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 		f.list(false, machine{1, 7, Gone, 0}, machine{2, 7, Gone, 0}, machine{3, 7, Gone, 0}, machine{4, 7, Gone, 0})
-		f.run(200, 2, func(uint32, int) (Result, float64) { return r, 0.1 })
-		f.vote(1, Counted)
+		f.run(200, 2, func(uint32, int) (Outcome, float64) { return r, 0.1 })
+		f.vote(1, VoteCounted)
 	}
 	// Output:
 	// no vote
@@ -97,13 +97,13 @@
 	f.trial(2, 10)
 	f.run(200, 2, fine)
 	for i := 0; i < 2; i++ {
-		f.b.Flagged(f.now, 1, 1)
+		f.b.ReportWrongAnswer(f.now, 1, 1)
 	}
-	f.vote(0.1, Counted)
+	f.vote(0.1, VoteCounted)
 	for i := 0; i < 8; i++ {
-		f.b.Flagged(f.now, uint32(11+i%2), 1)
+		f.b.ReportWrongAnswer(f.now, uint32(11+i%2), 1)
 	}
-	f.vote(0.5, Counted)
+	f.vote(0.5, VoteCounted)
 	// Output:
 	// vote on on build 8 stage 1
 	// vote back on build 8 stage 1
@@ -114,24 +114,24 @@
 func Example_on() {
 	f := newFleet(nil)
 	f.trial(1, 0)
-	f.vote(8, Counted) // the stage wants two machines
+	f.vote(8, VoteCounted) // the stage wants two machines
 	f.list(false, machine{id: 12, build: 8, since: f.now})
 	start := f.now
-	f.vote(8, Counted)
+	f.vote(8, VoteCounted)
 	fmt.Println("few outcomes and none to come, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
 	f = newFleet(nil)
 	f.trial(2, 0)
 	start = f.now
 	f.run(600, 2.9, fine)
-	f.vote(0.1, Counted)
-	f.vote(8, Counted)
+	f.vote(0.1, VoteCounted)
+	f.vote(8, VoteCounted)
 	fmt.Println("enough outcomes, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
-	f = newFleet(func(t *Terms) { t.Automatic = true })
+	f = newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.trial(2, 0)
 	f.run(200, 2.9, fine)
-	f.vote(8, Counted)
+	f.vote(8, VoteCounted)
 	// Output:
 	// no vote
 	// vote on on build 8 stage 1
@@ -144,7 +144,7 @@
 
 // Under the clock a doubt holds the stage; a back vote is withdrawn when its evidence fades.
 func Example_hold() {
-	f := newFleet(func(t *Terms) { t.Automatic = true })
+	f := newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.trial(2, 10)
 	for _, trial := range []count{{60, 2}, {60, 8}, {200, 8}, {900, 8}, {9000, 8}} {
 		for id := uint32(1); id <= 4; id++ {
@@ -152,7 +152,7 @@
 		}
 		f.b.sampleOf(11, 8).of[failed], f.b.sampleOf(12, 8).of[failed] = trial, trial
 		fmt.Print(trial, " ")
-		f.vote(1, Counted)
+		f.vote(1, VoteCounted)
 	}
 	// Output:
 	// {60 2} vote hold on build 8 stage 1
@@ -170,8 +170,8 @@
 	before := f.b.sampleOf(11, 8).of[failed].n + f.b.sampleOf(12, 8).of[failed].n
 	for i := 0; i < 60; i++ {
 		c, s := f.command(2)
-		if s.Do == Send {
-			f.answer(c, Errored)
+		if s.Action == Send {
+			f.answer(c, ServerError)
 		}
 		f.now += 0.001
 	}
@@ -181,20 +181,20 @@
 
 // Many relays and machines: each machine is met once or twice, and a build goes back on many votes.
 func Example_manyMachines() {
-	for _, r := range []Result{Acked, Errored, TimedOut} {
-		f := newFleet(func(t *Terms) { t.Balancers, t.BackVotes = 300, 45 })
+	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
+		f := newFleet(func(t *Config) { t.Routers, t.RollbackVotes = 300, 45 })
 		for i := uint32(0); i < 100; i++ {
 			f.list(false, machine{id: 100 + i, build: 7}, machine{id: 300 + i, build: 8, since: 80})
 		}
-		f.b.Stage(f.now, 8, 2, OnTrial, 1, 10)
-		met := f.run(60, 4, func(_ uint32, build int) (Result, float64) {
+		f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 10)
+		met := f.run(60, 4, func(_ uint32, build int) (Outcome, float64) {
 			if build == 8 {
-				return r, map[Result]float64{TimedOut: 0.6}[r] + 0.05
+				return r, map[Outcome]float64{TimedOut: 0.6}[r] + 0.05
 			}
-			return Acked, 0.05
+			return Succeeded, 0.05
 		})
 		fmt.Print(met[8], " outcomes of 100 trial machines: ")
-		f.vote(1, Counted)
+		f.vote(1, VoteCounted)
 	}
 	// Output:
 	// 29 outcomes of 100 trial machines: vote on on build 8 stage 2
--- a/internal/policyconfig/terms.go
+++ b/internal/policyconfig/terms.go
@@ -62,8 +62,8 @@
 	return list
 }
 
-// Lines gives the pairs of a settings text, path=value a line.
-func Lines(text string) map[string]string {
+// ParseLines gives the pairs of a settings text, path=value a line.
+func ParseLines(text string) map[string]string {
 	pairs := map[string]string{}
 	for _, line := range strings.Split(text, "\n") {
 		if key, value, ok := strings.Cut(line, "="); ok {
@@ -73,54 +73,54 @@
 	return pairs
 }
 
-// Read reads the module's part of the settings; unknown keys are skipped. Times become seconds.
-func Read(pairs map[string]string) (policy.Terms, error) {
+// Decode reads the module's part of the settings; unknown keys are skipped. Times become seconds.
+func Decode(pairs map[string]string) (policy.Config, error) {
 	r := &reader{pairs: pairs}
 	const fam = "family_info."
-	t := policy.Terms{
-		Balancers:   int(r.num("balancers")),
-		BackVotes:   int(r.num(fam + "noes_needed")),
-		Round:       r.secs("round"),
-		Ask:         r.word("discovery", "push", "ask") == 1,
-		Parallel:    r.flag("policy_limits.parallel_tries"),
-		Cancel:      r.flag("policy_limits.may_cancel"),
-		MaxPause:    r.secs("policy_limits.max_retry_after"),
-		ConnIdle:    r.secs("policy_limits.conn_idle"),
-		Streams:     max(1, int(r.num("policy_limits.max_streams"))),
-		Deliveries:  int(r.num("policy_limits.send_cap")),
-		ColdFrom:    r.num("rules.cold_from"),
-		WarmUp:      r.secs("rules.warm_up"),
-		FallFactor:  r.num("rules.fall_multiple"),
-		FallTime:    r.secs("rules.fall"),
-		Window:      r.secs(fam + "window"),
-		Free:        r.num(fam + "spare_tries"),
-		Caps:        r.nums(fam + "exposure_caps"),
-		Stages:      r.nums(fam + "waves"),
-		PerOp:       r.word(fam+"counts", "all", "each_class") == 1,
-		Guarded:     int(r.num(fam + "shielded")),
-		OneWay:      r.flag(fam + "forward_only"),
-		Automatic:   r.word(fam+"gate_mode", "first_voice", "by_count", "automatic") == 2,
-		Replace:     r.word(fam+"replace_mode", "parallel", "replace") == 1,
-		HarmPrice:   r.num(fam + "harm_fee"),
-		StalePrice:  r.num(fam + "stale_build_price"),
-		Reported:    r.num(fam + "reported_share"),
-		VoteLife:    r.secs(fam + "vote_life"),
-		VoteTimeout: r.secs(fam + "api_timeout"),
-		VoteRate:    r.num(fam + "votes_per_s"),
+	t := policy.Config{
+		Routers:                  int(r.num("balancers")),
+		RollbackVotes:            int(r.num(fam + "noes_needed")),
+		MinTickSeconds:           r.secs("round"),
+		SubscribeToEndpoints:     r.word("discovery", "push", "ask") == 1,
+		AllowHedging:             r.flag("policy_limits.parallel_tries"),
+		AllowCancel:              r.flag("policy_limits.may_cancel"),
+		MaxRetryAfterSeconds:     r.secs("policy_limits.max_retry_after"),
+		ConnIdleSeconds:          r.secs("policy_limits.conn_idle"),
+		RequestsPerConn:          max(1, int(r.num("policy_limits.max_streams"))),
+		MaxAttempts:              int(r.num("policy_limits.send_cap")),
+		SlowStartInitialShare:    r.num("rules.cold_from"),
+		SlowStartSeconds:         r.secs("rules.warm_up"),
+		SlowStartOverloadFactor:  r.num("rules.fall_multiple"),
+		SlowStartOverloadSeconds: r.secs("rules.fall"),
+		CanaryWindowSeconds:      r.secs(fam + "window"),
+		CanaryFreeAttempts:       r.num(fam + "spare_tries"),
+		CanaryLimits:             r.nums(fam + "exposure_caps"),
+		StageShares:              r.nums(fam + "waves"),
+		CanaryLimitPerClass:      r.word(fam+"counts", "all", "each_class") == 1,
+		IdempotentOnlyStages:     int(r.num(fam + "shielded")),
+		OneWayKeys:               r.flag(fam + "forward_only"),
+		AutomaticStages:          r.word(fam+"gate_mode", "first_voice", "by_count", "automatic") == 2,
+		ReplaceInPlace:           r.word(fam+"replace_mode", "parallel", "replace") == 1,
+		WrongAnswerPrice:         r.num(fam + "harm_fee"),
+		StaleBuildPrice:          r.num(fam + "stale_build_price"),
+		WrongAnswerReportShare:   r.num(fam + "reported_share"),
+		VoteLifetimeSeconds:      r.secs(fam + "vote_life"),
+		VoteTimeoutSeconds:       r.secs(fam + "api_timeout"),
+		VotesPerSecond:           r.num(fam + "votes_per_s"),
 	}
 	n := int(r.num("classes.count"))
 	for i := 0; i < n && r.err == nil; i++ {
 		p := fmt.Sprintf("classes.%d.", i)
-		t.Ops = append(t.Ops, policy.OpType{
-			Target:     r.secs(p + "aim"),
-			Timeout:    r.secs(p + "deadline"),
-			Importance: r.num(p + "value"),
-			Effect:     policy.Effect(r.word(p+"semantics", "safe", "keyed", "unsafe")),
-			Group:      policy.Group(r.word(p+"group", "all", "zone", "cell")),
-			Window:     r.secs(p + "key_ttl"),
+		t.Classes = append(t.Classes, policy.RequestClass{
+			LatencyObjectiveSeconds: r.secs(p + "aim"),
+			TimeoutSeconds:          r.secs(p + "deadline"),
+			PriorityWeight:          r.num(p + "value"),
+			Idempotency:             policy.Idempotency(r.word(p+"semantics", "safe", "keyed", "unsafe")),
+			DedupScope:              policy.DedupScope(r.word(p+"group", "all", "zone", "cell")),
+			DedupWindowSeconds:      r.secs(p + "key_ttl"),
 		})
 	}
-	if r.err == nil && len(t.Caps) != len(t.Stages) {
+	if r.err == nil && len(t.CanaryLimits) != len(t.StageShares) {
 		r.err = fmt.Errorf("settings %sexposure_caps and %swaves differ in length", fam, fam)
 	}
 	return t, r.err
--- a/internal/policyconfig/tree.go
+++ b/internal/policyconfig/tree.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Tree gives the pairs of settings that come as nested JSON, by the paths that a text would give them: a list of plain values
+// ParseJSON gives the pairs of settings that come as nested JSON, by the paths that a text would give them: a list of plain values
 // becomes one value, a list of objects its length and its items.
-func Tree(text []byte) (map[string]string, error) {
+func ParseJSON(text []byte) (map[string]string, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var root map[string]any
@@ -47,8 +47,8 @@
 	}
 }
 
-// Names gives the op types' names, in the order of the terms' op types.
-func Names(pairs map[string]string) ([]string, error) {
+// ClassNames gives the op types' names, in the order of the terms' op types.
+func ClassNames(pairs map[string]string) ([]string, error) {
 	n, err := strconv.Atoi(pairs["classes.count"])
 	if err != nil {
 		return nil, fmt.Errorf("setting classes is no list")
@@ -64,8 +64,8 @@
 	return names, nil
 }
 
-// Secs reads one setting that the module does not need, in milliseconds.
-func Secs(pairs map[string]string, key string) (float64, error) {
+// Seconds reads one setting that the module does not need, in milliseconds.
+func Seconds(pairs map[string]string, key string) (float64, error) {
 	r := &reader{pairs: pairs}
 	return r.secs(key), r.err
 }
--- a/internal/processstats/self.go
+++ b/internal/processstats/self.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Look is what a Watch saw since the one before.
-type Look struct {
-	Queue float64 // s that goroutines waited for a processor: the 99th part of a hundred
-	GC    float64 // share of the processors' time that went to collecting
-	CPU   float64 // share of the processors that this process used
-	Heap  uint64  // bytes of live and not yet swept objects
-	Limit uint64  // bytes that the runtime keeps the heap to, 0: none
+// Sample is what a Watch saw since the one before.
+type Sample struct {
+	SchedulerDelaySeconds float64 // s that goroutines waited for a processor: the 99th part of a hundred
+	GCShare               float64 // share of the processors' time that went to collecting
+	CPUShare              float64 // share of the processors that this process used
+	HeapBytes             uint64  // bytes of live and not yet swept objects
+	HeapLimitBytes        uint64  // bytes that the runtime keeps the heap to, 0: none
 }
 
 const (
@@ -30,8 +30,8 @@
 	limit     = "/gc/gomemlimit:bytes"
 )
 
-// Watch remembers the last look.
-type Watch struct {
+// Sampler remembers the last look.
+type Sampler struct {
 	samples []metrics.Sample
 	counts  []uint64
 	gc, all float64
@@ -40,39 +40,39 @@
 }
 
 // New begins a watch.
-func New() *Watch {
-	w := &Watch{}
+func New() *Sampler {
+	w := &Sampler{}
 	for _, name := range []string{latencies, gcTime, allTime, heap, limit} {
 		w.samples = append(w.samples, metrics.Sample{Name: name})
 	}
-	w.Look()
+	w.Sample()
 	return w
 }
 
-// Look measures.
-func (w *Watch) Look() (l Look) {
+// Sample measures.
+func (w *Sampler) Sample() (l Sample) {
 	metrics.Read(w.samples)
 	h := w.samples[0].Value.Float64Histogram()
 	if w.counts == nil {
 		w.counts = make([]uint64, len(h.Counts))
 	}
-	l.Queue = quantile(h, w.counts, 0.99)
+	l.SchedulerDelaySeconds = quantile(h, w.counts, 0.99)
 	copy(w.counts, h.Counts)
 	gc, all := w.samples[1].Value.Float64(), w.samples[2].Value.Float64()
 	if all > w.all {
-		l.GC = (gc - w.gc) / (all - w.all)
+		l.GCShare = (gc - w.gc) / (all - w.all)
 	}
 	w.gc, w.all = gc, all
-	l.Heap = w.samples[3].Value.Uint64()
+	l.HeapBytes = w.samples[3].Value.Uint64()
 	if most := w.samples[4].Value.Uint64(); most < math.MaxInt64 {
-		l.Limit = most
+		l.HeapLimitBytes = most
 	}
 	var u syscall.Rusage
 	now := time.Now()
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
 		cpu := float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 		if span := now.Sub(w.at).Seconds(); !w.at.IsZero() && span > 0 {
-			l.CPU = (cpu - w.cpu) / span / float64(runtime.GOMAXPROCS(0))
+			l.CPUShare = (cpu - w.cpu) / span / float64(runtime.GOMAXPROCS(0))
 		}
 		w.cpu, w.at = cpu, now
 	}
@@ -100,8 +100,8 @@
 	return 0
 }
 
-// Overflows reads how many connections this host's kernel dropped because an accept queue was full; it does not say whose.
-func Overflows() (n uint64, ok bool) {
+// AcceptQueueOverflows reads how many connections this host's kernel dropped because an accept queue was full; it does not say whose.
+func AcceptQueueOverflows() (n uint64, ok bool) {
 	f, err := os.Open("/proc/net/netstat")
 	if err != nil {
 		return 0, false
--- a/internal/promclient/prom_test.go
+++ b/internal/promclient/prom_test.go
@@ -125,7 +125,7 @@
 
 // What a stand-in with each fault is refused for, and that it answers again after.
 func TestFaults(t *testing.T) {
-	q, err := fakes.StartQueries(func() float64 { return 1000 })
+	q, err := fakes.StartQueryServer(func() float64 { return 1000 })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -123,12 +123,12 @@
 
 // benchHall is a relay before so many quick units.
 func benchHall(b *testing.B, units int) *hall {
-	h := newHall(b, func(s *config.Edge) {
-		s.Units.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
+	h := newHall(b, func(s *config.Router) {
+		s.Endpoints.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
 	})
-	var list []endpoints.Unit
+	var list []endpoints.Endpoint
 	for i := range units {
-		list = append(list, endpoints.Unit{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
+		list = append(list, endpoints.Endpoint{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
 	}
 	h.list(true, list...)
 	return h
@@ -158,22 +158,22 @@
 // BenchmarkFleet is the relay before 100 units with 1,000 client connections.
 func BenchmarkFleet(b *testing.B) {
 	h := benchHall(b, 100)
-	before := h.r.Numbers()
+	before := h.r.Stats()
 	load(b, h.l.Addr().String(), 1000)
-	n := h.r.Numbers()
+	n := h.r.Stats()
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	b.ReportMetric((n.PolicyTime-before.PolicyTime)/b.Elapsed().Seconds(), "policy-cores")
-	b.ReportMetric((n.PolicyTime-before.PolicyTime)/float64(n.PolicyCalls-before.PolicyCalls)*1e9, "policy-ns/call")
+	b.ReportMetric((n.PolicySeconds-before.PolicySeconds)/b.Elapsed().Seconds(), "policy-cores")
+	b.ReportMetric((n.PolicySeconds-before.PolicySeconds)/float64(n.PolicyCalls-before.PolicyCalls)*1e9, "policy-ns/call")
 	b.ReportMetric(float64(m.HeapInuse+m.StackInuse)/(1<<20), "MiB")
-	b.ReportMetric(float64(n.Nacked-before.Nacked)/float64(b.N), "nacked/op")
+	b.ReportMetric(float64(n.Rejected-before.Rejected)/float64(b.N), "nacked/op")
 }
 
 // BenchmarkLongLife is a relay whose list and keys change for ever; one operation is a day's worth: 200 units replaced,
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
-	h := newHall(b, func(s *config.Edge) {
+	h := newHall(b, func(s *config.Router) {
 		s.Rules.OneWayKeys, s.Rules.KeysKept, s.Rules.UnitsForget = true, 10000, 1.6
 	})
 	unit := quickUnit(b).Addr().String()
@@ -181,10 +181,10 @@
 	var m runtime.MemStats
 	c := h.dial()
 	for b.Loop() {
-		var list []endpoints.Unit
+		var list []endpoints.Endpoint
 		for range 200 {
 			id++
-			list = append(list, endpoints.Unit{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
+			list = append(list, endpoints.Endpoint{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
 		}
 		h.list(true, list...)
 		for k := range 2000 {
@@ -195,7 +195,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.HeapInuse)/(1<<20), "heap-MiB")
-	b.ReportMetric(float64(h.r.Numbers().Units), "units")
+	b.ReportMetric(float64(h.r.Stats().Endpoints), "units")
 }
 
 // BenchmarkOrder compares two ways to order the policy's calls, for one command's two calls from many goroutines: a
@@ -203,20 +203,20 @@
 func BenchmarkOrder(b *testing.B) {
 	set := newHall(b, nil).r.set
 	fresh := func() *policy.Balancer {
-		p := policy.New(set.Terms(), 1, 100)
-		p.ListStart(true)
+		p := policy.New(set.Policy(), 1, 100)
+		p.BeginEndpointList(true)
 		for i := range uint32(100) {
-			p.Listed(i+1, 0, 0, 1, policy.Ready, 1, 0)
+			p.UpdateEndpoint(i+1, 0, 0, 1, policy.Ready, 1, 0)
 		}
-		p.ListEnd(100)
+		p.EndEndpointList(100)
 		return p
 	}
 	one := func(p *policy.Balancer, now float64) {
-		c := &policy.Command{Came: now, Due: now + 0.7}
-		if s := p.Pick(now, c); s.Do == policy.Send {
-			c.Sent = append(c.Sent, policy.Delivery{Unit: s.Unit, At: now, Maybe: true})
-			c.Ended = true
-			p.After(now, c, s.Unit, policy.Acked, 0.001)
+		c := &policy.Request{ReceivedAt: now, Deadline: now + 0.7}
+		if s := p.Pick(now, c); s.Action == policy.Send {
+			c.Attempts = append(c.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: now, MayHaveRun: true})
+			c.Completed = true
+			p.OnAttemptDone(now, c, s.Endpoint, policy.Succeeded, 0.001)
 		}
 	}
 	for _, workers := range []int{1, 64} {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -18,7 +18,7 @@
 
 // client is one client's connection. Its goroutine reads; the answer is written by whoever has it.
 type client struct {
-	r    *Relay
+	r    *Proxy
 	sock socket
 	open int  // commands in hand, under the relay's lock
 	last bool // no further command; set before the answer that says so
@@ -38,7 +38,7 @@
 func span(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
 
 // Serve takes connections until the listener is closed.
-func (r *Relay) Serve(l net.Listener) error {
+func (r *Proxy) Serve(l net.Listener) error {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -56,8 +56,8 @@
 		cl := &client{r: r, sock: newSocket(nc), done: make(chan struct{}, 1), who: whoIs(nc.RemoteAddr().String()), since: r.Now()}
 		noRoom := r.mem.full(connBytes)
 		r.mu.Lock()
-		lim := &r.now.Load().Doc.Clients
-		crammed := func() bool { return lim.Keep > 0 && loadshed.Crammed(len(r.clients), lim.Connections) }
+		lim := &r.now.Load().Document.Clients
+		crammed := func() bool { return lim.Keep > 0 && loadshed.OverCapacity(len(r.clients), lim.Connections) }
 		for try := 0; crammed() && try < 20; try++ { // who is to make room has not gone yet
 			r.mu.Unlock()
 			time.Sleep(time.Millisecond)
@@ -73,12 +73,12 @@
 		} else {
 			r.mem.add(connBytes)
 			r.clients[cl] = struct{}{}
-			r.count.Clients++
+			r.count.ClientsAccepted++
 			r.conns.Add(1)
 		}
 		r.mu.Unlock()
 		if full {
-			cl.sock.writeNow(r.speech.crowded(r.now.Load().Doc.Rules.MaxPause))
+			cl.sock.writeNow(r.speech.crowded(r.now.Load().Document.Rules.MaxPause))
 			nc.Close()
 			continue
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// CloseEmpty closes a listener once what the kernel has accepted for it is taken, which Serve does meanwhile: closing it over
+// CloseListener closes a listener once what the kernel has accepted for it is taken, which Serve does meanwhile: closing it over
 // connections would reset them, with the commands that they brought.
-func CloseEmpty(l net.Listener) {
+func CloseListener(l net.Listener) {
 	const step, most = time.Millisecond, 1000 // a process that takes nobody for a second takes nobody
 	defer l.Close()
 	sock, ok := l.(syscall.Conn)
@@ -135,13 +135,13 @@
 
 // evict has a connection make room for another, by the shedding module's order. Its reader closes it: what it has begun to read
 // meanwhile is served. Under the lock.
-func (r *Relay) evict() bool {
+func (r *Proxy) evict() bool {
 	now := r.Now()
 	var first *client
-	var as loadshed.Guest
+	var as loadshed.ClientConn
 	for cl := range r.clients {
-		g := loadshed.Guest{Busy: cl.open > 0, Reading: cl.reading, Spoke: cl.spoke, Since: cl.since}
-		if !cl.going && !g.Stays() && (first == nil || g.Sooner(now, as)) && !cl.sock.unread() {
+		g := loadshed.ClientConn{Busy: cl.open > 0, Reading: cl.reading, HasSentRequest: cl.spoke, IdleSince: cl.since}
+		if !cl.going && !g.Pinned() && (first == nil || g.EvictBefore(now, as)) && !cl.sock.unread() {
 			first, as = cl, g
 		}
 	}
@@ -159,7 +159,7 @@
 	defer g.release()
 	br := bufio.NewReaderSize(g, 4096)
 	for {
-		lim := &r.now.Load().Doc.Clients
+		lim := &r.now.Load().Document.Clients
 		g.left = math.MaxInt64
 		cl.sock.SetReadDeadline(time.Now().Add(span(lim.IdleTime)))
 		if _, err := br.Peek(1); err != nil && !cl.more() {
@@ -223,12 +223,12 @@
 	switch {
 	case errors.As(err, &bad):
 	case errors.As(err, &late) && late.Timeout():
-		bad = &refusal{408, fmt.Sprintf("the request took longer than %g s", cl.r.now.Load().Doc.Clients.ReadTime)}
+		bad = &refusal{408, fmt.Sprintf("the request took longer than %g s", cl.r.now.Load().Document.Clients.ReadTime)}
 	default:
 		return
 	}
 	cl.r.mu.Lock()
-	cl.r.count.Refused++
+	cl.r.count.InvalidRequests++
 	cl.r.mu.Unlock()
 	cl.sock.writeNow(plain(bad.status, "", bad.what, 0).closing().bytes)
 	cl.linger()
@@ -244,11 +244,11 @@
 		return cl.direct(wrongAnswer(r.wrong(req.receipt)))
 	}
 	v := r.now.Load()
-	op := v.Slot(req.method, req.path)
+	op := v.ClassOf(req.method, req.path)
 	if op < 0 {
 		return cl.direct(plain(404, "", "no route for "+req.method+" "+req.path, 0))
 	}
-	if v.Terms.Ops[op].Effect == policy.Deduplicated && !req.mark {
+	if v.Policy.Classes[op].Idempotency == policy.IdempotentWithKey && !req.mark {
 		return cl.direct(plain(400, "", "an op type with deduplicated commands needs "+headMark, 0))
 	}
 	cl.sock.SetReadDeadline(time.Time{})
@@ -273,7 +273,7 @@
 // direct writes an answer to what was no command.
 func (cl *client) direct(ans answer) bool {
 	cl.r.mu.Lock()
-	cl.r.count.Refused++
+	cl.r.count.InvalidRequests++
 	cl.reading = false
 	cl.r.mu.Unlock()
 	cl.reply(ans)
@@ -289,7 +289,7 @@
 	if cl.last {
 		ans = ans.closing()
 	} else {
-		until = until.Add(span(cl.r.now.Load().Doc.Clients.IdleTime))
+		until = until.Add(span(cl.r.now.Load().Document.Clients.IdleTime))
 	}
 	cl.sock.SetReadDeadline(until)
 	n, err := cl.sock.writeNow(ans.bytes)
@@ -299,7 +299,7 @@
 		go func() {
 			defer cl.r.conns.Done()
 			defer cl.r.mem.add(-len(ans.bytes))
-			cl.sock.SetWriteDeadline(time.Now().Add(span(cl.r.now.Load().Doc.Clients.ReadTime)))
+			cl.sock.SetWriteDeadline(time.Now().Add(span(cl.r.now.Load().Document.Clients.ReadTime)))
 			_, err := cl.sock.Write(ans.bytes[n:])
 			cl.sock.SetWriteDeadline(time.Time{})
 			cl.answered(err)
@@ -316,8 +316,8 @@
 	cl.done <- struct{}{}
 }
 
-// Ready has the relay say that it is ready, to all who asked and to who asks. Until then it can't decide where commands go.
-func (r *Relay) Ready() {
+// SetReady has the relay say that it is ready, to all who asked and to who asks. Until then it can't decide where commands go.
+func (r *Proxy) SetReady() {
 	r.mu.Lock()
 	pings := r.pings
 	r.ready, r.pings = true, nil
@@ -328,7 +328,7 @@
 }
 
 // whenReady answers a client's question now or once the relay is ready.
-func (r *Relay) whenReady(cl *client, answer func()) {
+func (r *Proxy) whenReady(cl *client, answer func()) {
 	r.mu.Lock()
 	cl.reading = false
 	ready := r.ready
@@ -341,16 +341,16 @@
 	}
 }
 
-// AnswerBy has all that is in hand, and all that is taken from now on, answered by a time, whatever its client would wait.
-func (r *Relay) AnswerBy(at float64) {
+// SetAnswerDeadline has all that is in hand, and all that is taken from now on, answered by a time, whatever its client would wait.
+func (r *Proxy) SetAnswerDeadline(at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answerBy = at
 	for _, c := range append(dues(nil), r.dues...) { // all in hand: each waits for something
-		if c.Ended || c.Due <= at {
+		if c.Completed || c.Deadline <= at {
 			continue
 		}
-		c.Due = at
+		c.Deadline = at
 		for _, d := range c.outs {
 			d.until = min(d.until, at)
 		}
@@ -361,9 +361,9 @@
 	}
 }
 
-// Leave begins a stop while the listener goes on: clients are still served, and each connection ends once nothing is open on it.
+// StopServing begins a stop while the listener goes on: clients are still served, and each connection ends once nothing is open on it.
 // What has begun to come on one has until all is to be answered.
-func (r *Relay) Leave() {
+func (r *Proxy) StopServing() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
@@ -376,8 +376,8 @@
 
 // Drain stops taking commands and waits until those in hand have their answers, or ctx ends. The listener is to be
 // closed before. Connections that have nothing in hand are closed at once.
-func (r *Relay) Drain(ctx context.Context) error {
-	r.Leave()
+func (r *Proxy) Drain(ctx context.Context) error {
+	r.StopServing()
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
 	for {
@@ -402,7 +402,7 @@
 }
 
 // Close ends every connection and the timer, and waits for their goroutines.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	close(r.stop)
 	r.mu.Lock()
 	r.draining = true
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -22,7 +22,7 @@
 // hall is a relay between scripted units and clients of a test.
 type hall struct {
 	t    testing.TB
-	r    *Relay
+	r    *Proxy
 	l    net.Listener
 	unit map[uint32]*unitScript
 	done chan error
@@ -37,12 +37,12 @@
 }
 
 // newHall starts a relay; edit changes the example settings.
-func newHall(t testing.TB, edit func(*config.Edge)) *hall {
+func newHall(t testing.TB, edit func(*config.Router)) *hall {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := config.ParseEdge("edge.edn", text)
+	set, err := config.ParseRouter("edge.edn", text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,13 +53,13 @@
 			t.Fatal(err)
 		}
 	}
-	return startHall(t, New(set, 1, quiet(), func(releases.Vote) {}))
+	return startHall(t, NewHTTP(set, 1, quiet(), func(releases.Vote) {}))
 }
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // startHall has a relay listen until the test ends.
-func startHall(t testing.TB, r *Relay) *hall {
+func startHall(t testing.TB, r *Proxy) *hall {
 	h := &hall{t: t, r: r, unit: map[uint32]*unitScript{}, done: make(chan error, 1)}
 	var err error
 	if h.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -85,12 +85,12 @@
 	}
 	u.l = l
 	h.unit[id] = u
-	h.list(false, endpoints.Unit{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
+	h.list(false, endpoints.Endpoint{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
 	return u
 }
 
-func (h *hall) list(full bool, units ...endpoints.Unit) {
-	h.r.List(&endpoints.Line{Full: full, Units: units})
+func (h *hall) list(full bool, units ...endpoints.Endpoint) {
+	h.r.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: units})
 }
 
 // read takes one request and notes it.
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -50,14 +50,14 @@
 	return float64(m.used.Load()) / float64(m.budget)
 }
 
-func (m *memory) tight() bool { return loadshed.Pause(m.share()) > 0 }
+func (m *memory) tight() bool { return loadshed.ReadPauseSeconds(m.share()) > 0 }
 
 // full tells whether there is no room for so much more.
 func (m *memory) full(n int) bool { return m.budget > 0 && m.used.Load()+int64(n) > m.budget }
 
 // pause counts a reader that is held up while the budget is tight, and says for how long at most, s; 0: it is not.
 func (m *memory) pause() float64 {
-	most := loadshed.Pause(m.share())
+	most := loadshed.ReadPauseSeconds(m.share())
 	if most > 0 {
 		m.paused.Add(1)
 	}
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -258,7 +258,7 @@
 
 // under adds the version of the settings that the command was served by.
 func (a answer) under(v *configstate.Version) answer {
-	return a.with(headVersion + ": " + strconv.FormatUint(v.No, 10) + "\r\n")
+	return a.with(headVersion + ": " + strconv.FormatUint(v.Number, 10) + "\r\n")
 }
 
 func (a answer) with(line string) answer {
--- a/internal/proxy/overload.go
+++ b/internal/proxy/overload.go
@@ -11,17 +11,17 @@
 )
 
 // worths gives the shedding module what it reads of the terms.
-func worths(t *policy.Terms) (ops []loadshed.OpType) {
-	for _, op := range t.Ops {
-		ops = append(ops, loadshed.OpType{Target: op.Target, Importance: op.Importance})
+func worths(t *policy.Config) (ops []loadshed.RequestClass) {
+	for _, op := range t.Classes {
+		ops = append(ops, loadshed.RequestClass{LatencyObjectiveSeconds: op.LatencyObjectiveSeconds, PriorityWeight: op.PriorityWeight})
 	}
 	return ops
 }
 
 // shed asks whether this process can take a command at all, before the policy is asked where it goes. What is turned away was
 // never sent, so that a nack is right. Under the lock.
-func (r *Relay) shed(now float64, c *command) bool {
-	if c.req.admitted || !r.mem.full(0) && (r.gate == nil || r.gate.Admit(now, loadshed.Command{Op: c.Op, Client: c.client.who, Retry: c.Repeat, Left: c.Due - now})) {
+func (r *Proxy) shed(now float64, c *command) bool {
+	if c.req.admitted || !r.mem.full(0) && (r.gate == nil || r.gate.Admit(now, loadshed.Request{Class: c.Class, Client: c.client.who, Retry: c.ClientRetry, RemainingSeconds: c.Deadline - now})) {
 		return false
 	}
 	r.count.Shed++
@@ -29,9 +29,9 @@
 }
 
 // turnedAway is the answer to what is shed: one text for a version, for it is given when there is no time to write others.
-func (r *Relay) turnedAway(v *configstate.Version) answer {
+func (r *Proxy) turnedAway(v *configstate.Version) answer {
 	if r.away.bytes == nil || r.awayFor != v {
-		r.awayFor, r.away = v, r.speech.nacked(v, v.Terms.MaxPause)
+		r.awayFor, r.away = v, r.speech.nacked(v, v.Policy.MaxRetryAfterSeconds)
 	}
 	return r.away
 }
@@ -65,37 +65,37 @@
 }
 
 // look measures this process and tells the module. Under the lock.
-func (r *Relay) look(now float64) {
+func (r *Proxy) look(now float64) {
 	r.lag = max(0, now-r.turnAt)
-	r.self = r.watch.Look()
-	r.b.Lagging(r.late.Look(r.lag, r.self.Queue, r.now.Load().Doc.Rules.Round)) // what this process is late with is no unit's silence
+	r.self = r.watch.Sample()
+	r.b.SetOwnDelay(r.late.Observe(r.lag, r.self.SchedulerDelaySeconds, r.now.Load().Document.Rules.Round)) // what this process is late with is no unit's silence
 	if r.gate == nil {
 		return
 	}
 	heap := 0.0
-	if r.self.Limit > 0 {
-		heap = float64(r.self.Heap) / float64(r.self.Limit)
+	if r.self.HeapLimitBytes > 0 {
+		heap = float64(r.self.HeapBytes) / float64(r.self.HeapLimitBytes)
 	}
-	reading := loadshed.Reading{Lag: max(r.lag, float64(r.oldest.Swap(0))/1e3), Queue: r.self.Queue, GC: r.self.GC, CPU: r.self.CPU,
-		Heap: heap, Buffers: r.mem.share()}
+	reading := loadshed.LoadSample{TimerDelaySeconds: max(r.lag, float64(r.oldest.Swap(0))/1e3), SchedulerDelaySeconds: r.self.SchedulerDelaySeconds, GCShare: r.self.GCShare, CPUShare: r.self.CPUShare,
+		HeapShare: heap, BufferShare: r.mem.share()}
 	defer func() {
-		r.shedding.Store(r.gate.Level() > 0)
-		r.behind.Store(r.gate.Behind(reading))
+		r.shedding.Store(r.gate.ShedShare() > 0)
+		r.behind.Store(r.gate.Overloaded(reading))
 	}()
-	r.gate.Look(now, reading)
+	r.gate.Observe(now, reading)
 }
 
 // answeredBy tells the module what a command took. Under the lock.
-func (r *Relay) answeredBy(c *command, now float64, bytes int) {
+func (r *Proxy) answeredBy(c *command, now float64, bytes int) {
 	if r.gate != nil {
-		r.gate.Answered(c.Op, now-c.Came, bytes)
+		r.gate.OnSuccess(c.Class, now-c.ReceivedAt, bytes)
 	}
 }
 
 // reworth follows a version of the settings. Under the lock.
-func (r *Relay) reworth(v *configstate.Version) {
+func (r *Proxy) reworth(v *configstate.Version) {
 	if r.gate != nil {
-		r.gate.Adopt(worths(v.Terms))
+		r.gate.SetClasses(worths(v.Policy))
 	}
 }
 
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -18,20 +18,20 @@
 	h.r.mu.Lock()
 	defer h.r.mu.Unlock()
 	now := h.r.Now()
-	g := loadshed.New(worths(h.r.now.Load().Terms), 1, now-100)
+	g := loadshed.New(worths(h.r.now.Load().Policy), 1, now-100)
 	for look := range 40 {
 		at := now - 100 + float64(look+1)
 		for i := range 1000 {
-			g.Admit(at, loadshed.Command{Op: i % 4, Client: 1, Left: 10})
+			g.Admit(at, loadshed.Request{Class: i % 4, Client: 1, RemainingSeconds: 10})
 		}
 		lag := 5.0
 		if look == 39 {
 			lag = 0 // else no command has time enough left
 		}
-		g.Look(at, loadshed.Reading{Lag: lag})
+		g.Observe(at, loadshed.LoadSample{TimerDelaySeconds: lag})
 	}
 	h.r.gate = g
-	h.r.shedding.Store(g.Level() > 0)
+	h.r.shedding.Store(g.ShedShare() > 0)
 	h.r.turnAt = now + 1000 // no look at how this process really is
 }
 
@@ -42,8 +42,8 @@
 	u := h.serve(1, 1, good)
 	h.want("before", h.ask(lookup), "200 acked: /chute/7")
 	h.overloaded()
-	if h.r.gate.Level() < 0.5 {
-		t.Fatal(h.r.gate.Level())
+	if h.r.gate.ShedShare() < 0.5 {
+		t.Fatal(h.r.gate.ShedShare())
 	}
 	before := u.count()
 	shedAll, taken := 0, 0
@@ -77,9 +77,9 @@
 	if got := c.answer(); !strings.HasPrefix(got, "404") {
 		t.Error(got)
 	}
-	h.soon("nothing in hand", func() bool { return h.r.Numbers().Hands == 0 })
-	n := h.r.Numbers()
-	if n.Taken != n.Acked+n.Nacked+n.Failed+n.Left || n.Shed < uint64(shedAll) || uint64(u.count()-before) > n.Taken-n.Shed {
+	h.soon("nothing in hand", func() bool { return h.r.Stats().InFlight == 0 })
+	n := h.r.Stats()
+	if n.Received != n.Succeeded+n.Rejected+n.Failed+n.Abandoned || n.Shed < uint64(shedAll) || uint64(u.count()-before) > n.Received-n.Shed {
 		t.Errorf("%+v, %d reached the unit", n, u.count()-before)
 	}
 }
@@ -88,7 +88,7 @@
 // budget is not exceeded by more than one message a connection, and all of it comes back.
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
-	h := newHall(t, func(s *config.Edge) {
+	h := newHall(t, func(s *config.Router) {
 		s.Overload = &config.Overload{Memory: budget}
 	})
 	release := make(chan struct{})
@@ -109,7 +109,7 @@
 		open = append(open, c)
 		go io.WriteString(c, head)
 	}
-	h.soon("reading pauses", func() bool { return h.r.Numbers().Paused > 0 })
+	h.soon("reading pauses", func() bool { return h.r.Stats().ReadsPaused > 0 })
 	refused := 0
 	for range 40 {
 		if got := h.ask(lookup); strings.HasPrefix(got, "503 nacked") {
@@ -125,7 +125,7 @@
 	if answers["200"] == 0 || answers["200"]+answers["503"] != len(open) || refused+answers["503"] == 0 {
 		t.Errorf("%v, %d refused", answers, refused)
 	}
-	if peak := h.r.Numbers().MemoryPeak; peak < budget/2 || peak > budget+60*(each+connBytes) {
+	if peak := h.r.Stats().MemoryPeakBytes; peak < budget/2 || peak > budget+60*(each+connBytes) {
 		t.Errorf("at most %d bytes, of %d", peak, budget)
 	}
 	h.soon("all of it is given back", func() bool { return h.r.mem.used.Load() <= int64(len(h.r.units))*connBytes+connBytes })
@@ -134,10 +134,10 @@
 
 // A slow reader holds memory only as long as it holds its connection.
 func TestSlowReadersMemory(t *testing.T) {
-	h := newHall(t, func(s *config.Edge) {
+	h := newHall(t, func(s *config.Router) {
 		s.Overload = &config.Overload{Memory: 64 << 20}
 		s.Clients.ReadTime = 0.4
-		s.Units.AnswerBytes = 16 << 20
+		s.Endpoints.AnswerBytes = 16 << 20
 	})
 	big := strings.Repeat("x", 12<<20)
 	h.serve(1, 1, always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)))
--- a/internal/proxy/owed_test.go
+++ b/internal/proxy/owed_test.go
@@ -20,9 +20,9 @@
 // other end is where the test wants it.
 
 // patient gives every op type so much time that no end of a test comes from it.
-func patient(t *policy.Terms) {
-	for i := range t.Ops {
-		t.Ops[i].Timeout, t.Ops[i].Target, t.Ops[i].Window = 60, 60, 100
+func patient(t *policy.Config) {
+	for i := range t.Classes {
+		t.Classes[i].TimeoutSeconds, t.Classes[i].LatencyObjectiveSeconds, t.Classes[i].DedupWindowSeconds = 60, 60, 100
 	}
 }
 
@@ -114,8 +114,8 @@
 		text, _ := long(class)
 		c := h.dial()
 		io.WriteString(c, text)
-		h.soon("in hand", func() bool { return h.r.Numbers().Deliveries == 1 })
-		h.r.AnswerBy(h.r.Now() + 0.2)
+		h.soon("in hand", func() bool { return h.r.Stats().Attempts == 1 })
+		h.r.SetAnswerDeadline(h.r.Now() + 0.2)
 		h.want(class, c.line(), want)
 	}
 }
@@ -123,15 +123,15 @@
 // What has come in part when the relay stops is answered, not cut; the rest of it may still come.
 func TestOwedPieceAtStop(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		h := newSiteOf(t, patient, func(s *config.Edge) { s.Clients.ReadTime = 60 })
+		h := newSiteOf(t, patient, func(s *config.Router) { s.Clients.ReadTime = 60 })
 		h.serve(1, 1, echo)
 		c := h.dial()
 		c.asks("lookup")
 		text, id := cmd("seal")
 		io.WriteString(c, text[:20])
 		h.soon("it has begun", func() bool { return h.anyClient(func(cl *client) bool { return cl.reading }) })
-		h.r.AnswerBy(h.r.Now() + 0.3)
-		h.r.Leave()
+		h.r.SetAnswerDeadline(h.r.Now() + 0.3)
+		h.r.StopServing()
 		if whole {
 			io.WriteString(c, text[20:])
 			h.want("the whole", c.line(), "v"+id)
@@ -158,7 +158,7 @@
 func TestOwedNewcomerAtStop(t *testing.T) {
 	h := newSite(t, nil)
 	h.serve(1, 1, echo)
-	h.r.Leave()
+	h.r.StopServing()
 	c := h.dial()
 	h.soon("its reader waits", func() bool {
 		return h.anyClient(func(cl *client) bool {
@@ -175,7 +175,7 @@
 func TestGoneClient(t *testing.T) {
 	cases := []struct {
 		name string
-		edit func(*config.Edge)
+		edit func(*config.Router)
 		play func(h *hall, c *talk)
 	}{
 		{"while so much is owed that reading has stopped", nil, func(h *hall, c *talk) {
@@ -183,37 +183,37 @@
 				text, _ := long("lookup")
 				io.WriteString(c, text)
 			}
-			h.soon("reading has stopped", func() bool { return h.r.Numbers().Hands == 64 })
+			h.soon("reading has stopped", func() bool { return h.r.Stats().InFlight == 64 })
 		}},
-		{"after it was idle for long behind its command", func(s *config.Edge) { s.Clients.IdleTime = 0.05 }, func(h *hall, c *talk) {
+		{"after it was idle for long behind its command", func(s *config.Router) { s.Clients.IdleTime = 0.05 }, func(h *hall, c *talk) {
 			text, _ := long("lookup")
 			io.WriteString(c, text)
-			h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
+			h.soon("in hand", func() bool { return h.r.Stats().InFlight == 1 })
 			time.Sleep(150 * time.Millisecond) // above the idle time; a reader that waits otherwise by then is what this is about
 		}},
 		{"behind something that can't be read", nil, func(h *hall, c *talk) {
 			text, _ := long("lookup")
 			io.WriteString(c, text+"x\r\n")
-			h.soon("it was read", func() bool { return h.r.Numbers().Refused == 1 })
+			h.soon("it was read", func() bool { return h.r.Stats().InvalidRequests == 1 })
 		}},
 		{"while the relay stops", nil, func(h *hall, c *talk) {
 			text, _ := long("lookup")
 			io.WriteString(c, text)
-			h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
-			h.r.Leave()
+			h.soon("in hand", func() bool { return h.r.Stats().InFlight == 1 })
+			h.r.StopServing()
 		}},
 		{"with half a command behind the first", nil, func(h *hall, c *talk) {
 			text, _ := long("lookup")
 			io.WriteString(c, text+text[:12])
-			h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
+			h.soon("in hand", func() bool { return h.r.Stats().InFlight == 1 })
 		}},
 	}
 	for _, x := range cases {
-		h := newSiteOf(t, patient, func(s *config.Edge) {
+		h := newSiteOf(t, patient, func(s *config.Router) {
 			if x.edit != nil {
 				x.edit(s)
 			}
-			s.Units.Connections, s.Units.Total = 100, 100
+			s.Endpoints.Connections, s.Endpoints.Total = 100, 100
 		})
 		gate := make(chan struct{})
 		u := h.serve(1, 1, gated(gate))
@@ -221,10 +221,10 @@
 		x.play(h, c)
 		h.soon(x.name+": one has begun", func() bool { return u.count() > 0 })
 		c.Close()
-		h.soon(x.name+": nothing is in hand", func() bool { return h.r.Numbers().Hands == 0 })
+		h.soon(x.name+": nothing is in hand", func() bool { return h.r.Stats().InFlight == 0 })
 		begun := u.count()
 		close(gate)
-		h.soon("the unit's answers are in", func() bool { return h.r.Numbers().UnitConns == 0 })
+		h.soon("the unit's answers are in", func() bool { return h.r.Stats().EndpointConns == 0 })
 		if u.count() != begun {
 			t.Errorf("%s: %d deliveries, then %d", x.name, begun, u.count())
 		}
@@ -235,14 +235,14 @@
 func TestGoneClientAtDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		u := newFullUnit(t)
-		h := newSiteOf(t, func(t *policy.Terms) { patient(t); t.Cancel = cancel }, func(s *config.Edge) { s.Units.DialTime = 30 })
-		h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h := newSiteOf(t, func(t *policy.Config) { patient(t); t.AllowCancel = cancel }, func(s *config.Router) { s.Endpoints.DialTime = 30 })
+		h.list(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 		text, _ := long("lookup")
 		c := h.dial()
 		io.WriteString(c, text)
-		h.soon("the dial", func() bool { return h.r.Numbers().Dials == 1 })
+		h.soon("the dial", func() bool { return h.r.Stats().Dials == 1 })
 		c.Close()
-		h.soon("nothing is in hand", func() bool { return h.r.Numbers().Hands == 0 })
+		h.soon("nothing is in hand", func() bool { return h.r.Stats().InFlight == 0 })
 		if said := u.next(t); strings.Contains(said, "API") {
 			t.Errorf("cancel %v: the unit got %q", cancel, said)
 		}
@@ -251,21 +251,21 @@
 
 // A unit that drains, is gone or comes back as another process while a connection to it is being made gets nothing on that one.
 func TestUnitLeavesAtDial(t *testing.T) {
-	for _, how := range []endpoints.Unit{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, Start: 7}} {
+	for _, how := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
 		u := newFullUnit(t)
-		h := newSiteOf(t, patient, func(s *config.Edge) { s.Units.DialTime = 30 })
-		h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h := newSiteOf(t, patient, func(s *config.Router) { s.Endpoints.DialTime = 30 })
+		h.list(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 		text, id := long("seal")
 		c := h.dial()
 		io.WriteString(c, text)
-		h.soon("the dial", func() bool { return h.r.Numbers().Dials == 1 })
+		h.soon("the dial", func() bool { return h.r.Stats().Dials == 1 })
 		if how.ID = 1; how.State != "gone" {
 			how.Addr = u.addr
 		}
 		h.list(false, how)
 		two := h.serve(2, 1, echo)
 		if how.State == "ready" { // it is replaced, and then leaves as well: the command has one place to go
-			h.list(false, endpoints.Unit{ID: 1, State: "gone"})
+			h.list(false, endpoints.Endpoint{ID: 1, State: "gone"})
 		}
 		if said := u.next(t); strings.Contains(said, "API") {
 			t.Errorf("%+v: the unit got %q", how, said)
@@ -344,7 +344,7 @@
 		waiting, want = append(waiting, &talk{nc, bufio.NewReader(nc), t}), append(want, "v"+id)
 	}
 	ended := make(chan struct{})
-	go func() { CloseEmpty(l); close(ended) }()
+	go func() { CloseListener(l); close(ended) }()
 	if err := h.r.Serve(l); err != nil { // until it is closed
 		t.Error(err)
 	}
@@ -356,7 +356,7 @@
 
 // An answer that its client takes slowly goes out whole, however long a command may take to come.
 func TestOwedToSlowReader(t *testing.T) {
-	h := newSiteOf(t, patient, func(s *config.Edge) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
+	h := newSiteOf(t, patient, func(s *config.Router) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
 	big := strings.Repeat("x", 1_000_000)
 	h.serve(1, 1, says("*3\r\n$1000000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
 	c := h.dial()
@@ -383,8 +383,8 @@
 // A connection that comes up once its time is over is not used, and what waited for it never ran.
 func TestConnectionUpLate(t *testing.T) {
 	u := newFullUnit(t)
-	h := newSiteOf(t, patient, func(s *config.Edge) { s.Units.DialTime = 0.05 })
-	h.list(false, endpoints.Unit{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+	h := newSiteOf(t, patient, func(s *config.Router) { s.Endpoints.DialTime = 0.05 })
+	h.list(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
 	text, _ := long("seal")
 	h.want("never ran", h.say(text), "-BUSY 1500")
 	done := make(chan string)
--- a/internal/proxy/owes.go
+++ b/internal/proxy/owes.go
@@ -34,7 +34,7 @@
 func (o *owes) state() (owed, room, dead bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.line) > 0 || len(o.out) > 0 || o.writing, loadshed.Ahead(len(o.line), len(o.out)), o.dead
+	return len(o.line) > 0 || len(o.out) > 0 || o.writing, loadshed.MayPipeline(len(o.line), len(o.out)), o.dead
 }
 
 // settle gives an answer, and writes what is due by that, without waiting; what the kernel does not take at once goes on by
@@ -101,10 +101,10 @@
 }
 
 // longest is the most that a command may take by the settings, s.
-func (r *Relay) longest() float64 {
+func (r *Proxy) longest() float64 {
 	most := 0.0
-	for _, op := range r.now.Load().Terms.Ops {
-		most = max(most, op.Timeout)
+	for _, op := range r.now.Load().Policy.Classes {
+		most = max(most, op.TimeoutSeconds)
 	}
 	return most
 }
--- a/internal/proxy/platform.go
+++ b/internal/proxy/platform.go
@@ -44,7 +44,7 @@
 
 func (plat) reply(c *command, ans answer) { c.client.settle(c.owed, ans.bytes) }
 
-func (plat) rest() float64 { return loadshed.Rest }
+func (plat) rest() float64 { return loadshed.ConnReuseDelaySeconds }
 
 func (plat) atLastByte() bool { return true }
 
@@ -59,20 +59,20 @@
 }
 
 // read takes the value from a unit's answer. What can't be read, or says what no unit says, is spoilt: it may have run.
-func (plat) read(br *bufio.Reader, g *gate, d *delivery) (answer, policy.Result, bool, error) {
+func (plat) read(br *bufio.Reader, g *gate, d *delivery) (answer, policy.Outcome, bool, error) {
 	g.left = math.MaxInt64 // the framing has its own bounds
 	a, err := resp.Answer(br)
 	switch {
 	case err != nil:
-		return answer{}, policy.Broken, false, err
+		return answer{}, policy.ConnectionLost, false, err
 	case a.Values != nil && a.Values[0] != nil:
-		return answer{resp.Bulk(make([]byte, 0, len(a.Values[0])+16), a.Values[0]), "acked"}, policy.Acked, true, nil
+		return answer{resp.Bulk(make([]byte, 0, len(a.Values[0])+16), a.Values[0]), "acked"}, policy.Succeeded, true, nil
 	case a.Error == "BUSY" || len(a.Error) > 5 && a.Error[:5] == "BUSY ":
-		return answer{}, policy.Full, true, nil
+		return answer{}, policy.Overloaded, true, nil
 	case a.Error == "ERR failed" || len(a.Error) > 11 && a.Error[:11] == "ERR failed ":
-		return answer{}, policy.Errored, true, nil
+		return answer{}, policy.ServerError, true, nil
 	}
-	return answer{}, policy.Broken, false, fmt.Errorf("the answer %.60q is none of a unit's", a.Error)
+	return answer{}, policy.ConnectionLost, false, fmt.Errorf("the answer %.60q is none of a unit's", a.Error)
 }
 
 // command reads the words of a client's command.
@@ -98,7 +98,7 @@
 		}
 		switch string(name) {
 		case "c":
-			op = v.Named(value)
+			op = v.ClassNamed(value)
 		case "d":
 			ms, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil || ms == 0 || req.dAt >= 0 {
@@ -120,9 +120,9 @@
 		return nil, 0, errors.New("no such class")
 	case req.dAt < 0:
 		return nil, 0, errors.New("no d")
-	case write != (v.Terms.Ops[op].Effect != policy.Redeliverable):
+	case write != (v.Policy.Classes[op].Idempotency != policy.Idempotent):
 		return nil, 0, fmt.Errorf("%s is not for this class", args[0])
-	case mark != (v.Terms.Ops[op].Effect == policy.Deduplicated):
+	case mark != (v.Policy.Classes[op].Idempotency == policy.IdempotentWithKey):
 		return nil, 0, errors.New("k belongs to classes with a key, and to no others")
 	}
 	req.head = resp.Array(make([]byte, 0, 32+len(key)+len(id)), len(args))
@@ -196,7 +196,7 @@
 // patience is how long a command may take to come, s. Under the relay's lock.
 func (plat) patience(cl *client) float64 {
 	r := cl.r
-	most := loadshed.Patience(r.now.Load().Doc.Clients.ReadTime, cl.going)
+	most := loadshed.ReadTimeoutSeconds(r.now.Load().Document.Clients.ReadTime, cl.going)
 	if r.draining && r.answerBy > 0 {
 		most = max(0, min(most, r.answerBy-r.Now()))
 	}
@@ -211,7 +211,7 @@
 	idle, paused := time.Now(), 0.0
 	for {
 		owed, room, dead := cl.owes.state()
-		lim := &r.now.Load().Doc.Clients
+		lim := &r.now.Load().Document.Clients
 		patience := lim.IdleTime
 		if first {
 			r.mu.Lock()
@@ -277,7 +277,7 @@
 // direct answers what was no command.
 func (plat) direct(cl *client, x *owed, text []byte) {
 	cl.r.mu.Lock()
-	cl.r.count.Refused++
+	cl.r.count.InvalidRequests++
 	cl.reading, cl.spoke, cl.since = false, true, cl.r.Now()
 	cl.r.mu.Unlock()
 	cl.settle(x, text)
@@ -298,7 +298,7 @@
 		return
 	}
 	cl.r.mu.Lock()
-	crowd := cl.going || len(cl.r.clients) >= cl.r.now.Load().Doc.Clients.Connections
+	crowd := cl.going || len(cl.r.clients) >= cl.r.now.Load().Document.Clients.Connections
 	cl.r.mu.Unlock()
 	if crowd { // others wait for the room
 		return
@@ -314,12 +314,12 @@
 }
 
 // stillIn gives the commands that have no final answer yet.
-func (r *Relay) stillIn(list []*command) []*command {
+func (r *Proxy) stillIn(list []*command) []*command {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, c := range list {
-		if !c.Ended {
+		if !c.Completed {
 			list[n] = c
 			n++
 		}
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/platform_test.go
@@ -20,29 +20,29 @@
 )
 
 // newSite is a hall whose relay speaks the platform's protocol.
-func newSite(t testing.TB, edit func(*config.Edge)) *hall { return newSiteOf(t, nil, edit) }
+func newSite(t testing.TB, edit func(*config.Router)) *hall { return newSiteOf(t, nil, edit) }
 
 // newSiteOf edits the module's terms, too.
-func newSiteOf(t testing.TB, teach func(*policy.Terms), edit func(*config.Edge)) *hall {
-	terms := policy.Terms{Balancers: 1, BackVotes: 1, Round: 0.005, Parallel: true, Cancel: true, MaxPause: 1.5, ConnIdle: 10, Streams: 1,
-		Deliveries: 4, ColdFrom: 0.3, WarmUp: 1, FallFactor: 3, FallTime: 1, Window: 4, Free: 2, Caps: []float64{0.5, 1},
-		Stages: []float64{0.5, 1}, VoteLife: 10, VoteTimeout: 1, VoteRate: 10, HarmPrice: 1, StalePrice: 1, Forget: 60,
-		Ops: []policy.OpType{{Target: 0.3, Timeout: 0.6, Importance: 1},
-			{Target: 0.3, Timeout: 0.6, Importance: 1, Effect: policy.Deduplicated, Window: 5},
-			{Target: 0.3, Timeout: 0.6, Importance: 1, Effect: policy.AtMostOnce}}}
+func newSiteOf(t testing.TB, teach func(*policy.Config), edit func(*config.Router)) *hall {
+	terms := policy.Config{Routers: 1, RollbackVotes: 1, MinTickSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
+		MaxAttempts: 4, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.5, 1},
+		StageShares: []float64{0.5, 1}, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 10, WrongAnswerPrice: 1, StaleBuildPrice: 1, ForgetEndpointSeconds: 60,
+		Classes: []policy.RequestClass{{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1},
+			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.IdempotentWithKey, DedupWindowSeconds: 5},
+			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.NonIdempotent}}}
 	if teach != nil {
 		teach(&terms)
 	}
-	set := config.Given("r1", terms, []string{"lookup", "order", "seal"},
+	set := config.ForPlatform("r1", terms, []string{"lookup", "order", "seal"},
 		config.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
-		config.Units{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
+		config.Endpoints{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
 	if edit != nil {
 		edit(set)
 	}
 	set.Clients.Keep = set.Clients.Connections
-	r := NewPlatform(set, 1, quiet(), func(releases.Vote) {})
+	r := NewRESP(set, 1, quiet(), func(releases.Vote) {})
 	r.rest = 0 // most tests count connections
-	r.Ready()
+	r.SetReady()
 	return startHall(t, r)
 }
 
@@ -151,7 +151,7 @@
 	text, id := cmd("seal")
 	c = h.dial()
 	io.WriteString(c, text)
-	h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
+	h.soon("in hand", func() bool { return h.r.Stats().InFlight == 1 })
 	return c, id
 }
 
@@ -181,7 +181,7 @@
 			t.Errorf("d=%d of a command that has 500 ms left", d)
 		}
 	}
-	if n := h.r.Numbers(); n.Dials != 1 || n.Acked != 3 {
+	if n := h.r.Stats(); n.Dials != 1 || n.Succeeded != 3 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -250,7 +250,7 @@
 			t.Fatalf("%.60q", got)
 		}
 	}
-	if n := h.r.Numbers(); n.Dials != 1 || u.count() != 5 {
+	if n := h.r.Stats(); n.Dials != 1 || u.count() != 5 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -364,7 +364,7 @@
 	}
 	held := words("API.READ", "slow", "same", "c=lookup,d=500")
 	io.WriteString(c, held)
-	h.soon("in hand", func() bool { return h.r.Numbers().Hands == 1 })
+	h.soon("in hand", func() bool { return h.r.Stats().InFlight == 1 })
 	h.want("the same id", h.say(held), "-ERR a command with this id is in hand")
 	h.want("the first", c.line(), "vsame")
 	h.want("the id again", h.say(held), "vsame")
@@ -372,7 +372,7 @@
 
 // A nack names a time to come back and is given at once where there is no unit to wait for.
 func TestPlatformNack(t *testing.T) {
-	h := newSite(t, func(s *config.Edge) { s.Units.Total, s.Units.Connections = 1, 1 })
+	h := newSite(t, func(s *config.Router) { s.Endpoints.Total, s.Endpoints.Connections = 1, 1 })
 	h.serve(1, 1, says("-BUSY\r\n"))
 	text, _ := cmd("seal")
 	from := time.Now()
@@ -388,7 +388,7 @@
 	h.serve(1, 1, after(50*time.Millisecond))
 	idle := h.dial()
 	busy, id := h.busy()
-	h.r.Leave()
+	h.r.StopServing()
 	for range 3 {
 		late := h.dial()
 		late.asks("order")
@@ -407,17 +407,17 @@
 
 // A full house has room for whoever comes to be served: the longest idle goes, one with a command in hand never.
 func TestPlatformMakesRoom(t *testing.T) {
-	h := newSite(t, func(s *config.Edge) { s.Clients.Connections = 5 })
+	h := newSite(t, func(s *config.Router) { s.Clients.Connections = 5 })
 	h.serve(1, 1, after(150*time.Millisecond))
 	busy, id := h.busy()
 	var idle []*talk
 	for range 20 {
 		idle = append(idle, h.dial())
-		h.soon("it is taken", func() bool { n := h.r.Numbers(); return int(n.Clients) == len(idle)+1 && n.ClientConns <= 5 })
+		h.soon("it is taken", func() bool { n := h.r.Stats(); return int(n.ClientsAccepted) == len(idle)+1 && n.ClientConns <= 5 })
 	}
 	h.want("the longest idle", idle[0].line(), "closed")
 	h.want("the busy one", busy.line(), "v"+id)
-	if n := h.r.Numbers(); n.ClientsRefused != 0 {
+	if n := h.r.Stats(); n.ClientsRefused != 0 {
 		t.Errorf("%d refused", n.ClientsRefused)
 	}
 }
@@ -425,13 +425,13 @@
 // Who has just come is about to speak: in a house full of others that were served and are idle, those go, also when several come
 // at once; and however many come, no more are held than there is room for.
 func TestPlatformNewcomersSpeak(t *testing.T) {
-	h := newSite(t, func(s *config.Edge) { s.Clients.Connections = 8 })
+	h := newSite(t, func(s *config.Router) { s.Clients.Connections = 8 })
 	h.serve(1, 1, echo)
 	var kept []*talk
 	come := func() *talk {
-		before := h.r.Numbers().Clients
+		before := h.r.Stats().ClientsAccepted
 		c := h.dial()
-		h.soon("it is taken", func() bool { return h.r.Numbers().Clients > before })
+		h.soon("it is taken", func() bool { return h.r.Stats().ClientsAccepted > before })
 		return c
 	}
 	for range 8 {
@@ -447,7 +447,7 @@
 	h.want("the longest idle", kept[0].line(), "closed")
 	for range 100 {
 		h.dial()
-		if n := h.r.Numbers(); n.ClientConns > 10 {
+		if n := h.r.Stats(); n.ClientConns > 10 {
 			t.Fatalf("%d connections", n.ClientConns)
 		}
 	}
@@ -477,21 +477,21 @@
 	h := newSite(t, nil)
 	u := h.serve(1, 1, echo)
 	for start := range 3 {
-		h.list(false, endpoints.Unit{ID: 1, Addr: u.l.Addr().String(), State: "ready", Build: 1, Start: float64(start)})
+		h.list(false, endpoints.Endpoint{ID: 1, Addr: u.l.Addr().String(), State: "ready", Build: 1, StartedAt: float64(start)})
 		for range 3 {
 			text, id := cmd("seal")
 			h.want("served", h.say(text), "v"+id)
 		}
 	}
-	if n := h.r.Numbers(); n.Dials != 3 || n.UnitConns != 1 {
-		t.Errorf("%d dials, %d connections", n.Dials, n.UnitConns)
+	if n := h.r.Stats(); n.Dials != 3 || n.EndpointConns != 1 {
+		t.Errorf("%d dials, %d connections", n.Dials, n.EndpointConns)
 	}
 }
 
 // A connection that has been idle for too long is not used, also where the sweep has not come to it yet: its unit closes it, and
 // what is written to it may have run.
 func TestPlatformIdleTooLong(t *testing.T) {
-	h := newSite(t, func(s *config.Edge) { s.Units.IdleTime = 0.2 })
+	h := newSite(t, func(s *config.Router) { s.Endpoints.IdleTime = 0.2 })
 	h.serve(1, 1, echo)
 	h.r.mu.Lock()
 	h.r.sweepAt = h.r.Now() + 1000
@@ -500,7 +500,7 @@
 		time.Sleep(pause)
 		text, id := cmd("seal")
 		h.want("served", h.say(text), "v"+id)
-		if n := h.r.Numbers(); n.Dials != uint64(1+i/2) {
+		if n := h.r.Stats(); n.Dials != uint64(1+i/2) {
 			t.Errorf("%d dials after a pause of %v", n.Dials, pause)
 		}
 	}
@@ -517,7 +517,7 @@
 				t.Fatal(got)
 			}
 		}
-		h.list(true, endpoints.Unit{ID: uint32(i + 1), Addr: u.l.Addr().String(), State: "ready", Build: i})
+		h.list(true, endpoints.Endpoint{ID: uint32(i + 1), Addr: u.l.Addr().String(), State: "ready", Build: i})
 	}
 	h.soon("nothing is kept", func() bool {
 		h.r.mu.Lock()
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -23,15 +23,15 @@
 	"flintspread/internal/releases"
 )
 
-// Relay is one instance: a policy and the connections it decides about.
-type Relay struct {
-	set    *config.Edge
+// Proxy is one instance: a policy and the connections it decides about.
+type Proxy struct {
+	set    *config.Router
 	log    *slog.Logger
 	speech speech
 	cast   func(releases.Vote) // called without the lock; must not wait. nil: a planner judges, and leads
 
 	// Answered, where set, is told of each final answer: op type, answer, s since the command came. It must not wait.
-	Answered func(op, kind string, secs float64)
+	OnFinalAnswer func(op, kind string, secs float64)
 
 	rest  float64   // s after an answer in which its connection gets no further delivery
 	base  time.Time // on the clock that only goes forward, wall tells when that was
@@ -47,14 +47,14 @@
 
 	mu       sync.Mutex // orders the policy's calls; all below is under it
 	b        *policy.Balancer
-	gate     *loadshed.Gate // nil: nothing is shed
-	watch    *processstats.Watch
-	self     processstats.Look
+	gate     *loadshed.Shedder // nil: nothing is shed
+	watch    *processstats.Sampler
+	self     processstats.Sample
 	lag      float64 // s that the timer came late, as of the last look
-	late     loadshed.Late
+	late     loadshed.DelayTracker
 	away     answer // to what is shed
 	awayFor  *configstate.Version
-	keeper   *configstate.Keeper
+	keeper   *configstate.State
 	byOp     []int // commands in hand, by the place of their op type
 	dues     dues
 	timerAt  float64 // what the timer waits for
@@ -72,33 +72,33 @@
 	answerBy float64  // when all is to be answered, 0: no such time
 	listNo   uint64
 	listAt   float64 // when what the list says was true
-	count    Numbers
+	count    Stats
 
 	mem memory
 }
 
-// Numbers counts what a relay did since its start.
-type Numbers struct {
-	Taken, Acked, Nacked, Failed, Left      uint64 // commands; Left: the client went first
-	Refused, Clients, ClientsRefused        uint64 // requests that were no commands; connections
-	Deliveries, Dials, Recalls, Late, Wrong uint64 // Late: answers to deliveries that had been given up
-	Results                                 [8]uint64
-	Hands, ClientConns, UnitConns, Units    int
-	Shed                                    uint64  // of the nacked: by this process's own load
-	Level                                   float64 // share of what comes that is shed now
-	Lag                                     float64 // s
-	Self                                    processstats.Look
-	Memory, MemoryPeak                      int64   // bytes counted to the budget
-	Paused                                  uint64  // readings that waited for room
-	MemoryRefused                           uint64  // connections refused for want of room
-	ListAge                                 float64 // s
-	PolicyCalls                             uint64
-	PolicyTime                              float64 // s spent in the policy
+// Stats counts what a relay did since its start.
+type Stats struct {
+	Received, Succeeded, Rejected, Failed, Abandoned    uint64 // commands; Left: the client went first
+	InvalidRequests, ClientsAccepted, ClientsRefused    uint64 // requests that were no commands; connections
+	Attempts, Dials, Cancels, LateAnswers, WrongAnswers uint64 // Late: answers to deliveries that had been given up
+	Outcomes                                            [8]uint64
+	InFlight, ClientConns, EndpointConns, Endpoints     int
+	Shed                                                uint64  // of the nacked: by this process's own load
+	ShedShare                                           float64 // share of what comes that is shed now
+	TimerDelaySeconds                                   float64 // s
+	Process                                             processstats.Sample
+	MemoryBytes, MemoryPeakBytes                        int64   // bytes counted to the budget
+	ReadsPaused                                         uint64  // readings that waited for room
+	MemoryRefused                                       uint64  // connections refused for want of room
+	EndpointListAgeSeconds                              float64 // s
+	PolicyCalls                                         uint64
+	PolicySeconds                                       float64 // s spent in the policy
 }
 
 // command is one in hand, with what the policy does not need to know.
 type command struct {
-	policy.Command
+	policy.Request
 	client *client
 	req    *request
 	under  *configstate.Version // it is served by from start to end
@@ -109,31 +109,31 @@
 	owed   *owed // its place among its client's answers, where several are owed
 }
 
-// New makes a relay that speaks HTTP; cast takes the votes.
-func New(set *config.Edge, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
+// NewHTTP makes a relay that speaks HTTP; cast takes the votes.
+func NewHTTP(set *config.Router, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
 	return newRelay(set, web{}, seed, log, cast)
 }
 
-// NewPlatform makes one that speaks the platform's protocol.
-func NewPlatform(set *config.Edge, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
+// NewRESP makes one that speaks the platform's protocol.
+func NewRESP(set *config.Router, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
 	return newRelay(set, plat{}, seed, log, cast)
 }
 
-func newRelay(set *config.Edge, speech speech, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Relay {
+func newRelay(set *config.Router, speech speech, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
 	now := time.Now()
-	r := &Relay{set: set, log: log, speech: speech, cast: cast, rest: speech.rest(), base: now, wall: float64(now.UnixNano()) / 1e9,
+	r := &Proxy{set: set, log: log, speech: speech, cast: cast, rest: speech.rest(), base: now, wall: float64(now.UnixNano()) / 1e9,
 		stop: make(chan struct{}), wake: make(chan struct{}, 1),
 		pools: map[uint32]*pool{}, ids: map[string]struct{}{}, units: map[*unitConn]struct{}{}, clients: map[*client]struct{}{}}
-	r.keeper = configstate.NewKeeper(&set.Document, nil, 0, set.Patience())
-	r.now.Store(r.keeper.Present())
-	r.b = policy.New(*r.keeper.Present().Terms, seed, r.wall)
-	r.byOp = make([]int, len(r.keeper.Present().Terms.Ops))
+	r.keeper = configstate.NewState(&set.Document, nil, 0, set.ConfigWaitSeconds())
+	r.now.Store(r.keeper.Current())
+	r.b = policy.New(*r.keeper.Current().Policy, seed, r.wall)
+	r.byOp = make([]int, len(r.keeper.Current().Policy.Classes))
 	r.turnAt, r.listAt = r.wall, r.wall
 	r.watch = processstats.New()
 	if o := set.Overload; o != nil {
 		r.mem.budget = o.Memory
 		if o.Shed {
-			r.gate = loadshed.New(worths(r.keeper.Present().Terms), seed, r.wall)
+			r.gate = loadshed.New(worths(r.keeper.Current().Policy), seed, r.wall)
 		}
 	}
 	r.conns.Add(1)
@@ -142,102 +142,102 @@
 }
 
 // Now is the relay's clock: s since 1970 as of its start, going forward steadily from there.
-func (r *Relay) Now() float64 { return r.wall + time.Since(r.base).Seconds() }
+func (r *Proxy) Now() float64 { return r.wall + time.Since(r.base).Seconds() }
 
-// List enters a checked line of the unit list.
-func (r *Relay) List(line *endpoints.Line) {
+// ApplyEndpoints enters a checked line of the unit list.
+func (r *Proxy) ApplyEndpoints(line *endpoints.Update) {
 	var a acts
 	defer r.do(&a)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
 	r.listAt, r.listNo = now-line.Age, line.Version
-	line.Tell(r.b, now)
+	line.ApplyTo(r.b, now)
 	if line.Full {
 		for _, p := range r.pools {
 			p.listed = false
 		}
 	}
-	for _, u := range line.Units {
+	for _, u := range line.Endpoints {
 		r.listed(u, &a)
 	}
 	r.dropPools()
 }
 
-// Unchanged enters that the list still holds.
-func (r *Relay) Unchanged() {
+// ConfirmEndpoints enters that the list still holds.
+func (r *Proxy) ConfirmEndpoints() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listAt = r.Now()
 }
 
-// Stage enters news of the newest build.
-func (r *Relay) Stage(build, stage int, phase policy.Phase, limit, age float64) {
+// ApplyRelease enters news of the newest build.
+func (r *Proxy) ApplyRelease(build, stage int, phase policy.Phase, limit, age float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.b.Stage(r.Now(), build, stage, phase, limit, age)
+	r.b.ApplyRelease(r.Now(), build, stage, phase, limit, age)
 }
 
-// Follow enters what a planner's view says of this edge's part.
-func (r *Relay) Follow(build int, v policy.Verdict, share, until float64) {
+// ApplyAssignment enters what a planner's view says of this edge's part.
+func (r *Proxy) ApplyAssignment(build int, v policy.Verdict, share, until float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.b.Follow(build, v, share, until)
+	r.b.ApplyAssignment(build, v, share, until)
 }
 
-// Marked enters what a planner's health source says of units, age ago.
-func (r *Relay) Marked(age float64, marks []policy.Mark) {
+// SetHealthMarks enters what a planner's health source says of units, age ago.
+func (r *Proxy) SetHealthMarks(age float64, marks []policy.HealthMark) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.b.Marked(r.Now(), age, marks)
+	r.b.SetHealthMarks(r.Now(), age, marks)
 }
 
-// Counted gives what the policy counted of the present build, for a planner.
-func (r *Relay) Counted() policy.Evidence {
+// LocalEvidence gives what the policy counted of the present build, for a planner.
+func (r *Proxy) LocalEvidence() policy.Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.b.Counted(r.Now())
+	return r.b.LocalEvidence(r.Now())
 }
 
-// ListAt is when what the list says was true.
-func (r *Relay) ListAt() float64 {
+// EndpointsAt is when what the list says was true.
+func (r *Proxy) EndpointsAt() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listAt
 }
 
-// Recall enters news that the process before had, confirmed some time ago.
-func (r *Relay) Recall(build, stage int, phase policy.Phase, limit, age, ago float64) {
+// RestoreRelease enters news that the process before had, confirmed some time ago.
+func (r *Proxy) RestoreRelease(build, stage int, phase policy.Phase, limit, age, ago float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.b.Recall(r.Now(), build, stage, phase, limit, age, ago)
+	r.b.RestoreRelease(r.Now(), build, stage, phase, limit, age, ago)
 }
 
-// Flagged enters that a unit gave a wrong answer to a delivery of age ago.
-func (r *Relay) Flagged(unit uint32, age float64) {
+// ReportWrongAnswer enters that a unit gave a wrong answer to a delivery of age ago.
+func (r *Proxy) ReportWrongAnswer(unit uint32, age float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count.Wrong++
-	r.b.Flagged(r.Now(), unit, age)
+	r.count.WrongAnswers++
+	r.b.ReportWrongAnswer(r.Now(), unit, age)
 }
 
-// VoteAnswered enters what became of the vote last cast.
-func (r *Relay) VoteAnswered(reply policy.VoteReply) {
+// OnVoteReply enters what became of the vote last cast.
+func (r *Proxy) OnVoteReply(reply policy.VoteReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.b.VoteAnswered(r.Now(), reply)
+	r.b.OnVoteReply(r.Now(), reply)
 }
 
-// Numbers gives the counts as of now.
-func (r *Relay) Numbers() Numbers {
+// Stats gives the counts as of now.
+func (r *Proxy) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.count
-	n.Hands, n.ClientConns, n.ListAge = r.hands, len(r.clients), r.Now()-r.listAt
-	n.UnitConns, n.Units = len(r.units), len(r.pools)
-	n.Self, n.Lag, n.Memory, n.MemoryPeak, n.Paused = r.self, r.lag, r.mem.used.Load(), r.mem.peak.Load(), r.mem.paused.Load()
+	n.InFlight, n.ClientConns, n.EndpointListAgeSeconds = r.hands, len(r.clients), r.Now()-r.listAt
+	n.EndpointConns, n.Endpoints = len(r.units), len(r.pools)
+	n.Process, n.TimerDelaySeconds, n.MemoryBytes, n.MemoryPeakBytes, n.ReadsPaused = r.self, r.lag, r.mem.used.Load(), r.mem.peak.Load(), r.mem.paused.Load()
 	if r.gate != nil {
-		n.Level = r.gate.Level()
+		n.ShedShare = r.gate.ShedShare()
 	}
 	return n
 }
@@ -253,7 +253,7 @@
 
 // accept takes a command and does the first of what follows. nil: one with its id is in hand. The path of an ordinary command is: accept, Pick, send,
 // serveUnit, arrived, After, the answer.
-func (r *Relay) accept(cl *client, req *request, v *configstate.Version, op int, x *owed) *command {
+func (r *Proxy) accept(cl *client, req *request, v *configstate.Version, op int, x *owed) *command {
 	r.mu.Lock()
 	if _, twice := r.ids[req.id]; twice && req.id != "" {
 		r.mu.Unlock()
@@ -261,26 +261,26 @@
 	}
 	now := r.Now()
 	r.lastID++
-	c := &command{client: cl, req: req, under: v, place: -1, owed: x, Command: policy.Command{ID: r.lastID, Op: op, Under: v.Terms,
-		Key: req.key, Came: now, Due: now + v.Terms.Ops[op].Timeout, Work: req.work, Repeat: req.repeat}}
+	c := &command{client: cl, req: req, under: v, place: -1, owed: x, Request: policy.Request{ID: r.lastID, Class: op, Config: v.Policy,
+		Key: req.key, ReceivedAt: now, Deadline: now + v.Policy.Classes[op].TimeoutSeconds, Work: req.work, ClientRetry: req.repeat}}
 	if req.due > 0 {
-		c.Due = min(c.Due, now+req.due)
+		c.Deadline = min(c.Deadline, now+req.due)
 	}
-	c.Due -= req.waited
+	c.Deadline -= req.waited
 	if r.answerBy > 0 {
-		c.Due = min(c.Due, r.answerBy)
+		c.Deadline = min(c.Deadline, r.answerBy)
 	}
 	if req.id != "" {
 		r.ids[req.id] = struct{}{}
 	}
 	cl.reading, cl.spoke = false, true
 	cl.open++
-	r.count.Taken++
+	r.count.Received++
 	r.hands++
 	r.byOp[op]++
 	var a acts
 	if r.shed(now, c) {
-		r.count.Nacked++
+		r.count.Rejected++
 		r.finish(c, r.turnedAway(c.under), &a)
 	} else {
 		r.apply(now, c, r.pick(now, c), &a)
@@ -291,45 +291,45 @@
 }
 
 // pick asks the policy, and counts the time that takes.
-func (r *Relay) pick(now float64, c *command) policy.Step {
+func (r *Proxy) pick(now float64, c *command) policy.Decision {
 	from := time.Now()
-	s := r.b.Pick(now, &c.Command)
+	s := r.b.Pick(now, &c.Request)
 	r.spent(from)
 	return s
 }
 
-func (r *Relay) spent(from time.Time) {
+func (r *Proxy) spent(from time.Time) {
 	r.count.PolicyCalls++
-	r.count.PolicyTime += time.Since(from).Seconds()
+	r.count.PolicySeconds += time.Since(from).Seconds()
 }
 
 // apply carries out a step, and what the policy says to what comes of that at once.
-func (r *Relay) apply(now float64, c *command, s policy.Step, a *acts) {
-	if s.Again > 0 && s.Again < c.Due && (c.again == 0 || s.Again < c.again) {
-		c.again = s.Again
+func (r *Proxy) apply(now float64, c *command, s policy.Decision, a *acts) {
+	if s.PickAgainAt > 0 && s.PickAgainAt < c.Deadline && (c.again == 0 || s.PickAgainAt < c.again) {
+		c.again = s.PickAgainAt
 	}
-	switch s.Do {
+	switch s.Action {
 	case policy.Send:
-		r.count.Deliveries++
-		d := &delivery{cmd: c, try: len(c.Sent), unit: s.Unit, at: now, until: s.Until}
-		c.Sent = append(c.Sent, policy.Delivery{Unit: s.Unit, At: now, Out: true})
+		r.count.Attempts++
+		d := &delivery{cmd: c, try: len(c.Attempts), unit: s.Endpoint, at: now, until: s.AttemptDeadline}
+		c.Attempts = append(c.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: now, InFlight: true})
 		c.outs = append(c.outs, d)
 		if !r.carry(d, a) {
-			r.ended(now, d, policy.Unsent, a)
+			r.ended(now, d, policy.NotSent, a)
 			return
 		}
-	case policy.Nack:
-		r.count.Nacked++
-		r.finish(c, r.speech.nacked(c.under, s.Pause), a)
+	case policy.Reject:
+		r.count.Rejected++
+		r.finish(c, r.speech.nacked(c.under, s.RetryAfterSeconds), a)
 	case policy.Fail:
 		r.count.Failed++
 		n := len(c.outs)
 		r.finish(c, r.speech.failed(c.under, n > 0 && c.outs[n-1].result == policy.TimedOut), a)
 	}
-	if s.Recall {
+	if s.CancelInFlight {
 		for _, d := range c.outs {
-			if c.Sent[d.try].Out {
-				r.count.Recalls++
+			if c.Attempts[d.try].InFlight {
+				r.count.Cancels++
 				r.ended(now, d, policy.Cancelled, a)
 			}
 		}
@@ -338,24 +338,24 @@
 }
 
 // ended enters how a delivery ended. What can be proved never to have left is told so, whatever ended it.
-func (r *Relay) ended(now float64, d *delivery, result policy.Result, a *acts) {
+func (r *Proxy) ended(now float64, d *delivery, result policy.Outcome, a *acts) {
 	c := d.cmd
-	if !c.Sent[d.try].Out {
+	if !c.Attempts[d.try].InFlight {
 		return
 	}
-	answered := result == policy.Acked || result == policy.Errored || result == policy.Full
+	answered := result == policy.Succeeded || result == policy.ServerError || result == policy.Overloaded
 	part := d.fate.Load() == held
-	if !answered && d.drop() && result != policy.Unconnected {
-		result = policy.Unsent
-		if d.conn != nil && (d.conn.dialing || part) && !c.Ended {
-			result = policy.Unconnected // there was time, and no connection that takes a command came of it
+	if !answered && d.drop() && result != policy.NotConnected {
+		result = policy.NotSent
+		if d.conn != nil && (d.conn.dialing || part) && !c.Completed {
+			result = policy.NotConnected // there was time, and no connection that takes a command came of it
 		}
 	}
 	d.result = result
-	r.count.Results[result]++
-	sent := &c.Sent[d.try]
-	sent.Out = false
-	sent.Maybe = result != policy.Unsent && result != policy.Unconnected && result != policy.Full
+	r.count.Outcomes[result]++
+	sent := &c.Attempts[d.try]
+	sent.InFlight = false
+	sent.MayHaveRun = result != policy.NotSent && result != policy.NotConnected && result != policy.Overloaded
 	if uc := d.conn; uc != nil {
 		d.conn = nil
 		if uc.cur == d {
@@ -364,41 +364,41 @@
 		}
 	}
 	from := time.Now()
-	s := r.b.After(now, &c.Command, d.unit, result, now-d.at)
+	s := r.b.OnAttemptDone(now, &c.Request, d.unit, result, now-d.at)
 	r.spent(from)
 	r.apply(now, c, s, a)
 }
 
 // finish ends a command with its final answer.
-func (r *Relay) finish(c *command, ans answer, a *acts) {
+func (r *Proxy) finish(c *command, ans answer, a *acts) {
 	r.close(c)
 	a.answer, a.to = ans, c
 	if r.draining {
 		c.client.last = true
 	}
-	if r.Answered != nil {
-		r.Answered(r.keeper.Name(c.Op), ans.kind, r.Now()-c.Came)
+	if r.OnFinalAnswer != nil {
+		r.OnFinalAnswer(r.keeper.ClassName(c.Class), ans.kind, r.Now()-c.ReceivedAt)
 	}
 }
 
 // close takes a command out of hand.
-func (r *Relay) close(c *command) {
-	c.Ended = true
+func (r *Proxy) close(c *command) {
+	c.Completed = true
 	r.hands--
-	r.byOp[c.Op]--
+	r.byOp[c.Class]--
 	c.client.open--
 	c.client.since = r.Now()
 	delete(r.ids, c.req.id)
 }
 
 // due puts a command where its next due time belongs.
-func (r *Relay) due(c *command) {
+func (r *Proxy) due(c *command) {
 	next := 0.0
-	if !c.Ended {
+	if !c.Completed {
 		next = c.again
 	}
 	for _, d := range c.outs { // also what nobody waits for any more: a unit that never answers must not hold its connection for ever
-		if c.Sent[d.try].Out && (next == 0 || d.until < next) {
+		if c.Attempts[d.try].InFlight && (next == 0 || d.until < next) {
 			next = d.until
 		}
 	}
@@ -412,7 +412,7 @@
 }
 
 // do carries out what needs no lock.
-func (r *Relay) do(a *acts) {
+func (r *Proxy) do(a *acts) {
 	for _, uc := range a.closes {
 		uc.close()
 	}
@@ -425,7 +425,7 @@
 }
 
 // keepTime is the one timer: the policy's periodic work and every command's due times.
-func (r *Relay) keepTime() {
+func (r *Proxy) keepTime() {
 	defer r.conns.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -441,7 +441,7 @@
 }
 
 // tick does all that is due and gives the time until the next.
-func (r *Relay) tick() time.Duration {
+func (r *Proxy) tick() time.Duration {
 	const batch = 64 // commands served before the lock is offered to others
 	for {
 		r.mu.Lock()
@@ -458,22 +458,22 @@
 		if r.turnAt <= now {
 			r.look(now)
 			from := time.Now()
-			r.b.ListAge(now - r.listAt)
-			var t policy.Turn
+			r.b.SetEndpointListAge(now - r.listAt)
+			var t policy.TickResult
 			if r.cast != nil {
-				t = r.b.Wait(now)
+				t = r.b.TickController(now)
 			} else {
-				t = r.b.Tend(now)
+				t = r.b.TickRouter(now)
 			}
 			r.spent(from)
-			r.turnAt = now + t.In
-			if t.Vote {
+			r.turnAt = now + t.NextTickSeconds
+			if t.CastVote {
 				vote = &releases.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict}
 			}
 		}
 		var idle acts
 		if r.sweepAt <= now {
-			r.sweepAt = now + min(1, r.now.Load().Doc.Units.IdleTime/4)
+			r.sweepAt = now + min(1, r.now.Load().Document.Endpoints.IdleTime/4)
 			r.sweep(now, &idle)
 		}
 		next := min(r.turnAt, r.sweepAt)
@@ -497,18 +497,18 @@
 
 // overdue looks at a command whose due time has come: deliveries past their end first, then the policy's wish to be
 // asked.
-func (r *Relay) overdue(now float64, c *command, a *acts) {
+func (r *Proxy) overdue(now float64, c *command, a *acts) {
 	again := c.again
 	if again <= now {
 		c.again = 0
 	}
 	for _, d := range c.outs {
-		if c.Sent[d.try].Out && d.until <= now {
+		if c.Attempts[d.try].InFlight && d.until <= now {
 			r.ended(now, d, policy.TimedOut, a)
 			return // that asked the policy
 		}
 	}
-	if again > 0 && again <= now && !c.Ended {
+	if again > 0 && again <= now && !c.Completed {
 		r.apply(now, c, r.pick(now, c), a)
 		return
 	}
@@ -516,18 +516,18 @@
 }
 
 // left is told when a client went away. It tells whether its command was still in hand, and so gets no answer.
-func (r *Relay) left(c *command) bool {
+func (r *Proxy) left(c *command) bool {
 	r.mu.Lock()
-	if c.Ended {
+	if c.Completed {
 		r.mu.Unlock()
 		return false
 	}
 	now := r.Now()
-	r.count.Left++
+	r.count.Abandoned++
 	r.close(c)
 	var a acts
 	for _, d := range c.outs {
-		if c.Sent[d.try].Out && d.fate.Load() == fresh { // nobody waits for what has not left yet
+		if c.Attempts[d.try].InFlight && d.fate.Load() == fresh { // nobody waits for what has not left yet
 			r.ended(now, d, policy.Cancelled, &a)
 		}
 	}
@@ -538,7 +538,7 @@
 }
 
 // wrong enters a client's report of a wrong answer, by the receipt that came with the answer.
-func (r *Relay) wrong(receipt string) error {
+func (r *Proxy) wrong(receipt string) error {
 	var unit uint32
 	var at float64
 	if _, err := fmt.Sscanf(receipt, "%d-%f", &unit, &at); err != nil {
@@ -547,10 +547,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	age := r.Now() - at
-	if !(age >= 0 && age < r.now.Load().Doc.Rules.UnitsForget) {
-		return fmt.Errorf("%s: %q is not of the last %.0f s", headReceipt, receipt, r.now.Load().Doc.Rules.UnitsForget)
+	if !(age >= 0 && age < r.now.Load().Document.Rules.UnitsForget) {
+		return fmt.Errorf("%s: %q is not of the last %.0f s", headReceipt, receipt, r.now.Load().Document.Rules.UnitsForget)
 	}
-	r.count.Wrong++
-	r.b.Flagged(r.Now(), unit, age)
+	r.count.WrongAnswers++
+	r.b.ReportWrongAnswer(r.Now(), unit, age)
 	return nil
 }
