--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -22,7 +22,7 @@
 	timed = "Flint-Time: 0.3\r\n"
 )
 
-func gone(u *hall, id uint32) endpoints.Unit { return endpoints.Unit{ID: id, State: "gone"} }
+func gone(u *hall, id uint32) endpoints.Endpoint { return endpoints.Endpoint{ID: id, State: "gone"} }
 
 func TestOrdinaryPath(t *testing.T) {
 	h := newHall(t, nil)
@@ -42,7 +42,7 @@
 	if _, err := c.br.ReadByte(); err != io.EOF {
 		t.Error("not closed after Connection: close:", err)
 	}
-	if n := h.r.Numbers(); n.Dials != 1 || n.Acked != 5 || u.count() != 5 {
+	if n := h.r.Stats(); n.Dials != 1 || n.Succeeded != 5 || u.count() != 5 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -79,7 +79,7 @@
 			want := []string{e.lookup, e.divert, e.to}[i]
 			t.Run(e.name+", "+strings.Fields(head)[1], func(t *testing.T) {
 				t.Parallel()
-				h := newHall(t, func(s *config.Edge) { s.Units.AnswerBytes = 4096 })
+				h := newHall(t, func(s *config.Router) { s.Endpoints.AnswerBytes = 4096 })
 				bad := h.serve(1, 1, e.play)
 				well := h.serve(2, 1, good)
 				for try := 0; bad.count() == 0 && try < 200; try++ {
@@ -112,12 +112,12 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	h.list(false, endpoints.Unit{ID: 1, Addr: addr, State: "ready", Build: 1})
+	h.list(false, endpoints.Endpoint{ID: 1, Addr: addr, State: "ready", Build: 1})
 	h.serve(2, 1, good)
 	for range 20 {
 		h.want("at-most-once", h.ask(seal), "200 acked: /seal/7")
 	}
-	if n := h.r.Numbers(); n.Results[policy.Unconnected] == 0 {
+	if n := h.r.Stats(); n.Outcomes[policy.NotConnected] == 0 {
 		t.Errorf("the closed port was never tried: %+v", n)
 	}
 }
@@ -132,7 +132,7 @@
 	})
 	for range 5 {
 		h.want("after an idle close", h.ask(seal), "200 acked: ok")
-		h.soon("the closed connection is dropped", func() bool { return h.r.Numbers().UnitConns == 0 })
+		h.soon("the closed connection is dropped", func() bool { return h.r.Stats().EndpointConns == 0 })
 	}
 	u.l.Close()
 	// The unit resets a pooled connection after it has read the next command's first bytes.
@@ -231,8 +231,8 @@
 			t.Fatal(got)
 		}
 	}
-	n := h.r.Numbers()
-	if n.Deliveries <= n.Taken || n.Acked != 100 {
+	n := h.r.Stats()
+	if n.Attempts <= n.Received || n.Succeeded != 100 {
 		t.Errorf("no command had two deliveries: %+v", n)
 	}
 	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
@@ -256,11 +256,11 @@
 	if !<-ended {
 		t.Error("the delivery went on")
 	}
-	h.soon("nothing is in hand", func() bool { n := h.r.Numbers(); return n.Left == 1 && n.Hands == 0 && n.ClientConns == 0 })
+	h.soon("nothing is in hand", func() bool { n := h.r.Stats(); return n.Abandoned == 1 && n.InFlight == 0 && n.ClientConns == 0 })
 }
 
 func TestBadClients(t *testing.T) {
-	h := newHall(t, func(s *config.Edge) {
+	h := newHall(t, func(s *config.Router) {
 		s.Clients.HeadBytes, s.Clients.BodyBytes, s.Clients.ReadTime = 2048, 1000, 0.4
 	})
 	u := h.serve(1, 1, good)
@@ -298,16 +298,16 @@
 		t.Errorf("a unit saw %s", u.all())
 	}
 	h.want("meanwhile", h.ask(lookup), "200 acked: /chute/7")
-	h.soon("all in hand is answered", func() bool { return h.r.Numbers().Hands == 0 })
+	h.soon("all in hand is answered", func() bool { return h.r.Stats().InFlight == 0 })
 }
 
 func TestDrainWhileACommandWaits(t *testing.T) {
 	h := newHall(t, nil)
 	one := h.serve(1, 1, good)
-	h.list(false, endpoints.Unit{ID: 1, Addr: one.l.Addr().String(), State: "draining", Build: 1})
+	h.list(false, endpoints.Endpoint{ID: 1, Addr: one.l.Addr().String(), State: "draining", Build: 1})
 	got := make(chan string)
 	go func() { got <- h.ask(lookup) }()
-	h.soon("it is in hand", func() bool { return h.r.Numbers().Hands == 1 })
+	h.soon("it is in hand", func() bool { return h.r.Stats().InFlight == 1 })
 	two := h.serve(2, 1, good)
 	h.want("held command", <-got, "200 acked: /chute/7")
 	h.list(true, gone(h, 2))
@@ -315,7 +315,7 @@
 	if one.count() != 0 || two.count() != 1 {
 		t.Errorf("draining unit saw %v, the other %v", one.all(), two.all())
 	}
-	h.soon("the connections to units that left are closed", func() bool { n := h.r.Numbers(); return n.UnitConns == 0 && n.Units == 0 })
+	h.soon("the connections to units that left are closed", func() bool { n := h.r.Stats(); return n.EndpointConns == 0 && n.Endpoints == 0 })
 }
 
 // Started anew in a first stage, before any news, the relay keeps that stage's cap.
@@ -337,7 +337,7 @@
 		t.Error("the trial build got nothing")
 	}
 	before := trial.count()
-	h.r.Stage(2, 1, policy.GoingBack, 0, 0)
+	h.r.ApplyRelease(2, 1, policy.PhaseRollingBack, 0, 0)
 	for range 50 {
 		c.send(lookup)
 		c.answer()
@@ -350,7 +350,7 @@
 // A client that does not read its answer holds up nobody else, also not on its unit connection.
 func TestSlowReader(t *testing.T) {
 	big := strings.Repeat("x", 4000000)
-	h := newHall(t, func(s *config.Edge) { s.Units.Connections, s.Clients.ReadTime = 1, 0.5 })
+	h := newHall(t, func(s *config.Router) { s.Endpoints.Connections, s.Clients.ReadTime = 1, 0.5 })
 	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
 		for {
 			req, ok := u.read(br)
@@ -369,11 +369,11 @@
 	for range 8 { // pipelined: more than the kernel buffers
 		io.WriteString(slow, "GET /chute/big HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
-	h.soon("its first answer is there", func() bool { return h.r.Numbers().Acked >= 1 })
+	h.soon("its first answer is there", func() bool { return h.r.Stats().Succeeded >= 1 })
 	for range 10 {
 		h.want("another client", h.ask(lookup), "200 acked: ok")
 	}
-	h.soon("the slow reader is cut off", func() bool { return h.r.Numbers().ClientConns <= 10 && h.r.Numbers().Hands == 0 })
+	h.soon("the slow reader is cut off", func() bool { return h.r.Stats().ClientConns <= 10 && h.r.Stats().InFlight == 0 })
 }
 
 // A drain gives everything in hand its answer and takes nothing new.
@@ -387,7 +387,7 @@
 	idle := h.dial()
 	got := make(chan string)
 	go func() { got <- h.ask(lookup) }()
-	h.soon("it is in hand", func() bool { return h.r.Numbers().Hands == 1 && h.r.Numbers().ClientConns == 2 })
+	h.soon("it is in hand", func() bool { return h.r.Stats().InFlight == 1 && h.r.Stats().ClientConns == 2 })
 	h.l.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -404,13 +404,13 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	h := newHall(t, func(s *config.Edge) { s.Clients.Connections = 2 })
+	h := newHall(t, func(s *config.Router) { s.Clients.Connections = 2 })
 	h.serve(1, 1, good)
 	a, b := h.dial(), h.dial()
-	h.soon("both are taken", func() bool { return h.r.Numbers().ClientConns == 2 })
+	h.soon("both are taken", func() bool { return h.r.Stats().ClientConns == 2 })
 	h.want("third", h.dial().answer(), "503 nacked: too many connections")
 	a.Close()
-	h.soon("one is given back", func() bool { return h.r.Numbers().ClientConns == 1 })
+	h.soon("one is given back", func() bool { return h.r.Stats().ClientConns == 1 })
 	h.want("fourth", h.ask(lookup), "200 acked: /chute/7")
 	b.send(lookup)
 	h.want("second", b.answer(), "200 acked: /chute/7")
@@ -418,7 +418,7 @@
 
 // A unit that closes its receive window costs the timer and other commands nothing.
 func TestUnitThatDoesNotRead(t *testing.T) {
-	h := newHall(t, func(s *config.Edge) { s.Clients.BodyBytes = 16 << 20 })
+	h := newHall(t, func(s *config.Router) { s.Clients.BodyBytes = 16 << 20 })
 	over := make(chan struct{})
 	defer close(over)
 	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
@@ -429,5 +429,5 @@
 	fmt.Fprintf(c, "POST /seal/1 HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", 16<<20)
 	io.WriteString(c, strings.Repeat("x", 16<<20))
 	h.want("answer", c.answer(), late)
-	h.soon("nothing is left", func() bool { n := h.r.Numbers(); return n.Hands == 0 && n.UnitConns == 0 })
+	h.soon("nothing is left", func() bool { n := h.r.Stats(); return n.InFlight == 0 && n.EndpointConns == 0 })
 }
--- a/internal/proxy/shortcut.go
+++ b/internal/proxy/shortcut.go
@@ -30,11 +30,11 @@
 		return false, true, false
 	}
 	v := r.now.Load()
-	op := v.Slot(string(method), string(path))
+	op := v.ClassOf(string(method), string(path))
 	if op < 0 {
 		return false, true, false
 	}
-	left, length, repeat, mark := v.Terms.Ops[op].Timeout, 0, false, false
+	left, length, repeat, mark := v.Policy.Classes[op].TimeoutSeconds, 0, false, false
 	for len(rest) > 0 {
 		var name, value []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
@@ -62,17 +62,17 @@
 		}
 	}
 	whole := head + 4 + length
-	if whole > len(buf) || v.Terms.Ops[op].Effect == policy.Deduplicated && !mark {
+	if whole > len(buf) || v.Policy.Classes[op].Idempotency == policy.IdempotentWithKey && !mark {
 		return false, true, false
 	}
 	r.mu.Lock()
-	if r.draining || !r.mem.full(0) && r.gate.Admit(r.Now(), loadshed.Command{Op: op, Client: cl.who, Retry: repeat, Left: left - waited}) {
+	if r.draining || !r.mem.full(0) && r.gate.Admit(r.Now(), loadshed.Request{Class: op, Client: cl.who, Retry: repeat, RemainingSeconds: left - waited}) {
 		admitted = !r.draining
 		r.mu.Unlock()
 		return false, true, admitted
 	}
-	r.count.Taken++
-	r.count.Nacked++
+	r.count.Received++
+	r.count.Rejected++
 	r.count.Shed++
 	cl.reading = false
 	ans := r.turnedAway(v)
--- a/internal/proxy/speech.go
+++ b/internal/proxy/speech.go
@@ -29,7 +29,7 @@
 	rest() float64
 	atLastByte() bool
 	word(req *request, left float64) []byte
-	read(br *bufio.Reader, g *gate, d *delivery) (ans answer, result policy.Result, keep bool, err error)
+	read(br *bufio.Reader, g *gate, d *delivery) (ans answer, result policy.Outcome, keep bool, err error)
 }
 
 // web is HTTP/1.1, as docs/protocol.md tells it.
@@ -72,15 +72,15 @@
 	return append(buf, req.body...)
 }
 
-func (web) read(br *bufio.Reader, g *gate, d *delivery) (answer, policy.Result, bool, error) {
-	ans, status, full, keep, err := readAnswer(br, g, d.cmd.req.method, fmt.Sprintf("%d-%.3f", d.unit, d.at), d.cmd.under.Doc.Units.AnswerBytes)
+func (web) read(br *bufio.Reader, g *gate, d *delivery) (answer, policy.Outcome, bool, error) {
+	ans, status, full, keep, err := readAnswer(br, g, d.cmd.req.method, fmt.Sprintf("%d-%.3f", d.unit, d.at), d.cmd.under.Document.Endpoints.AnswerBytes)
 	switch {
 	case err != nil:
-		return answer{}, policy.Broken, false, err
+		return answer{}, policy.ConnectionLost, false, err
 	case full:
-		return answer{}, policy.Full, keep, nil
+		return answer{}, policy.Overloaded, keep, nil
 	case status >= 500:
-		return answer{}, policy.Errored, keep, nil
+		return answer{}, policy.ServerError, keep, nil
 	}
-	return ans.under(d.cmd.under), policy.Acked, keep, nil
+	return ans.under(d.cmd.under), policy.Succeeded, keep, nil
 }
--- a/internal/proxy/unit.go
+++ b/internal/proxy/unit.go
@@ -20,7 +20,7 @@
 	at     float64
 	until  float64
 	conn   *unitConn // nil once it ended
-	result policy.Result
+	result policy.Outcome
 	fate   atomic.Int32
 	sentBy *unitConn // as conn, but never changed once given
 }
@@ -73,7 +73,7 @@
 }
 
 // listed keeps the pools in step with the list.
-func (r *Relay) listed(u endpoints.Unit, a *acts) {
+func (r *Proxy) listed(u endpoints.Endpoint, a *acts) {
 	p := r.pools[u.ID]
 	if u.State == "gone" {
 		if p != nil {
@@ -81,7 +81,7 @@
 		}
 		return
 	}
-	if p != nil && (p.addr != u.Addr || p.build != u.Build || p.start != u.Start) {
+	if p != nil && (p.addr != u.Addr || p.build != u.Build || p.start != u.StartedAt) {
 		p.listed = false // another process; what is out at the earlier one ends, and its connection with it
 		for len(p.idle) > 0 {
 			r.drop(p.idle[0], a)
@@ -89,14 +89,14 @@
 		p = nil
 	}
 	if p == nil {
-		p = &pool{id: u.ID, addr: u.Addr, build: u.Build, start: u.Start}
+		p = &pool{id: u.ID, addr: u.Addr, build: u.Build, start: u.StartedAt}
 		r.pools[u.ID] = p
 	}
 	p.listed, p.zone, p.cell = u.State != "draining", u.Zone, u.Cell
 }
 
 // dropPools forgets the units that left the list and have no connection any more.
-func (r *Relay) dropPools() {
+func (r *Proxy) dropPools() {
 	for id, p := range r.pools {
 		if !p.listed && p.conns == 0 {
 			delete(r.pools, id)
@@ -105,10 +105,10 @@
 }
 
 // sweep closes what has been idle for too long, or leads to a unit that left the list.
-func (r *Relay) sweep(now float64, a *acts) {
+func (r *Proxy) sweep(now float64, a *acts) {
 	for _, p := range r.pools {
 		n := 0
-		for n < len(p.idle) && (!p.listed || now-p.idle[n].since > r.now.Load().Doc.Units.IdleTime) {
+		for n < len(p.idle) && (!p.listed || now-p.idle[n].since > r.now.Load().Document.Endpoints.IdleTime) {
 			n++
 		}
 		for _, uc := range append([]*unitConn(nil), p.idle[:n]...) {
@@ -119,7 +119,7 @@
 }
 
 // drop takes a connection out of its pool for good.
-func (r *Relay) drop(uc *unitConn, a *acts) {
+func (r *Proxy) drop(uc *unitConn, a *acts) {
 	if uc.gone {
 		return
 	}
@@ -137,12 +137,12 @@
 }
 
 // carry gives a delivery a connection: an idle one or, within the bound, a new one. It tells whether there is one.
-func (r *Relay) carry(d *delivery, a *acts) bool {
+func (r *Proxy) carry(d *delivery, a *acts) bool {
 	p := r.pools[d.unit]
 	if p == nil || !p.listed {
 		return false
 	}
-	lim := &r.now.Load().Doc.Units
+	lim := &r.now.Load().Document.Endpoints
 	for n := len(p.idle); n > 0; n-- {
 		uc := p.idle[n-1]
 		if d.at-uc.since < r.rest {
@@ -178,7 +178,7 @@
 }
 
 // dropIdlest gives back the descriptor of the connection that has been idle longest of all.
-func (r *Relay) dropIdlest(a *acts) bool {
+func (r *Proxy) dropIdlest(a *acts) bool {
 	var idlest *unitConn
 	for _, p := range r.pools {
 		if len(p.idle) > 0 && (idlest == nil || p.idle[0].since < idlest.since) {
@@ -192,7 +192,7 @@
 }
 
 // send writes a delivery to its connection, unless it was dropped meanwhile.
-func (r *Relay) send(d *delivery) {
+func (r *Proxy) send(d *delivery) {
 	if !d.begin() {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // sendRest writes what the kernel did not take at once, from byte n on.
-func (r *Relay) sendRest(d *delivery, s *socket, buf []byte, n int) {
+func (r *Proxy) sendRest(d *delivery, s *socket, buf []byte, n int) {
 	defer r.conns.Done()
 	last := len(buf)
 	if r.speech.atLastByte() {
@@ -239,14 +239,14 @@
 
 // unwritten ends a delivery whose last byte the kernel did not take: it never ran. Where it took none the connection was over before,
 // which says nothing of the unit now.
-func (r *Relay) unwritten(d *delivery, n int, err error) {
-	result := policy.Unconnected
+func (r *Proxy) unwritten(d *delivery, n int, err error) {
+	result := policy.NotConnected
 	if n == 0 {
-		result = policy.Unsent
+		result = policy.NotSent
 	}
 	r.mu.Lock()
 	var a acts
-	if c := d.cmd; c.Sent[d.try].Out {
+	if c := d.cmd; c.Attempts[d.try].InFlight {
 		r.log.Debug("delivery not written", "unit", d.unit, "bytes", n, "error", err)
 		d.fate.Store(fresh)
 		r.ended(r.Now(), d, result, &a)
@@ -256,20 +256,20 @@
 }
 
 // serveUnit makes a connection to a unit and reads from it until it ends.
-func (r *Relay) serveUnit(uc *unitConn) {
+func (r *Proxy) serveUnit(uc *unitConn) {
 	defer r.conns.Done()
-	nc, err := net.DialTimeout("tcp", uc.pool.addr, time.Duration(r.now.Load().Doc.Units.DialTime*float64(time.Second)))
+	nc, err := net.DialTimeout("tcp", uc.pool.addr, time.Duration(r.now.Load().Document.Endpoints.DialTime*float64(time.Second)))
 	r.mu.Lock()
 	uc.dialing = false
 	var a acts
 	if err != nil || uc.gone || !uc.pool.listed {
 		if d := uc.cur; d != nil {
-			result := policy.Unconnected
+			result := policy.NotConnected
 			if err == nil { // its unit left, drains or was replaced while the connection was made
-				result = policy.Unsent
+				result = policy.NotSent
 			}
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				result = policy.Unsent // want of descriptors here says nothing of the unit
+				result = policy.NotSent // want of descriptors here says nothing of the unit
 			}
 			r.ended(r.Now(), d, result, &a)
 		} else {
@@ -326,12 +326,12 @@
 }
 
 // arrived enters a unit's whole answer and tells whether the connection goes on.
-func (r *Relay) arrived(uc *unitConn, d *delivery, ans answer, result policy.Result, keep bool) bool {
+func (r *Proxy) arrived(uc *unitConn, d *delivery, ans answer, result policy.Outcome, keep bool) bool {
 	r.mu.Lock()
 	now := r.Now()
 	c := d.cmd
 	if uc.cur != d { // given up while the answer was read
-		r.count.Late++
+		r.count.LateAnswers++
 		r.mu.Unlock()
 		return false
 	}
@@ -343,8 +343,8 @@
 	} else {
 		r.drop(uc, &a)
 	}
-	if result == policy.Acked {
-		r.count.Acked++
+	if result == policy.Succeeded {
+		r.count.Succeeded++
 		r.answeredBy(c, now, len(c.req.head)+len(c.req.body)+len(ans.bytes))
 		r.finish(c, ans, &a)
 	}
@@ -355,11 +355,11 @@
 }
 
 // broken enters the end of a connection.
-func (r *Relay) broken(uc *unitConn, d *delivery) {
+func (r *Proxy) broken(uc *unitConn, d *delivery) {
 	r.mu.Lock()
 	var a acts
 	if d != nil && uc.cur == d {
-		r.ended(r.Now(), d, policy.Broken, &a)
+		r.ended(r.Now(), d, policy.ConnectionLost, &a)
 	}
 	r.drop(uc, &a)
 	r.mu.Unlock()
--- a/internal/proxy/versions_bench_test.go
+++ b/internal/proxy/versions_bench_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if o, err := h.r.Offer(v); o != configstate.Applied {
+		if o, err := h.r.OfferConfig(v); o != configstate.Applied {
 			b.Fatal(o, err)
 		}
 	}
@@ -56,12 +56,12 @@
 						b.Error(err)
 						return
 					}
-					h.r.Offer(v)
+					h.r.OfferConfig(v)
 				}
 			}()
 			b.ReportAllocs()
 			for b.Loop() {
-				if h.r.Version().Slot("GET", "/chute/4711") < 0 {
+				if h.r.ConfigVersion().ClassOf("GET", "/chute/4711") < 0 {
 					b.Fatal("no op type")
 				}
 			}
@@ -76,24 +76,24 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("units-", n), func(b *testing.B) {
 			h := newHall(b, nil)
-			lines := [2]*endpoints.Line{}
+			lines := [2]*endpoints.Update{}
 			for k := range lines {
-				l := &endpoints.Line{Version: 1, Full: true, Units: make([]endpoints.Unit, n)}
-				for i := range l.Units {
-					l.Units[i] = endpoints.Unit{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
+				l := &endpoints.Update{Version: 1, Full: true, Endpoints: make([]endpoints.Endpoint, n)}
+				for i := range l.Endpoints {
+					l.Endpoints[i] = endpoints.Endpoint{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
 					if i%100 == 0 {
-						l.Units[i].Build += k
+						l.Endpoints[i].Build += k
 					}
 				}
 				lines[k] = l
 			}
 			list := &endpoints.List{}
-			apply := func(l *endpoints.Line) {
-				changes, err := list.Take(l, 1)
+			apply := func(l *endpoints.Update) {
+				changes, err := list.Apply(l, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
-				h.r.List(changes)
+				h.r.ApplyEndpoints(changes)
 			}
 			apply(lines[0])
 			b.ReportAllocs()
--- a/internal/releases/release.go
+++ b/internal/releases/release.go
@@ -15,20 +15,20 @@
 	"flintspread/internal/policy"
 )
 
-// News is one line of the installer's stream, and its reply to a vote.
-type News struct {
-	Version uint64  `json:"version"` // grows with every change, also over the installer's restarts
-	Build   int     `json:"build"`
-	Stage   int     `json:"stage"`
-	Phase   string  `json:"phase"` // on-trial, going-back, released or withdrawn
-	Cap     float64 `json:"cap"`
-	Age     float64 `json:"age"`             // s that this has lasted
-	Vote    string  `json:"vote,omitempty"`  // in a reply: counted, moot or refused
-	Quiet   bool    `json:"quiet,omitempty"` // nothing new; only shows that the stream lives
+// Update is one line of the installer's stream, and its reply to a vote.
+type Update struct {
+	Version   uint64  `json:"version"` // grows with every change, also over the installer's restarts
+	Build     int     `json:"build"`
+	Stage     int     `json:"stage"`
+	Phase     string  `json:"phase"` // on-trial, going-back, released or withdrawn
+	Cap       float64 `json:"cap"`
+	Age       float64 `json:"age"`             // s that this has lasted
+	Vote      string  `json:"vote,omitempty"`  // in a reply: counted, moot or refused
+	Heartbeat bool    `json:"quiet,omitempty"` // nothing new; only shows that the stream lives
 }
 
-// Ballot is a vote as the installer gets it.
-type Ballot struct {
+// VoteMessage is a vote as the installer gets it.
+type VoteMessage struct {
 	Relay   string `json:"relay"`
 	Build   int    `json:"build"`
 	Stage   int    `json:"stage"`
@@ -42,20 +42,20 @@
 }
 
 var phases = map[string]policy.Phase{
-	"on-trial": policy.OnTrial, "going-back": policy.GoingBack, "released": policy.Released, "withdrawn": policy.Withdrawn,
+	"on-trial": policy.PhaseCanary, "going-back": policy.PhaseRollingBack, "released": policy.PhaseReleased, "withdrawn": policy.PhaseWithdrawn,
 }
 
 var (
 	verdicts   = [...]string{"none", "on", "hold", "back"}
-	replies    = map[string]policy.VoteReply{"counted": policy.Counted, "moot": policy.Moot, "refused": policy.Refused}
+	replies    = map[string]policy.VoteReply{"counted": policy.VoteCounted, "moot": policy.VoteMoot, "refused": policy.VoteRefused}
 	replyNames = [...]string{"counted", "moot", "refused", "unknown"}
 )
 
-// PhaseOf gives the policy's word for a checked line's phase.
-func (l *News) PhaseOf() policy.Phase { return phases[l.Phase] }
+// PolicyPhase gives the policy's word for a checked line's phase.
+func (l *Update) PolicyPhase() policy.Phase { return phases[l.Phase] }
 
 // Check refuses a line that can't be meant, stages being how many there are.
-func (l *News) Check(stages int) error {
+func (l *Update) Check(stages int) error {
 	if _, ok := phases[l.Phase]; !ok {
 		return fmt.Errorf("unknown phase %q", l.Phase)
 	}
@@ -66,25 +66,25 @@
 	return nil
 }
 
-// Box casts a relay's votes, one after the other.
-type Box struct {
+// VoteSender casts a relay's votes, one after the other.
+type VoteSender struct {
 	Relay   string
 	URL     string  // of the installer
 	Timeout float64 // s that a reply is waited for
 	Client  *http.Client
 	Log     *slog.Logger
 	// Asked is told of each vote before it leaves, Replied what became of it.
-	Asked   func(Vote)
-	Replied func(Vote, policy.VoteReply, *News)
+	OnSend  func(Vote)
+	OnReply func(Vote, policy.VoteReply, *Update)
 	votes   chan Vote
 }
 
 // Open makes the box ready; it is to be called before Cast and Run.
-func (b *Box) Open() { b.votes = make(chan Vote, 1) }
+func (b *VoteSender) Open() { b.votes = make(chan Vote, 1) }
 
 // Cast hands a vote on without waiting. The policy has one vote out at a time, so that there is room but for one that it
 // gave up waiting for.
-func (b *Box) Cast(v Vote) {
+func (b *VoteSender) Cast(v Vote) {
 	select {
 	case b.votes <- v:
 	default:
@@ -93,50 +93,50 @@
 }
 
 // Run casts what is handed on until ctx ends.
-func (b *Box) Run(ctx context.Context) {
+func (b *VoteSender) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case v := <-b.votes:
-			b.Asked(v)
+			b.OnSend(v)
 			reply, news, err := b.post(ctx, v)
 			b.Log.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", verdicts[v.Verdict], "reply", replyNames[reply], "error", err)
-			b.Replied(v, reply, news)
+			b.OnReply(v, reply, news)
 		}
 	}
 }
 
 // post casts one. No reply in time, or one cut off, may have counted.
-func (b *Box) post(ctx context.Context, v Vote) (policy.VoteReply, *News, error) {
+func (b *VoteSender) post(ctx context.Context, v Vote) (policy.VoteReply, *Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(b.Timeout*float64(time.Second)))
 	defer cancel()
-	text, _ := json.Marshal(Ballot{b.Relay, v.Build, v.Stage, verdicts[v.Verdict]})
+	text, _ := json.Marshal(VoteMessage{b.Relay, v.Build, v.Stage, verdicts[v.Verdict]})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.URL+"/vote", bytes.NewReader(text))
 	if err != nil {
-		return policy.Refused, nil, err
+		return policy.VoteRefused, nil, err
 	}
 	resp, err := b.Client.Do(req)
 	if err != nil {
-		return policy.Unknown, nil, err
+		return policy.VoteUnknown, nil, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return policy.Refused, nil, errors.New(resp.Status)
+		return policy.VoteRefused, nil, errors.New(resp.Status)
 	}
 	text, err = io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
-		return policy.Unknown, nil, err
+		return policy.VoteUnknown, nil, err
 	}
-	var line News
+	var line Update
 	if err := json.Unmarshal(text, &line); err != nil {
-		return policy.Unknown, nil, err
+		return policy.VoteUnknown, nil, err
 	}
 	reply, ok := replies[line.Vote]
 	if !ok {
-		return policy.Unknown, nil, fmt.Errorf("unknown reply %q", line.Vote)
+		return policy.VoteUnknown, nil, fmt.Errorf("unknown reply %q", line.Vote)
 	}
-	if reply == policy.Counted && line.Phase != "" {
+	if reply == policy.VoteCounted && line.Phase != "" {
 		return reply, &line, nil
 	}
 	return reply, nil, nil
--- /dev/null
+++ b/internal/router/confighash.go
@@ -0,0 +1,110 @@
+package router
+
+import (
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+
+	"flintspread/internal/policy"
+)
+
+// ConfigHash identifies the policy configuration that a router and its controller must share. Each sends it to the other, so that it
+// has to be the same for programs of different versions: the text that is hashed keeps the field names of the first
+// version (hashedConfig), whatever policy.Config calls its fields now. Fields that only one of the two programs reads are left out.
+func ConfigHash(c policy.Config) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%+v", newHashedConfig(c)))
+}
+
+// hashedConfig fixes the names and the order of what ConfigHash covers. Don't rename, reorder or add fields.
+type hashedConfig struct {
+	Balancers   int
+	BackVotes   int
+	Round       float64
+	Ops         []hashedClass
+	Ask         bool
+	Parallel    bool
+	Cancel      bool
+	MaxPause    float64
+	ConnIdle    float64
+	Streams     int
+	Deliveries  int
+	ColdFrom    float64
+	WarmUp      float64
+	FallFactor  float64
+	FallTime    float64
+	Window      float64
+	Free        float64
+	Caps        []float64
+	Stages      []float64
+	PerOp       bool
+	Guarded     int
+	OneWay      bool
+	Keys        int
+	Forget      float64
+	Led         bool
+	Automatic   bool
+	Replace     bool
+	HarmPrice   float64
+	StalePrice  float64
+	Reported    float64
+	VoteLife    float64
+	VoteTimeout float64
+	VoteRate    float64
+}
+
+type hashedClass struct {
+	Target     float64
+	Timeout    float64
+	Importance float64
+	Effect     policy.Idempotency
+	Group      policy.DedupScope
+	Window     float64
+}
+
+func newHashedConfig(c policy.Config) hashedConfig {
+	h := hashedConfig{
+		Balancers:   c.Routers,
+		BackVotes:   c.RollbackVotes,
+		Round:       c.MinTickSeconds,
+		Ask:         c.SubscribeToEndpoints,
+		Parallel:    c.AllowHedging,
+		Cancel:      c.AllowCancel,
+		MaxPause:    c.MaxRetryAfterSeconds,
+		ConnIdle:    0, // the router's own
+		Streams:     c.RequestsPerConn,
+		Deliveries:  c.MaxAttempts,
+		ColdFrom:    c.SlowStartInitialShare,
+		WarmUp:      c.SlowStartSeconds,
+		FallFactor:  c.SlowStartOverloadFactor,
+		FallTime:    c.SlowStartOverloadSeconds,
+		Window:      c.CanaryWindowSeconds,
+		Free:        c.CanaryFreeAttempts,
+		Caps:        c.CanaryLimits,
+		Stages:      c.StageShares,
+		PerOp:       c.CanaryLimitPerClass,
+		Guarded:     c.IdempotentOnlyStages,
+		OneWay:      c.OneWayKeys,
+		Keys:        c.MaxRememberedKeys,
+		Forget:      c.ForgetEndpointSeconds,
+		Led:         false, // the router's own
+		Automatic:   c.AutomaticStages,
+		Replace:     c.ReplaceInPlace,
+		HarmPrice:   c.WrongAnswerPrice,
+		StalePrice:  c.StaleBuildPrice,
+		Reported:    c.WrongAnswerReportShare,
+		VoteLife:    c.VoteLifetimeSeconds,
+		VoteTimeout: c.VoteTimeoutSeconds,
+		VoteRate:    c.VotesPerSecond,
+	}
+	for _, class := range c.Classes {
+		h.Ops = append(h.Ops, hashedClass{
+			Target:     class.LatencyObjectiveSeconds,
+			Timeout:    class.TimeoutSeconds,
+			Importance: class.PriorityWeight,
+			Effect:     class.Idempotency,
+			Group:      class.DedupScope,
+			Window:     class.DedupWindowSeconds,
+		})
+	}
+	return h
+}
--- a/internal/router/edge.go
+++ b/internal/router/edge.go
@@ -27,16 +27,16 @@
 	"flintspread/internal/watch"
 )
 
-// Edge is a running edge. Without a planner it asks list and installer itself and votes; with one it does neither.
-type Edge struct {
-	set   *config.Edge
+// Router is a running edge. Without a planner it asks list and installer itself and votes; with one it does neither.
+type Router struct {
+	set   *config.Router
 	log   *slog.Logger
-	relay *proxy.Relay
+	relay *proxy.Proxy
 	list  endpoints.List
 	file  string
 	http  *http.Client
-	box   *releases.Box
-	end   *controlrpc.EdgeEnd // nil where the edge judges for itself
+	box   *releases.VoteSender
+	end   *controlrpc.RouterClient // nil where the edge judges for itself
 
 	led  *led       // nil where the edge judges for itself
 	kept remembered // by the link's goroutine
@@ -49,7 +49,7 @@
 
 // Run serves until ctx ends, then answers what is in hand and returns. An error before anything was served is a reason
 // not to start.
-func Run(ctx context.Context, set *config.Edge, log *slog.Logger) error {
+func Run(ctx context.Context, set *config.Router, log *slog.Logger) error {
 	if err := os.MkdirAll(set.StateDir, 0o755); err != nil {
 		return err
 	}
@@ -67,16 +67,16 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	e := &Edge{set: set, log: log, file: filepath.Join(set.StateDir, "units.json"),
+	e := &Router{set: set, log: log, file: filepath.Join(set.StateDir, "units.json"),
 		http: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	feeds, stopFeeds := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	failed := make(chan error, 2)
-	if set.Planner == nil {
-		e.box = &releases.Box{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: e.http, Log: log,
-			Asked: func(releases.Vote) {}, Replied: e.voted}
+	if set.Controller == nil {
+		e.box = &releases.VoteSender{Relay: set.Relay, URL: set.Sources.Installer, Timeout: set.Release.VoteTimeout, Client: e.http, Log: log,
+			OnSend: func(releases.Vote) {}, OnReply: e.voted}
 		e.box.Open()
-		e.relay = proxy.New(set, seed, log, e.box.Cast)
+		e.relay = proxy.NewHTTP(set, seed, log, e.box.Cast)
 		e.fromDisk()
 		if set.Control == nil {
 			running.Go(func() { watch.Follow(feeds, e.source(set.Sources.List), e.takeList, func() {}) })
@@ -98,7 +98,7 @@
 		})
 		running.Go(func() { e.box.Run(feeds) })
 	} else {
-		e.relay = proxy.New(set, seed, log, nil)
+		e.relay = proxy.NewHTTP(set, seed, log, nil)
 		e.fromDisk()
 		e.recall()
 		vs, err := e.openVersions()
@@ -108,8 +108,8 @@
 		}
 		defer vs.store.Close()
 		e.led = &led{vs: vs}
-		e.end = &controlrpc.EdgeEnd{Set: set.Planner, Log: log, Now: e.relay.Now, Relay: set.Relay, Edge: set.Name,
-			Life: uint64(time.Now().UnixNano()), Terms: TermsHash(set.Terms()), Count: e.count, Take: e.takeView}
+		e.end = &controlrpc.RouterClient{Config: set.Controller, Log: log, Now: e.relay.Now, Relay: set.Relay, Router: set.Name,
+			Incarnation: uint64(time.Now().UnixNano()), ConfigHash: ConfigHash(set.Policy()), FillReport: e.count, ApplyAssignment: e.takeView}
 		running.Go(func() {
 			if err := e.end.Run(feeds, e.list.At); err != nil {
 				failed <- err
@@ -126,7 +126,7 @@
 	case err = <-failed:
 	}
 	log.Info("draining", "relay", set.Relay)
-	proxy.CloseEmpty(listener)
+	proxy.CloseListener(listener)
 	// The list goes on while there is something in hand: drains still bind.
 	until, cancel := context.WithTimeout(context.Background(), time.Duration(set.Clients.DrainTime*float64(time.Second)))
 	defer cancel()
@@ -143,7 +143,7 @@
 }
 
 // listen opens the clients' address. A shared one is spread over the edges there by the kernel, connection by connection.
-func listen(set *config.Edge) (net.Listener, error) {
+func listen(set *config.Router) (net.Listener, error) {
 	var lc net.ListenConfig
 	if set.Shared {
 		lc.Control = func(_, _ string, c syscall.RawConn) (err error) {
@@ -156,38 +156,38 @@
 	return lc.Listen(context.Background(), "tcp", set.Listen)
 }
 
-func (e *Edge) source(url string) watch.Source {
+func (e *Router) source(url string) watch.Source {
 	s := e.set.Sources
-	return watch.Source{URL: url, Silence: s.Silence, Least: s.BackLeast, Most: s.BackMost, Log: e.log, Client: e.http}
+	return watch.Source{URL: url, SilenceSeconds: s.Silence, BackoffMinSeconds: s.BackLeast, BackoffMaxSeconds: s.BackMost, Log: e.log, Client: e.http}
 }
 
 // fromDisk starts on the last list there was.
-func (e *Edge) fromDisk() {
+func (e *Router) fromDisk() {
 	list, err := endpoints.Load(e.file)
 	if err != nil {
 		e.log.Error("last list", "error", err)
 	}
 	e.list = *list
 	if list.Len() > 0 {
-		line := list.Full(wall())
+		line := list.FullUpdate(wall())
 		e.log.Info("last list", "units", list.Len(), "version", list.Version, "age", fmt.Sprintf("%.1fs", line.Age))
-		e.relay.List(line)
+		e.relay.ApplyEndpoints(line)
 	}
 }
 
 func wall() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // takeList is called by the list's stream alone.
-func (e *Edge) takeList(line *endpoints.Line) error {
+func (e *Router) takeList(line *endpoints.Update) error {
 	if err := line.Check(); err != nil {
 		return err
 	}
-	changes, err := e.list.Take(line, wall())
+	changes, err := e.list.Apply(line, wall())
 	if err != nil {
 		return err
 	}
-	e.relay.List(changes)
-	if len(changes.Units) > 0 {
+	e.relay.ApplyEndpoints(changes)
+	if len(changes.Endpoints) > 0 {
 		if err := e.list.Save(e.file); err != nil { // it serves on without
 			e.log.Error("list not saved", "error", err)
 		}
@@ -195,25 +195,25 @@
 	return nil
 }
 
-func (e *Edge) takeNews(line *releases.News) error {
-	if line.Quiet {
+func (e *Router) takeNews(line *releases.Update) error {
+	if line.Heartbeat {
 		return nil
 	}
 	return e.news(line)
 }
 
 // voted enters what became of a vote. Its reply may bring news.
-func (e *Edge) voted(_ releases.Vote, reply policy.VoteReply, line *releases.News) {
+func (e *Router) voted(_ releases.Vote, reply policy.VoteReply, line *releases.Update) {
 	if line != nil {
 		if err := e.news(line); err != nil {
 			e.log.Warn("reply to a vote", "error", err)
 		}
 	}
-	e.relay.VoteAnswered(reply)
+	e.relay.OnVoteReply(reply)
 }
 
 // news takes what came as a line or as a reply to a vote. What one overtook on the way is old.
-func (e *Edge) news(line *releases.News) error {
+func (e *Router) news(line *releases.Update) error {
 	if err := line.Check(len(e.set.Release.Stages)); err != nil {
 		return err
 	}
@@ -224,6 +224,6 @@
 		return nil
 	}
 	e.newest = line.Version
-	e.relay.Stage(line.Build, line.Stage, line.PhaseOf(), line.Cap, line.Age)
+	e.relay.ApplyRelease(line.Build, line.Stage, line.PolicyPhase(), line.Cap, line.Age)
 	return nil
 }
--- a/internal/router/numbers.go
+++ b/internal/router/numbers.go
@@ -16,8 +16,8 @@
 
 // numbers gives the relay's counts to Prometheus. They are read when asked for; nothing is counted twice.
 type numbers struct {
-	relay *proxy.Relay
-	end   *controlrpc.EdgeEnd // nil without a planner
+	relay *proxy.Proxy
+	end   *controlrpc.RouterClient // nil without a planner
 }
 
 func metric(name, help string, labels ...string) *prometheus.Desc {
@@ -60,61 +60,61 @@
 func (n numbers) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(n, ch) }
 
 func (n numbers) Collect(ch chan<- prometheus.Metric) {
-	v := n.relay.Numbers()
+	v := n.relay.Stats()
 	total := func(d *prometheus.Desc, x float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, x, labels...)
 	}
 	gauge := func(d *prometheus.Desc, x float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, x, labels...)
 	}
-	total(commands, float64(v.Acked), "acked")
-	total(commands, float64(v.Nacked), "nacked")
+	total(commands, float64(v.Succeeded), "acked")
+	total(commands, float64(v.Rejected), "nacked")
 	total(commands, float64(v.Failed), "failed")
-	total(commands, float64(v.Left), "left")
+	total(commands, float64(v.Abandoned), "left")
 	for i, name := range resultNames {
-		total(deliveries, float64(v.Results[i]), name)
+		total(deliveries, float64(v.Outcomes[i]), name)
 	}
-	total(refused, float64(v.Refused), "requests")
+	total(refused, float64(v.InvalidRequests), "requests")
 	total(refused, float64(v.ClientsRefused), "connections")
 	total(dials, float64(v.Dials))
-	total(late, float64(v.Late))
-	total(wrong, float64(v.Wrong))
-	total(policyTime, v.PolicyTime)
+	total(late, float64(v.LateAnswers))
+	total(wrong, float64(v.WrongAnswers))
+	total(policyTime, v.PolicySeconds)
 	total(policyCall, float64(v.PolicyCalls))
 	gauge(conns, float64(v.ClientConns), "clients")
-	gauge(conns, float64(v.UnitConns), "units")
-	gauge(inHand, float64(v.Hands))
-	gauge(units, float64(v.Units))
-	gauge(listAge, v.ListAge)
+	gauge(conns, float64(v.EndpointConns), "units")
+	gauge(inHand, float64(v.InFlight))
+	gauge(units, float64(v.Endpoints))
+	gauge(listAge, v.EndpointListAgeSeconds)
 	total(shedN, float64(v.Shed))
-	gauge(shedLevel, v.Level)
-	gauge(ownLag, v.Lag)
-	gauge(ownQueue, v.Self.Queue)
-	gauge(ownCPU, v.Self.CPU)
-	gauge(ownGC, v.Self.GC)
-	gauge(memUsed, float64(v.Memory))
-	gauge(memPeak, float64(v.MemoryPeak))
-	total(memPaused, float64(v.Paused))
+	gauge(shedLevel, v.ShedShare)
+	gauge(ownLag, v.TimerDelaySeconds)
+	gauge(ownQueue, v.Process.SchedulerDelaySeconds)
+	gauge(ownCPU, v.Process.CPUShare)
+	gauge(ownGC, v.Process.GCShare)
+	gauge(memUsed, float64(v.MemoryBytes))
+	gauge(memPeak, float64(v.MemoryPeakBytes))
+	total(memPaused, float64(v.ReadsPaused))
 	total(memRefused, float64(v.MemoryRefused))
-	if drops, ok := processstats.Overflows(); ok {
+	if drops, ok := processstats.AcceptQueueOverflows(); ok {
 		total(overflows, float64(drops))
 	}
 	if n.end == nil {
 		return
 	}
-	l := n.end.Numbers()
+	l := n.end.Stats()
 	gauge(planEpoch, float64(l.Epoch))
-	gauge(viewAge, l.Age)
-	total(links, float64(l.Links))
-	total(dropped, float64(l.Dropped))
-	for r := lease.Taken + 1; int(r) < lease.Reasons; r++ {
+	gauge(viewAge, l.AssignmentAgeSeconds)
+	total(links, float64(l.Connects))
+	total(dropped, float64(l.ReportsDropped))
+	for r := lease.Accepted + 1; int(r) < lease.ReasonCount; r++ {
 		total(viewsBad, float64(l.Refused[r]), r.String())
 	}
 }
 
 // bounds gives a histogram's buckets so that every service target and command timeout is a bound: what was in time is read
 // off, not interpolated.
-func bounds(ops []config.OpType) (at []float64) {
+func bounds(ops []config.RequestClass) (at []float64) {
 	for _, op := range ops {
 		for _, part := range []float64{0.125, 0.25, 0.5, 0.75, 1} {
 			at = append(at, part*op.Target)
@@ -126,15 +126,15 @@
 }
 
 // timed makes the histogram of answers, and has the relay fill it.
-func (e *Edge) timed() *prometheus.HistogramVec {
+func (e *Router) timed() *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "flintedge_answer_seconds",
-		Help: "Time from a command's coming to its final answer.", Buckets: bounds(e.set.OpTypes)}, []string{"op", "answer"})
-	e.relay.Answered = func(op, kind string, secs float64) { h.WithLabelValues(op, kind).Observe(secs) }
+		Help: "Time from a command's coming to its final answer.", Buckets: bounds(e.set.Classes)}, []string{"op", "answer"})
+	e.relay.OnFinalAnswer = func(op, kind string, secs float64) { h.WithLabelValues(op, kind).Observe(secs) }
 	return h
 }
 
 // admin serves the numbers.
-func (e *Edge) admin(answers *prometheus.HistogramVec) http.Handler {
+func (e *Router) admin(answers *prometheus.HistogramVec) http.Handler {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(numbers{e.relay, e.end}, answers)
 	mux := http.NewServeMux()
--- a/internal/router/versions.go
+++ b/internal/router/versions.go
@@ -15,16 +15,16 @@
 
 // versions follows a control service: its documents are the settings' versions, its endpoint assignments the list.
 type versions struct {
-	e     *Edge
+	e     *Router
 	store *revisions.Store
 	mu    sync.Mutex // orders what several services send
 }
 
 // openVersions opens the history and puts the last version that was in force in force again.
-func (e *Edge) openVersions() (vs *versions, err error) {
+func (e *Router) openVersions() (vs *versions, err error) {
 	vs = &versions{e: e}
 	vs.store, err = revisions.Resume(e.set.StateDir, e.log, func(v *configstate.Version) error {
-		_, err := e.relay.Offer(v) // what it belonged with came before; it needs nothing now
+		_, err := e.relay.OfferConfig(v) // what it belonged with came before; it needs nothing now
 		return err
 	})
 	return vs, err
@@ -38,10 +38,10 @@
 
 // list takes a list, unless it is older than the one there, or as old and different: it was overtaken, the service went back,
 // or two services disagree.
-func (vs *versions) list(line *endpoints.Line) error {
+func (vs *versions) list(line *endpoints.Update) error {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
-	if err := vs.e.list.Older(line); err != nil {
+	if err := vs.e.list.CheckNewer(line); err != nil {
 		return err
 	}
 	return vs.e.takeList(line)
@@ -51,8 +51,8 @@
 func (vs *versions) take(v *configstate.Version) (configstate.Outcome, error) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
-	before := vs.e.relay.Version().No
-	o, err := vs.e.relay.Offer(v)
+	before := vs.e.relay.ConfigVersion().Number
+	o, err := vs.e.relay.OfferConfig(v)
 	if err == nil && o == configstate.Applied {
 		vs.note(v, before)
 	}
@@ -62,26 +62,26 @@
 func (vs *versions) look(mine *configstate.Version) (configstate.Outcome, error) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
-	before := vs.e.relay.Version().No
-	v, o, err := vs.e.relay.Look()
+	before := vs.e.relay.ConfigVersion().Number
+	v, o, err := vs.e.relay.RecheckConfig()
 	if err == nil && v != nil && o == configstate.Applied {
 		vs.note(v, before)
 	}
 	switch {
 	case v == mine:
 		return o, err
-	case vs.e.relay.Version().No == mine.No:
+	case vs.e.relay.ConfigVersion().Number == mine.Number:
 		return configstate.Applied, nil
 	}
-	return configstate.TurnedDown, fmt.Errorf("overtaken by another version while it waited")
+	return configstate.Rejected, fmt.Errorf("overtaken by another version while it waited")
 }
 
 func (vs *versions) note(v *configstate.Version, before uint64) {
-	err := vs.store.Add(revisions.Entry{No: v.No, Parent: before, Since: wall(), Sum: v.Sum, Needs: v.Needs, Text: string(v.Text)})
+	err := vs.store.Add(revisions.Entry{No: v.Number, Parent: before, Since: wall(), Sum: v.Hash, Needs: v.RequiredListVersion, Text: string(v.Text)})
 	if err != nil { // it serves on; a restart would go on the one before
-		vs.e.log.Error("version of the settings not saved", "version", v.No, "error", err)
+		vs.e.log.Error("version of the settings not saved", "version", v.Number, "error", err)
 	}
-	vs.e.log.Info("settings in force", "version", v.No, "before", before)
+	vs.e.log.Info("settings in force", "version", v.Number, "before", before)
 }
 
 // led is an edge's part in the versions that its planner leads it to. The link's goroutine alone enters views; digests read
@@ -100,7 +100,7 @@
 func (l *led) say(d *linkpb.Digest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d.ConfigNo = l.vs.e.relay.Version().No
+	d.ConfigNo = l.vs.e.relay.ConfigVersion().Number
 	d.ConfigFits, d.ConfigRefused, d.ConfigReason = l.fits, l.refused, l.reason
 }
 
@@ -109,7 +109,7 @@
 func (l *led) view(v *linkpb.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if v.ConfigTextNo > 0 && (l.have == nil || l.have.No != v.ConfigTextNo || !bytes.Equal(l.have.Text, v.ConfigText)) {
+	if v.ConfigTextNo > 0 && (l.have == nil || l.have.Number != v.ConfigTextNo || !bytes.Equal(l.have.Text, v.ConfigText)) {
 		got, err := configstate.Read(v.ConfigTextNo, v.ConfigText)
 		if err != nil {
 			l.refused, l.reason = v.ConfigTextNo, err.Error()
@@ -119,15 +119,15 @@
 	}
 	switch h := l.have; {
 	case h == nil:
-	case h.No == v.ConfigNo && h.No != l.vs.e.relay.Version().No:
+	case h.Number == v.ConfigNo && h.Number != l.vs.e.relay.ConfigVersion().Number:
 		if _, err := l.vs.take(h); err != nil {
-			l.refused, l.reason = h.No, err.Error()
+			l.refused, l.reason = h.Number, err.Error()
 		}
-	case h.No == v.ConfigNext:
-		if _, err := l.vs.e.relay.Fits(h); err != nil {
-			l.refused, l.reason = h.No, err.Error()
+	case h.Number == v.ConfigNext:
+		if _, err := l.vs.e.relay.CheckConfig(h); err != nil {
+			l.refused, l.reason = h.Number, err.Error()
 		} else {
-			l.fits = h.No
+			l.fits = h.Number
 		}
 	}
 }
--- a/internal/router/versions_test.go
+++ b/internal/router/versions_test.go
@@ -34,7 +34,7 @@
 	control *fakes.Control
 	dir     string
 	listen  string
-	unit    endpoints.Unit
+	unit    endpoints.Endpoint
 	address string
 	tls     string
 	creds   credentials.TransportCredentials
@@ -65,7 +65,7 @@
 		io.WriteString(w, "ok")
 	}))
 	t.Cleanup(unit.Close)
-	h.unit = endpoints.Unit{ID: 1, Addr: strings.TrimPrefix(unit.URL, "http://"), State: "ready", Build: 1}
+	h.unit = endpoints.Endpoint{ID: 1, Addr: strings.TrimPrefix(unit.URL, "http://"), State: "ready", Build: 1}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,12 +75,12 @@
 	o := testca.New(t, "hall")
 	ends := time.Now().Add(time.Hour)
 	cert, key := o.Issue("control", "control.example.org", ends)
-	creds, err := controlrpc.Creds(&config.Link{Cert: cert, Key: key, CA: o.CA(), Peer: "edge.example.org"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	creds, err := controlrpc.Credentials(&config.Link{Cert: cert, Key: key, CA: o.CAFile(), Peer: "edge.example.org"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cert, key = o.Issue("edge", "edge.example.org", ends)
-	h.tls = fmt.Sprintf(":cert %q :key %q :ca %q :peer \"control.example.org\"", cert, key, o.CA())
+	h.tls = fmt.Sprintf(":cert %q :key %q :ca %q :peer \"control.example.org\"", cert, key, o.CAFile())
 	h.creds = creds
 	h.control = fakes.StartControl(l, creds)
 	t.Cleanup(func() { h.control.Stop() })
@@ -117,7 +117,7 @@
  :sources {:installer %q :silence 5.0 :back-least 0.01 :back-most 0.05}
  :control {:addresses [%s] :silence 1.0 :back-least 0.01 :back-most 0.05 :patience 0.4 :most-bytes 1000000 %s}
  %s`, h.listen, freeAddr(h.t), h.dir, installer.URL, h.address, h.tls, h.text[1:])
-	set, err := config.ParseEdge("edge.edn", []byte(file))
+	set, err := config.ParseRouter("edge.edn", []byte(file))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	h := newHall(t)
 	c := h.control
 	units := func(version uint64) *discovery.DiscoveryResponse {
-		return fakes.UnitsResponse("r1", version, []endpoints.Unit{h.unit})
+		return fakes.UnitsResponse("r1", version, []endpoints.Endpoint{h.unit})
 	}
 	doc := func(n, needs uint64, text string) *discovery.DiscoveryResponse {
 		return fakes.DocumentResponse("r1", n, needs, text)
@@ -215,22 +215,22 @@
 	good := doc(2, 0, h.doc(2))
 	good.Nonce = "same"
 	h.after(func() { c.Send(good) })
-	h.after(func() { c.Send(good) })                                                           // the same nonce twice
-	h.after(func() { c.Send(doc(2, 0, h.doc(2))) })                                            // resent: the acknowledgement was lost
-	h.after(func() { c.Send(doc(2, 0, h.doc(3))) })                                            // the same number, another text
-	h.after(func() { c.Send(doc(1, 0, h.doc(1))) })                                            // an old one replayed
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })        // breaks the trial cap
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":grace         1.0", ":grace 9.0"))) })        // unkeepable
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":group :all", ":group :cell"))) })             // a group that no unit belongs to
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":connections 10000", ":connections 1"))) })    // under what is open
-	h.after(func() { c.Send(doc(3, 0, strings.Replace(h.doc(3), "]}", "", 1))) })              // cut off
-	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":window        4.0", ":widow 4.0"))) })        // unknown key
-	h.after(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, h.doc(3))) })                   // for another relay
-	h.after(func() { c.Send(units(4)) })                                                       // an older list
-	h.after(func() { r := units(6); r.VersionInfo = "six"; c.Send(r) })                        // a version that is no number
-	h.after(func() { c.Send(fakes.UnitsResponse("r1", 6, []endpoints.Unit{h.unit, h.unit})) }) // a unit twice
-	h.after(func() { c.Send(doc(4, 7, h.doc(4))) })                                            // belongs with a list that does not come
-	h.after(func() { c.Send(doc(5, 7, h.doc(5))); c.Send(units(7)) })                          // and with one that does
+	h.after(func() { c.Send(good) })                                                               // the same nonce twice
+	h.after(func() { c.Send(doc(2, 0, h.doc(2))) })                                                // resent: the acknowledgement was lost
+	h.after(func() { c.Send(doc(2, 0, h.doc(3))) })                                                // the same number, another text
+	h.after(func() { c.Send(doc(1, 0, h.doc(1))) })                                                // an old one replayed
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })            // breaks the trial cap
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":grace         1.0", ":grace 9.0"))) })            // unkeepable
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":group :all", ":group :cell"))) })                 // a group that no unit belongs to
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":connections 10000", ":connections 1"))) })        // under what is open
+	h.after(func() { c.Send(doc(3, 0, strings.Replace(h.doc(3), "]}", "", 1))) })                  // cut off
+	h.after(func() { c.Send(doc(3, 0, h.doc(3, ":window        4.0", ":widow 4.0"))) })            // unknown key
+	h.after(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, h.doc(3))) })                       // for another relay
+	h.after(func() { c.Send(units(4)) })                                                           // an older list
+	h.after(func() { r := units(6); r.VersionInfo = "six"; c.Send(r) })                            // a version that is no number
+	h.after(func() { c.Send(fakes.UnitsResponse("r1", 6, []endpoints.Endpoint{h.unit, h.unit})) }) // a unit twice
+	h.after(func() { c.Send(doc(4, 7, h.doc(4))) })                                                // belongs with a list that does not come
+	h.after(func() { c.Send(doc(5, 7, h.doc(5))); c.Send(units(7)) })                              // and with one that does
 	h.soon("both", func() bool { return strings.Contains(strings.Join(c.Log(), "\n"), `"v5"`) })
 	serves(5)
 	h.after(func() { c.Set(units(7)) })
@@ -282,7 +282,7 @@
 	stop := h.run()
 	defer stop()
 	h.soon("the stream", func() bool { return len(c.Log()) == 2 })
-	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Unit{h.unit})) })
+	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Endpoint{h.unit})) })
 	h.after(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, h.doc(1))) })
 	got := make(chan string)
 	go func() { got <- h.ask("/chute/1", "X-Take", "250ms", "Flint-Time", "0.7") }()
@@ -309,11 +309,11 @@
 	stop := h.run()
 	defer stop()
 	h.soon("the stream", func() bool { return len(c.Log()) == 2 })
-	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Unit{h.unit})) })
+	h.after(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Endpoint{h.unit})) })
 	h.after(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, h.doc(1))) })
-	var many []endpoints.Unit
+	var many []endpoints.Endpoint
 	for id := range uint32(30000) {
-		many = append(many, endpoints.Unit{ID: id + 1, Addr: "127.0.0.1:9", State: "ready"})
+		many = append(many, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:9", State: "ready"})
 	}
 	for i, r := range []*discovery.DiscoveryResponse{fakes.DocumentResponse("r1", 2, 0, h.doc(2)+strings.Repeat(" ", 1100000)), fakes.UnitsResponse("r1", 2, many)} {
 		c.Send(r)
@@ -349,9 +349,9 @@
 		r    *discovery.DiscoveryResponse
 		want string
 	}{
-		{a, fakes.UnitsResponse("r1", 5, []endpoints.Unit{h.unit}), "ACK"},
-		{b, fakes.UnitsResponse("r1", 5, []endpoints.Unit{h.unit}), "ACK"},
-		{b, fakes.UnitsResponse("r1", 5, []endpoints.Unit{other}), "list version 5 is in force with other units: 1 differ"},
+		{a, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{h.unit}), "ACK"},
+		{b, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{h.unit}), "ACK"},
+		{b, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{other}), "list version 5 is in force with other units: 1 differ"},
 		{a, fakes.DocumentResponse("r1", 1, 0, h.doc(1)), "ACK"},
 		{b, fakes.DocumentResponse("r1", 1, 0, h.doc(2)), "version 1 is in force with another text"},
 		{b, fakes.DocumentResponse("r1", 2, 0, h.doc(2)), "ACK"},
--- a/internal/scenario/health.go
+++ b/internal/scenario/health.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	for range r.script.Queries.Servers {
-		q, err := fakes.StartQueries(r.clock)
+		q, err := fakes.StartQueryServer(r.clock)
 		if err != nil {
 			return err
 		}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -42,13 +42,13 @@
 	edges     processes
 	planners  processes
 	storm     *storm
-	queries   []*fakes.Queries
+	queries   []*fakes.QueryServer
 	control   string // address of list and installer
 	ctx       context.Context
 
 	mu     sync.Mutex
 	nextID uint32
-	units  map[uint32]*fakes.Unit
+	units  map[uint32]*fakes.Endpoint
 	errs   []error
 	timers sync.WaitGroup
 }
@@ -75,7 +75,7 @@
 }
 
 // StartUnit and StopUnit are the installer's hands.
-func (r *run) StartUnit(_, build int) (*fakes.Unit, error) {
+func (r *run) StartUnit(_, build int) (*fakes.Endpoint, error) {
 	r.mu.Lock()
 	r.nextID++
 	id := r.nextID
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	s, rules := r.script.Units, r.script.Rules
-	u, err := fakes.StartUnit(id, build, does, fakes.UnitShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.ColdFrom,
+	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.ColdFrom,
 		WarmUp: rules.WarmUp, FallFactor: rules.FallFactor, FallTime: rules.FallTime}, r.rec, r.clock)
 	if err == nil {
 		r.mu.Lock()
@@ -95,7 +95,7 @@
 	return u, err
 }
 
-func (r *run) StopUnit(u *fakes.Unit) {
+func (r *run) StopUnit(u *fakes.Endpoint) {
 	u.Stop()
 	r.mu.Lock()
 	delete(r.units, u.ID)
@@ -109,7 +109,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	r := &run{script: script, dir: dir, bin: bin, rec: invariants.NewRecord(), base: now, wall: float64(now.UnixNano()) / 1e9,
-		ctx: ctx, units: map[uint32]*fakes.Unit{}}
+		ctx: ctx, units: map[uint32]*fakes.Endpoint{}}
 	p, rel := script.Platform, script.Release
 	r.list = fakes.NewList(p.ListLag, r.rec, r.clock)
 	first := 1 << 30
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -64,7 +64,7 @@
 
 // OpType is one kind of command, as relays and clients know it.
 type OpType struct {
-	config.OpType
+	config.RequestClass
 	Share float64    `edn:"share" validate:"gt=0,lte=1"`
 	Work  [2]float64 `edn:"work"` // from, to
 }
@@ -109,13 +109,13 @@
 	}
 	for i, e := range s.Events {
 		if _, ok := kinds[e.Do]; !ok {
-			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :do", i), What: "unknown trouble :" + string(e.Do)}
+			return nil, &config.FieldError{File: name, Line: 1, Key: fmt.Sprintf(":events %d :do", i), What: "unknown trouble :" + string(e.Do)}
 		}
 		if _, ok := s.Builds[e.Build]; e.Do == "offer" && !ok {
-			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :build", i), What: "no such build"}
+			return nil, &config.FieldError{File: name, Line: 1, Key: fmt.Sprintf(":events %d :build", i), What: "no such build"}
 		}
 		if n := len(e.Relay); n > 0 && !strings.HasPrefix(e.Relay, "r") {
-			return nil, &config.Fault{File: name, Line: 1, Key: fmt.Sprintf(":events %d :relay", i), What: "relays are called r1, r2 and so on"}
+			return nil, &config.FieldError{File: name, Line: 1, Key: fmt.Sprintf(":events %d :relay", i), What: "relays are called r1, r2 and so on"}
 		}
 	}
 	return s, nil
--- a/internal/scenario/storm.go
+++ b/internal/scenario/storm.go
@@ -39,7 +39,7 @@
 		s.address[name], s.control[name] = l.Addr().String(), fakes.StartControl(l, insecure.NewCredentials())
 		s.control[name].Relay = name
 	}
-	r.list.Mirror(func(relay string, version uint64, units []endpoints.Unit) {
+	r.list.Mirror(func(relay string, version uint64, units []endpoints.Endpoint) {
 		if c := s.control[relay]; c != nil {
 			c.Set(fakes.UnitsResponse(relay, version+1, units))
 		}
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -13,26 +13,26 @@
 // kinds holds what each trouble does. It begins when called and ends by itself.
 var kinds = map[edn.Keyword]func(*run, Event){
 	"offer":           func(r *run, e Event) { r.installer.Offer(e.Build) },
-	"fast-errors":     ail(func(e Event, t *fakes.Trouble) { t.Errors = e.By }),
-	"slow":            ail(func(e Event, t *fakes.Trouble) { t.Slow = e.By }),
-	"all-slow":        whole(func(e Event, t *fakes.Trouble) { t.Slow = e.By }),
-	"closes":          ail(func(e Event, t *fakes.Trouble) { t.Closes = e.By }),
-	"few-connections": ail(func(e Event, t *fakes.Trouble) { t.Conns = int(e.By) }),
-	"slow-handshake":  ail(func(e Event, t *fakes.Trouble) { t.Handshake = e.By }),
-	"heavy-tail":      whole(func(e Event, t *fakes.Trouble) { t.Tail = e.By }),
-	"one-sided":       ail(func(e Event, t *fakes.Trouble) { t.Silent, t.From = true, e.Relay }),
-	"probes-fail":     ail(func(_ Event, t *fakes.Trouble) { t.Probes = true }),
-	"answers-wrong":   ail(func(e Event, t *fakes.Trouble) { t.Wrong = e.By }),
+	"fast-errors":     ail(func(e Event, t *fakes.EndpointFault) { t.Errors = e.By }),
+	"slow":            ail(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By }),
+	"all-slow":        whole(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By }),
+	"closes":          ail(func(e Event, t *fakes.EndpointFault) { t.Closes = e.By }),
+	"few-connections": ail(func(e Event, t *fakes.EndpointFault) { t.Conns = int(e.By) }),
+	"slow-handshake":  ail(func(e Event, t *fakes.EndpointFault) { t.Handshake = e.By }),
+	"heavy-tail":      whole(func(e Event, t *fakes.EndpointFault) { t.Tail = e.By }),
+	"one-sided":       ail(func(e Event, t *fakes.EndpointFault) { t.Silent, t.From = true, e.Relay }),
+	"probes-fail":     ail(func(_ Event, t *fakes.EndpointFault) { t.Probes = true }),
+	"answers-wrong":   ail(func(e Event, t *fakes.EndpointFault) { t.Wrong = e.By }),
 	"query-server":    (*run).queryServer,
 	"neighbour": func(r *run, e Event) { // a second on, a second off
 		for at := 0.0; at < e.For; at += 2 {
 			r.after(at, func() {
-				ail(func(e Event, t *fakes.Trouble) { t.Slow = e.By })(r, Event{Part: e.Part, By: e.By, For: min(1, e.For-at)})
+				ail(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By })(r, Event{Part: e.Part, By: e.By, For: min(1, e.For-at)})
 			})
 		}
 	},
 	"silent": func(r *run, e Event) { // and come back as new processes
-		ail(func(_ Event, t *fakes.Trouble) { t.Silent = true })(r, e)
+		ail(func(_ Event, t *fakes.EndpointFault) { t.Silent = true })(r, e)
 		places := r.some(e.Part)
 		r.after(e.For, func() {
 			for _, p := range places {
@@ -107,20 +107,20 @@
 }
 
 // ail gives a part of the units a trouble for a while.
-func ail(what func(Event, *fakes.Trouble)) func(*run, Event) {
+func ail(what func(Event, *fakes.EndpointFault)) func(*run, Event) {
 	return func(r *run, e Event) {
-		var t fakes.Trouble
+		var t fakes.EndpointFault
 		what(e, &t)
 		units := r.installer.Units()
 		for _, p := range r.some(e.Part) {
 			u := units[p]
-			u.Ail(t)
-			r.after(e.For, func() { u.Ail(fakes.Trouble{}) })
+			u.InjectFault(t)
+			r.after(e.For, func() { u.InjectFault(fakes.EndpointFault{}) })
 		}
 	}
 }
 
-func whole(what func(Event, *fakes.Trouble)) func(*run, Event) {
+func whole(what func(Event, *fakes.EndpointFault)) func(*run, Event) {
 	return func(r *run, e Event) {
 		e.Part = 1
 		ail(what)(r, e)
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -47,7 +47,7 @@
 type due struct {
 	at  float64
 	seq uint64
-	cmd *policy.Command
+	cmd *policy.Request
 }
 
 type dues []due
@@ -69,7 +69,7 @@
 	id       uint32
 	b        *policy.Balancer
 	ops      int
-	cmds     map[uint32]*policy.Command
+	cmds     map[uint32]*policy.Request
 	dues     dues
 	seq      uint64
 	dueAt    float64 // the moment of the due timer that is set, 0 if none
@@ -161,24 +161,24 @@
 		return h.command(x, rec)
 	case streaming:
 		if c := x.cmds[rec.u32(5)]; c != nil {
-			c.Begun = true
+			c.Streaming = true
 		}
 	case outcome:
 		return h.ended(x, rec)
 	case vanished:
 		if c := x.cmds[rec.u32(5)]; c != nil {
-			c.Ended = true
+			c.Completed = true
 			h.apply(x, c, x.b.Pick(h.now, c))
 		}
 	case elapsed:
 		h.timer(x, rec.u64(5))
 	case promotion:
-		if phase := rec.u8(8); phase > uint8(policy.Withdrawn) {
+		if phase := rec.u8(8); phase > uint8(policy.PhaseWithdrawn) {
 			return fmt.Errorf("unknown phase %d", phase)
 		}
 		h.promotion(x, rec)
 	case contested:
-		x.b.Flagged(h.now, rec.u32(5), rec.secs(10))
+		x.b.ReportWrongAnswer(h.now, rec.u32(5), rec.secs(10))
 	}
 	x.setTimer(h)
 	return nil
@@ -189,12 +189,12 @@
 	if err != nil {
 		return err
 	}
-	t, err := policyconfig.Read(policyconfig.Lines(string(text)))
+	t, err := policyconfig.Decode(policyconfig.ParseLines(string(text)))
 	if err != nil {
 		return err
 	}
-	x := &instance{id: id, b: policy.New(t, rec.u64(5), h.now), ops: len(t.Ops),
-		cmds: map[uint32]*policy.Command{}}
+	x := &instance{id: id, b: policy.New(t, rec.u64(5), h.now), ops: len(t.Classes),
+		cmds: map[uint32]*policy.Request{}}
 	h.instances[id] = x
 	h.turn(x)
 	return nil
@@ -206,14 +206,14 @@
 		return fmt.Errorf("unknown list kind %d", kind)
 	}
 	if kind == 3 {
-		x.b.ListFailed()
+		x.b.EndpointListFailed()
 		return nil
 	}
 	n := rec.u16(10)
 	if int(n) >= len(h.tables) {
 		return fmt.Errorf("table number %d", n)
 	}
-	x.b.ListStart(kind != 0)
+	x.b.BeginEndpointList(kind != 0)
 	for entries := h.tables[n]; len(entries) > 0; entries = entries[entryLen:] {
 		e := record(entries)
 		state := policy.Ready
@@ -226,9 +226,9 @@
 		default:
 			return fmt.Errorf("unknown unit state %d", s)
 		}
-		x.b.Listed(e.u32(0), e.u16(4), e.u16(12), int(e.f32(8)), state, e.f32(15), e.secs(19))
+		x.b.UpdateEndpoint(e.u32(0), e.u16(4), e.u16(12), int(e.f32(8)), state, e.f32(15), e.secs(19))
 	}
-	x.b.ListEnd(h.now)
+	x.b.EndEndpointList(h.now)
 	return nil
 }
 
@@ -237,8 +237,8 @@
 	if op >= x.ops {
 		return fmt.Errorf("unknown class %d", op)
 	}
-	c := &policy.Command{ID: rec.u32(5), Op: op, Key: rec.u64(18), Came: h.now, Due: h.now + rec.secs(9),
-		Repeat: bits&2 != 0}
+	c := &policy.Request{ID: rec.u32(5), Class: op, Key: rec.u64(18), ReceivedAt: h.now, Deadline: h.now + rec.secs(9),
+		ClientRetry: bits&2 != 0}
 	if bits&1 != 0 {
 		c.Work = rec.secs(31)
 	}
@@ -250,11 +250,11 @@
 
 // results holds the wire's outcomes in the policy's words, and whether one may have run.
 var results = []struct {
-	r     policy.Result
+	r     policy.Outcome
 	maybe bool
 }{
-	{policy.Errored, true}, {policy.Acked, true}, {policy.Full, false}, {policy.TimedOut, true},
-	{policy.Unconnected, false}, {policy.Broken, true}, {policy.Cancelled, true}, {policy.Unsent, false},
+	{policy.ServerError, true}, {policy.Succeeded, true}, {policy.Overloaded, false}, {policy.TimedOut, true},
+	{policy.NotConnected, false}, {policy.ConnectionLost, true}, {policy.Cancelled, true}, {policy.NotSent, false},
 }
 
 func (h *host) ended(x *instance, rec record) error {
@@ -263,13 +263,13 @@
 		return fmt.Errorf("unknown outcome %d", verdict)
 	}
 	c, try := x.cmds[rec.u32(5)], int(rec.u16(9))
-	if c == nil || try >= len(c.Sent) || !c.Sent[try].Out {
+	if c == nil || try >= len(c.Attempts) || !c.Attempts[try].InFlight {
 		return nil
 	}
-	d, was := &c.Sent[try], results[verdict]
-	d.Out, d.Maybe = false, was.maybe
-	c.Ended = c.Ended || rec.u8(25) != 0
-	h.apply(x, c, x.b.After(h.now, c, d.Unit, was.r, rec.secs(17)))
+	d, was := &c.Attempts[try], results[verdict]
+	d.InFlight, d.MayHaveRun = false, was.maybe
+	c.Completed = c.Completed || rec.u8(25) != 0
+	h.apply(x, c, x.b.OnAttemptDone(h.now, c, d.Endpoint, was.r, rec.secs(17)))
 	x.setTimer(h)
 	return nil
 }
@@ -285,7 +285,7 @@
 	x.dueAt = 0
 	for n := len(x.dues); n > 0 && len(x.dues) > 0 && x.dues[0].at <= h.now+1e-9; n-- {
 		c := heap.Pop(&x.dues).(due).cmd
-		if !c.Ended {
+		if !c.Completed {
 			h.apply(x, c, x.b.Pick(h.now, c))
 		}
 	}
@@ -296,59 +296,59 @@
 	if rec.u8(9) == 1 {
 		switch verdict {
 		case 1:
-			x.b.VoteAnswered(h.now, policy.Counted)
+			x.b.OnVoteReply(h.now, policy.VoteCounted)
 		case 7:
-			x.b.VoteAnswered(h.now, policy.Moot)
+			x.b.OnVoteReply(h.now, policy.VoteMoot)
 		case 3:
-			x.b.VoteAnswered(h.now, policy.Unknown)
+			x.b.OnVoteReply(h.now, policy.VoteUnknown)
 		default:
-			x.b.VoteAnswered(h.now, policy.Refused)
+			x.b.OnVoteReply(h.now, policy.VoteRefused)
 		}
 	}
 	if verdict == 1 {
-		x.b.Stage(h.now, int(rec.u16(5)), int(rec.u8(7)), policy.Phase(rec.u8(8)), rec.f32(12), rec.secs(16))
+		x.b.ApplyRelease(h.now, int(rec.u16(5)), int(rec.u8(7)), policy.Phase(rec.u8(8)), rec.f32(12), rec.secs(16))
 	}
 }
 
 func (h *host) turn(x *instance) {
-	t := x.b.Wait(h.now)
-	if t.Subscribe {
+	t := x.b.TickController(h.now)
+	if t.SubscribeToEndpoints {
 		h.out.add(streamChanges, x.id)[5] = 1
 	}
-	if t.Vote {
+	if t.CastVote {
 		v := h.out.add(ruling, x.id)
 		v.put16(5, uint16(t.Build))
 		v[7], v[8] = uint8(t.Stage), uint8(t.Verdict)
 	}
 	r := h.out.add(remind, x.id)
-	r.putMS(5, t.In)
+	r.putMS(5, t.NextTickSeconds)
 	r.put64(13, turnMark)
 }
 
-func (h *host) apply(x *instance, c *policy.Command, s policy.Step) {
-	switch s.Do {
+func (h *host) apply(x *instance, c *policy.Request, s policy.Decision) {
+	switch s.Action {
 	case policy.Send:
 		a := h.out.add(route, x.id)
 		a.put32(5, c.ID)
-		a.put32(9, s.Unit)
-		a.putMS(13, s.Until)
-		c.Sent = append(c.Sent, policy.Delivery{Unit: s.Unit, At: h.now, Out: true})
-	case policy.Nack:
+		a.put32(9, s.Endpoint)
+		a.putMS(13, s.AttemptDeadline)
+		c.Attempts = append(c.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: h.now, InFlight: true})
+	case policy.Reject:
 		a := h.out.add(bounce, x.id)
 		a.put32(5, c.ID)
-		a.putMS(9, s.Pause)
-		c.Ended = true
+		a.putMS(9, s.RetryAfterSeconds)
+		c.Completed = true
 	case policy.Fail:
 		h.out.add(lose, x.id).put32(5, c.ID)
-		c.Ended = true
+		c.Completed = true
 	}
-	if s.Again > 0 && s.Again < c.Due && !c.Ended {
+	if s.PickAgainAt > 0 && s.PickAgainAt < c.Deadline && !c.Completed {
 		x.seq++
-		heap.Push(&x.dues, due{s.Again, x.seq, c})
+		heap.Push(&x.dues, due{s.PickAgainAt, x.seq, c})
 	}
-	if s.Recall {
-		for i, d := range c.Sent {
-			if d.Out {
+	if s.CancelInFlight {
+		for i, d := range c.Attempts {
+			if d.InFlight {
 				a := h.out.add(recall, x.id)
 				a.put32(5, c.ID)
 				a.put16(9, uint16(i))
@@ -359,12 +359,12 @@
 }
 
 // forget drops a command that has ended and of which nothing is out.
-func (x *instance) forget(c *policy.Command) {
-	if !c.Ended {
+func (x *instance) forget(c *policy.Request) {
+	if !c.Completed {
 		return
 	}
-	for _, d := range c.Sent {
-		if d.Out {
+	for _, d := range c.Attempts {
+		if d.InFlight {
 			return
 		}
 	}
@@ -373,7 +373,7 @@
 
 // setTimer asks for the earliest due time, unless a timer for it or an earlier one is set.
 func (x *instance) setTimer(h *host) {
-	for len(x.dues) > 0 && x.dues[0].cmd.Ended {
+	for len(x.dues) > 0 && x.dues[0].cmd.Completed {
 		heap.Pop(&x.dues)
 	}
 	if len(x.dues) == 0 || x.dueAt > 0 && x.dueAt <= x.dues[0].at {
--- a/internal/watch/stream.go
+++ b/internal/watch/stream.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Pause is how long to wait before try number n (0 the first) at a service that may be coming back to many clients at
+// Backoff is how long to wait before try number n (0 the first) at a service that may be coming back to many clients at
 // once: twice as long each time up to most, of which a random half is taken away. chance is from 0 to 1.
-func Pause(n int, least, most, chance float64) float64 {
+func Backoff(n int, least, most, chance float64) float64 {
 	full := most
 	if n < 40 {
 		full = min(most, least*float64(uint64(1)<<n))
@@ -28,15 +28,15 @@
 
 // Source is where a stream comes from.
 type Source struct {
-	URL         string
-	Silence     float64 // s without a byte after which the stream is taken for broken
-	Opening     float64 // s within which the service must begin to answer, 0: as Silence
-	Object      int64   // bytes of one object at most, 0: 64 MiB
-	Least, Most float64 // s of pause before coming back
-	Log         *slog.Logger
-	Client      *http.Client  // without a time-out of its own
-	Next        func() string // optional: the URL of the next try, in place of URL
-	Alive       func()        // optional: told of each heartbeat between objects, which says that nothing changed
+	URL                                  string
+	SilenceSeconds                       float64 // s without a byte after which the stream is taken for broken
+	OpenSeconds                          float64 // s within which the service must begin to answer, 0: as Silence
+	MaxObjectBytes                       int64   // bytes of one object at most, 0: 64 MiB
+	BackoffMinSeconds, BackoffMaxSeconds float64 // s of pause before coming back
+	Log                                  *slog.Logger
+	Client                               *http.Client  // without a time-out of its own
+	NextURL                              func() string // optional: the URL of the next try, in place of URL
+	OnHeartbeat                          func()        // optional: told of each heartbeat between objects, which says that nothing changed
 }
 
 // Follow gives each object to take until ctx ends, however it is laid out in lines and pieces. One that can't be read, or that take
@@ -44,8 +44,8 @@
 // had objects breaks.
 func Follow[T any](ctx context.Context, s Source, take func(*T) error, lost func()) {
 	for n := 0; ctx.Err() == nil; n++ {
-		if s.Next != nil {
-			s.URL = s.Next()
+		if s.NextURL != nil {
+			s.URL = s.NextURL()
 		}
 		objects, err := once(ctx, s, take)
 		if ctx.Err() != nil {
@@ -55,7 +55,7 @@
 			n = 0
 			lost()
 		}
-		wait := Pause(n, s.Least, s.Most, rand.Float64())
+		wait := Backoff(n, s.BackoffMinSeconds, s.BackoffMaxSeconds, rand.Float64())
 		s.Log.Warn("stream broke", "url", s.URL, "objects", objects, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
@@ -68,19 +68,19 @@
 func once[T any](ctx context.Context, s Source, take func(*T) error) (objects int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if s.Opening == 0 {
-		s.Opening = s.Silence
+	if s.OpenSeconds == 0 {
+		s.OpenSeconds = s.SilenceSeconds
 	}
-	if s.Object == 0 {
-		s.Object = mostObject
+	if s.MaxObjectBytes == 0 {
+		s.MaxObjectBytes = mostObject
 	}
 	span := func(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
-	allowed := s.Opening
+	allowed := s.OpenSeconds
 	quiet := time.AfterFunc(span(allowed), func() { cancel(fmt.Errorf("silent for %g s", allowed)) })
 	defer quiet.Stop()
 	heard := func() {
 		if quiet.Stop() { // else it has cancelled, and the next reading tells
-			allowed = s.Silence
+			allowed = s.SilenceSeconds
 			quiet.Reset(span(allowed))
 		}
 	}
@@ -103,7 +103,7 @@
 		return 0, errors.New(resp.Status)
 	}
 	heard()
-	in := &pulse{from: resp.Body, heard: heard, alive: s.Alive, most: s.Object}
+	in := &pulse{from: resp.Body, heard: heard, alive: s.OnHeartbeat, most: s.MaxObjectBytes}
 	for dec := json.NewDecoder(in); ; objects++ {
 		object := new(T)
 		if err := dec.Decode(object); err == io.EOF {
--- a/internal/watch/stream_test.go
+++ b/internal/watch/stream_test.go
@@ -18,7 +18,7 @@
 
 func Example_pause() {
 	for _, n := range []int{0, 1, 2, 5, 39, 40, 1 << 40} {
-		fmt.Printf("%.2f to %.2f\n", Pause(n, 0.1, 5, 1), Pause(n, 0.1, 5, 0))
+		fmt.Printf("%.2f to %.2f\n", Backoff(n, 0.1, 5, 1), Backoff(n, 0.1, 5, 0))
 	}
 	// Output:
 	// 0.05 to 0.10
@@ -70,7 +70,7 @@
 	defer cancel()
 	var got []string
 	lost := 0
-	Follow(ctx, Source{URL: srv.URL, Silence: 0.3, Least: 0.001, Most: 0.002, Client: &http.Client{Transport: tr},
+	Follow(ctx, Source{URL: srv.URL, SilenceSeconds: 0.3, BackoffMinSeconds: 0.001, BackoffMaxSeconds: 0.002, Client: &http.Client{Transport: tr},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
 		func(l *line) error {
 			if l.N < 0 {
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var out strings.Builder
-	s := Source{URL: srv.URL, Silence: 0.3, Least: 0.001, Most: 0.002, Client: &http.Client{Transport: tr}, Log: slog.New(slog.NewTextHandler(&out, nil))}
+	s := Source{URL: srv.URL, SilenceSeconds: 0.3, BackoffMinSeconds: 0.001, BackoffMaxSeconds: 0.002, Client: &http.Client{Transport: tr}, Log: slog.New(slog.NewTextHandler(&out, nil))}
 	if edit != nil {
 		edit(&s)
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	beats := 0
-	got, log := follow(t, func(s *Source) { s.Opening, s.Alive = 0.2, func() { beats++ } },
+	got, log := follow(t, func(s *Source) { s.OpenSeconds, s.OnHeartbeat = 0.2, func() { beats++ } },
 		quiet(""), quiet("\n"), quiet("{\"n\":1}\n{\"n\":"), quiet("{\"n\":2}\n\n"), quiet("{\"n\":3,\n\n"))
 	if got != "1 2 9" || beats != 1 {
 		t.Errorf("%s, %d heartbeats", got, beats)
@@ -166,7 +166,7 @@
 // An object without end is refused before it fills the memory, and the log says so.
 func TestTooLarge(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	got, log := follow(t, func(s *Source) { s.Object = 1000 }, func(say func(string), gone <-chan struct{}) {
+	got, log := follow(t, func(s *Source) { s.MaxObjectBytes = 1000 }, func(say func(string), gone <-chan struct{}) {
 		for range 100 {
 			say("{\"n\":1}" + strings.Repeat(" ", 100) + "\n")
 		}
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -29,7 +29,7 @@
 	Silence     float64 // s after which the service is asked whether it lives
 	MostBytes   int     // of one response; a larger one breaks the stream before it is held
 	// List takes a list; Settings takes a version or says that it waits; a reason turns it down. Neither may wait.
-	List     func(*endpoints.Line) error
+	List     func(*endpoints.Update) error
 	Settings func(*configstate.Version) (configstate.Outcome, error)
 	// Look is asked for a version that waited, each time that a list was taken and every Beat seconds.
 	Look func(*configstate.Version) (configstate.Outcome, error)
@@ -54,7 +54,7 @@
 			n = 0
 		}
 		// Half of the pause is chance: a hundred relays that lost the service together come back apart.
-		wait := watch.Pause(n, c.Least, c.Most, rand.Float64())
+		wait := watch.Backoff(n, c.Least, c.Most, rand.Float64())
 		c.Log.Warn("control stream broke", "address", c.Address, "responses", came, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
@@ -117,7 +117,7 @@
 		if waits == nil {
 			continue
 		}
-		if o, err := c.Look(waits.v); o != configstate.Waits {
+		if o, err := c.Look(waits.v); o != configstate.Waiting {
 			r := waits.r
 			waits = nil
 			if err := c.answer(s, r, err); err != nil {
@@ -167,8 +167,8 @@
 		return c.answer(s, r, err)
 	}
 	o, err := c.Settings(v)
-	if o == configstate.Waits && err == nil {
-		c.Log.Info("settings wait for the list that they belong with", "version", v.No, "list", v.Needs)
+	if o == configstate.Waiting && err == nil {
+		c.Log.Info("settings wait for the list that they belong with", "version", v.Number, "list", v.RequiredListVersion)
 		*waits = &waiting{r, v}
 		return nil
 	}
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -36,6 +36,6 @@
 	if err != nil {
 		return nil, err
 	}
-	v.Needs = d.NeedsList
+	v.RequiredListVersion = d.NeedsList
 	return v, nil
 }
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -17,7 +17,7 @@
 
 // Taker is what takes lists and versions. Its calls come from several goroutines where several services are followed.
 type Taker struct {
-	List     func(*endpoints.Line) error
+	List     func(*endpoints.Update) error
 	Settings func(*configstate.Version) (configstate.Outcome, error)
 	Look     func(*configstate.Version) (configstate.Outcome, error)
 }
@@ -27,7 +27,7 @@
 	var creds credentials.TransportCredentials = insecure.NewCredentials()
 	if c.Cert != "" {
 		var err error
-		if creds, err = controlrpc.Creds(&config.Link{Cert: c.Cert, Key: c.Key, CA: c.CA, Peer: c.Peer}, log); err != nil {
+		if creds, err = controlrpc.Credentials(&config.Link{Cert: c.Cert, Key: c.Key, CA: c.CA, Peer: c.Peer}, log); err != nil {
 			return fmt.Errorf(":control: %w", err)
 		}
 	}
--- a/internal/xds/herd_test.go
+++ b/internal/xds/herd_test.go
@@ -30,7 +30,7 @@
 						if chance {
 							c = rnd.Float64()
 						}
-						at += watch.Pause(n, 0.1, 5, c)
+						at += watch.Backoff(n, 0.1, 5, c)
 					}
 					back = append(back, at-away)
 				}
--- a/internal/xds/return_test.go
+++ b/internal/xds/return_test.go
@@ -44,7 +44,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for i := range relays {
 		go xds.FollowAll(ctx, set, quiet, fmt.Sprint("relay-", i), "r1", 0.5, xds.Taker{
-			List: func(*endpoints.Line) error { return nil },
+			List: func(*endpoints.Update) error { return nil },
 			Settings: func(*configstate.Version) (configstate.Outcome, error) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/xds/units.go
+++ b/internal/xds/units.go
@@ -19,12 +19,12 @@
 // Units reads endpoint assignments as a full list. An endpoint's metadata under "flintspread" gives id and build, and may
 // give zone, cell and start; its health tells ready from draining, and one that is unhealthy or unknown to fail is left out,
 // which makes it gone.
-func Units(r *discovery.DiscoveryResponse) (*endpoints.Line, error) {
+func Units(r *discovery.DiscoveryResponse) (*endpoints.Update, error) {
 	version, err := number(r.VersionInfo)
 	if err != nil {
 		return nil, err
 	}
-	line := &endpoints.Line{Version: version, Full: true}
+	line := &endpoints.Update{Version: version, Full: true}
 	for i, any := range r.Resources {
 		var a endpoint.ClusterLoadAssignment
 		if any.TypeUrl != TypeUnits {
@@ -40,7 +40,7 @@
 					return nil, fmt.Errorf("cluster %q, endpoint %d: %w", a.ClusterName, j, err)
 				}
 				if u.State != "gone" {
-					line.Units = append(line.Units, u)
+					line.Endpoints = append(line.Endpoints, u)
 				}
 			}
 		}
@@ -48,7 +48,7 @@
 	return line, line.Check()
 }
 
-func unit(e *endpoint.LbEndpoint) (u endpoints.Unit, err error) {
+func unit(e *endpoint.LbEndpoint) (u endpoints.Endpoint, err error) {
 	addr := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if addr == nil {
 		return u, fmt.Errorf("no socket address")
@@ -63,7 +63,7 @@
 		u.State = "gone"
 	}
 	if w := e.GetLoadBalancingWeight(); w != nil {
-		u.Heft = float64(w.Value)
+		u.Weight = float64(w.Value)
 	}
 	fields := e.GetMetadata().GetFilterMetadata()[metadataKey].GetFields()
 	get := func(name string, most float64, must bool) float64 {
@@ -76,6 +76,6 @@
 	}
 	u.ID, u.Build = uint32(get("id", 1<<32-1, true)), int(get("build", 1<<16-1, true))
 	u.Zone, u.Cell = uint16(get("zone", 1<<16-1, false)), uint16(get("cell", 1<<16-1, false))
-	u.Start = get("start", 1e11, false)
+	u.StartedAt = get("start", 1e11, false)
 	return u, err
 }
