--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -99,7 +99,7 @@
 		finish(at)
 		f.now = at
 		if c, s := f.command(0); s.Action == Send {
-			u := f.b.byID[s.Endpoint]
+			u := f.b.endpointByID[s.Endpoint]
 			sent[u.build]++
 			r, took := outcome(u.id, u.build)
 			out = append(out, end{f.now + took, c, r})
--- a/internal/policy/life_test.go
+++ b/internal/policy/life_test.go
@@ -15,12 +15,12 @@
 		f.id++
 		c := &Request{ID: f.id, Key: key, ReceivedAt: f.now, Deadline: f.now + 0.8}
 		if s := f.pick(c); s.Action == Send {
-			build := f.b.byID[s.Endpoint].build
+			build := f.b.endpointByID[s.Endpoint].build
 			if build < builds[key] {
 				back++
 			}
 			builds[key] = max(builds[key], build)
-			trial += one(build == 8)
+			trial += boolToInt(build == 8)
 			f.answer(c, Succeeded)
 		}
 		f.now += 0.05
@@ -29,16 +29,16 @@
 		ask(i + 1)
 		f.b.TickController(f.now)
 	}
-	fmt.Println("on trial: kept", len(f.b.answered), "keys, trial deliveries above 0:", trial > 0)
+	fmt.Println("on trial: kept", len(f.b.buildByKey), "keys, trial deliveries above 0:", trial > 0)
 	for i := range uint64(400) {
 		ask(i + 1)
 	}
-	fmt.Println("asked again: kept", len(f.b.answered), "went back", back)
+	fmt.Println("asked again: kept", len(f.b.buildByKey), "went back", back)
 	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 	for i := range uint64(400) {
 		ask(1000 + i)
 	}
-	fmt.Println("released: room left:", len(f.b.answered) < 50, "every key at build", f.b.floor)
+	fmt.Println("released: room left:", len(f.b.buildByKey) < 50, "every key at build", f.b.keyFloorBuild)
 	for day := range uint32(100) {
 		f.list(true, machine{100 + day, 8, Ready, 0}, machine{101 + day, 8, Ready, 0})
 		for i := range uint64(100) {
@@ -46,9 +46,9 @@
 		}
 		f.b.TickController(f.now)
 	}
-	fmt.Println("after 100 changes: units", len(f.b.units), len(f.b.byID), "samples", len(f.b.samples), "went back", back)
+	fmt.Println("after 100 changes: units", len(f.b.endpoints), len(f.b.endpointByID), "samples", len(f.b.localCounts), "went back", back)
 	f.b.ApplyRelease(f.now, 8, 2, PhaseRollingBack, 0, 0)
-	fmt.Println("gone back: floor", f.b.floor)
+	fmt.Println("gone back: floor", f.b.keyFloorBuild)
 	// Output:
 	// on trial: kept 50 keys, trial deliveries above 0: true
 	// asked again: kept 50 went back 0
@@ -110,7 +110,7 @@
 			trial(f)
 		}
 	}
-	fmt.Println("an edge's vote:", names[edges[0].b.standing.verdict])
+	fmt.Println("an edge's vote:", names[edges[0].b.currentVote.verdict])
 	for i, f := range edges {
 		planner.b.ApplyReport([]string{"a", "b"}[i], f.b.LocalEvidence(f.now))
 	}
@@ -120,7 +120,7 @@
 	fmt.Println("the edge that follows sends the build nothing more:", trial(edges[0]))
 	planner.b.DropReport("a")
 	planner.b.DropReport("b")
-	fmt.Println("nothing heard any more:", len(planner.b.evidence()))
+	fmt.Println("nothing heard any more:", len(planner.b.counts()))
 	// Output:
 	// without a lease, of 100 commands at most 10: true
 	// lent the whole free part, 10 and 2 more: true
@@ -134,7 +134,7 @@
 func Example_recall() {
 	for _, ago := range []float64{2, 60} {
 		f := newFleet(func(t *Config) { t.HasController = true })
-		f.b = New(*f.b.t, 1, f.now)
+		f.b = New(*f.b.config, 1, f.now)
 		f.list(true, machine{4, 7, Ready, 0}, machine{5, 8, Ready, 50}, machine{6, 8, Ready, 50}, machine{7, 8, Ready, 50})
 		f.b.RestoreRelease(f.now, 8, 2, PhaseCanary, 1, 5, ago)
 		fmt.Println("news confirmed", ago, "s ago; most go to the trial build:", f.run(100, 4, fine)[8] > 50)
--- /dev/null
+++ b/internal/policy/outlier.go
@@ -0,0 +1,79 @@
+package policy
+
+// Passive health: endpoints are judged by the outcomes of attempts, and by what metrics say of them.
+const (
+	failureMemorySeconds = 4.0  // in which an endpoint's failures decay to 1/e
+	failureWeight        = 0.25 // weight of an outcome in the share of failures
+)
+
+// HealthMark is what metrics say of an endpoint, from 0 to 1: the share of its answers that is wrong, and how far it is degraded in
+// ways that attempts would show.
+type HealthMark struct {
+	Endpoint      uint32
+	WrongShare    float64
+	DegradedShare float64
+}
+
+// SetHealthMarks replaces all marks by those that were true age seconds ago.
+func (b *Balancer) SetHealthMarks(now, age float64, marks []HealthMark) {
+	for _, e := range b.endpoints {
+		e.wrongMark, e.degradedMark = decayingShare{}, decayingShare{}
+	}
+	for _, mark := range marks {
+		if e := b.endpointByID[mark.Endpoint]; e != nil {
+			e.wrongMark = decayingShare{mark.WrongShare, now - age}
+			e.degradedMark = decayingShare{mark.DegradedShare, now - age}
+		}
+	}
+}
+
+// outlierScore is how often an endpoint fails, from 0 to 1. A mark for wrong answers counts in full, for no attempt shows those. A degraded
+// mark only lifts what own attempts confirm: an endpoint that fails its probes and serves well keeps its traffic.
+func (b *Balancer) outlierScore(now float64, e *endpoint) float64 {
+	failures := e.failures.level(now, failureMemorySeconds)
+	if e.wrongMark.share == 0 && e.degradedMark.share == 0 {
+		return failures
+	}
+	wrong := e.wrongMark.level(now, failureMemorySeconds)
+	degraded := min(e.degradedMark.level(now, failureMemorySeconds), failures/failureWeight)
+	return max(failures, wrong, degraded)
+}
+
+// recordOutcome enters an outcome into the endpoint's health, the typical latencies, and the evidence on the release.
+func (b *Balancer) recordOutcome(now float64, r *Request, e *endpoint, outcome Outcome, took float64) {
+	if outcome == Cancelled && !r.Completed {
+		outcome = TimedOut // it was cancelled because its endpoint was unresponsive
+	}
+	if b.saysNothing(now, r, outcome, took) {
+		return
+	}
+	if outcome != TimedOut {
+		e.lastAnswerAt = now
+	}
+	e.failures.add(now, failureMemorySeconds, failureWeight, outcome.isFailure() || outcome == Overloaded)
+	warm := b.wasWarm(e, now-took)
+	if outcome == Succeeded || outcome == TimedOut {
+		b.recordLatency(r, e, took)
+	}
+	if b.countsForAnalysis(now, r, e, now-took) {
+		b.countOutcome(r, e, outcome, took, warm)
+	}
+}
+
+// saysNothing tells whether an outcome says nothing about its endpoint: the client had little time left, or this process stood still.
+func (b *Balancer) saysNothing(now float64, r *Request, outcome Outcome, took float64) bool {
+	if outcome == TimedOut && took < b.attemptTimeout(r) {
+		return true
+	}
+	return now == b.resumedAt && outcome != ServerError
+}
+
+// recordLatency enters how long an attempt took, by the part of it that goes with the request's work. It is bounded by the objective: a
+// few unresponsive endpoints are no overload.
+func (b *Balancer) recordLatency(r *Request, e *endpoint, took float64) {
+	factor := latencyFactor(r.Work)
+	if b.typicalLatency[r.Class] > 0 {
+		addToAverage(&e.latencyRatio, took/b.typicalLatency[r.Class]/factor)
+	}
+	addToAverage(&b.typicalLatency[r.Class], min(took/factor, r.class().LatencyObjectiveSeconds))
+}
--- /dev/null
+++ b/internal/policy/pick.go
@@ -0,0 +1,201 @@
+package policy
+
+const (
+	holdSeconds = 0.02 // a held request is picked again after it
+
+	usualDraws      = 2 // the better of two random choices
+	staleListDraws  = 4 // where the best so far fails about every other attempt: half of a stale list may be gone
+	fewConnsDraws   = 8 // where new connections are refused: the open ones lead to few endpoints, which others crowd as well
+	staleListScore  = 0.5
+	minLatencyRatio = 0.2 // an endpoint looks at most five times as fast as a typical one
+	outlierCost     = 12  // an endpoint that fails every attempt looks so much more loaded
+)
+
+// Pick decides on a request: send an attempt, hold it, or answer it finally. It is to be called when a request is received and when a
+// decision's PickAgainAt is reached.
+func (b *Balancer) Pick(now float64, r *Request) Decision {
+	b.noteCall(now)
+	if r.Config == nil {
+		r.Config = b.config
+	}
+	if r.Completed || r.Streaming {
+		return Decision{CancelInFlight: r.Completed && r.Config.AllowCancel} // nobody waits for what is still in flight
+	}
+	if len(r.Attempts) == 0 && now <= r.ReceivedAt {
+		b.receive(now, r)
+	}
+	inFlight := r.attemptsInFlight()
+	if inFlight > 0 && !b.unresponsive(now, r) {
+		return Decision{PickAgainAt: now + b.attemptTimeout(r)}
+	}
+	isRetry := len(r.Attempts) > 0
+	if b.outOfTime(now, r) || !b.retryIsSafe(now, r) || isRetry && !b.retryAffordable(r) {
+		return b.finalAnswer(now, r)
+	}
+	if inFlight > 0 && !r.Config.AllowHedging {
+		return Decision{CancelInFlight: r.Config.AllowCancel}
+	}
+	if b.tooHeavy(now, r) {
+		return b.finalAnswer(now, r)
+	}
+	if !isRetry && b.overConcurrencyLimit(r) {
+		if b.tooLateToWait(now, r) {
+			return b.finalAnswer(now, r)
+		}
+		return hold(now, r)
+	}
+	e := b.pickEndpoint(now, r)
+	switch {
+	case e != nil:
+		return b.send(now, r, e)
+	case inFlight > 0:
+		return Decision{}
+	}
+	return hold(now, r)
+}
+
+// hold has a request wait. Its last look comes half a tick after it is out of time (outOfTime), so that it is not picked for ever.
+func hold(now float64, r *Request) Decision {
+	return Decision{Action: Hold, PickAgainAt: min(now+holdSeconds, r.Deadline-2*r.Config.MinTickSeconds)}
+}
+
+// send begins an attempt, with the time to look again if the endpoint stays silent.
+func (b *Balancer) send(now float64, r *Request, e *endpoint) Decision {
+	if len(r.Attempts) > 0 && !r.NotConnected { // an attempt that reached no endpoint has cost none any work
+		b.retryTokens--
+	}
+	if e.inFlight == 0 {
+		e.lastAnswerAt = now
+	}
+	e.inFlight++
+	e.workInFlight += r.Work
+	b.inFlight++
+	b.peakInFlight = max(b.peakInFlight, b.inFlight)
+	if b.isCanary(e.build) {
+		i := b.limitIndex(r.Class)
+		b.canaryAttemptsAt[i] = append(b.canaryAttemptsAt[i], now)
+	}
+	e.slowStartTokens -= r.Work
+	class := r.class()
+	decision := Decision{Action: Send, Endpoint: e.id, AttemptDeadline: r.Deadline - 2*r.Config.MinTickSeconds}
+	lookAgain := now + b.attemptTimeout(r)
+	if class.Idempotency != NonIdempotent && lookAgain < r.FirstSeenAt+class.LatencyObjectiveSeconds {
+		decision.PickAgainAt = lookAgain
+	}
+	return decision
+}
+
+// OnAttemptDone enters the outcome of an attempt at an endpoint, which took so many seconds, and decides what follows. The caller has
+// updated the request's Attempts before.
+func (b *Balancer) OnAttemptDone(now float64, r *Request, endpointID uint32, outcome Outcome, took float64) Decision {
+	b.noteCall(now)
+	e := b.endpointByID[endpointID]
+	b.recordConnection(now, e, outcome)
+	r.NotConnected = outcome == NotConnected || outcome == NotSent
+	e.inFlight--
+	e.workInFlight -= r.Work
+	b.inFlight--
+	if outcome != NotSent && (outcome != Cancelled || !r.Completed) {
+		b.recordOutcome(now, r, e, outcome, took)
+	}
+	if outcome == Succeeded && b.config.OneWayKeys && r.Key != 0 {
+		b.rememberKey(r.Key, e.build)
+	}
+	if r.Completed {
+		return Decision{CancelInFlight: b.config.AllowCancel}
+	}
+	return b.Pick(now, r)
+}
+
+// pickEndpoint picks a side by its share of the capacity, and an endpoint within it; one of the other side where none can take the
+// request. A canary that this balancer's vote alone rolls back comes second.
+func (b *Balancer) pickEndpoint(now float64, r *Request) *endpoint {
+	first, second := b.groups[canary], b.groups[baseline]
+	if b.rollsBackAlone() || b.random.next() >= b.groupWeight[canary]/(b.groupWeight[baseline]+b.groupWeight[canary]) {
+		first, second = second, first
+	}
+	if e := b.pickFromGroup(now, r, first); e != nil {
+		return e
+	}
+	return b.pickFromGroup(now, r, second)
+}
+
+// pickFromGroup is the power of two choices: the cheaper of some endpoints drawn at random. More are drawn where the best so far looks
+// gone, but not among canaries, which must be seen to fail, and where new connections are refused.
+func (b *Balancer) pickFromGroup(now float64, r *Request, group []*endpoint) (best *endpoint) {
+	if len(group) == 0 || b.isCanary(group[0].build) && b.canaryAllowance(now, r, group[0].build) < 1 {
+		return nil
+	}
+	connsRefused := b.connsRefused(now)
+	maxDraws := staleListDraws
+	if connsRefused {
+		maxDraws = fewConnsDraws
+	}
+	drawAgain := func() bool {
+		return best == nil || connsRefused || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListScore
+	}
+	var bestCost float64
+	for draw := 0; draw < maxDraws && (draw < usualDraws || drawAgain()); draw++ {
+		needConn := connsRefused && (draw != 1 || r.NotConnected) // one draw may open a new connection
+		e := b.drawEndpoint(now, r, group, needConn)
+		if e == nil || !b.hasSlowStartToken(now, e) {
+			continue
+		}
+		if cost := b.cost(now, e, r.Work); best == nil || cost < bestCost {
+			best, bestCost = e, cost
+		}
+	}
+	return best
+}
+
+// drawEndpoint draws a place in a group and takes the first endpoint from there on that may have the request; where a connection is
+// needed the first that has one, or else the last that may have it. nil: none may.
+func (b *Balancer) drawEndpoint(now float64, r *Request, group []*endpoint, needConn bool) (drawn *endpoint) {
+	start := int(b.random.next() * float64(len(group)))
+	for i := range group {
+		e := group[(start+i)%len(group)]
+		if !b.eligible(now, r, e) {
+			continue
+		}
+		drawn = e
+		if !needConn || b.hasConnection(now, e) {
+			break
+		}
+	}
+	return drawn
+}
+
+// eligible tells whether an endpoint may have a request at all, whatever its load.
+func (b *Balancer) eligible(now float64, r *Request, e *endpoint) bool {
+	for i := range r.Attempts {
+		if b.triedThere(r, &r.Attempts[i], e) || b.leavesDedupScope(r, &r.Attempts[i], e) {
+			return false
+		}
+	}
+	return e.ready && b.keyAllows(r, e) && (!b.isCanary(e.build) || b.canaryAllowance(now, r, e.build) >= 1)
+}
+
+// triedThere tells whether an attempt is in flight at an endpoint, or was just lost there.
+func (b *Balancer) triedThere(r *Request, attempt *Attempt, e *endpoint) bool {
+	if b.endpointByID[attempt.Endpoint] != e {
+		return false
+	}
+	justLost := !r.Config.AllowHedging && len(b.endpoints) > 1 && attempt.MayHaveRun && len(r.Attempts) == 1
+	return attempt.InFlight || justLost
+}
+
+// cost is how loaded an endpoint looks from here: own work in flight and to come, how slowly it answers, how long it has been
+// silent and how often it failed lately, over its capacity. All of that decays, so that each endpoint is tried again.
+func (b *Balancer) cost(now float64, e *endpoint, work float64) float64 {
+	if !b.hasConnection(now, e) {
+		work *= 1 + outlierCost*b.connRefusalShare(now)
+	}
+	slowness := max(e.latencyRatio, minLatencyRatio)
+	if e.latencyRatio == 0 {
+		slowness = 1
+	}
+	if e.inFlight > 0 && b.maxTypicalLatency > 0 {
+		slowness = max(slowness, (now-e.lastAnswerAt)/(2*b.maxTypicalLatency))
+	}
+	return (e.workInFlight + work) * slowness * (1 + outlierCost*b.outlierScore(now, e)) / (e.weight * b.slowStartShare(now, e))
+}
--- /dev/null
+++ b/internal/policy/random.go
@@ -0,0 +1,32 @@
+package policy
+
+import (
+	"encoding/binary"
+	"hash"
+	"hash/fnv"
+)
+
+// random draws numbers from a seed, so that equal sequences of calls give equal decisions.
+type random struct {
+	seed  uint64
+	count uint64
+	hash  hash.Hash64
+}
+
+func newRandom(seed uint64) random { return random{seed: seed, hash: fnv.New64a()} }
+
+// next is the next number of the sequence, from 0 to below 1.
+func (r *random) next() float64 {
+	r.count++
+	return r.of(r.count)
+}
+
+// of is the number that belongs to n, from 0 to below 1.
+func (r *random) of(n uint64) float64 {
+	var buf [16]byte
+	binary.LittleEndian.PutUint64(buf[:], n)
+	binary.LittleEndian.PutUint64(buf[8:], r.seed)
+	r.hash.Reset()
+	r.hash.Write(buf[:])
+	return float64(r.hash.Sum64()>>11) / (1 << 53)
+}
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -15,7 +15,7 @@
 	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the target:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(c))
 	// A hair before the end there is no asking again at the same moment.
-	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.t.MinTickSeconds + 1e-10}))
+	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.MinTickSeconds + 1e-10}))
 	// Output:
 	// nack, back in 1.0 s ahead of the time-out: true not before the target: true
 	// then: recall
@@ -87,7 +87,7 @@
 	trial := [3]int{}
 	for i := 0; i < 300; i++ {
 		c, s := f.command(i % 3)
-		if f.b.byID[s.Endpoint].build == 8 {
+		if f.b.endpointByID[s.Endpoint].build == 8 {
 			trial[c.Class]++
 		}
 		f.answer(c, Succeeded)
@@ -98,10 +98,10 @@
 	f = newFleet(func(t *Config) { t.OneWayKeys = true })
 	f.list(true, all...)
 	f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 0)
-	f.b.answered[99] = 8
+	f.b.buildByKey[99] = 8
 	for i := 0; i < 10; i++ {
 		c := &Request{ID: 1000, Key: 99, ReceivedAt: f.now, Deadline: f.now + 0.8}
-		fmt.Print(f.b.byID[f.pick(c).Endpoint].build, " ")
+		fmt.Print(f.b.endpointByID[f.pick(c).Endpoint].build, " ")
 	}
 	fmt.Println("one-way key")
 	// Output:
@@ -113,7 +113,7 @@
 // After a restart, with only a cached list and no news, a newer build counts as in its first stage.
 func Example_restart() {
 	f := newFleet(nil)
-	f.b = New(*f.b.t, 43, f.now)
+	f.b = New(*f.b.config, 43, f.now)
 	f.list(true, machine{id: 1, build: 7}, machine{id: 5, build: 8}, machine{id: 6, build: 8}, machine{id: 7, build: 8})
 	fmt.Println("within the first stage:", f.run(100, 2, fine)[8] <= 12)
 	f.vote(1, VoteCounted)
@@ -132,7 +132,7 @@
 		fmt.Print("silent: ", f.pick(c))
 		c, s = f.command(0)
 		f.now += 2 * (s.PickAgainAt - f.now)
-		f.b.byID[s.Endpoint].heard = f.now - 0.01
+		f.b.endpointByID[s.Endpoint].lastAnswerAt = f.now - 0.01
 		fmt.Println(", heard:", f.pick(c))
 	}
 	// Output:
@@ -172,7 +172,7 @@
 		for s.Action == Send {
 			_, s = f.command(op)
 		}
-		fmt.Printf("importance %v: %v with %d open\n", f.b.t.Classes[op].PriorityWeight, s, f.b.open)
+		fmt.Printf("importance %v: %v with %d open\n", f.b.config.Classes[op].PriorityWeight, s, f.b.inFlight)
 	}
 	// Output:
 	// importance 2: nack, back in 1.0 s with 5 open
@@ -213,11 +213,11 @@
 	f.b.TickController(f.now)
 	for _, pause := range []float64{0.2, 1.2} {
 		c, s := f.command(0)
-		u := f.b.byID[s.Endpoint]
+		u := f.b.endpointByID[s.Endpoint]
 		f.b.TickController(f.now + 0.09)
 		f.now += 0.1 + pause
 		f.answer(c, TimedOut)
-		fmt.Printf("after %.1f s: failing %v\n", pause, f.b.failing(f.now, u) > 0)
+		fmt.Printf("after %.1f s: failing %v\n", pause, f.b.outlierScore(f.now, u) > 0)
 	}
 	// Output:
 	// after 0.2 s: failing true
@@ -230,12 +230,12 @@
 		sum := 0
 		for i := 0; i < n; i++ {
 			f := newFleet(func(t *Config) { t.Routers = n })
-			f.b.seed = uint64(i)
+			f.b.random.seed = uint64(i)
 			f.run(400/n, 4, fine)
 			f.list(false, machine{id: 4, build: 7, since: f.now})
 			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
-				sum += one(u == 4)
-				return [...]Outcome{Overloaded, Succeeded}[one(u == 4)], 0.01 // the cold one looks far better than the others
+				sum += boolToInt(u == 4)
+				return [...]Outcome{Overloaded, Succeeded}[boolToInt(u == 4)], 0.01 // the cold one looks far better than the others
 			})
 		}
 		fmt.Println(n, "balancers:", sum)
@@ -252,7 +252,7 @@
 	for _, ratio := range []float64{0.1, 0.9} {
 		fmt.Print("time over target ", ratio)
 		for _, given := range []float64{0.8, 0.75, 0.6, 0.1} {
-			f.b.ratio, f.id = ratio, f.id+1
+			f.b.latencyRatio, f.id = ratio, f.id+1
 			c := &Request{ID: f.id, ReceivedAt: f.now, Deadline: f.now + given}
 			s := f.pick(c)
 			fmt.Printf(", given %.2f s: %v", given, s)
--- a/internal/policy/source_test.go
+++ b/internal/policy/source_test.go
@@ -35,7 +35,7 @@
 		fmt.Print(name, ": ")
 		f.vote(1, VoteCounted)
 	}
-	bad, good := said(wrong, 400, 0.01, 0.3), said(wrong, 400, 0.01, 0.01)
+	bad, good := said(wrongAnswer, 400, 0.01, 0.3), said(wrongAnswer, 400, 0.01, 0.01)
 	play("two flags", 0.3, 120, 2, MetricsEvidence{})
 	play("two flags, and the source says so", 0.3, 120, 2, bad)
 	play("two flags, and the source says all is well", 0.3, 120, 2, good)
@@ -43,10 +43,10 @@
 	play("no flag, and the source says so", 0.3, 120, 0, bad)
 	play("nothing seen, and the source says so", 0.3, 0, 0, bad)
 	play("nothing can be seen, and the source says so", 0, 120, 0, bad)
-	play("answers come, and the source says they fail", 0.3, 120, 0, said(failed, 400, 0, 0.5))
-	few := said(wrong, 12, 0, 0.3)
+	play("answers come, and the source says they fail", 0.3, 120, 0, said(serverError, 400, 0, 0.5))
+	few := said(wrongAnswer, 12, 0, 0.3)
 	play("two flags, the source knows little more than what came from here", 0.3, 120, 2, few)
-	few.Independent[wrong] = true
+	few.Independent[wrongAnswer] = true
 	play("the same, and it is of others' commands", 0.3, 120, 2, few)
 	old := bad
 	old.Build = 7
@@ -129,8 +129,8 @@
 					}
 					return Succeeded, 0.05
 				})
-				s := said(failed, 1000, rate, lie)
-				s.Independent[failed] = true
+				s := said(serverError, 1000, rate, lie)
+				s.Independent[serverError] = true
 				f.b.SetMetricsEvidence(s)
 				if f.b.verdict(f.now) == VoteRollback {
 					back++
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -146,11 +146,11 @@
 func Example_hold() {
 	f := newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.trial(2, 10)
-	for _, trial := range []count{{60, 2}, {60, 8}, {200, 8}, {900, 8}, {9000, 8}} {
+	for _, trial := range []outcomeCount{{60, 2}, {60, 8}, {200, 8}, {900, 8}, {9000, 8}} {
 		for id := uint32(1); id <= 4; id++ {
-			f.b.sampleOf(id, 7).of[failed] = count{40, 0}
+			f.b.countsOf(id, 7).byKind[serverError] = outcomeCount{40, 0}
 		}
-		f.b.sampleOf(11, 8).of[failed], f.b.sampleOf(12, 8).of[failed] = trial, trial
+		f.b.countsOf(11, 8).byKind[serverError], f.b.countsOf(12, 8).byKind[serverError] = trial, trial
 		fmt.Print(trial, " ")
 		f.vote(1, VoteCounted)
 	}
@@ -167,7 +167,7 @@
 	f := newFleet(nil)
 	f.trial(2, 10)
 	f.run(60, 1, fine)
-	before := f.b.sampleOf(11, 8).of[failed].n + f.b.sampleOf(12, 8).of[failed].n
+	before := f.b.countsOf(11, 8).byKind[serverError].total + f.b.countsOf(12, 8).byKind[serverError].total
 	for i := 0; i < 60; i++ {
 		c, s := f.command(2)
 		if s.Action == Send {
@@ -175,7 +175,7 @@
 		}
 		f.now += 0.001
 	}
-	fmt.Println("counted:", f.b.sampleOf(11, 8).of[failed].n+f.b.sampleOf(12, 8).of[failed].n-before < 5)
+	fmt.Println("counted:", f.b.countsOf(11, 8).byKind[serverError].total+f.b.countsOf(12, 8).byKind[serverError].total-before < 5)
 	// Output: counted: true
 }
 
