--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -43,7 +43,7 @@
 // is a later try of a client that gives up a request timeout after its first.
 func (b *Balancer) firstSeenAt(now float64, r *Request) float64 {
 	class, timeout := r.class(), r.Deadline-r.ReceivedAt
-	if !b.usualTimeout[r.Class].add(timeout) && timeout > class.LatencyObjectiveSeconds {
+	if !b.commonTimeout[r.Class].add(timeout) && timeout > class.LatencyObjectiveSeconds {
 		return r.Deadline - class.TimeoutSeconds
 	}
 	return now
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -45,7 +45,7 @@
 	typicalLatency    []float64 // by class
 	maxTypicalLatency float64
 	baselineLatency   []float64  // median of warm baseline endpoints, by class
-	usualTimeout      []majority // time that clients give a try, by class
+	commonTimeout     []majority // time that clients give a try, by class
 	lastFailedAt      []float64  // when a request last ended without success, by class
 	typicalWork       float64    // of the work that clients state
 	retryTokens       float64
@@ -113,7 +113,7 @@
 	b.typicalLatency = append(b.typicalLatency, 0)
 	b.baselineLatency = append(b.baselineLatency, 0)
 	b.lastFailedAt = append(b.lastFailedAt, math.Inf(-1))
-	b.usualTimeout = append(b.usualTimeout, majority{})
+	b.commonTimeout = append(b.commonTimeout, majority{})
 }
 
 // SetOwnDelay tells by how many seconds the caller itself may be late with what endpoints sent; attempt timeouts are longer by it.
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -55,6 +55,7 @@
 // Idempotency says whether a request may run again.
 type Idempotency uint8
 
+// How a request may run again.
 const (
 	Idempotent        Idempotency = iota // any number of times
 	IdempotentWithKey                    // again within the class's scope and window, where its key is recognised
@@ -64,6 +65,7 @@
 // DedupScope says which endpoints recognise a repeated key: all, those of the first endpoint's zone, or those of its cell.
 type DedupScope uint8
 
+// Where a repeated key is recognised.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -11,6 +11,7 @@
 // EndpointState is what the list says of an endpoint.
 type EndpointState uint8
 
+// What an entry of the list may say.
 const (
 	Ready EndpointState = iota
 	Draining
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -3,7 +3,7 @@
 const (
 	holdSeconds = 0.02 // a held request is picked again after it
 
-	usualDraws      = 2 // the better of two random choices
+	defaultDraws    = 2 // the better of two random choices
 	staleListDraws  = 4 // where the best so far fails about every other attempt: half of a stale list may be gone
 	fewConnsDraws   = 8 // where new connections are refused: the open ones lead to few endpoints, which others crowd as well
 	staleListScore  = 0.5
@@ -135,7 +135,7 @@
 		return best == nil || connsRefused || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListScore
 	}
 	var bestCost float64
-	for draw := 0; draw < maxDraws && (draw < usualDraws || drawAgain()); draw++ {
+	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
 		needConn := connsRefused && (draw != 1 || r.NotConnected) // one draw may open a new connection
 		e := b.drawEndpoint(now, r, group, needConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -3,6 +3,7 @@
 // Phase is how far a release has come. The numbers are those of the simulator's protocol.
 type Phase uint8
 
+// The phases of a release.
 const (
 	PhaseCanary Phase = iota
 	PhaseRollingBack
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -29,6 +29,7 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
+// The outcomes of an attempt.
 const (
 	Succeeded      Outcome = iota
 	ServerError            // the endpoint answered with an error
@@ -51,6 +52,7 @@
 // Action is what the caller has to do with a request.
 type Action uint8
 
+// What a caller may have to do.
 const (
 	NoAction Action = iota
 	Send            // start an attempt at Decision.Endpoint
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -15,6 +15,7 @@
 // Verdict is a vote on a release. The numbers are those of the platform's and the controller's protocols.
 type Verdict uint8
 
+// The votes.
 const (
 	VoteNone Verdict = iota
 	VotePromote
@@ -25,6 +26,7 @@
 // VoteReply is what became of a vote.
 type VoteReply uint8
 
+// The replies to a vote.
 const (
 	VoteCounted VoteReply = iota
 	VoteMoot              // it was too late to matter
