--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -29,9 +29,10 @@
 		for kind := range counts.byKind {
 			count := sample.count(kind)
 			if known := ownByKey[sample.key()]; known != nil && !b.metricsEvidence.Independent[kind] {
-				seen := b.visibleShare(kind)
-				count.total = max(0, count.total-seen*known.byKind[kind].total)
-				count.failures = max(0, count.failures-seen*known.byKind[kind].failures)
+				// Each own failure is among those that metrics show. Of the own outcomes only the visible share is known well enough to be
+				// left out: the rest may have failed unreported.
+				count.total = max(0, count.total-b.visibleShare(kind)*known.byKind[kind].total)
+				count.failures = max(0, count.failures-known.byKind[kind].failures)
 			}
 			counts.byKind[kind] = outcomeCount{count.total, min(count.total, count.failures)}
 		}
--- a/internal/policy/source_test.go
+++ b/internal/policy/source_test.go
@@ -65,6 +65,36 @@
 	// two flags, and the source speaks of an earlier build: no vote
 }
 
+// TestMetricsCountsLeaveOutOwnOutcomes guards against own failures that count twice: what metrics show is taken without them, and without
+// the share of the own outcomes whose failure would have been seen.
+func TestMetricsCountsLeaveOutOwnOutcomes(t *testing.T) {
+	tests := []struct {
+		name        string
+		kind        int
+		independent bool
+		want        outcomeCount
+	}{
+		{"errors are all seen", serverError, false, outcomeCount{total: 8, failures: 2}},
+		{"wrong answers are seen where they are reported", wrongAnswer, false, outcomeCount{total: 9.5, failures: 2}},
+		{"of others' requests", wrongAnswer, true, outcomeCount{total: 10, failures: 3}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFleet(func(c *Config) { c.WrongAnswerReportShare = 0.25 })
+			own := &endpointCounts{endpoint: 1, build: 7}
+			own.byKind[test.kind] = outcomeCount{total: 2, failures: 1}
+			sample := EndpointSample{Endpoint: 1, Build: 7}
+			sample.Outcomes[test.kind], sample.Failures[test.kind] = 10, 3
+			metrics := MetricsEvidence{Evidence: Evidence{Build: 7, Samples: []EndpointSample{sample}}}
+			metrics.Independent[test.kind] = test.independent
+			f.b.SetMetricsEvidence(metrics)
+			if got := f.b.metricsCounts([]*endpointCounts{own})[0].byKind[test.kind]; got != test.want {
+				t.Errorf("%+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
 // Marks: what deliveries would show counts only where they show something; wrong answers count; both are forgotten.
 func Example_marks() {
 	share := func(name string, m HealthMark, age float64) {
