--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -6,21 +6,21 @@
 	"sort"
 )
 
-// fleet drives one Balancer by hand: a clock, a list, commands and their outcomes.
+// fleet drives one Balancer by hand: a clock, a list, requests and their outcomes.
 type fleet struct {
 	b   *Balancer
 	now float64
 	id  uint32
 }
 
-type machine struct {
+type endpointEntry struct {
 	id    uint32
 	build int
 	state EndpointState
 	since float64
 }
 
-// newFleet gives three op types, one of each effect, and machines 1 to 4 of build 7, warm for long.
+// newFleet gives three classes, one of each idempotency, and endpoints 1 to 4 of build 7, long past slow start.
 func newFleet(edit func(*Config)) *fleet {
 	t := Config{
 		Routers: 2, MinTickSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
@@ -37,23 +37,23 @@
 		edit(&t)
 	}
 	f := &fleet{b: New(t, 42, 100), now: 100}
-	f.list(true, machine{id: 1, build: 7}, machine{id: 2, build: 7}, machine{id: 3, build: 7}, machine{id: 4, build: 7})
+	f.list(true, endpointEntry{id: 1, build: 7}, endpointEntry{id: 2, build: 7}, endpointEntry{id: 3, build: 7}, endpointEntry{id: 4, build: 7})
 	f.b.ApplyRelease(f.now, 7, 2, PhaseReleased, 1, 50)
 	return f
 }
 
-func (f *fleet) list(full bool, machines ...machine) {
+func (f *fleet) list(full bool, endpoints ...endpointEntry) {
 	f.b.BeginEndpointList(full)
-	for _, m := range machines {
+	for _, m := range endpoints {
 		f.b.UpdateEndpoint(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.since)
 	}
 	f.b.EndEndpointList(f.now)
 }
 
-// command makes a command, asks where it goes and enters the delivery.
-func (f *fleet) command(op int) (*Request, Decision) {
+// request makes a request, asks where it goes and enters the attempt.
+func (f *fleet) request(class int) (*Request, Decision) {
 	f.id++
-	c := &Request{ID: f.id, Class: op, ReceivedAt: f.now, Deadline: f.now + 0.8}
+	c := &Request{ID: f.id, Class: class, ReceivedAt: f.now, Deadline: f.now + 0.8}
 	return c, f.pick(c)
 }
 
@@ -69,7 +69,7 @@
 	return s
 }
 
-// answer ends the last delivery of a command.
+// answer ends the last attempt of a request.
 func (f *fleet) answer(c *Request, r Outcome) Decision {
 	d := &c.Attempts[len(c.Attempts)-1]
 	d.InFlight, d.MayHaveRun = false, r != Overloaded && r != NotConnected && r != NotSent
@@ -77,8 +77,8 @@
 	return f.did(c, f.b.OnAttemptDone(f.now, c, d.Endpoint, r, f.now-d.StartedAt))
 }
 
-// run plays n redeliverable commands over so many seconds; outcome says how each delivery ends and after how long.
-// It returns the deliveries by build.
+// run plays n idempotent requests over so many seconds; outcome says how each attempt ends and after how long.
+// It returns the attempts by build.
 func (f *fleet) run(n int, secs float64, outcome func(u uint32, build int) (Outcome, float64)) map[int]int {
 	sent := map[int]int{}
 	type end struct {
@@ -98,7 +98,7 @@
 		at := start + secs*float64(i)/float64(n)
 		finish(at)
 		f.now = at
-		if c, s := f.command(0); s.Action == Send {
+		if c, s := f.request(0); s.Action == Send {
 			u := f.b.endpointByID[s.Endpoint]
 			sent[u.build]++
 			r, took := outcome(u.id, u.build)
@@ -117,7 +117,7 @@
 	for end := f.now + secs; f.now < end; {
 		t := f.b.TickController(f.now)
 		if t.CastVote {
-			names := [...]string{"none", "on", "hold", "back"}
+			names := [...]string{"none", "promote", "hold", "rollback"}
 			fmt.Printf("vote %s on build %d stage %d\n", names[t.Verdict], t.Build, t.Stage)
 			f.now += t.NextTickSeconds
 			f.b.OnVoteReply(f.now, reply)
@@ -130,7 +130,7 @@
 
 func (s Decision) String() string {
 	if s.Action == NoAction && s.CancelInFlight {
-		return "recall"
+		return "cancel"
 	}
-	return [...]string{"nothing", "send", "hold", fmt.Sprintf("nack, back in %.1f s", s.RetryAfterSeconds), "fail"}[s.Action]
+	return [...]string{"nothing", "send", "hold", fmt.Sprintf("reject, retry after %.1f s", s.RetryAfterSeconds), "fail"}[s.Action]
 }
--- a/internal/policy/source_test.go
+++ b/internal/policy/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// said makes a source's counts: n outcomes and bad ones for each unit, of one kind.
+// said makes evidence from metrics: n outcomes and bad ones for each endpoint, of one kind.
 func said(kind int, n, earlier, trial float64) MetricsEvidence {
 	s := MetricsEvidence{Evidence: Evidence{Build: 8}}
 	for _, u := range []uint32{1, 2, 3, 4, 11, 12} {
@@ -20,15 +20,15 @@
 	return s
 }
 
-// A health source beside the own sample: it lifts what the own sample shows too little of, and is not believed against it.
-func Example_source() {
-	play := func(name string, reported float64, own int, flags int, s MetricsEvidence) {
+// Metrics beside the own sample: they lift what that shows too little of, and are not believed against it.
+func Example_metricsEvidence() {
+	play := func(name string, reported float64, own int, reports int, s MetricsEvidence) {
 		f := newFleet(func(t *Config) { t.AutomaticStages, t.WrongAnswerReportShare = true, reported })
-		f.trial(2, 10)
+		f.startCanary(2, 10)
 		if own > 0 {
 			f.run(own, 3, fine)
 		}
-		for i := range flags {
+		for i := range reports {
 			f.b.ReportWrongAnswer(f.now, uint32(11+i%2), 1)
 		}
 		f.b.SetMetricsEvidence(s)
@@ -36,33 +36,33 @@
 		f.vote(1, VoteCounted)
 	}
 	bad, good := said(wrongAnswer, 400, 0.01, 0.3), said(wrongAnswer, 400, 0.01, 0.01)
-	play("two flags", 0.3, 120, 2, MetricsEvidence{})
-	play("two flags, and the source says so", 0.3, 120, 2, bad)
-	play("two flags, and the source says all is well", 0.3, 120, 2, good)
-	play("eight flags, and the source says all is well", 0.3, 120, 8, good)
-	play("no flag, and the source says so", 0.3, 120, 0, bad)
-	play("nothing seen, and the source says so", 0.3, 0, 0, bad)
-	play("nothing can be seen, and the source says so", 0, 120, 0, bad)
-	play("answers come, and the source says they fail", 0.3, 120, 0, said(serverError, 400, 0, 0.5))
+	play("two reports", 0.3, 120, 2, MetricsEvidence{})
+	play("two reports, and the metrics say so", 0.3, 120, 2, bad)
+	play("two reports, and the metrics say all is well", 0.3, 120, 2, good)
+	play("eight reports, and the metrics say all is well", 0.3, 120, 8, good)
+	play("no report, and the metrics say so", 0.3, 120, 0, bad)
+	play("nothing seen, and the metrics say so", 0.3, 0, 0, bad)
+	play("nothing can be seen, and the metrics say so", 0, 120, 0, bad)
+	play("answers come, and the metrics say they fail", 0.3, 120, 0, said(serverError, 400, 0, 0.5))
 	few := said(wrongAnswer, 12, 0, 0.3)
-	play("two flags, the source knows little more than what came from here", 0.3, 120, 2, few)
+	play("two reports, the metrics know little more than what came from here", 0.3, 120, 2, few)
 	few.Independent[wrongAnswer] = true
-	play("the same, and it is of others' commands", 0.3, 120, 2, few)
+	play("the same, and it is of others' requests", 0.3, 120, 2, few)
 	old := bad
 	old.Build = 7
-	play("two flags, and the source speaks of an earlier build", 0.3, 120, 2, old)
+	play("two reports, and the metrics speak of an earlier build", 0.3, 120, 2, old)
 	// Output:
-	// two flags: no vote
-	// two flags, and the source says so: vote back on build 8 stage 1
-	// two flags, and the source says all is well: no vote
-	// eight flags, and the source says all is well: vote back on build 8 stage 1
-	// no flag, and the source says so: no vote
-	// nothing seen, and the source says so: no vote
-	// nothing can be seen, and the source says so: vote back on build 8 stage 1
-	// answers come, and the source says they fail: no vote
-	// two flags, the source knows little more than what came from here: no vote
-	// the same, and it is of others' commands: vote back on build 8 stage 1
-	// two flags, and the source speaks of an earlier build: no vote
+	// two reports: no vote
+	// two reports, and the metrics say so: vote rollback on build 8 stage 1
+	// two reports, and the metrics say all is well: no vote
+	// eight reports, and the metrics say all is well: vote rollback on build 8 stage 1
+	// no report, and the metrics say so: no vote
+	// nothing seen, and the metrics say so: no vote
+	// nothing can be seen, and the metrics say so: vote rollback on build 8 stage 1
+	// answers come, and the metrics say they fail: no vote
+	// two reports, the metrics know little more than what came from here: no vote
+	// the same, and it is of others' requests: vote rollback on build 8 stage 1
+	// two reports, and the metrics speak of an earlier build: no vote
 }
 
 // TestMetricsCountsLeaveOutOwnOutcomes guards against own failures that count twice: what metrics show is taken without them, and without
@@ -95,8 +95,8 @@
 	}
 }
 
-// Marks: what deliveries would show counts only where they show something; wrong answers count; both are forgotten.
-func Example_marks() {
+// Marks: what attempts would show counts only where they show something; wrong answers count; both are forgotten.
+func Example_healthMarks() {
 	share := func(name string, m HealthMark, age float64) {
 		f := newFleet(nil)
 		f.run(100, 1, fine)
@@ -109,24 +109,24 @@
 			}
 			return Succeeded, 0.05
 		})
-		fmt.Printf("%s: about its part %t, less than a third of it %t\n", name, count > 70 && count < 130, count < 33)
+		fmt.Printf("%s: about its share %t, less than a third of it %t\n", name, count > 70 && count < 130, count < 33)
 	}
 	share("no mark", HealthMark{Endpoint: 2}, 0)
 	share("probes fail, serves well", HealthMark{Endpoint: 1, DegradedShare: 1}, 0)
 	share("answers fast but wrongly", HealthMark{Endpoint: 1, WrongShare: 0.5}, 0)
 	share("said long ago", HealthMark{Endpoint: 1, WrongShare: 0.5}, 30)
-	// A fifth of what unit 1 is sent fails: the mark confirms it, and costs it the more.
+	// A fifth of what endpoint 1 is sent fails: the mark confirms it, and costs it the more.
 	part := func(m ...HealthMark) (n int) {
 		f := newFleet(nil)
 		f.run(100, 1, fine)
-		tries := 0
+		attempts := 0
 		f.run(2000, 20, func(u uint32, _ int) (Outcome, float64) {
 			f.b.SetHealthMarks(f.now, 0, m)
 			if u != 1 {
 				return Succeeded, 0.05
 			}
 			n++
-			if tries++; tries%5 == 0 {
+			if attempts++; attempts%5 == 0 {
 				return ServerError, 0.05
 			}
 			return Succeeded, 0.05
@@ -135,22 +135,22 @@
 	}
 	fmt.Println("fails at times, with a mark against without, less than half:", part(HealthMark{Endpoint: 1, DegradedShare: 1}) < part()/2)
 	// Output:
-	// no mark: about its part true, less than a third of it false
-	// probes fail, serves well: about its part true, less than a third of it false
-	// answers fast but wrongly: about its part false, less than a third of it true
-	// said long ago: about its part true, less than a third of it false
+	// no mark: about its share true, less than a third of it false
+	// probes fail, serves well: about its share true, less than a third of it false
+	// answers fast but wrongly: about its share false, less than a third of it true
+	// said long ago: about its share true, less than a third of it false
 	// fails at times, with a mark against without, less than half: true
 }
 
-// Whatever a source says of a good build, the own sample guards it: at most e to the minus half the line would cross by
+// Whatever metrics say of a good build, the own sample guards it: at most e to the minus half the threshold would cross by
 // chance for the worst of lies. 400 good builds with failures of their own, each lied about in one of four ways.
-func TestLyingSource(t *testing.T) {
+func TestWrongMetricsEvidence(t *testing.T) {
 	for _, rate := range []float64{0, 0.02, 0.1} {
 		back := 0
 		for seed := range uint64(400) {
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			f := newFleet(func(t *Config) { t.AutomaticStages = true })
-			f.trial(2, 10)
+			f.startCanary(2, 10)
 			lie := []float64{rate + 0.02, rate + 0.1, 0.5, 1}[seed%4]
 			for range 10 {
 				f.run(60, 0.5, func(uint32, int) (Outcome, float64) {
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// Rule 1: a command that can go nowhere is held, then answered before the client's time is up.
+// Rule 1: a request that can go nowhere is held, then answered before the client's time is up.
 func Example_finalAnswer() {
 	f := newFleet(nil)
 	f.list(true)
-	c, s := f.command(0)
+	c, s := f.request(0)
 	start := f.now
 	for s.Action == Hold {
 		f.now += 2 * (s.PickAgainAt - f.now)
 		s = f.pick(c)
 	}
-	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the target:", f.now-start >= 0.3)
+	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the objective:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(c))
 	// A hair before the end there is no asking again at the same moment.
 	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.MinTickSeconds + 1e-10}))
 	// Output:
-	// nack, back in 1.0 s ahead of the time-out: true not before the target: true
-	// then: recall
-	// nack, back in 1.0 s
+	// reject, retry after 1.0 s ahead of the time-out: true not before the objective: true
+	// then: cancel
+	// reject, retry after 1.0 s
 }
 
-// Rule 2: what may follow each outcome, by effect.
-func Example_effects() {
-	names := []string{"redeliverable", "deduplicated", "at-most-once"}
+// Rule 2: what may follow each outcome, by idempotency.
+func Example_retrySafety() {
+	names := []string{"idempotent", "idempotent with a key", "non-idempotent"}
 	results := []struct {
 		name string
 		r    Outcome
@@ -33,7 +33,7 @@
 		fmt.Print(name)
 		for _, r := range results {
 			f := newFleet(nil)
-			c, _ := f.command(op)
+			c, _ := f.request(op)
 			f.now += 0.02
 			fmt.Printf(", %s: %v", r.name, f.answer(c, r.r))
 		}
@@ -41,41 +41,41 @@
 	}
 	// Past the window in which repeats are dropped, and outside the group, nothing more is sent.
 	f := newFleet(func(t *Config) { t.Classes[1].DedupWindowSeconds = 0.1; t.Classes[1].DedupScope = DedupCell })
-	c, _ := f.command(1)
+	c, _ := f.request(1)
 	f.now += 0.02
 	s := f.answer(c, ServerError)
 	fmt.Println("same cell:", c.Attempts[0].Endpoint%2 == c.Attempts[1].Endpoint%2, s)
 	f.now += 0.1
 	fmt.Println("window over:", f.answer(c, ServerError))
 	// Output:
-	// redeliverable, error: send, full: send, no connection: send, broken: send
-	// deduplicated, error: send, full: send, no connection: send, broken: send
-	// at-most-once, error: fail, full: send, no connection: send, broken: fail
+	// idempotent, error: send, full: send, no connection: send, broken: send
+	// idempotent with a key, error: send, full: send, no connection: send, broken: send
+	// non-idempotent, error: fail, full: send, no connection: send, broken: fail
 	// same cell: true send
 	// window over: fail
 }
 
-// Rule 3: nothing goes to a unit from the moment the list says it drains or is gone.
+// Rule 3: nothing goes to an endpoint from the moment the list says it drains or is gone.
 func Example_drain() {
 	f := newFleet(nil)
-	f.list(false, machine{id: 1, build: 7, state: Draining}, machine{id: 2, build: 7, state: Gone})
-	f.list(true, machine{id: 1, build: 7, state: Draining}, machine{id: 4, build: 7}) // 3 left unnamed
+	f.list(false, endpointEntry{id: 1, build: 7, state: Draining}, endpointEntry{id: 2, build: 7, state: Gone})
+	f.list(true, endpointEntry{id: 1, build: 7, state: Draining}, endpointEntry{id: 4, build: 7}) // 3 left unnamed
 	met := map[uint32]int{}
 	f.run(40, 2, func(u uint32, _ int) (Outcome, float64) { met[u]++; return Succeeded, 0.05 })
 	fmt.Println(met)
 	// Output: map[4:40]
 }
 
-// Rule 5: trial deliveries in a window stay within free + cap x commands taken.
-func Example_exposure() {
-	all := []machine{{1, 7, Gone, 0}, {2, 7, Gone, 0}, {3, 7, Gone, 0}, {4, 7, Ready, 0}, {5, 8, Ready, 90}, {6, 8, Ready, 90}}
+// Rule 5: canary attempts in a window stay within free attempts + limit x requests received.
+func Example_canaryTrafficLimit() {
+	all := []endpointEntry{{1, 7, Gone, 0}, {2, 7, Gone, 0}, {3, 7, Gone, 0}, {4, 7, Ready, 0}, {5, 8, Ready, 90}, {6, 8, Ready, 90}}
 	f := newFleet(nil)
 	f.list(true, all...)
 	fmt.Print("unannounced: ", f.run(200, 4, fine)[8] <= 22)
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 0)
 	fmt.Print(", half allowed: ", f.run(200, 4, fine)[8] <= 102)
 	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
-	fmt.Print(", going back: ", f.run(200, 4, fine)[8])
+	fmt.Print(", rolling back: ", f.run(200, 4, fine)[8])
 	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 	fmt.Println(", released:", f.run(200, 4, fine)[8] > 100)
 
@@ -86,14 +86,14 @@
 	f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.04, 0)
 	trial := [3]int{}
 	for i := 0; i < 300; i++ {
-		c, s := f.command(i % 3)
+		c, s := f.request(i % 3)
 		if f.b.endpointByID[s.Endpoint].build == 8 {
 			trial[c.Class]++
 		}
 		f.answer(c, Succeeded)
 		f.now += 0.01
 	}
-	fmt.Println("guarded stage, by op type:", trial[0] > 0 && trial[0] <= 5, trial[1:])
+	fmt.Println("idempotent requests only, by class:", trial[0] > 0 && trial[0] <= 5, trial[1:])
 
 	f = newFleet(func(t *Config) { t.OneWayKeys = true })
 	f.list(true, all...)
@@ -105,8 +105,8 @@
 	}
 	fmt.Println("one-way key")
 	// Output:
-	// unannounced: true, half allowed: true, going back: 0, released: true
-	// guarded stage, by op type: true [0 0]
+	// unannounced: true, half allowed: true, rolling back: 0, released: true
+	// idempotent requests only, by class: true [0 0]
 	// 8 8 8 8 8 8 8 8 8 8 one-way key
 }
 
@@ -114,7 +114,7 @@
 func Example_restart() {
 	f := newFleet(nil)
 	f.b = New(*f.b.config, 43, f.now)
-	f.list(true, machine{id: 1, build: 7}, machine{id: 5, build: 8}, machine{id: 6, build: 8}, machine{id: 7, build: 8})
+	f.list(true, endpointEntry{id: 1, build: 7}, endpointEntry{id: 5, build: 8}, endpointEntry{id: 6, build: 8}, endpointEntry{id: 7, build: 8})
 	fmt.Println("within the first stage:", f.run(100, 2, fine)[8] <= 12)
 	f.vote(1, VoteCounted)
 	// Output:
@@ -122,26 +122,26 @@
 	// no vote
 }
 
-// What is out at a silent unit is called off, or doubled where two may be out; at a unit that answers it is left.
-func Example_silence() {
+// An attempt in flight at a silent endpoint is cancelled, or hedged where that is allowed; at an endpoint that answers it is left alone.
+func Example_unresponsiveEndpoint() {
 	for _, parallel := range []bool{false, true} {
 		f := newFleet(func(t *Config) { t.AllowHedging = parallel })
 		f.run(40, 2, fine)
-		c, s := f.command(0)
+		c, s := f.request(0)
 		f.now += 2 * (s.PickAgainAt - f.now)
 		fmt.Print("silent: ", f.pick(c))
-		c, s = f.command(0)
+		c, s = f.request(0)
 		f.now += 2 * (s.PickAgainAt - f.now)
 		f.b.endpointByID[s.Endpoint].lastAnswerAt = f.now - 0.01
-		fmt.Println(", heard:", f.pick(c))
+		fmt.Println(", answering:", f.pick(c))
 	}
 	// Output:
-	// silent: recall, heard: nothing
-	// silent: send, heard: nothing
+	// silent: cancel, answering: nothing
+	// silent: send, answering: nothing
 }
 
-// A failing unit gets little, whatever way it fails, and is tried again later.
-func Example_failingUnit() {
+// A failing endpoint gets little, whatever way it fails, and is tried again later.
+func Example_failingEndpoint() {
 	for _, r := range []Outcome{ServerError, Overloaded, NotConnected, ConnectionLost} {
 		f := newFleet(nil)
 		f.run(40, 2, fine)
@@ -159,8 +159,8 @@
 	// little but not none: true little but not none: true little but not none: true little but not none: true
 }
 
-// Overload: with answers slow, less is held open, and the less important gives way first.
-func Example_overload() {
+// Overload: with answers slow, fewer attempts are in flight, and low priority gives way first.
+func Example_concurrencyLimit() {
 	f := newFleet(nil)
 	f.run(300, 3, func(uint32, int) (Outcome, float64) { return Succeeded, 0.25 })
 	for i := 0; i < 20; i++ {
@@ -168,25 +168,25 @@
 		f.now += 0.25
 	}
 	for _, op := range []int{0, 2} {
-		_, s := f.command(op)
+		_, s := f.request(op)
 		for s.Action == Send {
-			_, s = f.command(op)
+			_, s = f.request(op)
 		}
-		fmt.Printf("importance %v: %v with %d open\n", f.b.config.Classes[op].PriorityWeight, s, f.b.inFlight)
+		fmt.Printf("priority %v: %v with %d in flight\n", f.b.config.Classes[op].PriorityWeight, s, f.b.inFlight)
 	}
 	// Output:
-	// importance 2: nack, back in 1.0 s with 5 open
-	// importance 5: hold with 6 open
+	// priority 2: reject, retry after 1.0 s with 5 in flight
+	// priority 5: hold with 6 in flight
 }
 
-// Units take few connections: those that are open are kept to; refusals cost no token, are nobody's failure.
+// Endpoints take few connections: those that are open are kept to; refusals cost no token, are nobody's failure.
 func Example_refusedConnections() {
 	f := newFleet(nil)
 	for i := uint32(0); i < 60; i++ {
-		f.list(false, machine{id: 100 + i, build: 7}, machine{id: 200 + i, build: 8})
+		f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 200 + i, build: 8})
 	}
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 20)
-	for _, open := range []uint32{1000, 6, 6, 6} { // every so many units take a connection
+	for _, open := range []uint32{1000, 6, 6, 6} { // every so many endpoints take a connection
 		met := map[Outcome]int{}
 		f.run(200, 4, func(u uint32, _ int) (Outcome, float64) {
 			r := Succeeded
@@ -196,23 +196,23 @@
 			met[r]++
 			return r, 0.02
 		})
-		fmt.Printf("%d acked, %d met nobody, ", met[Succeeded], met[NotConnected])
+		fmt.Printf("%d succeeded, %d not connected, ", met[Succeeded], met[NotConnected])
 		f.vote(0.3, VoteCounted)
 	}
 	// Output:
-	// 200 acked, 0 met nobody, vote on on build 8 stage 1
-	// 179 acked, 21 met nobody, no vote
-	// 165 acked, 35 met nobody, vote on on build 8 stage 1
-	// 126 acked, 74 met nobody, no vote
+	// 200 succeeded, 0 not connected, vote promote on build 8 stage 1
+	// 179 succeeded, 21 not connected, no vote
+	// 165 succeeded, 35 not connected, vote promote on build 8 stage 1
+	// 126 succeeded, 74 not connected, no vote
 }
 
-// A balancer that stood still itself finds late answers and time-outs at once: they are nobody's failure.
-func Example_ownPause() {
+// A router that stood still itself finds late answers and time-outs at once: they are nobody's failure.
+func Example_processPause() {
 	f := newFleet(nil)
 	f.run(40, 2, fine)
 	f.b.TickController(f.now)
 	for _, pause := range []float64{0.2, 1.2} {
-		c, s := f.command(0)
+		c, s := f.request(0)
 		u := f.b.endpointByID[s.Endpoint]
 		f.b.TickController(f.now + 0.09)
 		f.now += 0.1 + pause
@@ -224,33 +224,33 @@
 	// after 1.2 s: failing false
 }
 
-// Rule 4: many balancers together send a cold unit no more than one that sees all the traffic.
-func Example_coldAmongMany() {
+// Rule 4: many routers together send a endpoint in slow start no more than one that sees all the traffic.
+func Example_slowStartAmongManyRouters() {
 	for _, n := range []int{1, 100} {
 		sum := 0
 		for i := 0; i < n; i++ {
 			f := newFleet(func(t *Config) { t.Routers = n })
 			f.b.random.seed = uint64(i)
 			f.run(400/n, 4, fine)
-			f.list(false, machine{id: 4, build: 7, since: f.now})
+			f.list(false, endpointEntry{id: 4, build: 7, since: f.now})
 			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
 				sum += boolToInt(u == 4)
 				return [...]Outcome{Overloaded, Succeeded}[boolToInt(u == 4)], 0.01 // the cold one looks far better than the others
 			})
 		}
-		fmt.Println(n, "balancers:", sum)
+		fmt.Println(n, "routers:", sum)
 	}
 	// Output:
-	// 1 balancers: 45
-	// 100 balancers: 5
+	// 1 routers: 45
+	// 100 routers: 5
 }
 
-// Under load a command whose client, by the time it is given, first asked longer ago than the target is nacked.
-func Example_laterTries() {
+// Under load a request whose client, by the time it is given, first asked longer ago than the objective is rejected.
+func Example_laterTriesUnderLoad() {
 	f := newFleet(func(t *Config) { t.Classes[0].TimeoutSeconds = 1 })
-	f.run(40, 2, fine) // first tries are given 0.8 s
+	f.run(40, 2, fine) // first attempts are given 0.8 s
 	for _, ratio := range []float64{0.1, 0.9} {
-		fmt.Print("time over target ", ratio)
+		fmt.Print("latency over objective ", ratio)
 		for _, given := range []float64{0.8, 0.75, 0.6, 0.1} {
 			f.b.latencyRatio, f.id = ratio, f.id+1
 			c := &Request{ID: f.id, ReceivedAt: f.now, Deadline: f.now + given}
@@ -263,6 +263,6 @@
 		fmt.Println()
 	}
 	// Output:
-	// time over target 0.1, given 0.80 s: send, given 0.75 s: send, given 0.60 s: send, given 0.10 s: send
-	// time over target 0.9, given 0.80 s: send, given 0.75 s: send, given 0.60 s: nack, back in 1.0 s, given 0.10 s: send
+	// latency over objective 0.1, given 0.80 s: send, given 0.75 s: send, given 0.60 s: send, given 0.10 s: send
+	// latency over objective 0.9, given 0.80 s: send, given 0.75 s: send, given 0.60 s: reject, retry after 1.0 s, given 0.10 s: send
 }
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// trial puts n machines of build 8 on the list, started age ago, and announces the second stage.
-func (f *fleet) trial(n int, age float64) {
+// startCanary puts n endpoints of build 8 on the list, started age ago, and announces the second stage.
+func (f *fleet) startCanary(n int, age float64) {
 	for i := 0; i < n; i++ {
-		f.list(false, machine{id: uint32(11 + i), build: 8, since: f.now - age})
+		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, since: f.now - age})
 	}
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, age)
 }
 
-// The back rule: errors on all trial machines.
-func Example_back() {
+// When to roll back: errors on all canary endpoints.
+func Example_rollback() {
 	f := newFleet(nil)
-	f.trial(2, 10)
+	f.startCanary(2, 10)
 	f.run(600, 4, func(u uint32, build int) (Outcome, float64) {
 		if build == 8 {
 			return ServerError, 0.01
@@ -32,19 +32,19 @@
 	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
 	f.vote(6, VoteCounted)
 	// Output:
-	// vote back on build 8 stage 1
-	// vote back on build 8 stage 1
+	// vote rollback on build 8 stage 1
+	// vote rollback on build 8 stage 1
 	// no vote
-	// vote back on build 8 stage 1
-	// vote back on build 8 stage 2
+	// vote rollback on build 8 stage 1
+	// vote rollback on build 8 stage 2
 	// no vote
 }
 
-// The trouble is in one machine, on either side, or in all alike: no back vote.
-func Example_notTheBuild() {
+// The trouble is in one endpoint, on either side, or in all alike: no vote to roll back.
+func Example_faultsOfOtherCauses() {
 	play := func(name string, n int, age, secs float64, r Outcome, took float64, ids ...uint32) {
 		f := newFleet(func(t *Config) { t.AutomaticStages = true })
-		f.trial(n, age)
+		f.startCanary(n, age)
 		f.run(1200, secs, func(u uint32, _ int) (Outcome, float64) {
 			if slices.Contains(ids, u) {
 				return r, took
@@ -54,47 +54,47 @@
 		fmt.Print(name, ": ")
 		f.vote(1, VoteCounted)
 	}
-	play("one trial machine fails", 2, 10, 8, ServerError, 0.01, 11)
-	play("two of twelve trial machines fail", 12, 10, 8, ServerError, 0.01, 11, 12)
+	play("one canary endpoint fails", 2, 10, 8, ServerError, 0.01, 11)
+	play("two of twelve canary endpoints fail", 12, 10, 8, ServerError, 0.01, 11, 12)
 	play("all fail", 2, 10, 8, ServerError, 0.01, 1, 2, 3, 4, 11, 12)
-	play("a lone trial machine times out", 1, 10, 8, TimedOut, 0.6, 11)
-	play("a lone trial machine fails", 1, 10, 8, ServerError, 0.01, 11)
-	play("cold trial machines time out", 2, 0, 3.5, TimedOut, 0.6, 11, 12)
-	play("trial machines time out", 2, 10, 8, TimedOut, 0.6, 11, 12)
-	play("trial machines are slow", 2, 10, 8, Succeeded, 0.2, 11, 12)
+	play("a lone canary endpoint times out", 1, 10, 8, TimedOut, 0.6, 11)
+	play("a lone canary endpoint fails", 1, 10, 8, ServerError, 0.01, 11)
+	play("canary endpoints in slow start time out", 2, 0, 3.5, TimedOut, 0.6, 11, 12)
+	play("canary endpoints time out", 2, 10, 8, TimedOut, 0.6, 11, 12)
+	play("canary endpoints are slow", 2, 10, 8, Succeeded, 0.2, 11, 12)
 	// Output:
-	// one trial machine fails: no vote
-	// two of twelve trial machines fail: no vote
+	// one canary endpoint fails: no vote
+	// two of twelve canary endpoints fail: no vote
 	// all fail: no vote
-	// a lone trial machine times out: no vote
-	// a lone trial machine fails: vote back on build 8 stage 1
-	// cold trial machines time out: no vote
-	// trial machines time out: vote back on build 8 stage 1
-	// trial machines are slow: vote back on build 8 stage 1
+	// a lone canary endpoint times out: no vote
+	// a lone canary endpoint fails: vote rollback on build 8 stage 1
+	// canary endpoints in slow start time out: no vote
+	// canary endpoints time out: vote rollback on build 8 stage 1
+	// canary endpoints are slow: vote rollback on build 8 stage 1
 }
 
-// After the release nothing but errors and wrong answers speak against a build: a burst has no earlier machine to be
+// After the release nothing but errors and wrong answers speak against a build: a burst has no earlier endpoint to be
 // compared with.
 func Example_afterRelease() {
 	for _, r := range []Outcome{TimedOut, NotConnected, ServerError} {
 		f := newFleet(nil)
-		f.trial(4, 10)
+		f.startCanary(4, 10)
 		f.run(200, 2, fine)
 		f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
-		f.list(false, machine{1, 7, Gone, 0}, machine{2, 7, Gone, 0}, machine{3, 7, Gone, 0}, machine{4, 7, Gone, 0})
+		f.list(false, endpointEntry{1, 7, Gone, 0}, endpointEntry{2, 7, Gone, 0}, endpointEntry{3, 7, Gone, 0}, endpointEntry{4, 7, Gone, 0})
 		f.run(200, 2, func(uint32, int) (Outcome, float64) { return r, 0.1 })
 		f.vote(1, VoteCounted)
 	}
 	// Output:
 	// no vote
 	// no vote
-	// vote back on build 8 stage 2
+	// vote rollback on build 8 stage 2
 }
 
-// Wrong answers are seen only by flags, in part and late; flags on a machine's earlier process are not the trial's.
-func Example_flags() {
+// Wrong answers are seen only by clients' reports, in part and late; reports on an endpoint's earlier process are not the canary's.
+func Example_wrongAnswers() {
 	f := newFleet(nil)
-	f.trial(2, 10)
+	f.startCanary(2, 10)
 	f.run(200, 2, fine)
 	for i := 0; i < 2; i++ {
 		f.b.ReportWrongAnswer(f.now, 1, 1)
@@ -105,23 +105,23 @@
 	}
 	f.vote(0.5, VoteCounted)
 	// Output:
-	// vote on on build 8 stage 1
-	// vote back on build 8 stage 1
+	// vote promote on build 8 stage 1
+	// vote rollback on build 8 stage 1
 }
 
-// The on rule: the stage's share listed, 3 s after the newest start with 20 outcomes, else 5 s; none where the clock
+// When to promote: the stage's share listed, 3 s after the newest start with 20 outcomes, else 5 s; none where the clock
 // moves stages.
-func Example_on() {
+func Example_promote() {
 	f := newFleet(nil)
-	f.trial(1, 0)
-	f.vote(8, VoteCounted) // the stage wants two machines
-	f.list(false, machine{id: 12, build: 8, since: f.now})
+	f.startCanary(1, 0)
+	f.vote(8, VoteCounted) // the stage wants two endpoints
+	f.list(false, endpointEntry{id: 12, build: 8, since: f.now})
 	start := f.now
 	f.vote(8, VoteCounted)
 	fmt.Println("few outcomes and none to come, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
 	f = newFleet(nil)
-	f.trial(2, 0)
+	f.startCanary(2, 0)
 	start = f.now
 	f.run(600, 2.9, fine)
 	f.vote(0.1, VoteCounted)
@@ -129,23 +129,23 @@
 	fmt.Println("enough outcomes, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
 	f = newFleet(func(t *Config) { t.AutomaticStages = true })
-	f.trial(2, 0)
+	f.startCanary(2, 0)
 	f.run(200, 2.9, fine)
 	f.vote(8, VoteCounted)
 	// Output:
 	// no vote
-	// vote on on build 8 stage 1
+	// vote promote on build 8 stage 1
 	// few outcomes and none to come, waited 3 s: true
 	// no vote
-	// vote on on build 8 stage 1
+	// vote promote on build 8 stage 1
 	// enough outcomes, waited 3 s: true
 	// no vote
 }
 
-// Under the clock a doubt holds the stage; a back vote is withdrawn when its evidence fades.
+// Under the clock a doubt holds the stage; a vote to roll back is withdrawn when its evidence fades.
 func Example_hold() {
 	f := newFleet(func(t *Config) { t.AutomaticStages = true })
-	f.trial(2, 10)
+	f.startCanary(2, 10)
 	for _, trial := range []outcomeCount{{60, 2}, {60, 8}, {200, 8}, {900, 8}, {9000, 8}} {
 		for id := uint32(1); id <= 4; id++ {
 			f.b.countsOf(id, 7).byKind[serverError] = outcomeCount{40, 0}
@@ -156,20 +156,20 @@
 	}
 	// Output:
 	// {60 2} vote hold on build 8 stage 1
-	// {60 8} vote back on build 8 stage 1
+	// {60 8} vote rollback on build 8 stage 1
 	// {200 8} no vote
 	// {900 8} vote none on build 8 stage 1
 	// {9000 8} no vote
 }
 
-// A command that a client repeats at once is one failure, not many.
-func Example_repeats() {
+// A request that a client repeats at once is one failure, not many.
+func Example_clientRepeats() {
 	f := newFleet(nil)
-	f.trial(2, 10)
+	f.startCanary(2, 10)
 	f.run(60, 1, fine)
 	before := f.b.countsOf(11, 8).byKind[serverError].total + f.b.countsOf(12, 8).byKind[serverError].total
 	for i := 0; i < 60; i++ {
-		c, s := f.command(2)
+		c, s := f.request(2)
 		if s.Action == Send {
 			f.answer(c, ServerError)
 		}
@@ -179,12 +179,12 @@
 	// Output: counted: true
 }
 
-// Many relays and machines: each machine is met once or twice, and a build goes back on many votes.
-func Example_manyMachines() {
+// Many routers and endpoints: each endpoint is met once or twice, and a release is rolled back by many votes.
+func Example_manyEndpoints() {
 	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
 		f := newFleet(func(t *Config) { t.Routers, t.RollbackVotes = 300, 45 })
 		for i := uint32(0); i < 100; i++ {
-			f.list(false, machine{id: 100 + i, build: 7}, machine{id: 300 + i, build: 8, since: 80})
+			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, since: 80})
 		}
 		f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 10)
 		met := f.run(60, 4, func(_ uint32, build int) (Outcome, float64) {
@@ -193,11 +193,11 @@
 			}
 			return Succeeded, 0.05
 		})
-		fmt.Print(met[8], " outcomes of 100 trial machines: ")
+		fmt.Print(met[8], " outcomes of 100 canary endpoints: ")
 		f.vote(1, VoteCounted)
 	}
 	// Output:
-	// 29 outcomes of 100 trial machines: vote on on build 8 stage 2
-	// 27 outcomes of 100 trial machines: vote back on build 8 stage 2
-	// 29 outcomes of 100 trial machines: vote back on build 8 stage 2
+	// 29 outcomes of 100 canary endpoints: vote promote on build 8 stage 2
+	// 27 outcomes of 100 canary endpoints: vote rollback on build 8 stage 2
+	// 29 outcomes of 100 canary endpoints: vote rollback on build 8 stage 2
 }
