--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -1,127 +1,103 @@
 package lease
 
-import "fmt"
+// sentReportsKept is the number of latest reports whose sending times a follower keeps.
+const sentReportsKept = 64
 
-// Schema is the link's version. Ends whose major numbers differ do not talk; a higher minor one only adds fields.
-const (
-	SchemaMajor = 1
-	SchemaMinor = 1
-)
+// notBased is the follower's basedAt while its last assignment acknowledges no report whose sending time is known.
+const notBased = -1
 
-// AssignmentHeader is what identifies a view.
-type AssignmentHeader struct {
-	Major                    uint32
-	Epoch, Sequence          uint64 // of the planner's process, and within it
-	Incarnation, AckedReport uint64 // the edge's process it is for, and the last digest of it that the planner had
-}
-
-// ContentVersions is how new the parts of a view are.
-type ContentVersions struct {
-	EndpointsAt    float64 // when the list was true, s since 1970
-	ReleaseVersion uint64  // the installer's version, 0: no news yet
-}
-
-// Reason says why a message does not count.
-type Reason int
-
-const (
-	Accepted Reason = iota
-	SchemaMismatch
-	OtherIncarnation // for, or of, an earlier process of the edge
-	StaleEpoch       // of a planner that another has followed
-	StaleSequence    // repeated or overtaken
-	UnknownReport    // answers a digest that was never sent
-	Superseded       // the planner is not the newest any more
-	reasonCount      // how many there are
-)
-
-var reasonNames = [reasonCount]string{"taken", "other schema", "other life", "old epoch", "old number", "never sent", "superseded"}
-
-func (r Reason) String() string { return reasonNames[r] }
-
-// ReasonCount is how many reasons there are, for counts by reason.
-const ReasonCount = int(reasonCount)
-
-const remembered = 64 // digests whose sending times an edge keeps
-
-// Follower is an edge's end. An edge follows the planner with the highest epoch that it has heard of, and no other.
+// Follower is a router's end. It follows the controller with the highest epoch that it has heard of, and no other.
 type Follower struct {
-	life    uint64
-	seq     uint64
-	sentAt  [remembered]float64
-	epoch   uint64
-	number  uint64
-	based   float64 // when the digest that the view answers was sent: the view is no older, and no younger for sure
-	parts   ContentVersions
-	viewed  bool
+	incarnation   uint64
+	reportsSent   uint64                   // which is the sequence of the last one
+	reportSentAt  [sentReportsKept]float64 // by sequence modulo the size
+	leaderEpoch   uint64
+	assignmentSeq uint64  // sequence of the last assignment accepted, within leaderEpoch
+	basedAt       float64 // when the report was sent that the last assignment acknowledges
+	content       ContentVersions
+
+	// Refused counts the assignments that did not count, by reason.
 	Refused [ReasonCount]uint64
 }
 
-// NewFollower is an edge's at its start. life must be above that of the edge's earlier processes.
-func NewFollower(life uint64) *Follower { return &Follower{life: life} }
+// NewFollower returns the end of a router process at its start. Its incarnation must be higher than that of the router's
+// earlier processes.
+func NewFollower(incarnation uint64) *Follower { return &Follower{incarnation: incarnation} }
 
-// NextReport numbers one that is about to be sent.
-func (f *Follower) NextReport(now float64) (life, seq, following uint64) {
-	f.seq++
-	f.sentAt[f.seq%remembered] = now
-	return f.life, f.seq, f.epoch
+// NextReport numbers a report that is about to be sent, and gives the epoch followed, 0 for none, that goes with it.
+func (f *Follower) NextReport(now float64) (incarnation, sequence, epoch uint64) {
+	f.reportsSent++
+	f.reportSentAt[f.reportsSent%sentReportsKept] = now
+	return f.incarnation, f.reportsSent, f.leaderEpoch
 }
 
-// AcceptAssignment says whether a view counts, and which of its parts are news. Parts that are older than what the edge has, such as
-// the list that a planner found on its disk, are passed over; the rest of the view counts.
-func (f *Follower) AcceptAssignment(h AssignmentHeader, p ContentVersions) (r Reason, list, stage bool) {
-	switch {
-	case h.Major != SchemaMajor:
-		r = SchemaMismatch
-	case h.Incarnation != f.life:
-		r = OtherIncarnation
-	case h.Epoch < f.epoch:
-		r = StaleEpoch
-	case h.Epoch == f.epoch && h.Sequence <= f.number:
-		r = StaleSequence
-	case h.AckedReport > f.seq:
-		r = UnknownReport
+// AcceptAssignment tells whether an assignment counts and, where it does, which parts of its content the router has to apply.
+// A part that is older than what the router has, such as an endpoint list that a restarted controller found on its disk, is
+// passed over, while the rest of the assignment counts.
+func (f *Follower) AcceptAssignment(header AssignmentHeader, content ContentVersions) (reason Reason, applyEndpoints, applyRelease bool) {
+	if reason = f.checkAssignment(header); reason != Accepted {
+		f.Refused[reason]++
+		return reason, false, false
 	}
-	if r != Accepted {
-		f.Refused[r]++
-		return r, false, false
+	f.leaderEpoch, f.assignmentSeq = header.Epoch, header.Sequence
+	f.basedAt = f.sentAt(header.AckedReport)
+	applyEndpoints = content.EndpointsAt > f.content.EndpointsAt
+	applyRelease = content.ReleaseVersion > 0 && content.ReleaseVersion >= f.content.ReleaseVersion
+	if applyEndpoints {
+		f.content.EndpointsAt = content.EndpointsAt
 	}
-	f.epoch, f.number, f.viewed = h.Epoch, h.Sequence, true
-	f.based = -1 // a view that answers a digest sent too long ago proves nothing of now
-	if h.AckedReport > 0 && f.seq-h.AckedReport < remembered {
-		f.based = f.sentAt[h.AckedReport%remembered]
+	if applyRelease {
+		f.content.ReleaseVersion = content.ReleaseVersion
 	}
-	list = p.EndpointsAt > f.parts.EndpointsAt
-	stage = p.ReleaseVersion > 0 && p.ReleaseVersion >= f.parts.ReleaseVersion
-	if list {
-		f.parts.EndpointsAt = p.EndpointsAt
+	return Accepted, applyEndpoints, applyRelease
+}
+
+// checkAssignment finds why an assignment does not count.
+func (f *Follower) checkAssignment(header AssignmentHeader) Reason {
+	switch {
+	case header.Major != SchemaMajor:
+		return SchemaMismatch
+	case header.Incarnation != f.incarnation:
+		return OtherIncarnation
+	case header.Epoch < f.leaderEpoch:
+		return StaleEpoch
+	case header.Epoch == f.leaderEpoch && header.Sequence <= f.assignmentSeq:
+		return StaleSequence
+	case header.AckedReport > f.reportsSent:
+		return UnknownReport
 	}
-	if stage {
-		f.parts.ReleaseVersion = p.ReleaseVersion
+	return Accepted
+}
+
+// sentAt gives when a report was sent, or notBased. An assignment that acknowledges a report from too long ago proves nothing
+// about the present.
+func (f *Follower) sentAt(report uint64) float64 {
+	if report > 0 && f.reportsSent-report < sentReportsKept {
+		return f.reportSentAt[report%sentReportsKept]
 	}
-	return Accepted, list, stage
+	return notBased
 }
 
-// RestoreEndpointsAt notes a list from the edge's own disk.
+// RestoreEndpointsAt notes that the router has an endpoint list from its own disk that was true at the time given.
 func (f *Follower) RestoreEndpointsAt(listAt float64) {
-	f.parts.EndpointsAt = max(f.parts.EndpointsAt, listAt)
+	f.content.EndpointsAt = max(f.content.EndpointsAt, listAt)
 }
 
-// LeaseEnd is when a lease of so many seconds ends that came with the last view. It is counted from the sending of the
-// digest that the view answers, so that it ends here no later than at the planner, however long either message took.
-func (f *Follower) LeaseEnd(life float64) float64 {
-	if f.based < 0 {
+// LeaseEnd gives when the lease ends that came with the last assignment, 0 if it counts for nothing. It is counted from the
+// sending of the report that the assignment acknowledges: that was before the leader granted the lease, so the lease ends here
+// no later than in the leader's ledger, however long either message took.
+func (f *Follower) LeaseEnd(leaseSeconds float64) float64 {
+	if f.basedAt < 0 {
 		return 0
 	}
-	return f.based + life
+	return f.basedAt + leaseSeconds
 }
 
-// AssignmentAge is how old the last view is at the most. began is when the edge did: there may be none yet.
-func (f *Follower) AssignmentAge(now, began float64) float64 { return now - max(began, f.based) }
-
-// Following names the planner's process that counts, 0: none yet.
-func (f *Follower) Following() (epoch, number uint64) { return f.epoch, f.number }
-
-func (h AssignmentHeader) String() string {
-	return fmt.Sprintf("schema %d, epoch %d, number %d, for life %d", h.Major, h.Epoch, h.Sequence, h.Incarnation)
+// AssignmentAge gives the age of the last assignment, in seconds, at the most. startedAt is when the router process started:
+// there may be no assignment yet.
+func (f *Follower) AssignmentAge(now, startedAt float64) float64 {
+	return now - max(startedAt, f.basedAt)
 }
+
+// Following gives the epoch that counts, 0 for none yet, and the sequence of its last assignment.
+func (f *Follower) Following() (epoch, sequence uint64) { return f.leaderEpoch, f.assignmentSeq }
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -5,100 +5,117 @@
 	"strconv"
 )
 
-// Leader is a planner's end.
+// Leader is a controller's end.
 type Leader struct {
-	epoch    uint64
-	number   uint64
-	silence  float64
-	ledger   *Ledger
-	edges    map[string]*edge
-	newer    uint64 // epoch of a planner that has come after this one, 0: none
-	Refused  [ReasonCount]uint64
-	lifeTime float64
+	epoch                uint64
+	newerEpoch           uint64 // of a controller that has come after this one; 0: none known
+	assignmentsSent      uint64 // which is the sequence of the last one
+	routers              map[string]*router
+	routerTimeoutSeconds float64
+	ledger               *Ledger
+	leaseSeconds         float64
+
+	// Refused counts the reports that did not count, by reason.
+	Refused [ReasonCount]uint64
+}
+
+// router is what the leader knows of a router that is alive.
+type router struct {
+	incarnation  uint64
+	sequence     uint64 // of its last report
+	lastReportAt float64
 }
 
-type edge struct {
-	life, seq uint64
-	heard     float64
+// NewLeader returns the end of a controller process at its start. Its epoch must be higher than that of every controller
+// before it. A lease lasts leaseSeconds, the canary limit counts attempts over windowSeconds, and a router without a report for
+// routerTimeoutSeconds is taken for dead.
+func NewLeader(epoch uint64, leaseSeconds, windowSeconds, routerTimeoutSeconds, now float64) *Leader {
+	return &Leader{epoch: epoch, routerTimeoutSeconds: routerTimeoutSeconds, ledger: NewLedger(leaseSeconds, windowSeconds, now),
+		routers: map[string]*router{}, leaseSeconds: leaseSeconds}
 }
 
-// NewLeader is a planner's at its start. epoch must be above that of every planner before it; life is how long a lease
-// lasts, window the rule's on exposure; an edge that is silent for so long is taken for dead.
-func NewLeader(epoch uint64, life, window, silence, now float64) *Leader {
-	return &Leader{epoch: epoch, silence: silence, ledger: NewLedger(life, window, now), edges: map[string]*edge{}, lifeTime: life}
+// AcceptReport tells whether a router's report counts. followedEpoch is the epoch that the router follows: where it is higher
+// than this controller's, another controller has come after it, and this one stops being the leader for good.
+func (l *Leader) AcceptReport(now float64, major uint32, name string, incarnation, sequence, followedEpoch uint64) Reason {
+	reason := l.checkReport(major, l.routers[name], incarnation, sequence, followedEpoch)
+	if reason == Superseded {
+		l.newerEpoch = max(l.newerEpoch, followedEpoch)
+	}
+	if reason != Accepted {
+		l.Refused[reason]++
+		return reason
+	}
+	l.routers[name] = &router{incarnation: incarnation, sequence: sequence, lastReportAt: now}
+	return Accepted
 }
 
-// AcceptReport says whether an edge's digest counts. following is the epoch that the edge follows: where that is above this
-// planner's, another has come after it, and it has to step down.
-func (l *Leader) AcceptReport(now float64, major uint32, name string, life, seq, following uint64) (r Reason) {
-	e := l.edges[name]
+// checkReport finds why a report of a router does not count; known is nil for a router that is not known to be alive.
+func (l *Leader) checkReport(major uint32, known *router, incarnation, sequence, followedEpoch uint64) Reason {
 	switch {
 	case major != SchemaMajor:
-		r = SchemaMismatch
-	case following > l.epoch:
-		l.newer = max(l.newer, following)
-		r = Superseded
-	case e != nil && life < e.life:
-		r = OtherIncarnation
-	case e != nil && life == e.life && seq <= e.seq:
-		r = StaleSequence
+		return SchemaMismatch
+	case followedEpoch > l.epoch:
+		return Superseded
+	case known != nil && incarnation < known.incarnation:
+		return OtherIncarnation
+	case known != nil && incarnation == known.incarnation && sequence <= known.sequence:
+		return StaleSequence
 	}
-	if r != Accepted {
-		l.Refused[r]++
-		return r
-	}
-	l.edges[name] = &edge{life: life, seq: seq, heard: now}
 	return Accepted
 }
 
-// IsLeader tells whether this planner is the newest, as far as it knows. One that is not casts no vote and lends nothing.
-func (l *Leader) IsLeader() bool { return l.newer == 0 }
+// IsLeader tells whether this controller is the newest, as far as it knows. One that is not casts no vote and leases nothing.
+func (l *Leader) IsLeader() bool { return l.newerEpoch == 0 }
 
-// NewerEpoch is the epoch that came after this one.
-func (l *Leader) NewerEpoch() uint64 { return l.newer }
+// NewerEpoch gives the highest epoch known to have come after this one, 0 for none.
+func (l *Leader) NewerEpoch() uint64 { return l.newerEpoch }
 
-// Epoch is this planner's.
+// Epoch gives this controller's epoch.
 func (l *Leader) Epoch() uint64 { return l.epoch }
 
-// NextAssignment gives the head of the next view for an edge, and what is lent to it.
-func (l *Leader) NextAssignment(now float64, name string) (h AssignmentHeader, share, life float64) {
-	l.number++
-	h = AssignmentHeader{Major: SchemaMajor, Epoch: l.epoch, Sequence: l.number}
-	if e := l.edges[name]; e != nil {
-		h.Incarnation, h.AckedReport = e.life, e.seq
+// NextAssignment gives the header of the next assignment for a router, and the share that is leased to it, from 0 to 1, with
+// the lease's length. A router that has not reported gets no share.
+func (l *Leader) NextAssignment(now float64, name string) (header AssignmentHeader, share, leaseSeconds float64) {
+	l.assignmentsSent++
+	header = AssignmentHeader{Major: SchemaMajor, Epoch: l.epoch, Sequence: l.assignmentsSent}
+	if known := l.routers[name]; known != nil {
+		header.Incarnation, header.AckedReport = known.incarnation, known.sequence
 		if l.IsLeader() {
-			share = l.ledger.Grant(now, holder(name, e.life), len(l.edges))
+			share = l.ledger.Grant(now, leaseHolder(name, known.incarnation), len(l.routers))
 		}
 	}
-	return h, share, l.lifeTime
+	return header, share, l.leaseSeconds
 }
 
-// holder names one process of an edge: what the process before it spent still counts.
-func holder(name string, life uint64) string { return name + "/" + strconv.FormatUint(life, 10) }
+// leaseHolder names one process of a router: what the process before it spent still counts.
+func leaseHolder(name string, incarnation uint64) string {
+	return name + "/" + strconv.FormatUint(incarnation, 10)
+}
 
-// ExpireRouters gives the edges that have been silent for too long, and forgets them.
+// ExpireRouters forgets the routers that have not reported for too long, and gives their names. Their leases run out by
+// themselves.
 func (l *Leader) ExpireRouters(now float64) (names []string) {
-	for name, e := range l.edges {
-		if now-e.heard > l.silence {
+	for name, known := range l.routers {
+		if now-known.lastReportAt > l.routerTimeoutSeconds {
 			names = append(names, name)
-			delete(l.edges, name)
+			delete(l.routers, name)
 		}
 	}
 	return names
 }
 
-// Routers gives the edges alive.
+// Routers gives the names of the routers alive, sorted.
 func (l *Leader) Routers() []string {
-	names := make([]string, 0, len(l.edges))
-	for name := range l.edges {
+	names := make([]string, 0, len(l.routers))
+	for name := range l.routers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// RouterCount is how many are alive.
-func (l *Leader) RouterCount() int { return len(l.edges) }
+// RouterCount gives the number of routers alive.
+func (l *Leader) RouterCount() int { return len(l.routers) }
 
-// LeasedShare is the sum of the parts that may be in use or count still.
+// LeasedShare gives the sum of the shares that may be in use or count still, at most 1.
 func (l *Leader) LeasedShare(now float64) float64 { return l.ledger.Outstanding(now) }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -1,86 +1,95 @@
-// Package accord decides, at both ends of the link between an edge and its planner, which message counts and what each
-// edge may spend. It is free of I/O and clocks: times are seconds on the caller's clock, passed in.
-//
-// Messages are idempotent and monotone: an edge's digest holds all it counted, a view all that binds the edge. Each is
-// numbered, the newest counts, and one that was lost, repeated or overtaken does no harm.
 package lease
 
 import "sort"
 
-// Ledger keeps what a planner lends its edges of the one free part that the rule on exposure allows their sum. A lease
-// that was given may be in use until it ends, and what was sent under it counts for a window more; only then is it free to
-// be lent again. So the parts out never exceed one, whoever dies and whichever message is lost.
+// minShare is the least share worth a lease; below it, what is left over is rounding.
+const minShare = 1e-9
+
+// Ledger keeps which shares of the free canary attempts are leased. A lease may be in use until it ends, and the attempts made
+// under it count in the canary limit's window after that; only then may its share be leased again. So the shares outstanding
+// never sum to more than 1, whichever router dies and whichever message is lost.
 type Ledger struct {
-	life, window float64
-	from         float64 // nothing is lent before
-	out          map[string][]lease
+	leaseSeconds  float64
+	windowSeconds float64 // over which the canary limit counts attempts
+	firstGrantAt  float64
+	leases        map[string][]grant // by holder, in the order of their ends
 }
 
-type lease struct{ share, ends float64 }
+// grant is one lease.
+type grant struct{ share, endsAt float64 }
 
-// NewLedger is a planner's at its start. Leases of the planner before it may be out still: it lends nothing until they
-// have ended and their window is over.
-func NewLedger(life, window, now float64) *Ledger {
-	return &Ledger{life: life, window: window, from: now + life + window, out: map[string][]lease{}}
+// NewLedger returns the ledger of a controller process at its start. Leases of the controller before it may still be in use:
+// it grants nothing until they have ended and their window is over.
+func NewLedger(leaseSeconds, windowSeconds, now float64) *Ledger {
+	return &Ledger{leaseSeconds: leaseSeconds, windowSeconds: windowSeconds, firstGrantAt: now + leaseSeconds + windowSeconds,
+		leases: map[string][]grant{}}
 }
 
-// Grant gives who a part for a lease's life from now on, alive being how many edges want one.
-func (l *Ledger) Grant(now float64, who string, alive int) (share float64) {
+// Grant leases a holder the share of one of so many holders, or what is left where that is less, from now on. It gives 0 where
+// nothing is left.
+func (l *Ledger) Grant(now float64, holder string, holders int) (share float64) {
 	l.expire(now)
-	if now < l.from {
+	if now < l.firstGrantAt {
 		return 0
 	}
 	others := 0.0
-	for name := range l.out {
-		if name != who {
-			others += l.held(name)
+	for name := range l.leases {
+		if name != holder {
+			others += l.outstandingOf(name)
 		}
 	}
-	if share = min(1/float64(max(1, alive)), 1-others); share < 1e-9 {
+	if share = min(1/float64(max(1, holders)), 1-others); share < minShare {
 		return 0
 	}
-	// Renewed each time, a lease of the same size only ends later.
-	if n := len(l.out[who]); n > 0 && l.out[who][n-1].share == share {
-		l.out[who][n-1].ends = now + l.life
-	} else {
-		l.out[who] = append(l.out[who], lease{share, now + l.life})
-	}
+	l.record(now, holder, share)
 	return share
 }
 
-// held is the most that one edge may still be using, or has used within the window.
-func (l *Ledger) held(who string) (most float64) {
-	for _, x := range l.out[who] {
-		most = max(most, x.share)
+// record notes a lease from now on. One that renews the holder's last with the same share only moves that one's end.
+func (l *Ledger) record(now float64, holder string, share float64) {
+	granted := l.leases[holder]
+	if n := len(granted); n > 0 && granted[n-1].share == share {
+		granted[n-1].endsAt = now + l.leaseSeconds
+		return
+	}
+	l.leases[holder] = append(granted, grant{share, now + l.leaseSeconds})
+}
+
+// outstandingOf gives the largest share that a holder may still be using, or has used within the window.
+func (l *Ledger) outstandingOf(holder string) (largest float64) {
+	for _, g := range l.leases[holder] {
+		largest = max(largest, g.share)
 	}
-	return most
+	return largest
 }
 
+// expire drops the leases that have ended and whose window is over.
 func (l *Ledger) expire(now float64) {
-	for who, list := range l.out {
-		n := 0
-		for _, x := range list {
-			if x.ends+l.window > now {
-				list[n] = x
-				n++
+	for holder, granted := range l.leases {
+		kept := granted[:0]
+		for _, g := range granted {
+			if g.endsAt+l.windowSeconds > now {
+				kept = append(kept, g)
 			}
 		}
-		if l.out[who] = list[:n]; n == 0 {
-			delete(l.out, who)
+		if len(kept) == 0 {
+			delete(l.leases, holder)
+			continue
 		}
+		l.leases[holder] = kept
 	}
 }
 
-// Outstanding is the sum of what may be in use or count still, for the operator to see.
+// Outstanding gives the sum of the shares that may be in use or count still.
 func (l *Ledger) Outstanding(now float64) (sum float64) {
 	l.expire(now)
-	names := make([]string, 0, len(l.out))
-	for who := range l.out {
-		names = append(names, who)
+	holders := make([]string, 0, len(l.leases))
+	for holder := range l.leases {
+		holders = append(holders, holder)
 	}
-	sort.Strings(names) // a sum in one order: equal events give equal sums
-	for _, who := range names {
-		sum += l.held(who)
+	sort.Strings(holders) // float sums depend on their order: equal events give equal sums
+	for _, holder := range holders {
+		sum += l.outstandingOf(holder)
 	}
 	return sum
 }
