--- /dev/null
+++ b/internal/loadshed/shedder_test.go
@@ -0,0 +1,232 @@
+package loadshed
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+var testClasses = []RequestClass{{0.3, 2}, {0.6, 3}, {0.3, 1}}
+
+// capacity is the work per second that a simulated router can do.
+const capacity = 1000.0
+
+// simRouter is a simulated router: requests wait in front of it, as in a kernel's buffers, and are taken in turn. How long they
+// wait is the process's delay, as far as a process can see that.
+type simRouter struct {
+	shedder      *Shedder
+	now          float64
+	waiting      []waitingRequest
+	spareWork    float64 // that could be done by now
+	nextSampleAt float64
+	doneWork     float64 // since the last sample
+	shed         [3]int  // requests, by class
+	received     [3]int
+	shedShares   []float64 // at each sample
+}
+
+type waitingRequest struct {
+	request Request
+	at      float64
+}
+
+func newSimRouter() *simRouter {
+	return &simRouter{shedder: New(testClasses, 7, 0)}
+}
+
+func (r *simRouter) oldestAge() float64 {
+	if len(r.waiting) == 0 {
+		return 0
+	}
+	return r.now - r.waiting[0].at
+}
+
+// offer lets one request come, and does the work that there is time for until the next; done is called with what became of
+// each.
+func (r *simRouter) offer(rate float64, request Request, done func(request Request, admitted bool)) {
+	r.now += 1 / rate
+	r.waiting = append(r.waiting, waitingRequest{request, r.now})
+	r.spareWork = min(r.spareWork+capacity/rate, 2)
+	for len(r.waiting) > 0 && r.spareWork > 0 {
+		next := r.waiting[0]
+		r.waiting = r.waiting[1:]
+		next.request.RemainingSeconds -= r.now - next.at
+		admitted := r.shedder.Admit(r.now, next.request)
+		if done(next.request, admitted); admitted {
+			r.spareWork--
+			r.doneWork++
+			r.shedder.OnSuccess(next.request.Class, r.now-next.at, 100)
+		} else {
+			r.spareWork -= 0.1 // what it costs to turn one away
+			r.doneWork += 0.1
+		}
+	}
+	if r.now >= r.nextSampleAt {
+		r.sample()
+	}
+}
+
+func (r *simRouter) sample() {
+	busy := min(1, r.doneWork/capacity/(r.now-r.nextSampleAt+0.1))
+	r.nextSampleAt, r.doneWork = r.now+0.1, 0
+	delay := min(r.oldestAge(), 0.25)
+	r.shedder.Observe(r.now, LoadSample{TimerDelaySeconds: delay, SchedulerDelaySeconds: delay / 2, CPUShare: busy})
+	r.shedShares = append(r.shedShares, r.shedder.ShedShare())
+}
+
+// run offers so many requests per second, of each class in turn, for some seconds.
+func (r *simRouter) run(rate, seconds float64, client func(i int) (id uint64, retry bool)) {
+	r.shed, r.received, r.shedShares = [3]int{}, [3]int{}, nil
+	for i, end := 0, r.now+seconds; r.now < end; i++ {
+		id, retry := client(i)
+		r.offer(rate, Request{Class: i % 3, Client: id, Retry: retry, RemainingSeconds: 1}, func(request Request, admitted bool) {
+			r.received[request.Class]++
+			r.shed[request.Class] += asInt(!admitted)
+		})
+	}
+}
+
+func twentyClients(i int) (id uint64, retry bool) { return uint64(i % 20), false }
+
+// The limit finds the capacity, sheds the lowest priority first, and is gone with the load.
+func Example_overload() {
+	r := newSimRouter()
+	show := func(name string) {
+		fmt.Printf("%s: shed %.0f%% of priority 2, %.0f%% of 3, %.0f%% of 1; delay at the end %.2f s\n", name, percent(r.shed[0], r.received[0]), percent(r.shed[1], r.received[1]),
+			percent(r.shed[2], r.received[2]), r.oldestAge())
+	}
+	r.run(800, 10, twentyClients)
+	show("below capacity")
+	r.run(2000, 3, twentyClients)
+	r.run(2000, 20, twentyClients)
+	show("at twice the capacity")
+	r.run(800, 2, twentyClients)
+	r.run(800, 5, twentyClients)
+	show("below it again")
+	// Output:
+	// below capacity: shed 0% of priority 2, 0% of 3, 0% of 1; delay at the end 0.00 s
+	// at twice the capacity: shed 72% of priority 2, 0% of 3, 100% of 1; delay at the end 0.05 s
+	// below it again: shed 0% of priority 2, 0% of 3, 0% of 1; delay at the end 0.00 s
+}
+
+func percent(n, of int) float64 { return math.Round(100 * float64(n) / float64(max(1, of))) }
+
+// One client asks for nine tenths of all; the others keep what they ask for. Retries go behind first requests.
+func Example_fairness() {
+	r := newSimRouter()
+	var shed, received [2]int
+	count := func(hot func(int) bool, retry func(int) bool) {
+		r.run(2000, 3, twentyClients)
+		shed, received = [2]int{}, [2]int{}
+		for i := range 20000 {
+			id := uint64(1 + i%19)
+			if hot(i) {
+				id = 0
+			}
+			r.offer(2000, Request{Client: id, Retry: retry(i), RemainingSeconds: 1}, func(request Request, admitted bool) {
+				group := asInt(request.Client == 0 || request.Retry)
+				received[group]++
+				shed[group] += asInt(!admitted)
+			})
+		}
+	}
+	never := func(int) bool { return false }
+	count(func(i int) bool { return i%10 != 0 }, never)
+	fmt.Printf("a hot client: %t that it loses half or more, %t that the others lose under 15%%\n", percent(shed[1], received[1]) >= 50, percent(shed[0], received[0]) < 15)
+	r = newSimRouter()
+	count(never, func(i int) bool { return i%2 == 0 })
+	fmt.Printf("half are retries: %t that they lose 90%% or more, %t that first requests lose less than half of that\n", percent(shed[1], received[1]) >= 90, 2*percent(shed[0], received[0]) < percent(shed[1], received[1]))
+	s := New(testClasses, 1, 0)
+	for i := range 1000 {
+		s.Admit(float64(i)/1000, Request{Class: i % 3, Client: uint64(i), RemainingSeconds: 1})
+	}
+	s.OnSuccess(0, 0.2, 100)
+	fmt.Println("no time left, at ease:", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
+	s.Observe(1, LoadSample{TimerDelaySeconds: 0.06})
+	fmt.Println("no time left, behind:", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
+	// Output:
+	// a hot client: true that it loses half or more, true that the others lose under 15%
+	// half are retries: true that they lose 90% or more, true that first requests lose less than half of that
+	// no time left, at ease: true
+	// no time left, behind: false
+}
+
+// Under constant load what is shed settles: over the last half of it the share stays within a band of 0.35.
+func TestShedShareDoesNotOscillate(t *testing.T) {
+	for _, times := range []float64{1.2, 1.5, 2, 3, 4} {
+		r := newSimRouter()
+		r.run(1000*times, 60, twentyClients)
+		half := r.shedShares[len(r.shedShares)/2:]
+		low, high := math.Inf(1), 0.0
+		for _, share := range half {
+			low, high = min(low, share), max(high, share)
+		}
+		if high-low > 0.35 {
+			t.Errorf("at %g times the capacity the shed share goes from %.2f to %.2f", times, low, high)
+		}
+		admitted := 0
+		for i := range r.received {
+			admitted += r.received[i] - r.shed[i]
+		}
+		if got := float64(admitted) / 60 / 1000; got < 0.7*(1-0.1*times)/0.9 {
+			t.Errorf("at %g times the capacity %.2f of it is used", times, got)
+		}
+	}
+}
+
+// After every sample nothing of a higher score is shed while something of a lower score passes, and a higher load never means
+// that less is shed.
+func TestLowestScoreIsShedFirst(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		classes := make([]RequestClass, rapid.IntRange(1, 6).Draw(t, "classes"))
+		for i := range classes {
+			classes[i] = RequestClass{LatencyObjectiveSeconds: 0.3, PriorityWeight: float64(rapid.IntRange(1, 4).Draw(t, "priority"))}
+		}
+		offered := make([]int, len(classes))
+		sizes := make([]int, len(classes))
+		for i := range offered {
+			offered[i] = rapid.IntRange(0, 40).Draw(t, "offered")
+			sizes[i] = rapid.SampledFrom([]int{0, 8192, 16384}).Draw(t, "bytes")
+		}
+		limit := rapid.Float64Range(1, 200).Draw(t, "limit")
+		loaded := func(times int) *Shedder {
+			s := New(classes, 3, 0)
+			s.limit = limit
+			for class, n := range offered {
+				s.OnSuccess(class, 0.01, sizes[class])
+				for i := range n * times {
+					s.Admit(0.1, Request{Class: class, Client: uint64(i), Retry: i%5 == 0, RemainingSeconds: 1})
+				}
+			}
+			s.Observe(1, LoadSample{})
+			return s
+		}
+		s := loaded(1)
+		for high, highShare := range s.shareByGroup {
+			for low, lowShare := range s.shareByGroup {
+				if s.score(high) > s.score(low) && highShare > 0 && lowShare < 1 {
+					t.Fatalf("%+v, score %g, loses %g; %+v, score %g, loses %g", high, s.score(high), highShare, low, s.score(low), lowShare)
+				}
+			}
+		}
+		if more := loaded(2); more.ShedShare() < s.ShedShare() {
+			t.Fatalf("shed share %g, with twice the load %g", s.ShedShare(), more.ShedShare())
+		}
+		// From the same state, more pressure never leaves a higher limit.
+		delay := rapid.Float64Range(0, 1).Draw(t, "delay")
+		moreDelay := delay + rapid.Float64Range(0, 1).Draw(t, "more delay")
+		calm, hard := loaded(1), loaded(1)
+		for _, s := range []*Shedder{calm, hard} {
+			for i := range 30 {
+				s.Admit(1.1, Request{Client: uint64(i), RemainingSeconds: 1e9})
+			}
+		}
+		calm.Observe(1.2, LoadSample{TimerDelaySeconds: delay})
+		hard.Observe(1.2, LoadSample{TimerDelaySeconds: moreDelay})
+		if hard.Limit() > calm.Limit() {
+			t.Fatalf("limit %g at a delay of %g, %g at %g", calm.Limit(), delay, hard.Limit(), moreDelay)
+		}
+	})
+}
