--- /dev/null
+++ b/internal/configstate/state_test.go
@@ -0,0 +1,179 @@
+package configstate
+
+import (
+	"fmt"
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"pgregory.net/rapid"
+
+	"flintspread/internal/config"
+	"flintspread/internal/policy"
+)
+
+var example = func() string {
+	text, err := os.ReadFile("../../deploy/edge.edn")
+	if err != nil {
+		panic(err)
+	}
+	return "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
+}()
+
+// newVersion gives a version whose parts all bear its number, in the timeout of each class and the size of a body, so that a
+// mix of two versions shows.
+func newVersion(number uint64, classNames []string, requiredList uint64) *Version {
+	var classes, routes strings.Builder
+	for _, name := range classNames {
+		fmt.Fprintf(&classes, "{:name %q :target 0.3 :timeout %g :importance 1 :effect :redeliverable}", name, 1+float64(number)/1000)
+		fmt.Fprintf(&routes, "{:method \"GET\" :path \"/%s/\" :op-type %q}", name, name)
+	}
+	text := regexp.MustCompile(`(?s):op-types.*`).ReplaceAllString(example, ":op-types ["+classes.String()+"] :routes ["+routes.String()+"]}")
+	text = strings.Replace(text, ":body-bytes  1048576", fmt.Sprintf(":body-bytes %d", 1000+number), 1)
+	document, err := config.ParseDocument("made", []byte(text))
+	if err != nil {
+		panic(err)
+	}
+	return &Version{Number: number, Hash: xxhash.Sum64String(text), Text: []byte(text), Document: document, RequiredListVersion: requiredList}
+}
+
+// checkWhole finds what a reader sees of a version that is not of that version.
+func checkWhole(v *Version) error {
+	if v.Number > 0 && v.Document.Clients.BodyBytes != int64(1000+v.Number) {
+		return fmt.Errorf("version %d has the limits of %d", v.Number, v.Document.Clients.BodyBytes-1000)
+	}
+	for _, class := range v.Document.Classes {
+		index := v.ClassOf("GET", "/"+class.Name+"/x")
+		if index < 0 || index >= len(v.Policy.Classes) || v.Policy.Classes[index].TimeoutSeconds != class.Timeout {
+			return fmt.Errorf("version %d: %q has index %d of %d with another configuration", v.Number, class.Name, index, len(v.Policy.Classes))
+		}
+	}
+	return nil
+}
+
+type requestInFlight struct {
+	request *policy.Request
+	version *Version
+	class   string
+}
+
+// simulation offers versions in any order while requests come, wait and end, with the real policy.
+type simulation struct {
+	now         float64
+	state       *State
+	balancer    *policy.Balancer
+	inFlight    []requestInFlight
+	listVersion uint64
+	inForce     uint64 // number of the version last applied
+}
+
+var classNames = []string{"a", "b", "c", "d"}
+
+func newSimulation() *simulation {
+	first := newVersion(0, classNames[:2], 0)
+	s := &simulation{now: 100, state: NewState(first.Document, first.Text, first.Hash, 1), listVersion: 1}
+	s.balancer = policy.New(*s.state.Current().Policy, 1, s.now)
+	s.balancer.BeginEndpointList(true)
+	s.balancer.UpdateEndpoint(1, 0, 0, 1, policy.Ready, 1, 0)
+	s.balancer.EndEndpointList(s.now)
+	return s
+}
+
+func (s *simulation) conditions() Conditions {
+	c := Conditions{InFlight: map[string]int{}, ListVersion: s.listVersion}
+	for _, r := range s.inFlight {
+		c.InFlight[r.class]++
+	}
+	return c
+}
+
+// checkOutcome checks what became of a version, and configures the policy where it was applied.
+func (s *simulation) checkOutcome(t *rapid.T, v *Version, outcome Outcome, err error) {
+	if outcome == Applied {
+		if v.Number <= s.inForce {
+			t.Fatalf("%d after %d", v.Number, s.inForce)
+		}
+		s.inForce = v.Number
+		s.balancer.SetConfig(v.Policy)
+	}
+	if s.state.Current().Number != s.inForce || (outcome == Rejected) != (err != nil) {
+		t.Fatalf("%v %v, in force %d, present %d", outcome, err, s.inForce, s.state.Current().Number)
+	}
+}
+
+func (s *simulation) offer(t *rapid.T) {
+	names := rapid.SliceOfNDistinct(rapid.SampledFrom(classNames), 1, 4, rapid.ID[string]).Draw(t, "names")
+	v := newVersion(rapid.Uint64Range(1, 30).Draw(t, "number"), names, rapid.Uint64Range(0, 4).Draw(t, "required list"))
+	outcome, err := s.state.Offer(s.now, v, s.conditions())
+	s.checkOutcome(t, v, outcome, err)
+	if again, _ := s.state.Offer(s.now, v, s.conditions()); outcome == Applied && again != AlreadyApplied {
+		t.Fatalf("the same again is %v", again)
+	}
+}
+
+func (s *simulation) recheck(t *rapid.T) {
+	if v, outcome, err := s.state.Recheck(s.now, s.conditions()); v != nil {
+		s.checkOutcome(t, v, outcome, err)
+	}
+}
+
+func (s *simulation) receive(t *rapid.T) {
+	v := s.state.Current()
+	name := rapid.SampledFrom(classNames).Draw(t, "name")
+	class := v.ClassOf("GET", "/"+name+"/x")
+	if class < 0 {
+		return
+	}
+	request := &policy.Request{ID: uint32(len(s.inFlight)), Class: class, Config: v.Policy, ReceivedAt: s.now, Deadline: s.now + v.Policy.Classes[class].TimeoutSeconds}
+	s.balancer.Pick(s.now, request)
+	s.inFlight = append(s.inFlight, requestInFlight{request, v, name})
+}
+
+// checkVersions checks that every version in use is whole, and that each request is under the one that it came under.
+func (s *simulation) checkVersions(t *rapid.T) {
+	if err := checkWhole(s.state.Current()); err != nil {
+		t.Fatal(err)
+	}
+	for _, r := range s.inFlight {
+		if err := checkWhole(r.version); err != nil {
+			t.Fatal("in flight: ", err)
+		}
+		if r.request.Config != r.version.Policy {
+			t.Fatal("a request is under another configuration than it came under")
+		}
+	}
+}
+
+// A request is served by the version that it came under from start to end, no version that was rejected is seen, numbers never
+// go back, and a class of which a request is in flight never loses its index.
+func TestRequestsKeepTheirVersion(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newSimulation()
+		t.Repeat(map[string]func(*rapid.T){
+			"":        s.checkVersions,
+			"version": s.offer,
+			"list": func(t *rapid.T) {
+				s.listVersion++
+				s.recheck(t)
+			},
+			"time": func(t *rapid.T) {
+				s.now += rapid.Float64Range(0, 1).Draw(t, "seconds")
+				s.recheck(t)
+			},
+			"request": s.receive,
+			"pick again": func(t *rapid.T) {
+				if len(s.inFlight) > 0 {
+					r := s.inFlight[rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "which")]
+					s.balancer.Pick(s.now, r.request) // its class's index is there whatever was applied meanwhile
+				}
+			},
+			"end": func(*rapid.T) {
+				if len(s.inFlight) > 0 {
+					s.inFlight = s.inFlight[1:]
+				}
+			},
+		})
+	})
+}
