--- /dev/null
+++ b/internal/endpoints/file.go
@@ -0,0 +1,94 @@
+package endpoints
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// Patterns of the names beside a file: of a new version that is being written, and of a broken one that was set aside.
+const (
+	newFileSuffix    = ".new-*"
+	brokenFileSuffix = ".bad-%d"
+)
+
+// Save writes the list to a file.
+func (l *List) Save(file string) error {
+	text, err := json.Marshal(l)
+	if err != nil {
+		return err
+	}
+	return ReplaceFile(file, text)
+}
+
+// Load reads a saved list; the list that it gives is never nil. It is no error if there is no file: the list is empty then. A
+// broken file is set aside under a name that holds the time, the error tells that name, and the list is empty. What a Save that
+// was killed has left is removed.
+func Load(file string) (*List, error) {
+	leftovers := removeLeftovers(file)
+	text, err := os.ReadFile(file)
+	if errors.Is(err, fs.ErrNotExist) {
+		return &List{}, leftovers
+	}
+	if err != nil {
+		return &List{}, errors.Join(err, leftovers)
+	}
+	list := &List{}
+	if err := json.Unmarshal(text, list); err != nil {
+		aside := file + fmt.Sprintf(brokenFileSuffix, time.Now().UnixNano())
+		err = errors.Join(err, os.Rename(file, aside), leftovers)
+		return &List{}, fmt.Errorf("%s: %w; set aside as %s", file, err, aside)
+	}
+	return list, leftovers
+}
+
+// removeLeftovers removes what calls of ReplaceFile that were killed have left beside a file.
+func removeLeftovers(file string) error {
+	leftovers, err := filepath.Glob(file + newFileSuffix)
+	for _, leftover := range leftovers {
+		err = errors.Join(err, os.Remove(leftover))
+	}
+	return err
+}
+
+// ReplaceFile writes a file so that a kill at any point leaves the old one or the new one, whole.
+func ReplaceFile(file string, text []byte) (err error) {
+	folder := filepath.Dir(file)
+	temporary, err := os.CreateTemp(folder, filepath.Base(file)+newFileSuffix)
+	if err != nil {
+		return err
+	}
+	defer func() {
+		if err != nil {
+			err = errors.Join(err, removeIfThere(temporary.Name()))
+		}
+	}()
+	_, err = temporary.Write(text)
+	if err = errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
+		return err
+	}
+	if err = os.Rename(temporary.Name(), file); err != nil {
+		return err
+	}
+	return syncFolder(folder)
+}
+
+// syncFolder makes a rename within a folder outlast a crash of the machine.
+func syncFolder(folder string) error {
+	d, err := os.Open(folder)
+	if err != nil {
+		return err
+	}
+	return errors.Join(d.Sync(), d.Close())
+}
+
+func removeIfThere(file string) error {
+	if err := os.Remove(file); !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/endpoints/list.go
@@ -0,0 +1,161 @@
+package endpoints
+
+import (
+	"encoding/json"
+	"fmt"
+	"iter"
+	"slices"
+
+	"github.com/benbjohnson/immutable"
+)
+
+// endpointMap holds endpoints by id. Its versions share what did not change.
+type endpointMap = immutable.SortedMap[uint32, Endpoint]
+
+// List is what is known of the endpoints; its zero value knows none. A copy costs nothing, and a change of ten endpoints in ten
+// thousand costs ten. It is not safe for concurrent use; a Clone may be read while the list changes.
+type List struct {
+	Version uint64
+	At      float64      // when it was true
+	byID    *endpointMap // nil: nothing is known
+}
+
+// Len gives the number of endpoints.
+func (l *List) Len() int {
+	if l.byID == nil {
+		return 0
+	}
+	return l.byID.Len()
+}
+
+// Get gives the endpoint with an id.
+func (l *List) Get(id uint32) (Endpoint, bool) {
+	if l.byID == nil {
+		return Endpoint{}, false
+	}
+	return l.byID.Get(id)
+}
+
+// All gives the endpoints in the order of their ids.
+func (l *List) All() iter.Seq[Endpoint] {
+	return func(yield func(Endpoint) bool) {
+		if l.byID == nil {
+			return
+		}
+		for it := l.byID.Iterator(); !it.Done(); {
+			if _, e, _ := it.Next(); !yield(e) {
+				return
+			}
+		}
+	}
+}
+
+// Clone gives a list that does not change with this one.
+func (l *List) Clone() *List { return &List{l.Version, l.At, l.byID} }
+
+// Apply enters a checked update and gives what it changes, which is all that has to be passed on. Changes of an older version
+// than the list's are an error, as the stream went backwards; a full update of an older version is taken, as the service may have
+// started anew. On an error the list stays as it was.
+func (l *List) Apply(update *Update, now float64) (changes *Update, err error) {
+	if update.Version < l.Version && !update.Full {
+		return nil, fmt.Errorf("changes of version %d after version %d", update.Version, l.Version)
+	}
+	byID := l.byID
+	if byID == nil {
+		byID = immutable.NewSortedMap[uint32, Endpoint](nil)
+	}
+	changes = &Update{Version: update.Version, Age: update.Age, Full: update.Full && l.byID == nil}
+	byID, present := setEntries(byID, update, changes)
+	if update.Full && byID.Len() > present {
+		byID = deleteUnnamed(byID, update, present, changes)
+	}
+	if byID.Len() > maxEndpoints {
+		return nil, tooManyError(byID.Len())
+	}
+	l.Version, l.At, l.byID = update.Version, now-update.Age, byID
+	return changes, nil
+}
+
+// setEntries sets and deletes what an update names, notes what that changes, and counts the entries that are not gone.
+func setEntries(byID *endpointMap, update, changes *Update) (_ *endpointMap, present int) {
+	for _, e := range update.Endpoints {
+		gone := e.State == StateGone
+		if !gone {
+			present++
+		}
+		old, known := byID.Get(e.ID)
+		if gone && !known || !gone && known && old == e {
+			continue
+		}
+		if gone {
+			byID = byID.Delete(e.ID)
+		} else {
+			byID = byID.Set(e.ID, e)
+		}
+		changes.Endpoints = append(changes.Endpoints, e)
+	}
+	return byID, present
+}
+
+// deleteUnnamed deletes the endpoints that a full update does not name, and notes them as gone.
+func deleteUnnamed(byID *endpointMap, update *Update, present int, changes *Update) *endpointMap {
+	named := make(map[uint32]bool, present)
+	for _, e := range update.Endpoints {
+		named[e.ID] = true
+	}
+	for it := byID.Iterator(); !it.Done(); {
+		if id, _, _ := it.Next(); !named[id] {
+			byID = byID.Delete(id)
+			changes.Endpoints = append(changes.Endpoints, Endpoint{ID: id, State: StateGone})
+		}
+	}
+	return byID
+}
+
+// CheckNewer tells why a full update is not to be taken after this list: it is older, or it has the same version and other
+// endpoints.
+func (l *List) CheckNewer(update *Update) error {
+	if update.Version < l.Version {
+		return fmt.Errorf("list version %d is older than %d, which is in force", update.Version, l.Version)
+	}
+	if update.Version > l.Version || l.byID == nil {
+		return nil
+	}
+	changes, err := l.Clone().Apply(update, 0)
+	if err == nil && len(changes.Endpoints) > 0 {
+		err = fmt.Errorf("list version %d is in force with other units: %d differ", update.Version, len(changes.Endpoints))
+	}
+	return err
+}
+
+// FullUpdate gives the whole list as one update, as for a start from disk.
+func (l *List) FullUpdate(now float64) *Update {
+	return &Update{Version: l.Version, Full: true, Age: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
+}
+
+// savedList is the stored form of a list.
+type savedList struct {
+	Version   uint64     `json:"version"`
+	At        float64    `json:"at"`
+	Endpoints []Endpoint `json:"units"`
+}
+
+// MarshalJSON gives the stored form.
+func (l *List) MarshalJSON() ([]byte, error) {
+	return json.Marshal(savedList{l.Version, l.At, slices.Collect(l.All())})
+}
+
+// UnmarshalJSON reads the stored form, and checks it as it checks an update.
+func (l *List) UnmarshalJSON(text []byte) error {
+	var saved savedList
+	if err := json.Unmarshal(text, &saved); err != nil {
+		return err
+	}
+	update := &Update{Full: true, Version: saved.Version, Endpoints: saved.Endpoints}
+	if err := update.Check(); err != nil {
+		return err
+	}
+	*l = List{}
+	_, err := l.Apply(update, saved.At)
+	return err
+}
