--- /dev/null
+++ b/internal/watch/watch.go
@@ -0,0 +1,204 @@
+package watch
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"time"
+)
+
+// defaultMaxObjectBytes is used where Source.MaxObjectBytes is 0.
+const defaultMaxObjectBytes = 64 << 20
+
+var errStreamEnded = errors.New("ended by the service")
+
+// Source tells where a stream comes from, and when it is taken for broken.
+type Source struct {
+	URL               string
+	SilenceSeconds    float64      // time without a byte after which the stream is taken for broken
+	OpenSeconds       float64      // time in which the service must begin to answer; 0: SilenceSeconds
+	MaxObjectBytes    int64        // of one object; 0: 64 MiB
+	BackoffMinSeconds float64      // pause before the first further try
+	BackoffMaxSeconds float64      // longest pause
+	Client            *http.Client // without a timeout of its own
+	Log               *slog.Logger
+
+	NextURL     func() string // optional: gives the URL of each try, in place of URL
+	OnHeartbeat func()        // optional: called at each heartbeat between objects, which says that nothing has changed
+}
+
+// Follow passes each object of a stream to handle until ctx ends, however objects are laid out in lines and pieces. An object
+// that can't be read, or for which handle gives an error, breaks the stream: what follows might build on it, so the stream is
+// asked for again from its start. lost is called each time when a stream that had objects has broken. Both are called on the
+// caller's goroutine; Follow returns when ctx has ended.
+func Follow[T any](ctx context.Context, source Source, handle func(*T) error, lost func()) {
+	for try := 0; ctx.Err() == nil; try++ {
+		if source.NextURL != nil {
+			source.URL = source.NextURL()
+		}
+		objects, err := followOnce(ctx, source, handle)
+		if ctx.Err() != nil {
+			return
+		}
+		if objects > 0 {
+			try = 0
+			lost()
+		}
+		pause := Backoff(try, source.BackoffMinSeconds, source.BackoffMaxSeconds, rand.Float64())
+		source.Log.Warn("stream broke", "url", source.URL, "objects", objects, "error", err, "retry_in_seconds", fmt.Sprintf("%.2f", pause))
+		select {
+		case <-ctx.Done():
+		case <-time.After(duration(pause)):
+		}
+	}
+}
+
+// followOnce reads one stream to its end, and gives the number of objects that were handled and why it ended.
+func followOnce[T any](ctx context.Context, source Source, handle func(*T) error) (objects int, err error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	silence := startSilenceTimer(source.openSeconds(), cancel)
+	defer silence.stop()
+
+	response, err := get(ctx, source)
+	if err != nil {
+		return 0, err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return 0, errors.New(response.Status)
+	}
+	silence.reset(source.SilenceSeconds)
+
+	reader := &objectReader{
+		body:           response.Body,
+		onBytes:        func() { silence.reset(source.SilenceSeconds) },
+		onHeartbeat:    source.OnHeartbeat,
+		maxObjectBytes: source.maxObjectBytes(),
+	}
+	for decoder := json.NewDecoder(reader); ; objects++ {
+		object := new(T)
+		if err := decoder.Decode(object); errors.Is(err, io.EOF) {
+			return objects, causeOr(ctx, errStreamEnded)
+		} else if err != nil {
+			return objects, causeOr(ctx, fmt.Errorf("object %d: %w", objects+1, err))
+		}
+		if err := handle(object); err != nil {
+			return objects, fmt.Errorf("object %d: %w", objects+1, err)
+		}
+		if err := reader.startObject(decoder.Buffered()); err != nil {
+			return objects + 1, err
+		}
+	}
+}
+
+// get asks for the stream; the caller closes the response's body.
+func get(ctx context.Context, source Source) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.URL, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := source.Client.Do(request)
+	if err != nil {
+		return nil, causeOr(ctx, err)
+	}
+	return response, nil
+}
+
+// causeOr gives why ctx was cancelled where it was, and else err.
+func causeOr(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	return err
+}
+
+func (s *Source) openSeconds() float64 {
+	if s.OpenSeconds == 0 {
+		return s.SilenceSeconds
+	}
+	return s.OpenSeconds
+}
+
+func (s *Source) maxObjectBytes() int64 {
+	if s.MaxObjectBytes == 0 {
+		return defaultMaxObjectBytes
+	}
+	return s.MaxObjectBytes
+}
+
+// silenceTimer cancels a stream on which nothing comes for too long. Its methods are called by the stream's goroutine alone.
+type silenceTimer struct {
+	timer          *time.Timer
+	allowedSeconds float64 // written only while the timer is stopped, so that its function reads it safely
+}
+
+func startSilenceTimer(allowedSeconds float64, cancel context.CancelCauseFunc) *silenceTimer {
+	s := &silenceTimer{allowedSeconds: allowedSeconds}
+	s.timer = time.AfterFunc(duration(allowedSeconds), func() { cancel(fmt.Errorf("silent for %g s", s.allowedSeconds)) })
+	return s
+}
+
+// reset lets the silence begin anew. A timer that has fired stays so: it has cancelled the stream, and the next read tells.
+func (s *silenceTimer) reset(allowedSeconds float64) {
+	if s.timer.Stop() {
+		s.allowedSeconds = allowedSeconds
+		s.timer.Reset(duration(allowedSeconds))
+	}
+}
+
+func (s *silenceTimer) stop() { s.timer.Stop() }
+
+func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
+// objectReader reads a stream's bytes; it reports signs of life and heartbeats, and stops an object without end before it fills
+// the memory.
+type objectReader struct {
+	body           io.Reader
+	onBytes        func()
+	onHeartbeat    func() // may be nil
+	maxObjectBytes int64
+
+	objectBytes int64 // read since the last whole object
+	inObject    bool  // the next object has begun
+}
+
+// startObject notes that an object was read whole; buffered is what the decoder has read beyond it.
+func (r *objectReader) startObject(buffered io.Reader) error {
+	rest, err := io.ReadAll(buffered)
+	if err != nil {
+		return err
+	}
+	r.objectBytes, r.inObject = int64(len(rest)), hasContent(rest)
+	return nil
+}
+
+// Read reads from the stream. White space between objects is a heartbeat.
+func (r *objectReader) Read(buf []byte) (int, error) {
+	n, err := r.body.Read(buf)
+	if n == 0 {
+		return n, err
+	}
+	r.onBytes()
+	r.inObject = r.inObject || hasContent(buf[:n])
+	if !r.inObject {
+		r.objectBytes = 0
+		if r.onHeartbeat != nil {
+			r.onHeartbeat()
+		}
+		return n, err
+	}
+	r.objectBytes += int64(n)
+	if r.objectBytes > r.maxObjectBytes {
+		return n, fmt.Errorf("an object above %d bytes", r.maxObjectBytes)
+	}
+	return n, err
+}
+
+func hasContent(text []byte) bool { return len(bytes.TrimSpace(text)) > 0 }
