--- /dev/null
+++ b/internal/releases/releases_test.go
@@ -0,0 +1,50 @@
+package releases
+
+import (
+	"math"
+	"testing"
+
+	"flintspread/internal/policy"
+)
+
+func TestCheckRefusesWhatCannotBeMeant(t *testing.T) {
+	valid := Update{Version: 1, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}
+	with := func(edit func(*Update)) Update { u := valid; edit(&u); return u }
+	if err := valid.Check(2); err != nil {
+		t.Error(err)
+	}
+	for name, update := range map[string]Update{
+		"unknown phase": with(func(u *Update) { u.Phase = "later" }),
+		"build below 0": with(func(u *Update) { u.Build = -1 }),
+		"stage below 0": with(func(u *Update) { u.Stage = -1 }),
+		"stage above":   with(func(u *Update) { u.Stage = 2 }),
+		"cap above 1":   with(func(u *Update) { u.Cap = 1.1 }),
+		"cap NaN":       with(func(u *Update) { u.Cap = math.NaN() }),
+		"age NaN":       with(func(u *Update) { u.Age = math.NaN() }),
+	} {
+		if update.Check(2) == nil {
+			t.Errorf("%s: %+v is taken", name, update)
+		}
+	}
+}
+
+func TestReplyTellsWhatBecameOfVote(t *testing.T) {
+	for _, test := range []struct {
+		text      string
+		reply     policy.VoteReply
+		hasUpdate bool
+		hasError  bool
+	}{
+		{`{"vote":"counted","phase":"released"}`, policy.VoteCounted, true, false},
+		{`{"vote":"counted"}`, policy.VoteCounted, false, false},
+		{`{"vote":"moot","phase":"released"}`, policy.VoteMoot, false, false},
+		{`{"vote":"refused"}`, policy.VoteRefused, false, false},
+		{`{"vote":"well"}`, policy.VoteUnknown, false, true},
+		{`{"vote":`, policy.VoteUnknown, false, true},
+	} {
+		reply, update, err := parseReply([]byte(test.text))
+		if reply != test.reply || (update != nil) != test.hasUpdate || (err != nil) != test.hasError {
+			t.Errorf("%s: %v %v %v", test.text, reply, update, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/releases/update.go
@@ -0,0 +1,36 @@
+package releases
+
+import (
+	"fmt"
+
+	"flintspread/internal/policy"
+)
+
+// Update is one message of the release service's stream, and its reply to a vote.
+type Update struct {
+	Version   uint64  `json:"version"` // grows with every change, also over restarts of the service
+	Build     int     `json:"build"`
+	Stage     int     `json:"stage"`           // rollout stage, from 0
+	Phase     string  `json:"phase"`           // a key of phases
+	Cap       float64 `json:"cap"`             // share of requests that the canary may get in this stage, 0 to 1
+	Age       float64 `json:"age"`             // seconds that build, stage and phase have lasted
+	Vote      string  `json:"vote,omitempty"`  // in a reply: a key of replies
+	Heartbeat bool    `json:"quiet,omitempty"` // nothing is new; it only shows that the stream lives
+}
+
+// PolicyPhase gives the phase of a checked update.
+func (u *Update) PolicyPhase() policy.Phase { return phases[u.Phase] }
+
+// Check refuses an update that can't be meant, where a rollout has so many stages.
+func (u *Update) Check(stages int) error {
+	if _, known := phases[u.Phase]; !known {
+		return fmt.Errorf("unknown phase %q", u.Phase)
+	}
+	validStage := u.Stage >= 0 && u.Stage < stages
+	validCap := u.Cap >= 0 && u.Cap <= 1 // not NaN
+	if u.Build < 0 || !validStage || !validCap || !(u.Age >= 0) {
+		return fmt.Errorf("build %d stage %d cap %v age %v: stages are 0 to %d, a cap 0 to 1, none is below 0",
+			u.Build, u.Stage, u.Cap, u.Age, stages-1)
+	}
+	return nil
+}
