--- a/internal/revisions/diff.go
+++ b/internal/revisions/diff.go
@@ -2,78 +2,75 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 
 	"olympos.io/encoding/edn"
 )
 
-// Diff tells by key how two texts differ: a line a key, - what only the first has, + what only the second has.
-func Diff(a, b string) ([]string, error) {
-	left, err := flat(a)
+// Diff tells by key how two EDN texts differ: one line a key and text, - for what the first holds and + for what the second
+// holds, sorted by key.
+func Diff(first, second string) ([]string, error) {
+	before, err := valuesByPath(first)
 	if err != nil {
 		return nil, err
 	}
-	right, err := flat(b)
+	after, err := valuesByPath(second)
 	if err != nil {
 		return nil, err
 	}
-	keys := map[string]bool{}
-	for k := range left {
-		keys[k] = true
+	paths := map[string]bool{}
+	for path := range before {
+		paths[path] = true
 	}
-	for k := range right {
-		keys[k] = true
+	for path := range after {
+		paths[path] = true
 	}
-	sorted := make([]string, 0, len(keys))
-	for k := range keys {
-		sorted = append(sorted, k)
-	}
-	sort.Strings(sorted)
-	var out []string
-	for _, k := range sorted {
-		x, inLeft := left[k]
-		y, inRight := right[k]
-		if x == y && inLeft == inRight {
+	var lines []string
+	for _, path := range slices.Sorted(maps.Keys(paths)) {
+		oldValue, wasThere := before[path]
+		newValue, isThere := after[path]
+		if oldValue == newValue && wasThere == isThere {
 			continue
 		}
-		if inLeft {
-			out = append(out, fmt.Sprintf("- %s %s", k, x))
+		if wasThere {
+			lines = append(lines, fmt.Sprintf("- %s %s", path, oldValue))
 		}
-		if inRight {
-			out = append(out, fmt.Sprintf("+ %s %s", k, y))
+		if isThere {
+			lines = append(lines, fmt.Sprintf("+ %s %s", path, newValue))
 		}
 	}
-	return out, nil
+	return lines, nil
 }
 
-// flat gives every plain value of a text by its path. Elements of vectors that have a :name, or a :method and :path, go by
-// those, so that one more in front does not change the rest.
-func flat(text string) (map[string]string, error) {
-	var v any
-	if err := edn.UnmarshalString(text, &v); err != nil {
+// valuesByPath gives every plain value of a text by the keys that lead to it.
+func valuesByPath(text string) (map[string]string, error) {
+	var root any
+	if err := edn.UnmarshalString(text, &root); err != nil {
 		return nil, err
 	}
-	out := map[string]string{}
-	walk(out, "", v)
-	return out, nil
+	values := map[string]string{}
+	collect(values, "", root)
+	return values, nil
 }
 
-func walk(out map[string]string, path string, v any) {
-	switch v := v.(type) {
+// collect adds the plain values below a node to values.
+func collect(values map[string]string, path string, node any) {
+	switch node := node.(type) {
 	case map[any]any:
-		for k, x := range v {
-			walk(out, join(path, fmt.Sprint(k)), x)
+		for key, child := range node {
+			collect(values, join(path, fmt.Sprint(key)), child)
 		}
 	case []any:
-		for i, x := range v {
-			walk(out, join(path, name(x, i)), x)
+		for i, child := range node {
+			collect(values, join(path, elementName(child, i)), child)
 		}
 	default:
-		text, err := edn.Marshal(v)
+		text, err := edn.Marshal(node)
 		if err != nil {
-			text = fmt.Append(nil, v)
+			text = fmt.Append(nil, node)
 		}
-		out[path] = string(text)
+		values[path] = string(text)
 	}
 }
 
@@ -84,14 +81,16 @@
 	return path + " " + key
 }
 
-func name(x any, i int) string {
-	if m, ok := x.(map[any]any); ok {
-		if n, ok := m[edn.Keyword("name")]; ok {
-			return fmt.Sprintf("%q", n)
+// elementName names an element of a vector: by its :name, or its :method and :path, where it has those, so that a further
+// element in front does not change the names of the rest; else by its index.
+func elementName(element any, index int) string {
+	if fields, ok := element.(map[any]any); ok {
+		if name, ok := fields[edn.Keyword("name")]; ok {
+			return fmt.Sprintf("%q", name)
 		}
-		if p, ok := m[edn.Keyword("path")]; ok {
-			return fmt.Sprintf("%v %v", m[edn.Keyword("method")], p)
+		if path, ok := fields[edn.Keyword("path")]; ok {
+			return fmt.Sprintf("%v %v", fields[edn.Keyword("method")], path)
 		}
 	}
-	return fmt.Sprint(i)
+	return fmt.Sprint(index)
 }
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -1,23 +1,26 @@
 package revisions
 
 import (
-	"fmt"
 	"log/slog"
+	"math"
 	"path/filepath"
 	"time"
 
 	"flintspread/internal/configstate"
 )
 
-// Resume opens the history in a state folder and has the version that was in force last put in force again: with a control
-// service gone the program runs on that. One that can't be read or put is left, and the program starts on its file's settings.
-func Resume(stateDir string, log *slog.Logger, put func(*configstate.Version) error) (*Store, error) {
-	store, aside, err := Open(filepath.Join(stateDir, "versions.db"))
+const storeFileName = "versions.db"
+
+// Resume opens the history in a state folder, and calls apply with the version that was in force last: without a control service
+// the program runs on that. A version that can't be read or applied is logged and left, and the program starts with its file's
+// configuration. The caller closes the store.
+func Resume(stateDir string, log *slog.Logger, apply func(*configstate.Version) error) (*Store, error) {
+	store, aside, err := Open(filepath.Join(stateDir, storeFileName))
 	if err != nil {
 		return nil, err
 	}
 	if aside != "" {
-		log.Error("history of the settings set aside; starting on the file's", "file", aside)
+		log.Error("configuration history set aside, starting with the file's configuration", "file", aside)
 	}
 	last, err := store.Last()
 	if err != nil || last == nil {
@@ -25,13 +28,13 @@
 	}
 	v, err := configstate.Read(last.No, []byte(last.Text))
 	if err == nil {
-		err = put(v)
+		err = apply(v)
 	}
 	if err != nil {
-		log.Error("last version of the settings not taken; starting on the file's", "version", last.No, "error", err)
+		log.Error("last configuration version not applied, starting with the file's configuration", "version", last.No, "error", err)
 		return store, nil
 	}
-	ago := float64(time.Now().UnixNano())/1e9 - last.Since
-	log.Info("last version of the settings", "version", last.No, "in_force", fmt.Sprintf("%.0fs ago", ago))
+	age := float64(time.Now().UnixNano())/1e9 - last.Since
+	log.Info("last configuration version applied", "version", last.No, "age_seconds", math.Round(age))
 	return store, nil
 }
--- a/internal/revisions/history_test.go
+++ b/internal/revisions/revisions_test.go
@@ -41,18 +41,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := r.All()
-	if err != nil || len(list) != Kept || list[0].No != 21 || list[Kept-1].Parent != Kept+19 {
-		t.Error(len(list), err)
+	entries, err := r.All()
+	if err != nil || len(entries) != Kept || entries[0].No != 21 || entries[Kept-1].Parent != Kept+19 {
+		t.Error(len(entries), err)
 	}
 	if e, err := r.Get(100); err != nil || e.Text != "text 100" {
 		t.Error(e, err)
 	}
 	if _, err := r.Get(3); err == nil {
-		t.Error("got what had gone")
+		t.Error("got what had been dropped")
+	}
+	if err := r.Close(); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	r.Close()
-	text, _ := os.ReadFile(file)
 	for _, bad := range [][]byte{[]byte("nothing"), text[:len(text)/3], append(append([]byte(nil), text[:8192]...), make([]byte, len(text)-8192)...)} {
 		if err := os.WriteFile(file, bad, 0o600); err != nil {
 			t.Fatal(err)
@@ -61,14 +66,17 @@
 		if err != nil || aside == "" {
 			t.Fatal(aside, err)
 		}
-		if list, err := s.All(); len(list) > 0 || err != nil {
-			t.Error(list, err)
+		if entries, err := s.All(); len(entries) > 0 || err != nil {
+			t.Error(entries, err)
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
 		}
-		s.Close()
 	}
 }
 
-func Example_diff() {
+// Diff names elements of vectors by their :name or :path, and gives an error for a text that is no EDN.
+func ExampleDiff() {
 	a := `{:a 1 :b {:c [1 2]} :op-types [{:name "x" :target 0.3} {:name "y" :target 1}] :routes [{:method "GET" :path "/x/" :op-type "x"}]}`
 	b := `{:a 1 :b {:c [1 3]} :op-types [{:name "z" :target 2} {:name "x" :target 0.4}] :routes [{:method "GET" :path "/x/" :op-type "z"}]}`
 	lines, err := Diff(a, b)
