--- a/internal/endpoints/file_test.go
+++ b/internal/endpoints/file_test.go
@@ -56,20 +56,6 @@
 	}
 }
 
-// testdata/units-abfd351.json was written by the program of commit abfd351, by a main of there that calls
-
-//
-
-//	l.Take(&roster.Line{Version: 41, Full: true, Age: 2, Units: []roster.Unit{
-
-//		{ID: 1, Addr: "127.0.0.1:9001", State: "ready", Build: 3, Zone: 1, Cell: 2, Heft: 1.5, Start: 1700000000.25},
-
-//		{ID: 7, Addr: "127.0.0.1:9007", State: "draining", Build: 2},
-
-//	}}, 1700000100.5)
-
-//	l.Save(file)
-
 // testdata/units-abfd351.json was written by the program of commit abfd351, by a main of there that calls
 //
 //	l.Take(&roster.Line{Version: 41, Full: true, Age: 2, Units: []roster.Unit{
