--- /dev/null
+++ b/internal/controller/assignments.go
@@ -0,0 +1,57 @@
+package controller
+
+import (
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
+)
+
+// nextAssignment makes the next assignment (on the wire: a View) for a router that has the given version of the endpoint
+// list. An assignment holds all that binds the router; of the large parts it carries only those that the router lacks. It is
+// called by the gRPC server when there is room to send, and does not block on disk or network.
+func (c *Controller) nextAssignment(router string, listVersion uint64) *linkpb.View {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	header, share, leaseSeconds := c.leader.NextAssignment(now, router)
+	build, verdict := c.balancer.CurrentVote()
+	assignment := &linkpb.View{
+		Major: header.Major, Minor: lease.SchemaMinor, Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AckedReport,
+		ListAt: c.endpointList.At, ListNo: c.endpointList.Version,
+		VerdictBuild: int32(build), Verdict: int32(verdict),
+		Share: share, Lease: leaseSeconds,
+	}
+	c.addRelease(assignment, now)
+	if listVersion != c.endpointList.Version {
+		c.addEndpoints(assignment)
+	}
+	if c.configVersions != nil {
+		c.configVersions.addConfig(assignment, c.routerStatuses[router])
+	}
+	if c.metricsEvidence != nil {
+		c.metricsEvidence.addMarks(assignment, now, c.routerStatuses[router].marksVersion)
+	}
+	c.assignmentsMade++
+	return assignment
+}
+
+// addRelease adds the release in force, if one is known. The caller holds the lock.
+func (c *Controller) addRelease(assignment *linkpb.View, now float64) {
+	release := c.release
+	if release.Phase == "" {
+		return
+	}
+	assignment.StageNo, assignment.Build, assignment.Stage = release.Version, int32(release.Build), int32(release.Stage)
+	assignment.Phase, assignment.Cap = release.Phase, release.Cap
+	assignment.StageAge = release.Age + max(0, now-c.releaseReceivedAt)
+}
+
+// addEndpoints adds the whole endpoint list. The caller holds the lock.
+func (c *Controller) addEndpoints(assignment *linkpb.View) {
+	assignment.HasList = true
+	for endpoint := range c.endpointList.All() {
+		assignment.Units = append(assignment.Units, &linkpb.Unit{
+			Id: endpoint.ID, Addr: endpoint.Addr, State: endpoint.State, Build: int32(endpoint.Build),
+			Zone: uint32(endpoint.Zone), Cell: uint32(endpoint.Cell), Heft: endpoint.Weight, Start: endpoint.StartedAt,
+		})
+	}
+}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -16,106 +14,115 @@
 	"flintspread/internal/lease"
 )
 
-// BenchmarkBeat is one beat of a planner's edges, pure cores in one process: each edge's digest of all units under two
-// builds is encoded, decoded and taken, the planner's turn is done, and each gets its view. Reported are what that is a
-// second at the example's beat of 0.1 s: bytes of digests and of views, and the share of a core.
+// BenchmarkBeat is one report interval of a controller's routers, without sockets: each router's report on all endpoints under
+// two builds is encoded, decoded and accepted, the controller ticks, and each router gets its assignment. Reported is what that
+// is a second at the example's interval of 0.1 s: bytes of reports and of assignments, and the share of a core.
 func BenchmarkBeat(b *testing.B) {
-	for _, units := range []int{100, 300, 1000} {
-		for _, edges := range []int{1, 4, 16} {
-			b.Run(fmt.Sprintf("units-%d/edges-%d", units, edges), func(b *testing.B) {
-				set := exampleSet(b)
-				p := newPlanner(set, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
-				p.begin(1, SavedState{})
-				line := endpoints.Update{Version: 1, Full: true}
-				for id := range units {
-					line.Endpoints = append(line.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
+	for _, endpointCount := range []int{100, 300, 1000} {
+		for _, routers := range []int{1, 4, 16} {
+			b.Run(fmt.Sprintf("units-%d/edges-%d", endpointCount, routers), func(b *testing.B) {
+				settings := exampleSettings(b)
+				c := newController(settings, discardLog(), nil)
+				c.restore(1, SavedState{})
+				update := endpoints.Update{Version: 1, Full: true}
+				for id := range endpointCount {
+					update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 				}
-				p.list.Apply(&line, p.now())
-				line.ApplyTo(p.b, p.now())
-				p.b.ApplyRelease(p.now(), 2, 1, 0, 0.5, 0)
-				digests := make([]*linkpb.Digest, edges)
-				for i := range digests {
-					d := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: p.terms}
-					for id := range units {
+				if _, err := c.endpointList.Apply(&update, c.now()); err != nil {
+					b.Fatal(err)
+				}
+				update.ApplyTo(c.balancer, c.now())
+				c.balancer.ApplyRelease(c.now(), 2, 1, 0, 0.5, 0)
+				reports := make([]*linkpb.Digest, routers)
+				for i := range reports {
+					report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: c.configHash}
+					for id := range endpointCount {
 						n := float32(100 + id)
-						d.Tally = append(d.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{n, n, n, n}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
+						report.Tally = append(report.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{n, n, n, n}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
 					}
-					digests[i] = d
+					reports[i] = report
 				}
-				up, down := 0, 0
+				reportBytes, assignmentBytes := 0, 0
 				for b.Loop() {
-					up, down = 0, 0
-					for _, d := range digests {
-						d.Seq++
-						text, err := proto.Marshal(d)
+					reportBytes, assignmentBytes = 0, 0
+					for _, report := range reports {
+						report.Seq++
+						text, err := proto.Marshal(report)
 						if err != nil {
 							b.Fatal(err)
 						}
-						up += len(text)
+						reportBytes += len(text)
 						var got linkpb.Digest
 						if err := proto.Unmarshal(text, &got); err != nil {
 							b.Fatal(err)
 						}
-						if r := p.digest(&got); r != lease.Accepted {
-							b.Fatal(r)
+						if reason := c.acceptReport(&got); reason != lease.Accepted {
+							b.Fatal(reason)
 						}
-						view, err := proto.Marshal(p.view(d.Edge, got.ListNo))
+						assignment, err := proto.Marshal(c.nextAssignment(report.Edge, got.ListNo))
 						if err != nil {
 							b.Fatal(err)
 						}
-						down += len(view)
+						assignmentBytes += len(assignment)
 					}
-					p.mu.Lock()
-					p.b.TickController(p.now())
-					p.mu.Unlock()
+					c.mu.Lock()
+					c.balancer.TickController(c.now())
+					c.mu.Unlock()
 				}
-				const beats = 10
-				b.ReportMetric(float64(up*beats)/1024, "digest-KiB/s")
-				b.ReportMetric(float64(down*beats)/1024, "view-KiB/s")
-				b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*beats, "cores")
+				const intervalsPerSecond = 10
+				b.ReportMetric(float64(reportBytes*intervalsPerSecond)/1024, "digest-KiB/s")
+				b.ReportMetric(float64(assignmentBytes*intervalsPerSecond)/1024, "view-KiB/s")
+				b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*intervalsPerSecond, "cores")
 			})
 		}
 	}
 }
 
-// BenchmarkFirstView is the time from a planner's start, on the state it left, to the first view with list and news that an
-// edge takes over the socket.
+// BenchmarkFirstView is the time from a controller's start, on the state it left, to the first assignment with endpoint list and
+// release that a router applies, over a socket.
 func BenchmarkFirstView(b *testing.B) {
-	set := exampleSet(b)
-	set.StateDir = b.TempDir()
-	set.Admin = "127.0.0.1:0"
-	set.Link.Address = "unix:" + b.TempDir() + "/s"
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	h := &hall{}
-	h.news.Version, h.news.Build, h.news.Phase, h.news.Cap = 4, 2, "on-trial", 0.2
-	url := h.serve(b)
-	set.Sources.List, set.Sources.Installer = url+"/list", url
-	from := time.Now()
-	got := make(chan struct{}, 1)
-	e := &controlrpc.RouterClient{Config: &set.Link, Log: quiet, Now: func() float64 { return time.Since(from).Seconds() }, Relay: "r1", Router: "e", Incarnation: 1,
-		FillReport: func(*linkpb.Digest) {},
-		ApplyAssignment: func(v *linkpb.View, list, stage bool, _ float64) {
-			if v.ListAt > 0 && v.StageNo > 0 {
+	settings := exampleSettings(b)
+	settings.StateDir = b.TempDir()
+	settings.Admin = "127.0.0.1:0"
+	settings.Link.Address = "unix:" + b.TempDir() + "/s"
+	log := discardLog()
+	services := &fakeServices{}
+	services.release.Version, services.release.Build, services.release.Phase, services.release.Cap = 4, 2, "on-trial", 0.2
+	url := services.serve(b)
+	settings.Sources.List, settings.Sources.Installer = url+"/list", url
+	startedAt := time.Now()
+	applied := make(chan struct{}, 1)
+	client := &controlrpc.RouterClient{Config: &settings.Link, Log: log, Now: func() float64 { return time.Since(startedAt).Seconds() }, Relay: "r1", Router: "e",
+		Incarnation: 1,
+		FillReport:  func(*linkpb.Digest) {},
+		ApplyAssignment: func(assignment *linkpb.View, _, _ bool, _ float64) {
+			if assignment.ListAt > 0 && assignment.StageNo > 0 {
 				select {
-				case got <- struct{}{}:
+				case applied <- struct{}{}:
 				default:
 				}
 			}
 		}}
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	go e.Run(ctx, 0)
+	clientDone := make(chan error, 1)
+	go func() { clientDone <- client.Run(ctx, 0) }()
+	defer func() {
+		cancel()
+		if err := <-clientDone; err != nil {
+			b.Error(err)
+		}
+	}()
 	for b.Loop() {
 		select {
-		case <-got:
+		case <-applied:
 		default:
 		}
-		life, end := context.WithCancel(context.Background())
+		runCtx, stop := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- Run(life, set, quiet) }()
-		<-got
+		go func() { done <- Run(runCtx, settings, log) }()
+		<-applied
 		b.StopTimer()
-		end()
+		stop()
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
--- /dev/null
+++ b/internal/controller/config_versions.go
@@ -0,0 +1,180 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"sync"
+
+	"flintspread/internal/configstate"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/revisions"
+	"flintspread/internal/xds"
+)
+
+// errVersionOvertaken rejects a version that a newer one replaced while it waited for the routers. Its text goes out in a NACK.
+var errVersionOvertaken = errors.New("overtaken by another version while it waited")
+
+// configVersions takes configuration versions from control services, proposes each to the routers, and puts it into force
+// once all of them could take it. Only one version is proposed at a time: a newer one replaces it.
+type configVersions struct {
+	controller *Controller
+	store      *revisions.Store
+	state      *configstate.State    // guarded by the controller's lock
+	proposal   *configstate.Proposal // guarded by the controller's lock; nil without one
+	listMu     sync.Mutex            // orders the endpoint lists of several control services; taken before the controller's lock
+}
+
+// openConfigVersions opens the revision history and goes on with the version that was in force last.
+func (c *Controller) openConfigVersions() (v *configVersions, err error) {
+	v = &configVersions{controller: c, state: configstate.NewState(c.settings.Document(), nil, 0, 0)}
+	v.store, err = revisions.Resume(c.settings.StateDir, c.log, func(version *configstate.Version) error {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		_, err := v.apply(version)
+		return err
+	})
+	return v, err
+}
+
+// follow follows the control services until ctx ends.
+func (v *configVersions) follow(ctx context.Context) error {
+	settings := v.controller.settings
+	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.Relay, settings.Relay, settings.Link.Beat,
+		xds.Taker{List: v.applyEndpointUpdate, Settings: v.propose, Look: v.recheck})
+}
+
+// applyEndpointUpdate enters an endpoint list of a control service, unless another service has sent a newer one.
+func (v *configVersions) applyEndpointUpdate(update *endpoints.Update) error {
+	v.listMu.Lock()
+	defer v.listMu.Unlock()
+	c := v.controller
+	c.mu.Lock()
+	err := c.endpointList.CheckNewer(update)
+	c.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	return c.applyEndpointUpdate(update)
+}
+
+// conditions are what a version has to fit to here; the routers report on theirs. The caller holds the controller's lock.
+func (v *configVersions) conditions(version *configstate.Version) configstate.Conditions {
+	conditions := configstate.Conditions{ListVersion: version.RequiredListVersion}
+	for endpoint := range v.controller.endpointList.All() {
+		conditions.HasZones = conditions.HasZones || endpoint.Zone > 0
+		conditions.HasCells = conditions.HasCells || endpoint.Cell > 0
+	}
+	return conditions
+}
+
+// propose proposes a version to the routers, which decide by their next reports; recheck ends that. A version that this
+// controller itself can't take is rejected at once.
+func (v *configVersions) propose(version *configstate.Version) (configstate.Outcome, error) {
+	outcome, err := v.startProposal(version)
+	if outcome == configstate.Waiting {
+		v.controller.server.NotifyAll()
+	}
+	return outcome, err
+}
+
+// startProposal replaces the proposal by a version's, if the controller can take it.
+func (v *configVersions) startProposal(version *configstate.Version) (configstate.Outcome, error) {
+	c := v.controller
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v.proposal = nil
+	if outcome, err := v.state.Check(version, v.conditions(version)); outcome != configstate.Applied {
+		return outcome, err
+	}
+	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.Patience)
+	return configstate.Waiting, nil
+}
+
+// recheck tells what became of a version that was proposed, and puts it into force when all routers could take it.
+func (v *configVersions) recheck(version *configstate.Version) (configstate.Outcome, error) {
+	outcome, decided, err := v.decide(version)
+	if decided {
+		v.controller.server.NotifyAll()
+	}
+	return outcome, err
+}
+
+// decide ends the proposal of a version if its time has come; decided tells that this call did. A version that gets into force
+// is saved under the lock: no later one may overtake it in the history.
+func (v *configVersions) decide(version *configstate.Version) (outcome configstate.Outcome, decided bool, err error) {
+	c := v.controller
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	proposal := v.proposal
+	if proposal == nil || proposal.Version != version {
+		if v.state.Current().Number == version.Number {
+			return configstate.Applied, false, nil
+		}
+		return configstate.Rejected, false, errVersionOvertaken
+	}
+	outcome, err = proposal.Decide(c.now(), c.leader.Routers(), c.endpointList.Version)
+	if outcome == configstate.Waiting {
+		return outcome, false, err
+	}
+	v.proposal = nil
+	if outcome == configstate.Applied {
+		outcome, err = v.putInForce(version)
+	}
+	return outcome, true, err
+}
+
+// putInForce applies a version that all routers could take, and saves it. The caller holds the controller's lock.
+func (v *configVersions) putInForce(version *configstate.Version) (configstate.Outcome, error) {
+	c := v.controller
+	before := v.state.Current().Number
+	outcome, err := v.apply(version)
+	if outcome != configstate.Applied {
+		return outcome, err
+	}
+	entry := revisions.Entry{No: version.Number, Parent: before, Since: c.now(), Sum: version.Hash, Needs: version.RequiredListVersion, Text: string(version.Text)}
+	if saveErr := v.store.Add(entry); saveErr != nil {
+		c.log.Error("configuration version not saved", "version", version.Number, "error", saveErr)
+	}
+	c.log.Info("configuration version applied", "version", version.Number, "previous", before)
+	return outcome, err
+}
+
+// apply puts a version into force here; the routers follow with their next assignment. The caller holds the controller's lock.
+func (v *configVersions) apply(version *configstate.Version) (configstate.Outcome, error) {
+	outcome, err := v.state.Offer(v.controller.now(), version, v.conditions(version))
+	if outcome == configstate.Applied {
+		v.controller.balancer.SetConfig(v.state.Current().Policy)
+	}
+	return outcome, err
+}
+
+// onReport enters what a router's report says of the proposal. The caller holds the controller's lock.
+func (v *configVersions) onReport(report *linkpb.Digest) {
+	if v.proposal != nil {
+		v.proposal.OnRouterStatus(report.Edge, report.ConfigNo, report.ConfigFits, report.ConfigRefused, report.ConfigReason)
+	}
+}
+
+// addConfig adds to an assignment the version in force, the proposed one, and the text of whichever the router needs next and
+// lacks. A router is shown a proposal only once it is on the version in force. The caller holds the controller's lock.
+func (v *configVersions) addConfig(assignment *linkpb.View, status routerStatus) {
+	current := v.state.Current()
+	assignment.ConfigNo = current.Number
+	next := current
+	if v.proposal != nil && status.configInForce == current.Number {
+		next = v.proposal.Version
+		assignment.ConfigNext = next.Number
+	}
+	routerHasText := status.configInForce == next.Number || status.configAcceptable == next.Number
+	if next.Number > 0 && !routerHasText {
+		assignment.ConfigTextNo, assignment.ConfigText = next.Number, next.Text
+	}
+}
+
+// routerStatus is what a router's last accepted report said of the configuration and the health marks that it has.
+type routerStatus struct {
+	configInForce    uint64 // version number
+	configAcceptable uint64 // number of the proposed version that it could take, 0: none
+	marksVersion     uint64
+}
--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,241 @@
+// Package controller runs the control plane of one relay. A controller follows the endpoint list, the release service and,
+// where configured, configuration versions and query servers; merges them with the reports of the relay's routers in a
+// policy.Balancer; votes on the canary; and leads every router by assignments over gRPC (package controlrpc).
+//
+// Instants are float64 seconds since 1970 on the controller's clock and are named ...At; durations are float64 seconds.
+// One mutex orders all calls of the policy; its methods say in their comments when the caller must hold it. Disk and network
+// are used outside of it, with one exception that is named where it stands (configVersions.recheck).
+package controller
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+	"flintspread/internal/router"
+	"flintspread/internal/watch"
+)
+
+// adminHeaderTimeout bounds how long a client of the metrics address may take to send its request header.
+const adminHeaderTimeout = 5 * time.Second
+
+// Controller is one running control plane process. Run makes and runs it.
+type Controller struct {
+	settings   *config.Controller
+	log        *slog.Logger
+	store      *StateStore
+	voteSender *releases.VoteSender
+	server     *controlrpc.ControllerServer
+
+	startedAt        time.Time // monotonic origin of now
+	startedAtSeconds float64   // the same instant, seconds since 1970
+	configHash       uint64    // of the settings that routers and controller must share
+	saveRequests     chan struct{}
+
+	mu                sync.Mutex // orders the policy's calls; guards every field below that is not atomic
+	balancer          *policy.Balancer
+	leader            *lease.Leader
+	endpointList      endpoints.List
+	release           releases.Update // Version 0: none received yet; Age as of releaseReceivedAt
+	releaseReceivedAt float64
+	lastNotified      struct { // the vote that the routers were last notified of
+		build   int
+		verdict policy.Verdict
+	}
+	configVersions   *configVersions
+	metricsEvidence  *metricsEvidence        // nil without query servers
+	routerStatuses   map[string]routerStatus // by router
+	mismatchLogged   map[string]bool         // routers whose configuration hash differs, logged once each
+	supersededLogged bool                    // the newer controller was logged
+	nextTickAt       float64                 // 0: no tick yet
+	reportStride     atomic.Uint64           // one report in this many is read; 0 counts as 1
+	reportsSkipped   atomic.Uint64
+	reportsAccepted  uint64
+	assignmentsMade  uint64
+}
+
+// Run runs a controller until ctx ends, then stops every part of it and waits for them; it gives nil for an ordinary stop.
+// An error before anything was served is a reason not to start; later it is the failure that ended the run.
+func Run(ctx context.Context, settings *config.Controller, log *slog.Logger) error {
+	store, saved, err := openStateStore(settings.StateDir, log)
+	if err != nil {
+		return err
+	}
+	defer closeStore(log, "controller state", store)
+	c := newController(settings, log, store)
+	if err := c.resume(saved); err != nil {
+		return err
+	}
+	defer closeStore(log, "configuration versions", c.configVersions.store)
+	listeners, err := listen(settings)
+	if err != nil {
+		return err
+	}
+	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	c.openVoteSender(client)
+	log.Info("controller started", "relay", settings.Relay, "epoch", c.leader.Epoch(), "link", settings.Link.Address,
+		"admin", listeners.admin.Addr().String())
+	err = c.serve(ctx, client, listeners)
+	log.Info("controller stopped", "relay", settings.Relay)
+	return err
+}
+
+// openStateStore opens the state folder and logs when a broken file had to be set aside.
+func openStateStore(dir string, log *slog.Logger) (*StateStore, SavedState, error) {
+	store, saved, aside, err := OpenStateStore(dir)
+	if err != nil {
+		return nil, SavedState{}, err
+	}
+	if aside != "" {
+		log.Error("state file set aside, starting empty", "file", aside)
+	}
+	return store, saved, nil
+}
+
+// closeStore closes a store at the end of a run. What was acknowledged is synced already, so that an error is only logged.
+func closeStore(log *slog.Logger, name string, store io.Closer) {
+	if err := store.Close(); err != nil {
+		log.Error("store not closed", "store", name, "error", err)
+	}
+}
+
+// newController makes a controller without state, feeds or listeners.
+func newController(settings *config.Controller, log *slog.Logger, store *StateStore) *Controller {
+	now := time.Now()
+	c := &Controller{
+		settings: settings, log: log, store: store,
+		startedAt: now, startedAtSeconds: float64(now.UnixNano()) / 1e9,
+		configHash: router.ConfigHash(settings.Policy()), saveRequests: make(chan struct{}, 1),
+		mismatchLogged: map[string]bool{}, routerStatuses: map[string]routerStatus{},
+	}
+	seed := settings.Seed
+	if seed == 0 {
+		seed = rand.Uint64()
+	}
+	c.balancer = policy.New(settings.Policy(), seed, c.startedAtSeconds)
+	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.Relay,
+		AcceptReport: c.acceptReport, NextAssignment: c.nextAssignment}
+	return c
+}
+
+// now is the controller's clock: seconds since 1970 at the start, going forward with the monotonic clock from there.
+func (c *Controller) now() float64 { return c.startedAtSeconds + time.Since(c.startedAt).Seconds() }
+
+// resume begins a new epoch on the state of the process before, and opens what goes on from it.
+func (c *Controller) resume(saved SavedState) error {
+	epoch, err := c.store.BeginEpoch(saved.Epoch, c.now())
+	if err != nil {
+		return fmt.Errorf("state: %w", err)
+	}
+	if c.settings.Health != nil {
+		if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
+			return err
+		}
+	}
+	c.restore(epoch, saved)
+	c.configVersions, err = c.openConfigVersions()
+	return err
+}
+
+// restore gives the policy the endpoint list, the release and the vote that the process before saved.
+func (c *Controller) restore(epoch uint64, saved SavedState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	link := c.settings.Link
+	c.leader = lease.NewLeader(epoch, link.Lease, c.settings.Rules.Window, link.Silence, now)
+	if saved.Endpoints != nil {
+		c.endpointList = *saved.Endpoints
+		c.endpointList.FullUpdate(now).ApplyTo(c.balancer, now)
+		c.endpointsChanged()
+		c.log.Info("endpoint list restored", "endpoints", c.endpointList.Len(), "version", c.endpointList.Version,
+			"age_seconds", now-c.endpointList.At)
+	}
+	if release := saved.Release; release != nil && release.Check(len(c.settings.Release.Stages)) == nil {
+		c.applyRelease(*release, saved.ReleaseAt)
+	}
+	if vote := saved.Vote; vote != nil {
+		c.balancer.RestoreVote(now, vote.Build, vote.Stage, vote.Verdict, max(0, now-vote.CastAt), vote.OutcomeKnown)
+	}
+}
+
+// listeners are the controller's open addresses.
+type listeners struct {
+	routers net.Listener // gRPC
+	admin   net.Listener // HTTP, metrics
+}
+
+// listen opens both addresses, or none.
+func listen(settings *config.Controller) (l listeners, err error) {
+	if l.routers, err = controlrpc.Listen(&settings.Link); err != nil {
+		return l, fmt.Errorf(":link :address: %w", err)
+	}
+	if l.admin, err = net.Listen("tcp", settings.Admin); err != nil {
+		l.routers.Close()
+		return l, fmt.Errorf(":admin: %w", err)
+	}
+	return l, nil
+}
+
+// serve runs every part of the controller until ctx ends or one of them fails, and waits for all of them.
+func (c *Controller) serve(ctx context.Context, client *http.Client, l listeners) (err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var running sync.WaitGroup
+	failed := make(chan error, 2) // has room for both senders: the control services and the gRPC server
+	c.startFeeds(ctx, &running, client, failed)
+	running.Go(func() { c.voteSender.Run(ctx) })
+	running.Go(func() { c.saveEndpoints(ctx) })
+	running.Go(func() { c.runTicks(ctx) })
+	running.Go(func() { failed <- c.server.Serve(ctx, l.routers) })
+	admin := &http.Server{Handler: c.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
+	running.Go(func() {
+		if err := admin.Serve(l.admin); !errors.Is(err, http.ErrServerClosed) {
+			c.log.Error("metrics server failed", "error", err)
+		}
+	})
+	select {
+	case <-ctx.Done():
+	case err = <-failed:
+	}
+	cancel()
+	admin.Close()
+	running.Wait()
+	return err
+}
+
+// startFeeds follows the endpoint list, the release service and, where configured, control services and query servers.
+func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
+	sources := c.settings.Sources
+	source := func(url string) watch.Source {
+		return watch.Source{URL: url, SilenceSeconds: sources.Silence, BackoffMinSeconds: sources.BackLeast,
+			BackoffMaxSeconds: sources.BackMost, Log: c.log, Client: client}
+	}
+	if c.settings.Control == nil {
+		running.Go(func() { watch.Follow(ctx, source(sources.List), c.applyEndpointUpdate, func() {}) })
+	} else {
+		running.Go(func() {
+			if err := c.configVersions.follow(ctx); err != nil {
+				failed <- err
+			}
+		})
+	}
+	running.Go(func() { watch.Follow(ctx, source(sources.Installer+"/stage"), c.applyReleaseUpdate, func() {}) })
+	if c.metricsEvidence != nil {
+		running.Go(func() { c.metricsEvidence.run(ctx) })
+	}
+}
--- /dev/null
+++ b/internal/controller/controller_test.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"strings"
+	"testing"
+
+	"flintspread/internal/endpoints"
+	"flintspread/internal/releases"
+)
+
+// A controller without state gives an assignment that binds as soon as it has received the endpoint list and the release, and the
+// list goes along only to routers that lack it.
+func TestFirstAssignmentOfEmptyController(t *testing.T) {
+	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
+	settings := testSettings(t, t.TempDir(), services.serve(t), 1)
+	store, _, _, err := OpenStateStore(settings.StateDir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer mustClose(t, store)
+	c := newController(settings, discardLog(), store)
+	c.restore(9, SavedState{})
+	c.acceptReport(canaryFailureReport(1))
+	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 0 || assignment.HasList || assignment.Epoch != 9 || assignment.Echo != 1 || assignment.Share != 0 {
+		t.Error(assignment)
+	}
+	if err := c.applyReleaseUpdate(&services.release); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.applyEndpointUpdate(&endpoints.Update{Version: 7, Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
+		t.Fatal(err)
+	}
+	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 4 || assignment.Cap != 0.5 || assignment.Stage != 1 || !assignment.HasList || len(assignment.Units) != 1 {
+		t.Error(assignment)
+	}
+	if assignment := c.nextAssignment("e", 7); assignment.HasList || assignment.ListNo != 7 {
+		t.Error(assignment)
+	}
+	stale := services.release
+	stale.Version, stale.Cap = 3, 1
+	if err := c.applyReleaseUpdate(&stale); err != nil || c.nextAssignment("e", 7).Cap != 0.5 {
+		t.Error("a stale release update widened the canary limit", err)
+	}
+	if err := c.applyReleaseUpdate(&releases.Update{Version: 9, Phase: "later"}); err == nil {
+		t.Error("accepted an unknown phase")
+	}
+}
+
+// A metrics address in use is an error that names its setting.
+func TestAddressTaken(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	settings := testSettings(t, t.TempDir(), "http://127.0.0.1:1", 1)
+	settings.Admin = listener.Addr().String()
+	if err := Run(context.Background(), settings, discardLog()); err == nil || !strings.Contains(err.Error(), ":admin") {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/controller/fakes_test.go
@@ -0,0 +1,150 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/releases"
+)
+
+// fakeServices are the services around a controller: an endpoint list, and a release service in a fixed state that records votes.
+type fakeServices struct {
+	mu          sync.Mutex
+	votes       []releases.VoteMessage
+	release     releases.Update
+	holdReplies bool // votes are recorded and not answered
+}
+
+// serve serves them until the test ends, and gives their URL.
+func (f *fakeServices) serve(t testing.TB) string {
+	mux := http.NewServeMux()
+	stream := func(w http.ResponseWriter, req *http.Request, next func() any) {
+		for req.Context().Err() == nil {
+			if err := json.NewEncoder(w).Encode(next()); err != nil {
+				return // the client is gone
+			}
+			if err := http.NewResponseController(w).Flush(); err != nil {
+				return
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	}
+	mux.HandleFunc("GET /list", func(w http.ResponseWriter, req *http.Request) {
+		update := endpoints.Update{Version: 1, Full: true}
+		for id := range uint32(4) {
+			update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, StartedAt: 1000})
+		}
+		stream(w, req, func() any { next := update; update = endpoints.Update{Version: 1}; return next })
+	})
+	mux.HandleFunc("GET /stage", func(w http.ResponseWriter, req *http.Request) {
+		stream(w, req, func() any { f.mu.Lock(); defer f.mu.Unlock(); return f.release })
+	})
+	mux.HandleFunc("POST /vote", func(w http.ResponseWriter, req *http.Request) {
+		var vote releases.VoteMessage
+		if err := json.NewDecoder(req.Body).Decode(&vote); err != nil {
+			vote.Verdict = "malformed"
+		}
+		f.mu.Lock()
+		f.votes = append(f.votes, vote)
+		hold, reply := f.holdReplies, f.release
+		f.mu.Unlock()
+		if hold {
+			<-req.Context().Done()
+			return
+		}
+		reply.Vote = "counted"
+		if err := json.NewEncoder(w).Encode(reply); err != nil {
+			t.Log(err) // the controller did not wait for it
+		}
+	})
+	server := httptest.NewServer(mux)
+	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+	return server.URL
+}
+
+// verdicts gives the votes so far, as "back on 2".
+func (f *fakeServices) verdicts() (verdicts []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, vote := range f.votes {
+		verdicts = append(verdicts, fmt.Sprintf("%s on %d", vote.Verdict, vote.Build))
+	}
+	return verdicts
+}
+
+// exampleSettings gives the settings of the example file after some replacements in its text.
+func exampleSettings(t testing.TB, changes ...string) *config.Controller {
+	text, err := os.ReadFile("../../deploy/plan.edn")
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, err := config.ParseController("plan.edn", []byte(strings.NewReplacer(changes...).Replace(string(text))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return settings
+}
+
+// testSettings gives the example's settings with a state folder and services of the test.
+func testSettings(t *testing.T, dir, url string, rollbackVotes int) *config.Controller {
+	settings := exampleSettings(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", rollbackVotes))
+	settings.StateDir, settings.Admin, settings.Sources.List, settings.Sources.Installer = dir, "127.0.0.1:0", url+"/list", url
+	settings.Link.Address = "unix:" + filepath.Join(dir, "s")
+	return settings
+}
+
+// canaryFailureReport is the report of a router that saw half of the canary's requests fail.
+func canaryFailureReport(seq uint64) *linkpb.Digest {
+	report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: seq, Build: 2, Rate: 100}
+	for id := range uint32(4) {
+		failures := float32(id/2) * 50
+		report.Tally = append(report.Tally, &linkpb.Tally{Unit: id + 1, Build: 1 + int32(id)/2, N: []float32{100, 100, 100, 100}, Bad: []float32{0, failures, 0, 0}})
+	}
+	return report
+}
+
+// startController runs a controller until stop is called, which gives the run's error.
+func startController(settings *config.Controller) (stop func() error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- Run(ctx, settings, discardLog()) }()
+	return func() error { cancel(); return <-done }
+}
+
+// eventually fails the test when a condition does not come true within 5 s.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for range 500 {
+		if condition() {
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Errorf("not within 5 s: %s", what)
+}
+
+// discardLog is a logger that drops everything.
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// mustClose closes what has to close without an error.
+func mustClose(t testing.TB, closer io.Closer) {
+	t.Helper()
+	if err := closer.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/controller/reports.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
+	"flintspread/internal/policy"
+)
+
+// acceptReport enters a router's report (on the wire: a Digest) and tells whether it counts. It is called by the gRPC server
+// from one goroutine a router; it does not block on disk or network.
+func (c *Controller) acceptReport(report *linkpb.Digest) lease.Reason {
+	// Every report holds all that its router counted: what a late controller skips, the next one repeats. That the router lives
+	// is entered all the same.
+	read := report.Seq%max(1, c.reportStride.Load()) == 0
+	if !read {
+		c.reportsSkipped.Add(1)
+		report.Tally = nil
+	}
+	evidence := evidenceOf(report)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	reason := c.leader.AcceptReport(c.now(), report.Major, report.Edge, report.Life, report.Seq, report.Following)
+	if reason == lease.Superseded && !c.supersededLogged {
+		c.supersededLogged = true
+		c.log.Error("superseded by a newer controller; no more votes and leases", "epoch", c.leader.Epoch(), "newer_epoch", c.leader.NewerEpoch())
+	}
+	if reason != lease.Accepted {
+		return reason
+	}
+	if report.Terms != c.configHash && !c.mismatchLogged[report.Edge] {
+		c.mismatchLogged[report.Edge] = true
+		c.log.Error("settings differ between controller and router: :rules, :release or :op-types", "router", report.Edge)
+	}
+	c.reportsAccepted++
+	if read {
+		c.balancer.ApplyReport(report.Edge, evidence)
+	}
+	c.routerStatuses[report.Edge] = routerStatus{report.ConfigNo, report.ConfigFits, report.MarksNo}
+	if c.configVersions != nil {
+		c.configVersions.onReport(report)
+	}
+	return reason
+}
+
+// evidenceOf maps a report's tallies to the policy's terms. Failure kinds that the router does not send count as zero.
+func evidenceOf(report *linkpb.Digest) policy.Evidence {
+	evidence := policy.Evidence{Build: int(report.Build), RequestsPerSecond: report.Rate, Samples: make([]policy.EndpointSample, len(report.Tally))}
+	for i, tally := range report.Tally {
+		sample := &evidence.Samples[i]
+		sample.Endpoint, sample.Build = tally.Unit, int(tally.Build)
+		for kind := range sample.Outcomes {
+			if kind < len(tally.N) && kind < len(tally.Bad) {
+				sample.Outcomes[kind], sample.Failures[kind] = float64(tally.N[kind]), float64(tally.Bad[kind])
+			}
+		}
+	}
+	return evidence
+}
--- /dev/null
+++ b/internal/controller/state_store.go
@@ -0,0 +1,168 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	bolt "go.etcd.io/bbolt"
+
+	"flintspread/internal/boltstore"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// StateStore is a controller's state on disk: its epoch, the vote in force, the last release and the last endpoint list. Each
+// change is one transaction, synced before the call returns, so that a kill leaves the state before it or after it. Its
+// methods block on the disk and may be called from several goroutines.
+type StateStore struct {
+	db *bolt.DB
+}
+
+// SavedVote is a vote on disk.
+type SavedVote struct {
+	Build        int            `json:"build"`
+	Stage        int            `json:"stage"`
+	Verdict      policy.Verdict `json:"verdict"`
+	CastAt       float64        `json:"at"`   // seconds since 1970
+	OutcomeKnown bool           `json:"sure"` // the release service has answered it
+}
+
+// SavedState is all that a store holds. What was never saved is nil or 0.
+type SavedState struct {
+	Epoch     uint64           `json:"epoch"`
+	Vote      *SavedVote       `json:"vote,omitempty"`
+	Release   *releases.Update `json:"news,omitempty"`    // Age as of ReleaseAt
+	ReleaseAt float64          `json:"news_at,omitempty"` // seconds since 1970
+	Endpoints *endpoints.List  `json:"list,omitempty"`
+}
+
+// savedRelease is a release on disk.
+type savedRelease struct {
+	Release releases.Update `json:"news"`
+	At      float64         `json:"at"` // seconds since 1970, when its Age was right
+}
+
+// The stored format: one bucket, a key for each part, JSON values.
+var (
+	stateBucket  = []byte("planner")
+	epochKey     = []byte("epoch")
+	voteKey      = []byte("vote")
+	releaseKey   = []byte("news")
+	endpointsKey = []byte("list")
+)
+
+// stateFile is the store's file in a state folder.
+func stateFile(dir string) string { return filepath.Join(dir, "planner.db") }
+
+// OpenStateStore opens the store in a folder, which it makes where there is none, and gives what is in it. A file that can't be
+// read is set aside under another name, which aside then gives with the reason, and the store starts empty. A store that
+// another process holds is boltstore.ErrInUse.
+func OpenStateStore(dir string) (store *StateStore, saved SavedState, aside string, err error) {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return nil, SavedState{}, "", err
+	}
+	db, aside, err := boltstore.OpenOrSetAside(stateFile(dir), saved.read)
+	if err != nil {
+		return nil, SavedState{}, aside, err
+	}
+	return &StateStore{db}, saved, aside, nil
+}
+
+// read replaces a state by what a store holds.
+func (s *SavedState) read(tx *bolt.Tx) error {
+	*s = SavedState{}
+	bucket := tx.Bucket(stateBucket)
+	if bucket == nil {
+		return nil
+	}
+	var release savedRelease
+	for _, part := range []struct {
+		key  []byte
+		into any
+	}{
+		{epochKey, &s.Epoch},
+		{voteKey, &s.Vote},
+		{releaseKey, &release},
+		{endpointsKey, &s.Endpoints},
+	} {
+		text := bucket.Get(part.key)
+		if text == nil {
+			continue
+		}
+		if err := json.Unmarshal(text, part.into); err != nil {
+			return fmt.Errorf("%s: %w", part.key, err)
+		}
+	}
+	if release.At > 0 {
+		s.Release, s.ReleaseAt = &release.Release, release.At
+	}
+	return nil
+}
+
+// put writes one part of the state.
+func (s *StateStore) put(key []byte, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return s.db.Update(func(tx *bolt.Tx) error {
+		bucket, err := tx.CreateBucketIfNotExists(stateBucket)
+		if err != nil {
+			return err
+		}
+		return bucket.Put(key, text)
+	})
+}
+
+// BeginEpoch saves and gives the epoch of a new process. It is above the one before; counted in milliseconds since 1970 at the
+// least, it is so even where the state was lost. now is seconds since 1970.
+func (s *StateStore) BeginEpoch(before uint64, now float64) (uint64, error) {
+	const epochsPerSecond = 1000
+	epoch := max(before+1, uint64(now*epochsPerSecond))
+	return epoch, s.put(epochKey, epoch)
+}
+
+// SaveVote saves the vote that is about to be sent or that is in force.
+func (s *StateStore) SaveVote(vote SavedVote) error { return s.put(voteKey, vote) }
+
+// SaveRelease saves a release whose Age was right at an instant, seconds since 1970.
+func (s *StateStore) SaveRelease(release releases.Update, at float64) error {
+	return s.put(releaseKey, savedRelease{release, at})
+}
+
+// SaveEndpoints saves the endpoint list.
+func (s *StateStore) SaveEndpoints(list *endpoints.List) error { return s.put(endpointsKey, list) }
+
+// Close closes the file; no other method may be called after it.
+func (s *StateStore) Close() error { return s.db.Close() }
+
+// PrintState prints the state in a folder as JSON, without changing it. A folder without one is an error, and so is one that
+// a running controller holds.
+func PrintState(w io.Writer, dir string) error {
+	if _, err := os.Stat(stateFile(dir)); err != nil {
+		return err
+	}
+	saved, err := readState(dir)
+	if err != nil {
+		return err
+	}
+	text, err := json.MarshalIndent(saved, "", "  ")
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(w, "%s\n", text)
+	return err
+}
+
+// readState reads the store in a folder without write access.
+func readState(dir string) (saved SavedState, err error) {
+	db, err := boltstore.Open(stateFile(dir), true, saved.read)
+	if err != nil {
+		return SavedState{}, err
+	}
+	return saved, db.Close()
+}
--- /dev/null
+++ b/internal/controller/tick.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"flintspread/internal/loadshed"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// runTicks does the periodic work until ctx ends, each time when the policy asked for it.
+func (c *Controller) runTicks(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		}
+		timer.Reset(c.tick())
+	}
+}
+
+// tick expires silent routers, lets the policy decide on its vote, casts that, and notifies the routers of what changed. It
+// gives the time until it wants to be called again.
+func (c *Controller) tick() time.Duration {
+	result, marksChanged := c.tickPolicy()
+	if result.CastVote {
+		c.voteSender.Cast(releases.Vote{Build: result.Build, Stage: result.Stage, Verdict: result.Verdict})
+	}
+	if marksChanged {
+		c.server.NotifyAll()
+	}
+	c.notifyVerdict()
+	return time.Duration(result.NextTickSeconds * float64(time.Second))
+}
+
+// tickPolicy is the part of a tick under the lock. A controller that was superseded must not vote: it ticks as a router.
+func (c *Controller) tickPolicy() (result policy.TickResult, marksChanged bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	c.expireRouters(now)
+	c.balancer.SetEndpointListAge(now - c.endpointList.At)
+	c.shedLoad(now)
+	marksChanged = c.metricsEvidence != nil && c.metricsEvidence.tick(now)
+	if c.leader.IsLeader() {
+		result = c.balancer.TickController(now)
+	} else {
+		result = c.balancer.TickRouter(now)
+	}
+	c.nextTickAt = now + result.NextTickSeconds
+	return result, marksChanged
+}
+
+// expireRouters forgets the routers that have been silent for too long. The caller holds the lock.
+func (c *Controller) expireRouters(now float64) {
+	for _, name := range c.leader.ExpireRouters(now) {
+		c.balancer.DropReport(name)
+		delete(c.mismatchLogged, name)
+		delete(c.routerStatuses, name)
+		c.log.Info("router expired", "router", name)
+	}
+}
+
+// shedLoad leaves out what can wait while this controller's ticks are late: first queries of metrics, then reading every
+// report. The caller holds the lock.
+func (c *Controller) shedLoad(now float64) {
+	lateSeconds := 0.0
+	if c.nextTickAt > 0 {
+		lateSeconds = max(0, now-c.nextTickAt)
+	}
+	reportStride, queries := loadshed.ControllerLoadShedding(lateSeconds, c.settings.Link.Beat)
+	c.reportStride.Store(uint64(reportStride))
+	if c.metricsEvidence != nil {
+		c.metricsEvidence.poller.Rest(!queries)
+	}
+}
--- /dev/null
+++ b/internal/controller/votes.go
@@ -0,0 +1,61 @@
+package controller
+
+import (
+	"net/http"
+
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// openVoteSender makes the sender of votes to the release service; its Run sends what the ticks cast.
+func (c *Controller) openVoteSender(client *http.Client) {
+	c.voteSender = &releases.VoteSender{
+		Relay: c.settings.Relay, URL: c.settings.Sources.Installer, Timeout: c.settings.Release.VoteTimeout, Client: client, Log: c.log,
+		OnSend: c.onVoteSend, OnReply: c.onVoteReply,
+	}
+	c.voteSender.Open()
+}
+
+// onVoteSend saves a vote before it leaves: if this process dies now, the next one knows that the vote may have counted.
+func (c *Controller) onVoteSend(vote releases.Vote) {
+	c.saveVote(vote, false)
+}
+
+// onVoteReply enters the release service's reply to a vote: its outcome, and the release as of then where the reply held it.
+func (c *Controller) onVoteReply(vote releases.Vote, reply policy.VoteReply, update *releases.Update) {
+	if update != nil {
+		if err := c.applyReleaseUpdate(update); err != nil {
+			c.log.Warn("release update in a vote's reply refused", "error", err)
+		}
+	}
+	c.mu.Lock()
+	c.balancer.OnVoteReply(c.now(), reply)
+	build, verdict := c.balancer.CurrentVote()
+	c.mu.Unlock()
+	if reply == policy.VoteCounted {
+		c.saveVote(vote, true)
+	} else if reply != policy.VoteUnknown && build >= 0 {
+		c.saveVote(releases.Vote{Build: build, Stage: vote.Stage, Verdict: verdict}, true) // the vote before it stays in force
+	}
+	c.notifyVerdict()
+}
+
+// saveVote saves a vote; outcomeKnown tells that the release service has answered it.
+func (c *Controller) saveVote(vote releases.Vote, outcomeKnown bool) {
+	saved := SavedVote{Build: vote.Build, Stage: vote.Stage, Verdict: vote.Verdict, CastAt: c.now(), OutcomeKnown: outcomeKnown}
+	if err := c.store.SaveVote(saved); err != nil {
+		c.log.Error("vote not saved", "error", err)
+	}
+}
+
+// notifyVerdict notifies the routers when another vote is in force than at the last call.
+func (c *Controller) notifyVerdict() {
+	c.mu.Lock()
+	build, verdict := c.balancer.CurrentVote()
+	changed := build != c.lastNotified.build || verdict != c.lastNotified.verdict
+	c.lastNotified.build, c.lastNotified.verdict = build, verdict
+	c.mu.Unlock()
+	if changed {
+		c.server.NotifyAll()
+	}
+}
--- /dev/null
+++ b/internal/controller/votes_test.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"flintspread/internal/endpoints"
+	"flintspread/internal/lease"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// A vote in flight when the controller died may have counted: the next one casts it again, or withdraws it, at once; a vote whose
+// outcome is known is left alone.
+func TestVoteInFlightAtRestart(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		votes int // needed to roll a build back
+		vote  SavedVote
+		want  string
+	}{
+		{"outcome unknown, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "back on 2"},
+		{"outcome known, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback, OutcomeKnown: true}, ""},
+		{"outcome unknown, others are needed, no reason any more", 2, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "none on 2"},
+		{"outcome unknown, of an earlier build", 2, SavedVote{Build: 1, Verdict: policy.VoteRollback}, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "released", Cap: 1}}
+			dir := t.TempDir()
+			store, _, _, err := OpenStateStore(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			test.vote.CastAt = float64(time.Now().Unix())
+			if err := errors.Join(store.SaveVote(test.vote), store.Close()); err != nil {
+				t.Fatal(err)
+			}
+			stop := startController(testSettings(t, dir, services.serve(t), test.votes))
+			if test.want != "" {
+				eventually(t, test.want, func() bool { return strings.Join(services.verdicts(), ", ") == test.want })
+			} else {
+				time.Sleep(700 * time.Millisecond)
+				if got := services.verdicts(); got != nil {
+					t.Error(got)
+				}
+			}
+			if err := stop(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// A router's evidence brings a rollback vote; killed before the reply, the vote is on disk with its outcome unknown.
+func TestVoteIsSavedBeforeItIsSent(t *testing.T) {
+	services := &fakeServices{holdReplies: true, release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	dir := t.TempDir()
+	settings := testSettings(t, dir, services.serve(t), 1)
+	store, _, _, err := OpenStateStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := newController(settings, discardLog(), store)
+	c.restore(1, SavedState{Release: &services.release, ReleaseAt: c.now()})
+	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
+		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
+	c.voteSender = &releases.VoteSender{Relay: "r1", URL: settings.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: c.log,
+		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
+	c.voteSender.Open()
+	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.Accepted {
+		t.Fatal(reason)
+	}
+	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.StaleSequence {
+		t.Error("the same report twice:", reason)
+	}
+	c.tick()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { c.voteSender.Run(ctx); close(done) }()
+	eventually(t, "the vote is sent", func() bool { return strings.Join(services.verdicts(), "") == "back on 2" })
+	cancel()
+	<-done
+	mustClose(t, store)
+	store, saved, _, err := OpenStateStore(dir)
+	if err != nil || saved.Vote == nil || saved.Vote.OutcomeKnown || saved.Vote.Verdict != policy.VoteRollback {
+		t.Fatalf("%+v %v", saved.Vote, err)
+	}
+	mustClose(t, store)
+}
--- a/internal/controlrpc/creds.go
+++ b/internal/controlrpc/creds.go
@@ -18,58 +18,58 @@
 	"flintspread/internal/config"
 )
 
-// files are certificates read from disk, again whenever one changed, so that they are replaced without a restart. A file
+// certificateFiles are certificates read from disk, again whenever one changed, so that they are replaced without a restart. A file
 // that can't be used leaves the last good ones in force.
-type files struct {
-	set *config.Link
+type certificateFiles struct {
+	config *config.Link
 	log *slog.Logger
 
 	mu    sync.Mutex
-	stamp [3]time.Time
-	own   *tls.Certificate
-	ca    *x509.CertPool
+	modifiedAt [3]time.Time
+	certificate   *tls.Certificate
+	authorities    *x509.CertPool
 }
 
-func (f *files) read() (*tls.Certificate, *x509.CertPool, error) {
+func (f *certificateFiles) load() (*tls.Certificate, *x509.CertPool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var stamp [3]time.Time
-	for i, name := range []string{f.set.Cert, f.set.Key, f.set.CA} {
+	for i, name := range []string{f.config.Cert, f.config.Key, f.config.CA} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return f.own, f.ca, f.unless(err)
+			return f.certificate, f.authorities, f.ignoreIfLoaded(err)
 		}
 		stamp[i] = info.ModTime()
 	}
-	if f.own != nil && stamp == f.stamp {
-		return f.own, f.ca, nil
+	if f.certificate != nil && stamp == f.modifiedAt {
+		return f.certificate, f.authorities, nil
 	}
-	own, err := tls.LoadX509KeyPair(f.set.Cert, f.set.Key)
+	own, err := tls.LoadX509KeyPair(f.config.Cert, f.config.Key)
 	if err != nil {
-		return f.own, f.ca, f.unless(fmt.Errorf("%s, %s: %w", f.set.Cert, f.set.Key, err))
+		return f.certificate, f.authorities, f.ignoreIfLoaded(fmt.Errorf("%s, %s: %w", f.config.Cert, f.config.Key, err))
 	}
-	text, err := os.ReadFile(f.set.CA)
+	text, err := os.ReadFile(f.config.CA)
 	if err != nil {
-		return f.own, f.ca, f.unless(err)
+		return f.certificate, f.authorities, f.ignoreIfLoaded(err)
 	}
 	ca := x509.NewCertPool()
 	if !ca.AppendCertsFromPEM(text) {
-		return f.own, f.ca, f.unless(fmt.Errorf("%s: no certificate in it", f.set.CA))
+		return f.certificate, f.authorities, f.ignoreIfLoaded(fmt.Errorf("%s: no certificate in it", f.config.CA))
 	}
-	f.own, f.ca, f.stamp = &own, ca, stamp
-	return f.own, f.ca, nil
+	f.certificate, f.authorities, f.modifiedAt = &own, ca, stamp
+	return f.certificate, f.authorities, nil
 }
 
-// unless drops an error while there is something good to go on with: the files may be half replaced.
-func (f *files) unless(err error) error {
-	if f.own != nil {
+// ignoreIfLoaded drops an error while there is something good to go on with: the files may be half replaced.
+func (f *certificateFiles) ignoreIfLoaded(err error) error {
+	if f.certificate != nil {
 		return nil
 	}
 	return err
 }
 
-// check refuses the other end's certificate by name. It says so here too: the other end only hears of a bad one.
-func (f *files) check(state tls.ConnectionState) error {
+// verifyAndLog refuses the other end's certificate by name. It says so here too: the other end only hears of a bad one.
+func (f *certificateFiles) verifyAndLog(state tls.ConnectionState) error {
 	err := f.verify(state)
 	if err != nil {
 		f.log.Warn("other end of the link refused", "error", err)
@@ -77,11 +77,11 @@
 	return err
 }
 
-func (f *files) verify(state tls.ConnectionState) error {
+func (f *certificateFiles) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("the other end shows no certificate")
 	}
-	_, ca, err := f.read()
+	_, ca, err := f.load()
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	for _, c := range state.PeerCertificates[1:] {
 		between.AddCert(c)
 	}
-	who := fmt.Sprintf("certificate of %q (%s)", cert.Subject.CommonName, names(cert))
+	who := fmt.Sprintf("certificate of %q (%s)", cert.Subject.CommonName, firstDNSName(cert))
 	if now := time.Now(); now.After(cert.NotAfter) {
 		return fmt.Errorf("%s: it ended on %s", who, cert.NotAfter.UTC().Format(time.RFC3339))
 	} else if now.Before(cert.NotBefore) {
@@ -99,13 +99,13 @@
 	if _, err := cert.Verify(x509.VerifyOptions{Roots: ca, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
 		return fmt.Errorf("%s: %w", who, err)
 	}
-	if err := cert.VerifyHostname(f.set.Peer); err != nil {
-		return fmt.Errorf("%s: not %q (:peer)", who, f.set.Peer)
+	if err := cert.VerifyHostname(f.config.Peer); err != nil {
+		return fmt.Errorf("%s: not %q (:peer)", who, f.config.Peer)
 	}
 	return nil
 }
 
-func names(c *x509.Certificate) string {
+func firstDNSName(c *x509.Certificate) string {
 	if len(c.DNSNames) == 0 {
 		return "no name in it"
 	}
@@ -117,11 +117,11 @@
 	if _, ok := set.Unix(); ok {
 		return insecure.NewCredentials(), nil
 	}
-	f := &files{set: set, log: log}
-	if _, _, err := f.read(); err != nil {
+	f := &certificateFiles{config: set, log: log}
+	if _, _, err := f.load(); err != nil {
 		return nil, err
 	}
-	own := func() (*tls.Certificate, error) { c, _, err := f.read(); return c, err }
+	own := func() (*tls.Certificate, error) { c, _, err := f.load(); return c, err }
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		ServerName:           set.Peer,
@@ -129,6 +129,6 @@
 		InsecureSkipVerify:   true,                     // likewise: with files read anew, and an error that names the other end
 		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return own() },
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return own() },
-		VerifyConnection:     f.check,
+		VerifyConnection:     f.verifyAndLog,
 	}), nil
 }
--- a/internal/controlrpc/edge.go
+++ b/internal/controlrpc/edge.go
@@ -33,10 +33,10 @@
 
 	mu       sync.Mutex
 	follower *lease.Follower
-	links    uint64
-	dropped  uint64
-	listNo   uint64 // of the last list taken from a view
-	began    float64
+	connects    uint64
+	reportsDropped  uint64
+	listVersion   uint64 // of the last list taken from a view
+	startedAt    float64
 }
 
 // Stats is what the end has seen.
@@ -51,10 +51,10 @@
 func (e *RouterClient) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := Stats{Connects: e.links, ReportsDropped: e.dropped}
+	n := Stats{Connects: e.connects, ReportsDropped: e.reportsDropped}
 	if e.follower != nil {
 		n.Epoch, n.Sequence = e.follower.Following()
-		n.AssignmentAgeSeconds, n.Refused = e.follower.AssignmentAge(e.Now(), e.began), e.follower.Refused
+		n.AssignmentAgeSeconds, n.Refused = e.follower.AssignmentAge(e.Now(), e.startedAt), e.follower.Refused
 	}
 	return n
 }
@@ -62,7 +62,7 @@
 // Run keeps a link to the planner until ctx ends. listAt is when the list on the edge's disk was true.
 func (e *RouterClient) Run(ctx context.Context, listAt float64) error {
 	e.mu.Lock()
-	e.follower, e.began = lease.NewFollower(e.Incarnation), e.Now()
+	e.follower, e.startedAt = lease.NewFollower(e.Incarnation), e.Now()
 	e.follower.RestoreEndpointsAt(listAt)
 	e.mu.Unlock()
 	c, err := Credentials(e.Config, e.Log)
@@ -72,15 +72,15 @@
 	conn, err := grpc.NewClient(target(e.Config), grpc.WithTransportCredentials(c),
 		// The planner may know of a drain or a lower cap that this edge does not: it is tried again at the pace of the beat,
 		// which a few edges on one host can afford. Twice the beat is to stay well below the grace of the rules.
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: beat(e.Config.Beat / 2), Multiplier: 1.2, Jitter: 0.3,
-			MaxDelay: beat(e.Config.Beat)}, MinConnectTimeout: beat(e.Config.Silence)}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostMessage)))
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: seconds(e.Config.Beat / 2), Multiplier: 1.2, Jitter: 0.3,
+			MaxDelay: seconds(e.Config.Beat)}, MinConnectTimeout: seconds(e.Config.Silence)}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 	if err != nil {
 		return fmt.Errorf(":planner: %w", err)
 	}
 	defer conn.Close()
 	for n := 0; ctx.Err() == nil; n++ {
-		views, err := e.once(ctx, conn)
+		views, err := e.runStream(ctx, conn)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -95,15 +95,15 @@
 		e.Log.Log(ctx, level, "link to the planner broke", "address", e.Config.Address, "views", views, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
-		case <-time.After(beat(wait)):
+		case <-time.After(seconds(wait)):
 		}
 	}
 	return nil
 }
 
-const mostMessage = 64 << 20 // bytes
+const maxMessageBytes = 64 << 20 // bytes
 
-func beat(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
+func seconds(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
 
 func target(set *config.Link) string {
 	if path, ok := set.Unix(); ok {
@@ -112,11 +112,11 @@
 	return "passthrough:///" + set.Address
 }
 
-// once holds one stream until it breaks, and tells how many views came.
-func (e *RouterClient) once(ctx context.Context, conn *grpc.ClientConn) (views int, err error) {
+// runStream holds one stream until it breaks, and tells how many views came.
+func (e *RouterClient) runStream(ctx context.Context, conn *grpc.ClientConn) (views int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := beat(e.Config.Silence)
+	silence := seconds(e.Config.Silence)
 	quiet := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", e.Config.Silence)) })
 	defer quiet.Stop()
 	why := func(err error) error {
@@ -147,10 +147,10 @@
 		}
 	})
 	work.Go(func() {
-		tick := time.NewTicker(beat(e.Config.Beat))
+		tick := time.NewTicker(seconds(e.Config.Beat))
 		defer tick.Stop()
 		for {
-			e.put(next)
+			e.queueReport(next)
 			select {
 			case <-ctx.Done():
 				return
@@ -165,41 +165,41 @@
 		}
 		if views == 0 {
 			e.mu.Lock()
-			e.links++
+			e.connects++
 			e.mu.Unlock()
 		}
 		quiet.Reset(silence)
-		e.view(v)
+		e.acceptAssignment(v)
 	}
 }
 
-// put makes a digest and leaves it for the stream.
-func (e *RouterClient) put(next chan *linkpb.Digest) {
+// queueReport makes a digest and leaves it for the stream.
+func (e *RouterClient) queueReport(next chan *linkpb.Digest) {
 	d := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: e.Relay, Edge: e.Router, Terms: e.ConfigHash}
 	e.FillReport(d)
 	e.mu.Lock()
 	d.Life, d.Seq, d.Following = e.follower.NextReport(e.Now())
-	d.ListNo = e.listNo
+	d.ListNo = e.listVersion
 	e.mu.Unlock()
 	select {
 	case <-next:
 		e.mu.Lock()
-		e.dropped++
+		e.reportsDropped++
 		e.mu.Unlock()
 	default:
 	}
 	next <- d // there is room: nobody else puts
 }
 
-// view enters one that came.
-func (e *RouterClient) view(v *linkpb.View) {
+// acceptAssignment enters one that came.
+func (e *RouterClient) acceptAssignment(v *linkpb.View) {
 	head := lease.AssignmentHeader{Major: v.Major, Epoch: v.Epoch, Sequence: v.Number, Incarnation: v.Life, AckedReport: v.Echo}
 	e.mu.Lock()
 	before, _ := e.follower.Following()
 	r, list, stage := e.follower.AcceptAssignment(head, lease.ContentVersions{EndpointsAt: v.ListAt, ReleaseVersion: v.StageNo})
 	until := e.follower.LeaseEnd(v.Lease)
 	if r == lease.Accepted && list && v.HasList {
-		e.listNo = v.ListNo
+		e.listVersion = v.ListNo
 	}
 	e.mu.Unlock()
 	if r != lease.Accepted {
--- a/internal/controlrpc/link_test.go
+++ b/internal/controlrpc/link_test.go
@@ -22,36 +22,36 @@
 	"flintspread/internal/lease"
 )
 
-// issue writes a certificate of a name that ends then, and gives a link that uses it and expects peer.
-func issue(o *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
+// issueLink writes a certificate of a name that ends then, and gives a link that uses it and expects peer.
+func issueLink(o *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
 	cert, key := o.Issue(file, name, ends)
 	return &config.Link{Address: address, Beat: 0.02, Silence: 0.5, Lease: 1, Peer: peer, CA: o.CAFile(), Cert: cert, Key: key}
 }
 
-// lines is a log that can be searched.
-type lines struct {
+// logBuffer is a log that can be searched.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *lines) has(s string) bool {
+func (l *logBuffer) contains(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.buf.String(), s)
 }
 
-func (l *lines) logger() *slog.Logger {
+func (l *logBuffer) logger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(l, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// planner serves views of an epoch until stop is called.
-func planner(t *testing.T, set *config.Link, epoch uint64, log *lines) (addr string, stop func()) {
+// startController serves views of an epoch until stop is called.
+func startController(t *testing.T, set *config.Link, epoch uint64, log *logBuffer) (addr string, stop func()) {
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, set.Lease, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
@@ -86,8 +86,8 @@
 	}
 }
 
-// edge follows until stop is called; views counts those taken, lists those with the list.
-func edge(t *testing.T, set *config.Link, log *lines) (e *RouterClient, views, lists *atomic.Int64, stop func()) {
+// startRouter follows until stop is called; views counts those taken, lists those with the list.
+func startRouter(t *testing.T, set *config.Link, log *logBuffer) (e *RouterClient, views, lists *atomic.Int64, stop func()) {
 	views, lists = new(atomic.Int64), new(atomic.Int64)
 	from := time.Now()
 	e = &RouterClient{Config: set, Log: log.logger(), Now: func() float64 { return 100 + time.Since(from).Seconds() }, Relay: "r1", Router: "e1", Incarnation: 1,
@@ -109,7 +109,7 @@
 	}
 }
 
-func soon(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for range 500 {
 		if is() {
@@ -127,13 +127,13 @@
 // A planner that dies and comes back, also on the socket file that a killed one left; one that is older is not followed.
 func TestRestarts(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	set, log := unixLink(t), &lines{}
-	e, views, lists, stop := edge(t, set, log)
+	set, log := unixLink(t), &logBuffer{}
+	e, views, lists, stop := startRouter(t, set, log)
 	defer stop()
 	for _, epoch := range []uint64{10, 11, 13} {
-		_, end := planner(t, set, epoch, log)
+		_, end := startController(t, set, epoch, log)
 		before := views.Load()
-		soon(t, "views", func() bool { return views.Load() > before+5 })
+		eventually(t, "views", func() bool { return views.Load() > before+5 })
 		if n := e.Stats(); n.Epoch != epoch {
 			t.Errorf("follows %d, not %d", n.Epoch, epoch)
 		}
@@ -149,8 +149,8 @@
 	}
 	stale.SetUnlinkOnClose(false)
 	stale.Close()
-	_, end := planner(t, set, 12, log)
-	soon(t, "the older planner hears that it is", func() bool { return log.has("superseded") })
+	_, end := startController(t, set, 12, log)
+	eventually(t, "the older planner hears that it is", func() bool { return log.contains("superseded") })
 	if n := e.Stats(); n.Epoch != 13 {
 		t.Errorf("turned back to %d", n.Epoch)
 	}
@@ -164,10 +164,10 @@
 }
 
 // A link that breaks every 50 ms still brings views, and never an older one.
-func TestFlaps(t *testing.T) {
+func TestFlappingConnectionStillBringsAssignments(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	set, log := unixLink(t), &lines{}
-	_, end := planner(t, set, 10, log)
+	set, log := unixLink(t), &logBuffer{}
+	_, end := startController(t, set, 10, log)
 	defer end()
 	path, _ := set.Unix()
 	front := *set
@@ -199,8 +199,8 @@
 			})
 		}
 	})
-	_, views, _, stop := edge(t, &front, log)
-	soon(t, "twenty flaps", func() bool { return flaps.Load() >= 20 })
+	_, views, _, stop := startRouter(t, &front, log)
+	eventually(t, "twenty flaps", func() bool { return flaps.Load() >= 20 })
 	if n := views.Load(); n < 10 {
 		t.Errorf("%d views over %d flaps", n, flaps.Load())
 	}
@@ -210,16 +210,16 @@
 }
 
 // A planner that says nothing is taken for dead, and does not hold the edge up.
-func TestSilentPlanner(t *testing.T) {
-	set, log := unixLink(t), &lines{}
+func TestSilentControllerIsLeft(t *testing.T) {
+	set, log := unixLink(t), &logBuffer{}
 	path, _ := set.Unix()
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	_, views, _, stop := edge(t, set, log) // connects to what never answers
-	soon(t, "the silence is noticed", func() bool { return log.has("silent for 0.5 s") || log.has("Unavailable") })
+	_, views, _, stop := startRouter(t, set, log) // connects to what never answers
+	eventually(t, "the silence is noticed", func() bool { return log.contains("silent for 0.5 s") || log.contains("Unavailable") })
 	stop()
 	if views.Load() != 0 {
 		t.Error("views from nobody")
@@ -227,38 +227,38 @@
 }
 
 func TestOtherSchemaOrRelay(t *testing.T) {
-	set, log := unixLink(t), &lines{}
-	_, end := planner(t, set, 10, log)
+	set, log := unixLink(t), &logBuffer{}
+	_, end := startController(t, set, 10, log)
 	defer end()
-	e, _, _, stop := edge(t, set, log)
+	e, _, _, stop := startRouter(t, set, log)
 	stop()
 	e.Relay = "r2"
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- e.Run(ctx, 0) }()
-	soon(t, "the relay is named", func() bool { return log.has(`is of relay \"r2\", this planner of \"r1\"`) })
+	eventually(t, "the relay is named", func() bool { return log.contains(`is of relay \"r2\", this planner of \"r1\"`) })
 	cancel()
 	<-done
-	err := (&ControllerServer{Relay: "r1"}).Follow(&oneDigest{d: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&ControllerServer{Relay: "r1"}).Follow(&oneReport{d: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
 }
 
-type oneDigest struct {
+type oneReport struct {
 	linkpb.Planner_FollowServer
 	d *linkpb.Digest
 }
 
-func (o *oneDigest) Recv() (*linkpb.Digest, error) { return o.d, nil }
+func (o *oneReport) Recv() (*linkpb.Digest, error) { return o.d, nil }
 
 // Over TCP each end shows a certificate; what is wrong with one is told by name, and a new one is taken without a restart.
 func TestCertificates(t *testing.T) {
 	good, other := testca.New(t, "hall"), testca.New(t, "elsewhere")
 	hour := time.Now().Add(time.Hour)
-	log := &lines{}
-	server := issue(good, "plan", "plan.example.org", hour, "127.0.0.1:0", "edge.example.org")
-	addr, end := planner(t, server, 10, log)
+	log := &logBuffer{}
+	server := issueLink(good, "plan", "plan.example.org", hour, "127.0.0.1:0", "edge.example.org")
+	addr, end := startController(t, server, 10, log)
 	defer end()
 	for _, c := range []struct {
 		name, want string
@@ -266,25 +266,25 @@
 	}{
 		{"stranger", `certificate of \"edge.example.org\" (edge.example.org): x509: certificate signed by unknown authority`,
 			func() *config.Link {
-				l := issue(other, "edge", "edge.example.org", hour, addr, "plan.example.org")
+				l := issueLink(other, "edge", "edge.example.org", hour, addr, "plan.example.org")
 				l.CA = server.CA
 				return l
 			}()},
-		{"expired", "it ended on ", issue(good, "old", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")},
-		{"other name", `not \"edge.example.org\" (:peer)`, issue(good, "third", "third.example.org", hour, addr, "plan.example.org")},
+		{"expired", "it ended on ", issueLink(good, "old", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")},
+		{"other name", `not \"edge.example.org\" (:peer)`, issueLink(good, "third", "third.example.org", hour, addr, "plan.example.org")},
 		{"planner of other name", `certificate of \"plan.example.org\" (plan.example.org): not \"control.example.org\" (:peer)`,
-			issue(good, "edge2", "edge.example.org", hour, addr, "control.example.org")},
+			issueLink(good, "edge2", "edge.example.org", hour, addr, "control.example.org")},
 		{"planner unknown", `certificate of \"plan.example.org\" (plan.example.org): x509: certificate signed by unknown authority`,
 			func() *config.Link {
-				l := issue(good, "edge3", "edge.example.org", hour, addr, "plan.example.org")
+				l := issueLink(good, "edge3", "edge.example.org", hour, addr, "plan.example.org")
 				l.CA = other.CAFile()
 				return l
 			}()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			mine := &lines{}
-			_, views, _, stop := edge(t, c.set, mine)
-			soon(t, "one end says why", func() bool { return mine.has(c.want) || log.has(c.want) })
+			mine := &logBuffer{}
+			_, views, _, stop := startRouter(t, c.set, mine)
+			eventually(t, "one end says why", func() bool { return mine.contains(c.want) || log.contains(c.want) })
 			stop()
 			if views.Load() != 0 {
 				t.Error("a view came")
@@ -292,31 +292,31 @@
 		})
 	}
 	t.Run("replaced", func(t *testing.T) {
-		set := issue(good, "renew", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")
-		_, views, _, stop := edge(t, set, &lines{})
+		set := issueLink(good, "renew", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")
+		_, views, _, stop := startRouter(t, set, &logBuffer{})
 		defer stop()
 		time.Sleep(100 * time.Millisecond)
 		if views.Load() != 0 {
 			t.Fatal("an expired certificate was good enough")
 		}
-		issue(good, "renew", "edge.example.org", hour, addr, "")
-		soon(t, "views with the new one", func() bool { return views.Load() > 3 })
+		issueLink(good, "renew", "edge.example.org", hour, addr, "")
+		eventually(t, "views with the new one", func() bool { return views.Load() > 3 })
 		if err := os.WriteFile(set.Cert, []byte("half a f"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := &files{set: set}
-		if _, _, err := f.read(); err == nil {
+		f := &certificateFiles{config: set}
+		if _, _, err := f.load(); err == nil {
 			t.Error("a broken file is no error at a start")
 		}
 	})
 }
 
 // A beat that finds the last digest still unsent replaces it.
-func TestNewestDigestWaits(t *testing.T) {
+func TestNewestReportReplacesUnsent(t *testing.T) {
 	e := &RouterClient{Now: func() float64 { return 1 }, FillReport: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
 	next := make(chan *linkpb.Digest, 1)
 	for range 5 {
-		e.put(next)
+		e.queueReport(next)
 	}
 	if d := <-next; d.Seq != 5 || e.Stats().ReportsDropped != 4 {
 		t.Errorf("digest %d waits, %d dropped", d.Seq, e.Stats().ReportsDropped)
--- a/internal/controlrpc/planner.go
+++ b/internal/controlrpc/planner.go
@@ -32,10 +32,10 @@
 	NextAssignment func(edge string, listNo uint64) *linkpb.View
 
 	mu    sync.Mutex
-	edges map[*planStream]struct{}
+	streams map[*routerStream]struct{}
 }
 
-type planStream struct{ wake chan struct{} }
+type routerStream struct{ wake chan struct{} }
 
 // Listen opens the link's address. A socket that a killed planner left is taken over; the caller holds the state's lock,
 // so that it is nobody's.
@@ -62,9 +62,9 @@
 		return fmt.Errorf(":link: %w", err)
 	}
 	p.mu.Lock()
-	p.edges = map[*planStream]struct{}{}
+	p.streams = map[*routerStream]struct{}{}
 	p.mu.Unlock()
-	srv := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(mostMessage), grpc.ConnectionTimeout(beat(p.Config.Silence)))
+	srv := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ConnectionTimeout(seconds(p.Config.Silence)))
 	linkpb.RegisterPlannerServer(srv, p)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
@@ -78,13 +78,13 @@
 func (p *ControllerServer) NotifyAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for s := range p.edges {
+	for s := range p.streams {
 		s.notify()
 	}
 }
 
 // notify asks for a view; several requests that come before it is made are one.
-func (s *planStream) notify() {
+func (s *routerStream) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -104,13 +104,13 @@
 	if first.Relay != p.Relay {
 		return status.Errorf(codes.FailedPrecondition, "edge %q is of relay %q, this planner of %q", first.Edge, first.Relay, p.Relay)
 	}
-	me := &planStream{wake: make(chan struct{}, 1)}
+	me := &routerStream{wake: make(chan struct{}, 1)}
 	p.mu.Lock()
-	p.edges[me] = struct{}{}
+	p.streams[me] = struct{}{}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.edges, me)
+		delete(p.streams, me)
 		p.mu.Unlock()
 	}()
 	p.Log.Info("edge linked", "edge", first.Edge, "life", first.Life)
@@ -138,7 +138,7 @@
 		}
 	}()
 	// Views are made when they can be sent: an edge that reads slowly gets fewer, never older ones.
-	alive := time.NewTicker(beat(p.Config.Beat * 2))
+	alive := time.NewTicker(seconds(p.Config.Beat * 2))
 	defer alive.Stop()
 	for {
 		select {
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -21,32 +21,32 @@
 // Client follows a control service.
 type Client struct {
 	Address     string
-	Creds       credentials.TransportCredentials
+	Credentials       credentials.TransportCredentials
 	Log         *slog.Logger
 	Session     *Session
 	Relay       string
-	Least, Most float64 // s of pause before coming back
-	Silence     float64 // s after which the service is asked whether it lives
-	MostBytes   int     // of one response; a larger one breaks the stream before it is held
+	BackoffMinSeconds, BackoffMaxSeconds float64 // s of pause before coming back
+	SilenceSeconds     float64 // s after which the service is asked whether it lives
+	MaxResponseBytes   int     // of one response; a larger one breaks the stream before it is held
 	// List takes a list; Settings takes a version or says that it waits; a reason turns it down. Neither may wait.
-	List     func(*endpoints.Update) error
-	Settings func(*configstate.Version) (configstate.Outcome, error)
+	ApplyEndpoints     func(*endpoints.Update) error
+	OfferVersion func(*configstate.Version) (configstate.Outcome, error)
 	// Look is asked for a version that waited, each time that a list was taken and every Beat seconds.
-	Look func(*configstate.Version) (configstate.Outcome, error)
-	Beat float64
+	RecheckVersion func(*configstate.Version) (configstate.Outcome, error)
+	RecheckSeconds float64
 }
 
 // Run follows until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	conn, err := grpc.NewClient("passthrough:///"+c.Address, grpc.WithTransportCredentials(c.Creds),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.MostBytes)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: secs(max(c.Silence, 10)), Timeout: secs(c.Silence), PermitWithoutStream: false}))
+	conn, err := grpc.NewClient("passthrough:///"+c.Address, grpc.WithTransportCredentials(c.Credentials),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.MaxResponseBytes)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: seconds(max(c.SilenceSeconds, 10)), Timeout: seconds(c.SilenceSeconds), PermitWithoutStream: false}))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	for n := 0; ctx.Err() == nil; n++ {
-		came, err := c.once(ctx, conn)
+		came, err := c.runStream(ctx, conn)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -54,20 +54,20 @@
 			n = 0
 		}
 		// Half of the pause is chance: a hundred relays that lost the service together come back apart.
-		wait := watch.Backoff(n, c.Least, c.Most, rand.Float64())
+		wait := watch.Backoff(n, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
 		c.Log.Warn("control stream broke", "address", c.Address, "responses", came, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
 		select {
 		case <-ctx.Done():
-		case <-time.After(secs(wait)):
+		case <-time.After(seconds(wait)):
 		}
 	}
 	return nil
 }
 
-func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// once holds one stream until it breaks, and tells how many responses came.
-func (c *Client) once(ctx context.Context, conn *grpc.ClientConn) (came int, err error) {
+// runStream holds one stream until it breaks, and tells how many responses came.
+func (c *Client) runStream(ctx context.Context, conn *grpc.ClientConn) (came int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
@@ -76,7 +76,7 @@
 	}
 	for _, req := range c.Session.Open() {
 		if err := s.Send(req); err != nil {
-			return 0, c.why(s, err)
+			return 0, c.streamError(s, err)
 		}
 	}
 	type arrival struct {
@@ -97,9 +97,9 @@
 			}
 		}
 	}()
-	look := time.NewTicker(secs(c.Beat))
+	look := time.NewTicker(seconds(c.RecheckSeconds))
 	defer look.Stop()
-	var waits *waiting // the document that waits
+	var waits *waitingVersion // the document that waits
 	for {
 		select {
 		case <-ctx.Done():
@@ -110,15 +110,15 @@
 				return came, a.err
 			}
 			came++
-			if err := c.take(s, a.r, &waits); err != nil {
+			if err := c.handleResponse(s, a.r, &waits); err != nil {
 				return came, err
 			}
 		}
 		if waits == nil {
 			continue
 		}
-		if o, err := c.Look(waits.v); o != configstate.Waiting {
-			r := waits.r
+		if o, err := c.RecheckVersion(waits.version); o != configstate.Waiting {
+			r := waits.response
 			waits = nil
 			if err := c.answer(s, r, err); err != nil {
 				return came, err
@@ -127,24 +127,24 @@
 	}
 }
 
-// waiting is a version that can't be answered yet.
-type waiting struct {
-	r *discovery.DiscoveryResponse
-	v *configstate.Version
+// waitingVersion is a version that can't be answered yet.
+type waitingVersion struct {
+	response *discovery.DiscoveryResponse
+	version *configstate.Version
 }
 
-// why finds the stream's own error behind a failed sending.
-func (c *Client) why(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, err error) error {
+// streamError finds the stream's own error behind a failed sending.
+func (c *Client) streamError(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, err error) error {
 	if _, e := s.Recv(); e != nil {
 		return e
 	}
 	return err
 }
 
-// take enters one response.
-func (c *Client) take(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, r *discovery.DiscoveryResponse,
-	waits **waiting) error {
-	news, again, err := c.Session.Came(r)
+// handleResponse enters one response.
+func (c *Client) handleResponse(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, r *discovery.DiscoveryResponse,
+	waits **waitingVersion) error {
+	news, again, err := c.Session.OnResponse(r)
 	if err != nil {
 		return err
 	}
@@ -155,21 +155,21 @@
 		return nil
 	}
 	if r.TypeUrl == TypeUnits {
-		line, err := Units(r)
+		line, err := EndpointUpdate(r)
 		if err == nil {
-			err = c.List(line)
+			err = c.ApplyEndpoints(line)
 		}
 		return c.answer(s, r, err)
 	}
 	*waits = nil // what waited is overtaken by this one
-	v, err := Document(r, c.Relay)
+	v, err := ReadDocument(r, c.Relay)
 	if err != nil {
 		return c.answer(s, r, err)
 	}
-	o, err := c.Settings(v)
+	o, err := c.OfferVersion(v)
 	if o == configstate.Waiting && err == nil {
 		c.Log.Info("settings wait for the list that they belong with", "version", v.Number, "list", v.RequiredListVersion)
-		*waits = &waiting{r, v}
+		*waits = &waitingVersion{r, v}
 		return nil
 	}
 	return c.answer(s, r, err)
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -11,8 +11,8 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// Document reads the one document of a response, by the reader that reads a file.
-func Document(r *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
+// ReadDocument reads the one document of a response, by the reader that reads a file.
+func ReadDocument(r *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
 	if len(r.Resources) != 1 {
 		return nil, fmt.Errorf("%d documents; one is wanted", len(r.Resources))
 	}
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -33,8 +33,8 @@
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	for _, address := range c.Addresses {
-		client := &Client{Address: address, Creds: creds, Log: log, Session: NewSession(node, relay), Relay: relay, Least: c.BackLeast,
-			Most: c.BackMost, Silence: c.Silence, MostBytes: c.MostBytes, Beat: beat, List: t.List, Settings: t.Settings, Look: t.Look}
+		client := &Client{Address: address, Credentials: creds, Log: log, Session: NewSession(node, relay), Relay: relay, BackoffMinSeconds: c.BackLeast,
+			BackoffMaxSeconds: c.BackMost, SilenceSeconds: c.Silence, MaxResponseBytes: c.MostBytes, RecheckSeconds: beat, ApplyEndpoints: t.List, OfferVersion: t.Settings, RecheckVersion: t.Look}
 		g.Go(func() error { return client.Run(ctx) })
 	}
 	return g.Wait()
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -19,7 +19,7 @@
 	}
 	came := func(version, nonce string) *discovery.DiscoveryResponse {
 		r := &discovery.DiscoveryResponse{TypeUrl: TypeDocument, VersionInfo: version, Nonce: nonce}
-		news, again, err := s.Came(r)
+		news, again, err := s.OnResponse(r)
 		fmt.Print(version, " ", nonce, " news ", news, " ")
 		show("again", again)
 		if err != nil {
@@ -38,7 +38,7 @@
 	show("turned down", s.Settle(c, errors.New("no caps")))
 	show("a new stream", s.Open()[1])
 	came("v4", "")
-	s.Came(&discovery.DiscoveryResponse{TypeUrl: "elsewhere", Nonce: "x"})
+	s.OnResponse(&discovery.DiscoveryResponse{TypeUrl: "elsewhere", Nonce: "x"})
 	// Output:
 	// 2 types
 	// v1 n1 news true again: nothing
--- a/internal/xds/units.go
+++ b/internal/xds/units.go
@@ -16,11 +16,11 @@
 // metadataKey is under which an endpoint's metadata holds what the published form has no field for.
 const metadataKey = "flintspread"
 
-// Units reads endpoint assignments as a full list. An endpoint's metadata under "flintspread" gives id and build, and may
+// EndpointUpdate reads endpoint assignments as a full list. An endpoint's metadata under "flintspread" gives id and build, and may
 // give zone, cell and start; its health tells ready from draining, and one that is unhealthy or unknown to fail is left out,
 // which makes it gone.
-func Units(r *discovery.DiscoveryResponse) (*endpoints.Update, error) {
-	version, err := number(r.VersionInfo)
+func EndpointUpdate(r *discovery.DiscoveryResponse) (*endpoints.Update, error) {
+	version, err := versionNumber(r.VersionInfo)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 		}
 		for _, locality := range a.Endpoints {
 			for j, e := range locality.LbEndpoints {
-				u, err := unit(e)
+				u, err := endpointOf(e)
 				if err != nil {
 					return nil, fmt.Errorf("cluster %q, endpoint %d: %w", a.ClusterName, j, err)
 				}
@@ -48,7 +48,7 @@
 	return line, line.Check()
 }
 
-func unit(e *endpoint.LbEndpoint) (u endpoints.Endpoint, err error) {
+func endpointOf(e *endpoint.LbEndpoint) (u endpoints.Endpoint, err error) {
 	addr := e.GetEndpoint().GetAddress().GetSocketAddress()
 	if addr == nil {
 		return u, fmt.Errorf("no socket address")
