--- /dev/null
+++ b/internal/controlrpc/controller_server.go
@@ -0,0 +1,188 @@
+package controlrpc
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
+)
+
+// keepAliveIntervals is after how many report intervals a router gets an assignment though nothing asked for one: it shows
+// that the controller lives.
+const keepAliveIntervals = 2
+
+// ControllerServer is a controller's end of the connections of all its routers. The exported fields are set before Serve and not
+// changed after it.
+type ControllerServer struct {
+	linkpb.UnimplementedPlannerServer
+	Config *config.Link
+	Log    *slog.Logger
+	Relay  string // the relay that routers and controller must share
+	// AcceptReport enters a report and tells whether it counts. It is called from a goroutine a router and must not block.
+	AcceptReport func(report *linkpb.Digest) lease.Reason
+	// NextAssignment makes the next assignment for a router that has the given version of the endpoint list. It is called from a
+	// goroutine a router and must not block.
+	NextAssignment func(router string, listVersion uint64) *linkpb.View
+
+	mu      sync.Mutex
+	streams map[*routerStream]struct{} // guarded by mu
+}
+
+// routerStream is one router's open stream.
+type routerStream struct {
+	wake        chan struct{}
+	listVersion atomic.Uint64 // of the endpoint list that the router has
+}
+
+// Listen opens the configured address. A socket file that a killed controller left is taken over: the caller holds the lock of
+// the controller's state, so that no other one listens there. A file that is no socket is left alone and is an error.
+func Listen(link *config.Link) (net.Listener, error) {
+	path, ok := link.Unix()
+	if !ok {
+		return net.Listen("tcp", link.Address)
+	}
+	if info, err := os.Lstat(path); err == nil {
+		if info.Mode()&fs.ModeSocket == 0 {
+			return nil, fmt.Errorf("%s: is no socket", path)
+		}
+		if err := os.Remove(path); err != nil {
+			return nil, err
+		}
+	}
+	return net.Listen("unix", path)
+}
+
+// Serve serves routers until ctx ends, and then gives nil. It owns the listener.
+func (s *ControllerServer) Serve(ctx context.Context, listener net.Listener) error {
+	transport, err := Credentials(s.Config, s.Log)
+	if err != nil {
+		return fmt.Errorf(":link: %w", err)
+	}
+	s.mu.Lock()
+	s.streams = map[*routerStream]struct{}{}
+	s.mu.Unlock()
+	server := grpc.NewServer(grpc.Creds(transport), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ConnectionTimeout(seconds(s.Config.Silence)))
+	linkpb.RegisterPlannerServer(server, s)
+	stop := context.AfterFunc(ctx, server.Stop)
+	defer stop()
+	if err := server.Serve(listener); err != nil && !errors.Is(err, grpc.ErrServerStopped) && ctx.Err() == nil {
+		return err
+	}
+	return nil
+}
+
+// NotifyAll has every connected router get an assignment soon. It does not block.
+func (s *ControllerServer) NotifyAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for stream := range s.streams {
+		stream.notify()
+	}
+}
+
+// notify asks for an assignment; requests that come before it is made are one.
+func (r *routerStream) notify() {
+	select {
+	case r.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Follow implements the RPC: it serves one router until its stream breaks.
+func (s *ControllerServer) Follow(stream linkpb.Planner_FollowServer) error {
+	first, err := stream.Recv()
+	if err != nil {
+		return err
+	}
+	if err := s.checkCompatible(first); err != nil {
+		return err
+	}
+	router := &routerStream{wake: make(chan struct{}, 1)}
+	s.register(router)
+	defer s.unregister(router)
+	s.Log.Info("router connected", "router", first.Edge, "incarnation", first.Life)
+	failed := make(chan error, 1)
+	// Not waited for: its Recv ends when gRPC ends the stream, which is after this method has returned.
+	go func() { failed <- s.receiveReports(stream, router, first) }()
+	return s.sendAssignments(stream, router, first.Edge, failed)
+}
+
+// checkCompatible refuses a router of another schema or relay. The status goes to the router, which logs it.
+func (s *ControllerServer) checkCompatible(report *linkpb.Digest) error {
+	if report.Major != lease.SchemaMajor {
+		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", report.Edge, report.Major,
+			report.Minor, lease.SchemaMajor, lease.SchemaMinor)
+	}
+	if report.Relay != s.Relay {
+		return status.Errorf(codes.FailedPrecondition, "edge %q is of relay %q, this planner of %q", report.Edge, report.Relay, s.Relay)
+	}
+	return nil
+}
+
+// register adds a stream to those that NotifyAll notifies.
+func (s *ControllerServer) register(router *routerStream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streams[router] = struct{}{}
+}
+
+// unregister undoes register.
+func (s *ControllerServer) unregister(router *routerStream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.streams, router)
+}
+
+// receiveReports enters a stream's reports, the first of which was read already, until the stream breaks.
+func (s *ControllerServer) receiveReports(stream linkpb.Planner_FollowServer, router *routerStream, first *linkpb.Digest) error {
+	for report := first; ; {
+		s.enterReport(router, report)
+		var err error
+		if report, err = stream.Recv(); err != nil {
+			return err
+		}
+	}
+}
+
+// enterReport enters one report; one that counts is answered by an assignment.
+func (s *ControllerServer) enterReport(router *routerStream, report *linkpb.Digest) {
+	if reason := s.AcceptReport(report); reason != lease.Accepted {
+		s.Log.Info("report refused", "router", report.Edge, "reason", reason, "incarnation", report.Life, "sequence", report.Seq)
+		return
+	}
+	router.listVersion.Store(report.ListNo)
+	router.notify()
+}
+
+// sendAssignments sends an assignment on every notification, and now and then without one, until the stream breaks. Each is
+// made when it can be sent: a router that reads slowly gets fewer, never older ones.
+func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
+	keepAlive := time.NewTicker(seconds(s.Config.Beat * keepAliveIntervals))
+	defer keepAlive.Stop()
+	for {
+		select {
+		case err := <-failed:
+			s.Log.Info("router disconnected", "router", name, "error", err)
+			return err
+		case <-router.wake:
+		case <-keepAlive.C:
+		}
+		if err := stream.Send(s.NextAssignment(name, router.listVersion.Load())); err != nil {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlrpc/router_client.go
@@ -0,0 +1,251 @@
+package controlrpc
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/lease"
+	"flintspread/internal/watch"
+)
+
+// How gRPC spaces its own attempts to connect, between half a report interval and a whole one.
+const (
+	connectBackoffMultiplier = 1.2
+	connectBackoffJitter     = 0.3 // share of the pause
+)
+
+// RouterClient is a router's end of the connection to its controller. The exported fields are set before Run and not changed
+// after it.
+type RouterClient struct {
+	Config      *config.Link
+	Log         *slog.Logger
+	Now         func() float64 // seconds since 1970, never going back
+	Relay       string         // the relay that router and controller must share
+	Router      string         // this router's name
+	Incarnation uint64         // of this process; higher than that of every process of the router before it
+	ConfigHash  uint64         // of the settings that router and controller must share
+	// FillReport adds to a report what the router counted and has. It is called once a report interval, from one goroutine, and
+	// must not block.
+	FillReport func(report *linkpb.Digest)
+	// ApplyAssignment enters an assignment that counts. endpoints and release tell which of these parts are new; leaseEndsAt is
+	// when its lease ends on the clock of Now. It is called from one goroutine and must not block.
+	ApplyAssignment func(assignment *linkpb.View, endpoints, release bool, leaseEndsAt float64)
+
+	mu             sync.Mutex // guards what follows
+	follower       *lease.Follower
+	connects       uint64
+	reportsDropped uint64
+	listVersion    uint64 // of the last endpoint list taken from an assignment
+	startedAt      float64
+}
+
+// Stats counts what a RouterClient has seen.
+type Stats struct {
+	Epoch, Sequence      uint64 // of the assignment in force, 0: none yet
+	AssignmentAgeSeconds float64
+	Connects             uint64 // streams on which an assignment came
+	ReportsDropped       uint64 // reports that a newer one replaced before they were sent
+	Refused              [lease.ReasonCount]uint64
+}
+
+// Stats gives the counts so far. It may be called at any time from any goroutine.
+func (r *RouterClient) Stats() Stats {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	stats := Stats{Connects: r.connects, ReportsDropped: r.reportsDropped}
+	if r.follower != nil {
+		stats.Epoch, stats.Sequence = r.follower.Following()
+		stats.AssignmentAgeSeconds, stats.Refused = r.follower.AssignmentAge(r.Now(), r.startedAt), r.follower.Refused
+	}
+	return stats
+}
+
+// Run keeps a stream to the controller until ctx ends, and then gives nil; an error is one of the settings. endpointsAt is when
+// the endpoint list that the router restored from its disk was true.
+func (r *RouterClient) Run(ctx context.Context, endpointsAt float64) error {
+	r.mu.Lock()
+	r.follower, r.startedAt = lease.NewFollower(r.Incarnation), r.Now()
+	r.follower.RestoreEndpointsAt(endpointsAt)
+	r.mu.Unlock()
+	transport, err := Credentials(r.Config, r.Log)
+	if err != nil {
+		return fmt.Errorf(":planner: %w", err)
+	}
+	conn, err := r.newConn(transport)
+	if err != nil {
+		return fmt.Errorf(":planner: %w", err)
+	}
+	defer conn.Close()
+	for failures := 0; ctx.Err() == nil; failures++ {
+		assignments, err := r.runStream(ctx, conn)
+		if ctx.Err() != nil {
+			return nil
+		}
+		if assignments > 0 {
+			failures = 0
+		}
+		pauseSeconds := watch.Backoff(failures, r.Config.Beat/2, r.Config.Beat, rand.Float64())
+		level := slog.LevelWarn
+		if failures > 0 {
+			level = slog.LevelDebug // warned of once, not ten times a second
+		}
+		r.Log.Log(ctx, level, "connection to the controller lost", "address", r.Config.Address, "assignments", assignments,
+			"error", err, "retry_seconds", pauseSeconds)
+		select {
+		case <-ctx.Done():
+		case <-time.After(seconds(pauseSeconds)):
+		}
+	}
+	return nil
+}
+
+// newConn makes the connection, which gRPC opens when a stream needs it. The controller may know of a drain or a lower canary
+// limit that this router does not: it is tried again within a report interval, which a few routers on one host can afford.
+// Twice the interval is to stay well below the grace of the rules.
+func (r *RouterClient) newConn(transport credentials.TransportCredentials) (*grpc.ClientConn, error) {
+	return grpc.NewClient(dialTarget(r.Config),
+		grpc.WithTransportCredentials(transport),
+		grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff: backoff.Config{
+				BaseDelay:  seconds(r.Config.Beat / 2),
+				Multiplier: connectBackoffMultiplier,
+				Jitter:     connectBackoffJitter,
+				MaxDelay:   seconds(r.Config.Beat),
+			},
+			MinConnectTimeout: seconds(r.Config.Silence),
+		}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
+}
+
+// dialTarget is the configured address in gRPC's form.
+func dialTarget(link *config.Link) string {
+	if path, ok := link.Unix(); ok {
+		return "unix:" + path
+	}
+	return "passthrough:///" + link.Address
+}
+
+// runStream holds one stream until it breaks, ctx ends or the controller is silent for too long, and tells how many
+// assignments came.
+func (r *RouterClient) runStream(ctx context.Context, conn *grpc.ClientConn) (assignments int, err error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	silence := seconds(r.Config.Silence)
+	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", r.Config.Silence)) })
+	defer silenceTimer.Stop()
+	// A cancelled stream says only that it was cancelled; the cause says why.
+	causeOf := func(err error) error {
+		if cause := context.Cause(ctx); cause != nil {
+			return cause
+		}
+		return err
+	}
+	stream, err := linkpb.NewPlannerClient(conn).Follow(ctx)
+	if err != nil {
+		return 0, causeOf(err)
+	}
+	queue := make(chan *linkpb.Digest, 1)
+	var sending sync.WaitGroup
+	defer sending.Wait()
+	defer cancel(nil)
+	sending.Go(func() { sendReports(ctx, stream, queue) })
+	sending.Go(func() { r.queueReports(ctx, queue) })
+	for ; ; assignments++ {
+		assignment, err := stream.Recv()
+		if err != nil {
+			return assignments, causeOf(err)
+		}
+		if assignments == 0 {
+			r.mu.Lock()
+			r.connects++
+			r.mu.Unlock()
+		}
+		silenceTimer.Reset(silence)
+		r.acceptAssignment(assignment)
+	}
+}
+
+// sendReports sends what is queued until ctx ends or the stream breaks.
+func sendReports(ctx context.Context, stream linkpb.Planner_FollowClient, queue <-chan *linkpb.Digest) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case report := <-queue:
+			if stream.Send(report) != nil {
+				return // Recv gives the reason
+			}
+		}
+	}
+}
+
+// queueReports queues a report at once and then every report interval, until ctx ends.
+func (r *RouterClient) queueReports(ctx context.Context, queue chan *linkpb.Digest) {
+	ticker := time.NewTicker(seconds(r.Config.Beat))
+	defer ticker.Stop()
+	for {
+		r.queueReport(queue)
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// queueReport makes a report and queues it for the stream. One that was not sent in time is replaced: the newer one holds all
+// that it did. It must be the only sender on queue, which has room for one.
+func (r *RouterClient) queueReport(queue chan *linkpb.Digest) {
+	report := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: r.Relay, Edge: r.Router, Terms: r.ConfigHash}
+	r.FillReport(report)
+	r.mu.Lock()
+	report.Life, report.Seq, report.Following = r.follower.NextReport(r.Now())
+	report.ListNo = r.listVersion
+	r.mu.Unlock()
+	select {
+	case <-queue:
+		r.mu.Lock()
+		r.reportsDropped++
+		r.mu.Unlock()
+	default:
+	}
+	queue <- report
+}
+
+// acceptAssignment passes on an assignment if it counts.
+func (r *RouterClient) acceptAssignment(assignment *linkpb.View) {
+	header := assignmentHeader(assignment)
+	content := lease.ContentVersions{EndpointsAt: assignment.ListAt, ReleaseVersion: assignment.StageNo}
+	r.mu.Lock()
+	previousEpoch, _ := r.follower.Following()
+	reason, endpoints, release := r.follower.AcceptAssignment(header, content)
+	leaseEndsAt := r.follower.LeaseEnd(assignment.Lease)
+	if reason == lease.Accepted && endpoints && assignment.HasList {
+		r.listVersion = assignment.ListNo
+	}
+	r.mu.Unlock()
+	if reason != lease.Accepted {
+		r.Log.Info("assignment refused", "reason", reason, "assignment", header)
+		return
+	}
+	if previousEpoch != assignment.Epoch {
+		r.Log.Info("following controller", "epoch", assignment.Epoch, "previous_epoch", previousEpoch)
+	}
+	r.ApplyAssignment(assignment, endpoints, release, leaseEndsAt)
+}
+
+// assignmentHeader maps the wire's names of what identifies an assignment to those of package lease.
+func assignmentHeader(assignment *linkpb.View) lease.AssignmentHeader {
+	return lease.AssignmentHeader{Major: assignment.Major, Epoch: assignment.Epoch, Sequence: assignment.Number,
+		Incarnation: assignment.Life, AckedReport: assignment.Echo}
+}
