--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
-
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"sync"
 	"time"
 
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
@@ -14,175 +13,214 @@
 	"google.golang.org/grpc/keepalive"
 
 	"flintspread/internal/configstate"
-	"flintspread/internal/endpoints"
 	"flintspread/internal/watch"
 )
 
-// Client follows a control service.
+// minKeepAliveSeconds is the shortest time without traffic after which a service is pinged; gRPC allows no shorter one.
+const minKeepAliveSeconds = 10
+
+// Client follows one control service. Its fields are set before Run and not changed after it.
 type Client struct {
 	Address     string
-	Credentials       credentials.TransportCredentials
+	Credentials credentials.TransportCredentials
 	Log         *slog.Logger
-	Session     *Session
-	Relay       string
-	BackoffMinSeconds, BackoffMaxSeconds float64 // s of pause before coming back
-	SilenceSeconds     float64 // s after which the service is asked whether it lives
-	MaxResponseBytes   int     // of one response; a larger one breaks the stream before it is held
-	// List takes a list; Settings takes a version or says that it waits; a reason turns it down. Neither may wait.
-	ApplyEndpoints     func(*endpoints.Update) error
-	OfferVersion func(*configstate.Version) (configstate.Outcome, error)
-	// Look is asked for a version that waited, each time that a list was taken and every Beat seconds.
-	RecheckVersion func(*configstate.Version) (configstate.Outcome, error)
-	RecheckSeconds float64
+	Session     *Session // this client's alone
+	Relay       string   // the name of the resources it wants
+	Taker       Taker    // called from Run's goroutine
+
+	BackoffMinSeconds float64 // pause before the first try to reconnect
+	BackoffMaxSeconds float64 // longest pause
+	SilenceSeconds    float64 // that a service may leave a keep-alive ping unanswered, and at least 10 s between those
+	RecheckSeconds    float64 // between two decisions on a version that waits
+	MaxResponseBytes  int     // of one response; a larger one breaks the stream before it is held
 }
 
-// Run follows until ctx ends.
+// discoveryStream is the RPC's stream.
+type discoveryStream = discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+
+// Run follows the service until ctx ends, and then gives nil; an error is one of the settings.
 func (c *Client) Run(ctx context.Context) error {
-	conn, err := grpc.NewClient("passthrough:///"+c.Address, grpc.WithTransportCredentials(c.Credentials),
+	conn, err := grpc.NewClient("passthrough:///"+c.Address,
+		grpc.WithTransportCredentials(c.Credentials),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.MaxResponseBytes)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: seconds(max(c.SilenceSeconds, 10)), Timeout: seconds(c.SilenceSeconds), PermitWithoutStream: false}))
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{
+			Time:                seconds(max(c.SilenceSeconds, minKeepAliveSeconds)),
+			Timeout:             seconds(c.SilenceSeconds),
+			PermitWithoutStream: false,
+		}))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	for n := 0; ctx.Err() == nil; n++ {
-		came, err := c.runStream(ctx, conn)
+	for failures := 0; ctx.Err() == nil; failures++ {
+		responses, err := c.runStream(ctx, conn)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if came > 0 {
-			n = 0
+		if responses > 0 {
+			failures = 0
 		}
-		// Half of the pause is chance: a hundred relays that lost the service together come back apart.
-		wait := watch.Backoff(n, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
-		c.Log.Warn("control stream broke", "address", c.Address, "responses", came, "error", err, "again_in", fmt.Sprintf("%.2fs", wait))
+		// Half of the pause is random: a hundred relays that lost the service together come back apart.
+		pauseSeconds := watch.Backoff(failures, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
+		c.Log.Warn("control stream lost", "address", c.Address, "responses", responses, "error", err, "retry_seconds", pauseSeconds)
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(wait)):
+		case <-time.After(seconds(pauseSeconds)):
 		}
 	}
 	return nil
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// runStream holds one stream until it breaks, and tells how many responses came.
-func (c *Client) runStream(ctx context.Context, conn *grpc.ClientConn) (came int, err error) {
+// runStream holds one stream until it breaks or ctx ends, and tells how many responses came.
+func (c *Client) runStream(ctx context.Context, conn *grpc.ClientConn) (responses int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
+	rpc, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
 	if err != nil {
 		return 0, err
 	}
-	for _, req := range c.Session.Open() {
-		if err := s.Send(req); err != nil {
-			return 0, c.streamError(s, err)
+	for _, request := range c.Session.Open() {
+		if err := rpc.Send(request); err != nil {
+			return 0, streamError(rpc, err)
 		}
 	}
-	type arrival struct {
-		r   *discovery.DiscoveryResponse
-		err error
-	}
 	arrivals := make(chan arrival)
-	go func() {
-		for {
-			r, err := s.Recv()
-			select {
-			case arrivals <- arrival{r, err}:
-			case <-ctx.Done():
-				return
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	look := time.NewTicker(seconds(c.RecheckSeconds))
-	defer look.Stop()
-	var waits *waitingVersion // the document that waits
+	var receiving sync.WaitGroup
+	defer receiving.Wait()
+	defer cancel() // ends the receiver, which is then waited for
+	receiving.Go(func() { receive(ctx, rpc, arrivals) })
+	recheck := time.NewTicker(seconds(c.RecheckSeconds))
+	defer recheck.Stop()
+	stream := &clientStream{client: c, rpc: rpc}
 	for {
 		select {
 		case <-ctx.Done():
-			return came, ctx.Err()
-		case <-look.C:
-		case a := <-arrivals:
-			if a.err != nil {
-				return came, a.err
+			return responses, ctx.Err()
+		case <-recheck.C:
+		case next := <-arrivals:
+			if next.err != nil {
+				return responses, next.err
 			}
-			came++
-			if err := c.handleResponse(s, a.r, &waits); err != nil {
-				return came, err
+			responses++
+			if err := stream.onResponse(next.response); err != nil {
+				return responses, err
 			}
 		}
-		if waits == nil {
-			continue
+		if err := stream.recheck(); err != nil {
+			return responses, err
 		}
-		if o, err := c.RecheckVersion(waits.version); o != configstate.Waiting {
-			r := waits.response
-			waits = nil
-			if err := c.answer(s, r, err); err != nil {
-				return came, err
-			}
+	}
+}
+
+// streamError finds the stream's own error behind a failed send.
+func streamError(rpc discoveryStream, sendErr error) error {
+	if _, err := rpc.Recv(); err != nil {
+		return err
+	}
+	return sendErr
+}
+
+// arrival is a response, or the error that ended the stream.
+type arrival struct {
+	response *discovery.DiscoveryResponse
+	err      error
+}
+
+// receive passes on what arrives until the stream breaks or ctx ends.
+func receive(ctx context.Context, rpc discoveryStream, arrivals chan<- arrival) {
+	for {
+		response, err := rpc.Recv()
+		select {
+		case arrivals <- arrival{response, err}:
+		case <-ctx.Done():
+			return
+		}
+		if err != nil {
+			return
 		}
 	}
 }
 
+// clientStream is one open stream, used by one goroutine.
+type clientStream struct {
+	client  *Client
+	rpc     discoveryStream
+	waiting *waitingVersion // nil: none
+}
+
 // waitingVersion is a version that can't be answered yet.
 type waitingVersion struct {
 	response *discovery.DiscoveryResponse
-	version *configstate.Version
+	version  *configstate.Version
 }
 
-// streamError finds the stream's own error behind a failed sending.
-func (c *Client) streamError(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, err error) error {
-	if _, e := s.Recv(); e != nil {
-		return e
+// onResponse enters one response, and answers it unless it has to wait. An error breaks the stream.
+func (s *clientStream) onResponse(response *discovery.DiscoveryResponse) error {
+	isNew, answer, err := s.client.Session.OnResponse(response)
+	if err != nil {
+		return err
+	}
+	if answer != nil {
+		return s.rpc.Send(answer)
+	}
+	if !isNew {
+		return nil
 	}
-	return err
+	if response.TypeUrl == TypeUnits {
+		return s.answer(response, s.applyEndpoints(response))
+	}
+	return s.offerVersion(response)
 }
 
-// handleResponse enters one response.
-func (c *Client) handleResponse(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, r *discovery.DiscoveryResponse,
-	waits **waitingVersion) error {
-	news, again, err := c.Session.OnResponse(r)
+// applyEndpoints passes on an endpoint list; an error rejects it.
+func (s *clientStream) applyEndpoints(response *discovery.DiscoveryResponse) error {
+	update, err := EndpointUpdate(response)
 	if err != nil {
 		return err
 	}
-	if again != nil {
-		return s.Send(again)
+	return s.client.Taker.List(update)
+}
+
+// offerVersion passes on a configuration version, and answers it unless it has to wait. It replaces one that waits.
+func (s *clientStream) offerVersion(response *discovery.DiscoveryResponse) error {
+	s.waiting = nil
+	version, err := ReadDocument(response, s.client.Relay)
+	if err != nil {
+		return s.answer(response, err)
 	}
-	if !news {
+	outcome, err := s.client.Taker.Settings(version)
+	if outcome == configstate.Waiting && err == nil {
+		s.client.Log.Info("configuration version waits", "version", version.Number, "required_list_version", version.RequiredListVersion)
+		s.waiting = &waitingVersion{response, version}
 		return nil
 	}
-	if r.TypeUrl == TypeUnits {
-		line, err := EndpointUpdate(r)
-		if err == nil {
-			err = c.ApplyEndpoints(line)
-		}
-		return c.answer(s, r, err)
-	}
-	*waits = nil // what waited is overtaken by this one
-	v, err := ReadDocument(r, c.Relay)
-	if err != nil {
-		return c.answer(s, r, err)
+	return s.answer(response, err)
+}
+
+// recheck answers the version that waits, if its outcome is known by now.
+func (s *clientStream) recheck() error {
+	if s.waiting == nil {
+		return nil
 	}
-	o, err := c.OfferVersion(v)
-	if o == configstate.Waiting && err == nil {
-		c.Log.Info("settings wait for the list that they belong with", "version", v.Number, "list", v.RequiredListVersion)
-		*waits = &waitingVersion{r, v}
+	outcome, err := s.client.Taker.Look(s.waiting.version)
+	if outcome == configstate.Waiting {
 		return nil
 	}
-	return c.answer(s, r, err)
+	response := s.waiting.response
+	s.waiting = nil
+	return s.answer(response, err)
 }
 
-func (c *Client) answer(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient, r *discovery.DiscoveryResponse, reason error) error {
+// answer logs what became of a response and sends it, rejected with a reason or accepted without one.
+func (s *clientStream) answer(response *discovery.DiscoveryResponse, reason error) error {
+	log := s.client.Log.With("type", response.TypeUrl, "version", response.VersionInfo, "nonce", response.Nonce)
 	if reason != nil {
-		c.Log.Error("turned down", "type", r.TypeUrl, "version", r.VersionInfo, "nonce", r.Nonce, "reason", reason)
+		log.Error("resources rejected", "error", reason)
 	} else {
-		c.Log.Info("taken", "type", r.TypeUrl, "version", r.VersionInfo, "nonce", r.Nonce)
+		log.Info("resources accepted")
 	}
-	if req := c.Session.Settle(r, reason); req != nil {
-		return s.Send(req)
+	if request := s.client.Session.Settle(response, reason); request != nil {
+		return s.rpc.Send(request)
 	}
 	return nil
 }
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -1,6 +1,7 @@
 package xds
 
 import (
+	"errors"
 	"fmt"
 
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
@@ -11,31 +12,32 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// ReadDocument reads the one document of a response, by the reader that reads a file.
-func ReadDocument(r *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
-	if len(r.Resources) != 1 {
-		return nil, fmt.Errorf("%d documents; one is wanted", len(r.Resources))
+// ReadDocument reads the one document of a response as a configuration version of a relay, by the reader that reads a settings
+// file. An error says what to mend; it goes out as the reason of the rejection.
+func ReadDocument(response *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
+	if len(response.Resources) != 1 {
+		return nil, fmt.Errorf("%d documents; one is wanted", len(response.Resources))
 	}
-	if t := r.Resources[0].TypeUrl; t != TypeDocument {
-		return nil, fmt.Errorf("a resource of type %q", t)
+	if typeURL := response.Resources[0].TypeUrl; typeURL != TypeDocument {
+		return nil, fmt.Errorf("a resource of type %q", typeURL)
 	}
-	var d xdspb.Document
-	if err := proto.Unmarshal(r.Resources[0].Value, &d); err != nil {
+	var document xdspb.Document
+	if err := proto.Unmarshal(response.Resources[0].Value, &document); err != nil {
 		return nil, err
 	}
-	if d.Name != relay {
-		return nil, fmt.Errorf("a document for %q", d.Name)
+	if document.Name != relay {
+		return nil, fmt.Errorf("a document for %q", document.Name)
 	}
-	if d.Number == 0 {
-		return nil, fmt.Errorf("number 0, which is the file's")
+	if document.Number == 0 {
+		return nil, errors.New("number 0, which is the file's")
 	}
-	if d.Schema != config.DocumentSchema {
-		return nil, fmt.Errorf("schema %d; this program reads %d", d.Schema, config.DocumentSchema)
+	if document.Schema != config.DocumentSchema {
+		return nil, fmt.Errorf("schema %d; this program reads %d", document.Schema, config.DocumentSchema)
 	}
-	v, err := configstate.Read(d.Number, []byte(d.Text))
+	version, err := configstate.Read(document.Number, []byte(document.Text))
 	if err != nil {
 		return nil, err
 	}
-	v.RequiredListVersion = d.NeedsList
-	return v, nil
+	version.RequiredListVersion = document.NeedsList
+	return version, nil
 }
--- /dev/null
+++ b/internal/xds/endpoints.go
@@ -0,0 +1,138 @@
+package xds
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"strconv"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/structpb"
+
+	"flintspread/internal/endpoints"
+)
+
+// metadataKey is the filter under which an endpoint's metadata holds what the published form has no field for.
+const metadataKey = "flintspread"
+
+// maxStartedAt bounds an endpoint's start, seconds since 1970: a larger number is a mistake of units.
+const maxStartedAt = 1e11
+
+// The states of an endpoint as package endpoints has them.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+// EndpointUpdate reads endpoint assignments as a full endpoint list. An endpoint's metadata under "flintspread" has to give id and
+// build, and may give zone, cell and start; its health tells ready from draining, and an unhealthy one is left out, which makes
+// it gone.
+func EndpointUpdate(response *discovery.DiscoveryResponse) (*endpoints.Update, error) {
+	version, err := versionNumber(response.VersionInfo)
+	if err != nil {
+		return nil, err
+	}
+	update := &endpoints.Update{Version: version, Full: true}
+	for i, resource := range response.Resources {
+		var assignment endpoint.ClusterLoadAssignment
+		if resource.TypeUrl != TypeUnits {
+			return nil, fmt.Errorf("resource %d is of type %q", i, resource.TypeUrl)
+		}
+		if err := proto.Unmarshal(resource.Value, &assignment); err != nil {
+			return nil, fmt.Errorf("resource %d: %w", i, err)
+		}
+		if err := appendEndpoints(update, &assignment); err != nil {
+			return nil, err
+		}
+	}
+	return update, update.Check()
+}
+
+// appendEndpoints appends the endpoints of one cluster to a list, but for those that are gone.
+func appendEndpoints(update *endpoints.Update, assignment *endpoint.ClusterLoadAssignment) error {
+	for _, locality := range assignment.Endpoints {
+		for i, lbEndpoint := range locality.LbEndpoints {
+			listed, err := endpointOf(lbEndpoint)
+			if err != nil {
+				return fmt.Errorf("cluster %q, endpoint %d: %w", assignment.ClusterName, i, err)
+			}
+			if listed.State != stateGone {
+				update.Endpoints = append(update.Endpoints, listed)
+			}
+		}
+	}
+	return nil
+}
+
+// endpointOf reads one endpoint.
+func endpointOf(lbEndpoint *endpoint.LbEndpoint) (e endpoints.Endpoint, err error) {
+	address := lbEndpoint.GetEndpoint().GetAddress().GetSocketAddress()
+	if address == nil {
+		return e, errors.New("no socket address")
+	}
+	e.Addr = net.JoinHostPort(address.GetAddress(), strconv.Itoa(int(address.GetPortValue())))
+	e.State = stateOf(lbEndpoint.HealthStatus)
+	if weight := lbEndpoint.GetLoadBalancingWeight(); weight != nil {
+		e.Weight = float64(weight.Value)
+	}
+	metadata := metadataReader{fields: lbEndpoint.GetMetadata().GetFilterMetadata()[metadataKey].GetFields()}
+	e.ID = uint32(metadata.required("id", math.MaxUint32))
+	e.Build = int(metadata.required("build", math.MaxUint16))
+	e.Zone = uint16(metadata.optional("zone", math.MaxUint16))
+	e.Cell = uint16(metadata.optional("cell", math.MaxUint16))
+	e.StartedAt = metadata.optional("start", maxStartedAt)
+	return e, metadata.err
+}
+
+// stateOf maps the health that a service publishes. Whether a degraded or unknown endpoint serves well is seen by serving.
+func stateOf(health core.HealthStatus) string {
+	switch health {
+	case core.HealthStatus_UNKNOWN, core.HealthStatus_HEALTHY, core.HealthStatus_DEGRADED:
+		return stateReady
+	case core.HealthStatus_DRAINING:
+		return stateDraining
+	default:
+		return stateGone
+	}
+}
+
+// metadataReader reads the numbers of an endpoint's metadata. The first bad one is kept as err.
+type metadataReader struct {
+	fields map[string]*structpb.Value
+	err    error
+}
+
+// required gives a number from 0 to limit that has to be there.
+func (m *metadataReader) required(name string, limit float64) float64 {
+	value, found := m.fields[name]
+	if !found {
+		m.fail(name, value, limit)
+	}
+	return m.number(name, value, limit)
+}
+
+// optional gives a number from 0 to limit, 0 where it is missing.
+func (m *metadataReader) optional(name string, limit float64) float64 {
+	return m.number(name, m.fields[name], limit)
+}
+
+// number gives a value from 0 to limit; one that is no number counts as 0.
+func (m *metadataReader) number(name string, value *structpb.Value, limit float64) float64 {
+	number := value.GetNumberValue()
+	if !(number >= 0 && number <= limit) { // also where it is not a number
+		m.fail(name, value, limit)
+	}
+	return number
+}
+
+// fail keeps the first error.
+func (m *metadataReader) fail(name string, value *structpb.Value, limit float64) {
+	if m.err == nil {
+		m.err = fmt.Errorf("metadata %q: %s: %v is no number from 0 to %.0f", metadataKey, name, value, limit)
+	}
+}
--- /dev/null
+++ b/internal/xds/reconnect_bench_test.go
@@ -0,0 +1,99 @@
+package xds_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"regexp"
+	"sync"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc/credentials/insecure"
+
+	"flintspread/internal/config"
+	"flintspread/internal/configstate"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/fakes"
+	"flintspread/internal/xds"
+)
+
+// BenchmarkReturn is a hundred routers that lose a control service, which comes back with a new version two seconds later, over
+// sockets: the time from its return until the last has accepted the version, and the most that did so within a tenth of a second.
+func BenchmarkReturn(b *testing.B) {
+	const routers = 100
+	text, err := os.ReadFile("../../deploy/edge.edn")
+	if err != nil {
+		b.Fatal(err)
+	}
+	document := "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	address := listener.Addr().String()
+	control := fakes.StartControl(listener, insecure.NewCredentials())
+	ctx, cancel := context.WithCancel(context.Background())
+	var mu sync.Mutex
+	var acceptedAt []time.Time
+	settings := &config.Control{Addresses: []string{address}, Silence: 2, BackLeast: 0.1, BackMost: 5, MostBytes: 1 << 20}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	taker := xds.Taker{
+		List: func(*endpoints.Update) error { return nil },
+		Settings: func(*configstate.Version) (configstate.Outcome, error) {
+			mu.Lock()
+			defer mu.Unlock()
+			acceptedAt = append(acceptedAt, time.Now())
+			return configstate.Applied, nil
+		},
+	}
+	var following sync.WaitGroup
+	defer following.Wait()
+	defer cancel()
+	for i := range routers {
+		following.Go(func() {
+			if err := xds.FollowAll(ctx, settings, log, fmt.Sprint("relay-", i), "r1", 0.5, taker); err != nil {
+				b.Error(err)
+			}
+		})
+	}
+	last, most := 0.0, 0
+	for number := uint64(1); b.Loop(); number++ {
+		for control.Streams() < routers {
+			time.Sleep(10 * time.Millisecond)
+		}
+		control.Stop()
+		time.Sleep(2 * time.Second)
+		mu.Lock()
+		acceptedAt = nil
+		mu.Unlock()
+		if listener, err = net.Listen("tcp", address); err != nil {
+			b.Fatal(err)
+		}
+		from := time.Now()
+		control = fakes.StartControl(listener, insecure.NewCredentials())
+		control.Set(fakes.DocumentResponse("r1", number, 0, document))
+		for done := 0; done < routers; time.Sleep(5 * time.Millisecond) {
+			mu.Lock()
+			done = len(acceptedAt)
+			mu.Unlock()
+		}
+		last = time.Since(from).Seconds()
+		most = 0
+		for i := range acceptedAt {
+			n := 0
+			for _, t := range acceptedAt {
+				if d := t.Sub(acceptedAt[i]); d >= 0 && d < 100*time.Millisecond {
+					n++
+				}
+			}
+			most = max(most, n)
+		}
+	}
+	b.ReportMetric(last, "last-s")
+	b.ReportMetric(float64(most), "most-in-0.1s")
+	control.Stop()
+}
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -1,5 +1,3 @@
-// Package xds takes settings and unit lists from a control service: xDS v3, aggregated discovery over one gRPC stream,
-// state of the world. What a version leads to, its taker decides; this package keeps the protocol.
 package xds
 
 import (
@@ -12,97 +10,93 @@
 	"google.golang.org/grpc/codes"
 )
 
-// The resource types that are asked for, in the order in which one that depends on the other comes after it.
-const (
-	TypeUnits    = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-	TypeDocument = "type.googleapis.com/flintspread.config.v1.Document"
-)
-
-// Types lists them.
-var Types = [...]string{TypeUnits, TypeDocument}
+// userAgent is the name that requests give this program.
+const userAgent = "flintspread"
 
-// Session is the protocol's state for one client: what is in force of each type, over all its streams, and the nonces of the
-// present one. It does no I/O.
+// Session is the protocol's state for one client: the version accepted of each resource type, over all its streams, and the
+// nonces of the present stream. It does no I/O and is not safe for concurrent use.
+//
+// A stream begins with Open. Each response goes to OnResponse; one that is new is applied and then given to Settle, before or
+// after newer responses of its type.
 type Session struct {
-	node  *core.Node
-	resourceNames []string // of the resources wanted
-	subscriptions map[string]*subscription
+	node          *core.Node
+	resourceNames []string
+	subscriptions map[string]*subscription // by type URL
 }
 
+// subscription is the state of one resource type.
 type subscription struct {
-	accepted string // last taken, "" none
-	nonce   string // last that came on this stream
-	answer   *discovery.DiscoveryRequest
-	pending *discovery.DiscoveryResponse // came, not settled yet
+	accepted string                       // version accepted last, "" none
+	nonce    string                       // of the last response on this stream
+	answer   *discovery.DiscoveryRequest  // to that response, nil before it is settled
+	pending  *discovery.DiscoveryResponse // received and not settled yet
 }
 
-// NewSession is a client's of a name, which wants the resources of its relay.
+// NewSession makes the session of a client that names itself node and wants the resources of a relay.
 func NewSession(node, relay string) *Session {
-	s := &Session{node: &core.Node{Id: node, Cluster: relay, UserAgentName: "flintspread"}, resourceNames: []string{relay}, subscriptions: map[string]*subscription{}}
-	for _, t := range Types {
-		s.subscriptions[t] = &subscription{}
+	s := &Session{
+		node:          &core.Node{Id: node, Cluster: relay, UserAgentName: userAgent},
+		resourceNames: []string{relay},
+		subscriptions: map[string]*subscription{},
+	}
+	for _, typeURL := range Types {
+		s.subscriptions[typeURL] = &subscription{}
 	}
 	return s
 }
 
-// RestoreVersion notes a version that was taken before, in an earlier life.
-func (s *Session) RestoreVersion(typeURL, version string) { s.subscriptions[typeURL].accepted = version }
-
-// Open gives the requests that begin a stream. They name the versions that are in force, so that the service need not send
-// what is there, and no nonce, for those are of a stream.
-func (s *Session) Open() (first []*discovery.DiscoveryRequest) {
-	for _, t := range Types {
-		sub := s.subscriptions[t]
+// Open gives the requests that begin a stream. They name the versions accepted so far, so that the service need not send those
+// again, and no nonce, since nonces belong to one stream.
+func (s *Session) Open() (requests []*discovery.DiscoveryRequest) {
+	for _, typeURL := range Types {
+		sub := s.subscriptions[typeURL]
 		sub.nonce, sub.answer, sub.pending = "", nil, nil
-		first = append(first, &discovery.DiscoveryRequest{Node: s.node, TypeUrl: t, ResourceNames: s.resourceNames, VersionInfo: sub.accepted})
+		requests = append(requests, &discovery.DiscoveryRequest{Node: s.node, TypeUrl: typeURL, ResourceNames: s.resourceNames, VersionInfo: sub.accepted})
 	}
-	return first
+	return requests
 }
 
-// OnResponse says what a response is: news to be taken, after which Settle is to be called; or not, and then what to answer, nil for
-// nothing. The same nonce again gets the same answer again, and nothing is applied twice.
-func (s *Session) OnResponse(r *discovery.DiscoveryResponse) (news bool, answer *discovery.DiscoveryRequest, err error) {
-	sub := s.subscriptions[r.TypeUrl]
+// OnResponse tells whether a response is new, so that its resources have to be applied and Settle to be called; if it is not,
+// answer is what to send, nil for nothing. A nonce that comes again gets its answer again and is not applied twice. An error
+// is a response outside of the protocol: the stream is to be closed.
+func (s *Session) OnResponse(response *discovery.DiscoveryResponse) (isNew bool, answer *discovery.DiscoveryRequest, err error) {
+	sub := s.subscriptions[response.TypeUrl]
 	switch {
 	case sub == nil:
-		return false, nil, fmt.Errorf("a response of type %q, which was not asked for", r.TypeUrl)
-	case r.Nonce == "":
-		return false, nil, fmt.Errorf("a response of type %q without a nonce", r.TypeUrl)
-	case r.Nonce == sub.nonce && sub.answer != nil:
-		return false, sub.answer, nil
-	case r.Nonce == sub.nonce:
-		return false, nil, nil // not settled yet
+		return false, nil, fmt.Errorf("a response of type %q, which was not asked for", response.TypeUrl)
+	case response.Nonce == "":
+		return false, nil, fmt.Errorf("a response of type %q without a nonce", response.TypeUrl)
+	case response.Nonce == sub.nonce:
+		return false, sub.answer, nil // nil before it is settled
 	}
-	sub.nonce, sub.pending, sub.answer = r.Nonce, r, nil
+	sub.nonce, sub.pending, sub.answer = response.Nonce, response, nil
 	return true, nil, nil
 }
 
-// Settle gives the answer to a response that was taken, or turned down with a reason. One that a newer response has overtaken
-// gets none: the newer one's answer speaks for the type.
-func (s *Session) Settle(r *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
-	sub := s.subscriptions[r.TypeUrl]
-	if sub.pending != r {
-		if reason == nil {
-			sub.accepted = r.VersionInfo // it is in force all the same
-		}
+// Settle gives the request that accepts a response, or rejects it with a reason. A response that a newer one has overtaken gets
+// none: the newer one's answer speaks for the type.
+func (s *Session) Settle(response *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
+	sub := s.subscriptions[response.TypeUrl]
+	if reason == nil {
+		sub.accepted = response.VersionInfo // in force, also where the answer is not sent
+	}
+	if sub.pending != response {
 		return nil
 	}
 	sub.pending = nil
-	sub.answer = &discovery.DiscoveryRequest{TypeUrl: r.TypeUrl, ResourceNames: s.resourceNames, ResponseNonce: r.Nonce}
-	if reason == nil {
-		sub.accepted = r.VersionInfo
-	} else {
+	sub.answer = &discovery.DiscoveryRequest{TypeUrl: response.TypeUrl, ResourceNames: s.resourceNames, ResponseNonce: response.Nonce,
+		VersionInfo: sub.accepted}
+	if reason != nil {
 		sub.answer.ErrorDetail = &status.Status{Code: int32(codes.InvalidArgument), Message: reason.Error()}
 	}
-	sub.answer.VersionInfo = sub.accepted
 	return sub.answer
 }
 
-// versionNumber reads a version that has to be one.
-func versionNumber(version string) (uint64, error) {
-	n, err := strconv.ParseUint(version, 10, 64)
+// versionNumber reads a version_info that has to be a whole number.
+func versionNumber(versionInfo string) (uint64, error) {
+	number, err := strconv.ParseUint(versionInfo, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("version_info %q is no whole number", version)
+		return 0, fmt.Errorf("version_info %q is no whole number", versionInfo)
 	}
-	return n, nil
+	return number, nil
 }
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -7,49 +7,54 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// What is answered to what, over two streams.
+// Which request answers which response, over two streams.
 func Example_session() {
 	s := NewSession("edge", "r1")
-	show := func(what string, r *discovery.DiscoveryRequest) {
-		if r == nil {
+	show := func(what string, request *discovery.DiscoveryRequest) {
+		if request == nil {
 			fmt.Println(what+":", "nothing")
 			return
 		}
-		fmt.Printf("%s: version %q nonce %q reason %q\n", what, r.VersionInfo, r.ResponseNonce, r.GetErrorDetail().GetMessage())
+		fmt.Printf("%s: version %q nonce %q reason %q\n", what, request.VersionInfo, request.ResponseNonce, request.GetErrorDetail().GetMessage())
 	}
-	came := func(version, nonce string) *discovery.DiscoveryResponse {
-		r := &discovery.DiscoveryResponse{TypeUrl: TypeDocument, VersionInfo: version, Nonce: nonce}
-		news, again, err := s.OnResponse(r)
-		fmt.Print(version, " ", nonce, " news ", news, " ")
-		show("again", again)
+	receive := func(version, nonce string) *discovery.DiscoveryResponse {
+		response := &discovery.DiscoveryResponse{TypeUrl: TypeDocument, VersionInfo: version, Nonce: nonce}
+		isNew, answer, err := s.OnResponse(response)
+		fmt.Print(version, " ", nonce, " new ", isNew, " ")
+		show("answer", answer)
 		if err != nil {
 			fmt.Println(err)
 		}
-		return r
+		return response
 	}
 	fmt.Println(len(s.Open()), "types")
-	a := came("v1", "n1")
-	came("v1", "n1") // not settled yet
-	show("settled", s.Settle(a, nil))
-	came("v1", "n1")
-	b := came("v2", "n2")
-	c := came("v3", "n3") // before the one before was settled
-	show("overtaken", s.Settle(b, nil))
-	show("turned down", s.Settle(c, errors.New("no caps")))
+	first := receive("v1", "n1")
+	receive("v1", "n1") // not settled yet
+	show("settled", s.Settle(first, nil))
+	receive("v1", "n1")
+	second := receive("v2", "n2")
+	third := receive("v3", "n3") // before the one before was settled
+	show("overtaken", s.Settle(second, nil))
+	show("rejected", s.Settle(third, errors.New("no caps")))
 	show("a new stream", s.Open()[1])
-	came("v4", "")
-	s.OnResponse(&discovery.DiscoveryResponse{TypeUrl: "elsewhere", Nonce: "x"})
+	receive("v4", "")
+	if isNew, answer, err := s.OnResponse(&discovery.DiscoveryResponse{TypeUrl: "elsewhere", Nonce: "x"}); err != nil {
+		fmt.Println("elsewhere new", isNew, "answer", answer)
+		fmt.Println(err)
+	}
 	// Output:
 	// 2 types
-	// v1 n1 news true again: nothing
-	// v1 n1 news false again: nothing
+	// v1 n1 new true answer: nothing
+	// v1 n1 new false answer: nothing
 	// settled: version "v1" nonce "n1" reason ""
-	// v1 n1 news false again: version "v1" nonce "n1" reason ""
-	// v2 n2 news true again: nothing
-	// v3 n3 news true again: nothing
+	// v1 n1 new false answer: version "v1" nonce "n1" reason ""
+	// v2 n2 new true answer: nothing
+	// v3 n3 new true answer: nothing
 	// overtaken: nothing
-	// turned down: version "v2" nonce "n3" reason "no caps"
+	// rejected: version "v2" nonce "n3" reason "no caps"
 	// a new stream: version "v2" nonce "" reason ""
-	// v4  news false again: nothing
+	// v4  new false answer: nothing
 	// a response of type "type.googleapis.com/flintspread.config.v1.Document" without a nonce
+	// elsewhere new false answer <nil>
+	// a response of type "elsewhere", which was not asked for
 }
