--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -21,7 +21,7 @@
 	poller     *promclient.Poller
 
 	mu           sync.Mutex // orders the analysis's calls; may be taken under the controller's lock, never the other way round
-	analysis     *metricsanalysis.Source
+	analysis     *metricsanalysis.Analyzer
 	updated      bool // an answer came since the counts were given to the policy
 	marks        []policy.HealthMark
 	marksVersion uint64 // grows when the routers have to get the marks again
@@ -40,39 +40,39 @@
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
 // applyAnswer enters one answer; the poller calls it from several goroutines.
-func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.Answer) metricsanalysis.Taken {
+func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.Answer) metricsanalysis.AnswerResult {
 	now := m.controller.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updated = true
-	return m.analysis.Take(now, answer)
+	return m.analysis.ApplyAnswer(now, answer)
 }
 
 // setEndpoints gives the analysis and the poller the controller's endpoint list. The caller holds the controller's lock.
 func (m *metricsEvidence) setEndpoints() {
-	var analysed []metricsanalysis.Unit
+	var analysed []metricsanalysis.Endpoint
 	var fleet promclient.Fleet
 	for endpoint := range m.controller.endpointList.All() {
 		if endpoint.State == goneState {
 			continue
 		}
-		analysed = append(analysed, metricsanalysis.Unit{ID: endpoint.ID, Build: endpoint.Build, Since: endpoint.StartedAt})
-		fleet.Units = append(fleet.Units, promclient.FleetUnit{ID: endpoint.ID, Addr: endpoint.Addr, Build: endpoint.Build})
+		analysed = append(analysed, metricsanalysis.Endpoint{ID: endpoint.ID, Build: endpoint.Build, StartedAt: endpoint.StartedAt})
+		fleet.Endpoints = append(fleet.Endpoints, promclient.FleetEndpoint{ID: endpoint.ID, Addr: endpoint.Addr, Build: endpoint.Build})
 		fleet.Builds = append(fleet.Builds, endpoint.Build)
 	}
 	slices.Sort(fleet.Builds)
 	fleet.Builds = slices.Compact(fleet.Builds)
 	m.mu.Lock()
-	m.analysis.Units(analysed)
+	m.analysis.SetEndpoints(analysed)
 	m.mu.Unlock()
-	m.poller.Know(fleet)
+	m.poller.SetFleet(fleet)
 }
 
 // setRelease tells the analysis which build is the newest. The caller holds the controller's lock.
 func (m *metricsEvidence) setRelease(build int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.analysis.Release(build)
+	m.analysis.SetRelease(build)
 }
 
 // tick gives the policy the counts as of now and renews the marks in their period. It tells whether the routers should get
@@ -80,16 +80,16 @@
 func (m *metricsEvidence) tick(now float64) (marksChanged bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	marksDue := now >= m.marksAt+metricsanalysis.MarksEvery
+	marksDue := now >= m.marksAt+metricsanalysis.MarksIntervalSeconds
 	// Also without a new answer: what a silent server said goes stale.
 	if m.updated || marksDue {
-		m.controller.balancer.SetMetricsEvidence(m.analysis.Counted(now))
+		m.controller.balancer.SetMetricsEvidence(m.analysis.Evidence(now))
 		m.updated = false
 	}
 	if !marksDue {
 		return false
 	}
-	marks := m.analysis.Marks(now)
+	marks := m.analysis.HealthMarks(now)
 	m.marksAt = now
 	if len(marks) == 0 && len(m.marks) == 0 {
 		return false
@@ -121,9 +121,9 @@
 	gauge(markedEndpointsDesc, float64(len(m.marks)))
 	health := m.controller.settings.Health
 	for i, query := range health.Queries {
-		gauge(disputedEndpointsDesc, float64(m.analysis.Differ(query.Name)), query.Name)
+		gauge(disputedEndpointsDesc, float64(m.analysis.DisputedEndpoints(query.Name)), query.Name)
 		for j, server := range health.Servers {
-			gauge(freshEndpointsDesc, float64(m.analysis.Fresh(now, i, j)), server.Name, query.Name)
+			gauge(freshEndpointsDesc, float64(m.analysis.FreshEndpoints(now, i, j)), server.Name, query.Name)
 		}
 	}
 }
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -152,7 +152,7 @@
 		return len(m) == 0 && version > before
 	})
 	c.mu.Lock()
-	counts := c.metricsEvidence.analysis.Counted(c.now())
+	counts := c.metricsEvidence.analysis.Evidence(c.now())
 	c.mu.Unlock()
 	if len(counts.Samples) > 0 {
 		t.Error("silent query servers still count:", counts)
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -75,6 +75,6 @@
 	reportStride, queries := loadshed.ControllerLoadShedding(lateSeconds, c.settings.Link.Beat)
 	c.reportStride.Store(uint64(reportStride))
 	if c.metricsEvidence != nil {
-		c.metricsEvidence.poller.Rest(!queries)
+		c.metricsEvidence.poller.Pause(!queries)
 	}
 }
--- a/internal/metricsanalysis/promquery/ask_test.go
+++ b/internal/metricsanalysis/promquery/template_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
+// A template is read where the query that it makes is of the form asked for.
 func TestRead(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text string
 		form Form
-		err  string // part of it, empty: it is taken
+		err  string // part of it, empty: none
 	}{
 		{`unit_errors_total{build=~"{{.Builds}}"}[15s]`, Samples, ""},
 		{`unit_errors_total[15s]`, Samples, ""},
@@ -28,41 +29,46 @@
 		{``, Instant, "parse error"},
 		{`nosuchfunction(up)`, Instant, "unknown function"},
 	} {
-		_, err := Read(c.text, c.form)
-		if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
-			t.Errorf("%s: %v; expected %q", c.text, err, c.err)
+		_, err := Read(test.text, test.form)
+		if test.err == "" && err != nil || test.err != "" && (err == nil || !strings.Contains(err.Error(), test.err)) {
+			t.Errorf("%s: %v; expected %q", test.text, err, test.err)
 		}
 	}
 }
 
+// Builds and endpoints are spread over as many queries as the template asks for, and their labels are escaped.
 func TestQueries(t *testing.T) {
-	units := make([]string, 250)
-	for i := range units {
-		units[i] = "10.0.0.1:80\"x"
+	endpoints := make([]string, 250)
+	for i := range endpoints {
+		endpoints[i] = "10.0.0.1:80\"x"
 	}
-	for text, n := range map[string]int{
+	for text, want := range map[string]int{
 		`up`:                       1,
 		`up{build="{{.Build}}"}`:   2,
 		`up{build=~"{{.Builds}}"}`: 1,
 		`up{instance="{{.Unit}}"}`: 250,
 		`up{instance=~"{{.Units}}", build="{{.Build}}"}`: 6,
 	} {
-		q, err := Read(text, Instant)
+		query, err := Read(text, Instant)
 		if err != nil {
 			t.Fatal(err)
 		}
-		made, err := q.Queries([]int{3, 4}, units)
-		if err != nil || len(made) != n {
-			t.Errorf("%s: %d queries, %v", text, len(made), err)
+		queries, err := query.Queries([]int{3, 4}, endpoints)
+		if err != nil || len(queries) != want {
+			t.Errorf("%s: %d queries, %v", text, len(queries), err)
 		}
-		for _, m := range made {
-			if _, err := grammar.ParseExpr(m); err != nil {
-				t.Fatalf("%s: %v", m, err)
+		for _, text := range queries {
+			if _, err := grammar.ParseExpr(text); err != nil {
+				t.Fatalf("%s: %v", text, err)
 			}
 		}
 	}
-	q, _ := Read(`up{instance=~"{{.Units}}"}`, Instant)
-	if made, _ := q.Queries(nil, []string{"10.0.0.1:80"}); made[0] != `up{instance=~"10\\.0\\.0\\.1:80"}` {
-		t.Error(made[0])
+	query, err := Read(`up{instance=~"{{.Units}}"}`, Instant)
+	if err != nil {
+		t.Fatal(err)
+	}
+	queries, err := query.Queries(nil, []string{"10.0.0.1:80"})
+	if err != nil || len(queries) != 1 || queries[0] != `up{instance=~"10\\.0\\.0\\.1:80"}` {
+		t.Error(queries, err)
 	}
 }
--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -1,12 +1,14 @@
-// Package prom asks query servers over their HTTP API, within bounds: of bytes, series and time, without redirects. What comes
-// back is read into plain series; what is refused is said by server and cause. It judges nothing.
+// Package promclient queries Prometheus servers over their HTTP API within bounds of bytes, series and time, and without
+// following redirects. A Client reads one answer into plain series, or refuses it with a cause; a Poller sends all configured
+// queries to all servers, each in its time. What the answers mean, package metricsanalysis decides.
+//
+// Instants are float64 seconds since 1970, durations float64 seconds, as in the settings.
 package promclient
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"net"
 	"net/http"
@@ -22,216 +24,185 @@
 	"flintspread/internal/metricsanalysis/promquery"
 )
 
-// Cause is why an answer was refused, for the numbers.
+const (
+	idleConnsPerServer = 8
+	idleConnTimeout    = time.Minute
+	maxDetailBytes     = 200 // of a server's own words in an error
+)
+
+// Cause is why an answer was refused.
 type Cause uint8
 
+// The causes of a refusal.
 const (
-	Unreachable Cause = iota // no connection, or it broke
-	TimedOut
-	Busy       // 429 or 503
-	Redirected // to somewhere that the settings do not name
-	Failed     // another status, or the server says that the query failed
-	TooBig     // above the bytes
-	TooMany    // above the series
-	Partial    // with warnings
-	Malformed  // no answer of the API, or not of the form asked for
-	Causes     = int(Malformed) + 1
+	CauseUnreachable   Cause = iota // no connection, or it broke
+	CauseTimedOut                   // no whole answer in time
+	CauseBusy                       // status 429 or 503
+	CauseRedirected                 // to an address that the settings do not name
+	CauseFailed                     // another status, or the server says that the query failed
+	CauseTooBig                     // above the limit of bytes
+	CauseTooManySeries              // above the limit of series
+	CausePartial                    // with warnings
+	CauseMalformed                  // no answer of the API, or not of the form asked for
 )
 
+// String gives the cause as a metric's label has it.
 func (c Cause) String() string {
 	return [...]string{"unreachable", "timed out", "busy", "redirected", "failed", "too big", "too many series", "partial", "malformed"}[c]
 }
 
-// ended tells whether the server is to rest for it, or the one question.
-func (c Cause) ended() metricsanalysis.Ended {
-	if c <= Redirected {
-		return metricsanalysis.Sick
+// jobOutcome tells whether the server is to be left alone for it, or only the one question.
+func (c Cause) jobOutcome() metricsanalysis.JobOutcome {
+	switch c {
+	case CauseUnreachable, CauseTimedOut, CauseBusy, CauseRedirected:
+		return metricsanalysis.ServerFailed
+	default:
+		return metricsanalysis.JobRefused
 	}
-	return metricsanalysis.Declined
 }
 
-// Refused is an answer that does not count.
-type Refused struct {
-	Server string
-	Cause  Cause
-	After  float64 // s that the server wants to be left alone, 0: it does not say
-	What   string
+// RefusedError is an answer that does not count. It is the only error of Client.Query.
+type RefusedError struct {
+	Server            string // by its name in the settings
+	Cause             Cause
+	RetryAfterSeconds float64 // that the server wants to be left alone, 0: it does not say
+	Detail            string
 }
 
-func (r *Refused) Error() string {
-	return fmt.Sprintf("query server %s: %s: %s", r.Server, r.Cause, r.What)
+// Error implements error.
+func (r *RefusedError) Error() string {
+	return fmt.Sprintf("query server %s: %s: %s", r.Server, r.Cause, r.Detail)
 }
 
-// Limits is what one answer may cost.
+// Limits bounds the cost of one answer.
 type Limits struct {
-	Timeout float64 // s
-	Bytes   int64
-	Series  int
+	TimeoutSeconds float64
+	MaxBytes       int64
+	MaxSeries      int
 }
 
-// Client asks one server.
+// Client queries one server. It is safe for concurrent use.
 type Client struct {
-	name   string
-	limits Limits
-	api    v1.API
-	door   *door
+	name      string
+	limits    Limits
+	api       v1.API
+	transport *boundedTransport
+}
+
+// Row is one series of an answer, oldest point first.
+type Row struct {
+	Labels model.Metric
+	Points []metricsanalysis.Point
 }
 
-// NewClient makes a client of the server at an address.
+// NewClient makes a client of the server at an address, a URL; name stands for the server in errors. It connects when it is used.
 func NewClient(name, address string, limits Limits) (*Client, error) {
-	d := &door{most: limits.Bytes, next: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: secs(limits.Timeout)}).DialContext,
-		MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
-		DisableCompression: true, // else a small body may hold a large answer
+	transport := &boundedTransport{maxBytes: limits.MaxBytes, next: &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: seconds(limits.TimeoutSeconds)}).DialContext,
+		MaxIdleConnsPerHost: idleConnsPerServer,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true, // else a small body could hold a large answer
 	}}
-	c, err := api.NewClient(api.Config{Address: address, Client: &http.Client{Transport: d,
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}})
+	client, err := api.NewClient(api.Config{Address: address, Client: &http.Client{
+		Transport:     transport,
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}})
 	if err != nil {
 		return nil, err
 	}
-	return &Client{name: name, limits: limits, api: v1.NewAPI(c), door: d}, nil
+	return &Client{name: name, limits: limits, api: v1.NewAPI(client), transport: transport}, nil
 }
 
 // Close closes idle connections.
-func (c *Client) Close() { c.door.next.CloseIdleConnections() }
-
-func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// head is what the API's client does not hand on of a response.
-type head struct {
-	code     int
-	after    string
-	location string
-	tooBig   bool
-}
-
-type headKey struct{}
-
-// door bounds what is read of a response, and notes its head.
-type door struct {
-	next *http.Transport
-	most int64
-}
-
-func (d *door) RoundTrip(req *http.Request) (*http.Response, error) {
-	resp, err := d.next.RoundTrip(req)
-	if err != nil {
-		return nil, err
-	}
-	h, _ := req.Context().Value(headKey{}).(*head)
-	if h == nil {
-		h = &head{}
-	}
-	h.code, h.after, h.location = resp.StatusCode, resp.Header.Get("Retry-After"), resp.Header.Get("Location")
-	if resp.ContentLength > d.most {
-		h.tooBig = true
-		resp.Body.Close()
-		return nil, errTooBig
-	}
-	resp.Body = &bounded{resp.Body, d.most, h}
-	return resp, nil
-}
-
-var errTooBig = errors.New("answer above the bytes allowed")
-
-type bounded struct {
-	io.ReadCloser
-	left int64
-	h    *head
-}
-
-func (b *bounded) Read(p []byte) (int, error) {
-	if int64(len(p)) > b.left+1 {
-		p = p[:b.left+1]
-	}
-	n, err := b.ReadCloser.Read(p)
-	if b.left -= int64(n); b.left < 0 {
-		b.h.tooBig = true
-		return 0, errTooBig
-	}
-	return n, err
-}
+func (c *Client) Close() { c.transport.next.CloseIdleConnections() }
 
-// Row is one series of an answer, as labelled.
-type Row struct {
-	Labels model.Metric
-	Points []metricsanalysis.Point
-}
-
-// Ask asks one query as of a time, s since 1970. span and step are a range's.
-func (c *Client) Ask(ctx context.Context, query string, form promquery.Form, at, span, step float64) (rows []Row, err error) {
-	h := &head{}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, headKey{}, h), secs(c.limits.Timeout))
+// Query sends one query as of an instant; rangeSeconds and stepSeconds are those of a Range. It blocks until the answer is read
+// or the timeout is over. Its errors are all of type *RefusedError.
+func (c *Client) Query(ctx context.Context, query string, form promquery.Form, at, rangeSeconds, stepSeconds float64) (rows []Row, err error) {
+	head := &responseHead{}
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, responseHeadKey{}, head), seconds(c.limits.TimeoutSeconds))
 	defer cancel()
-	refuse := func(cause Cause, format string, args ...any) ([]Row, error) {
-		return nil, &Refused{Server: c.name, Cause: cause, After: retryAfter(h.after, time.Now()), What: fmt.Sprintf(format, args...)}
-	}
-	defer func() { // what a server sends must not end the process, whatever the decoder meets in it
+	defer func() { // whatever a server sends must not end the process, also where the decoder panics over it
 		if r := recover(); r != nil {
-			rows, err = refuse(Malformed, "%v", r)
+			rows, err = nil, c.refuse(head, CauseMalformed, "%v", r)
 		}
 	}()
+	value, warnings, err := c.send(ctx, query, form, at, rangeSeconds, stepSeconds)
+	if refused := c.checkResponse(ctx, head, err); refused != nil {
+		return nil, refused
+	}
+	rows, err = readRows(value, form)
+	switch {
+	case err != nil:
+		return nil, c.refuse(head, CauseMalformed, "%v", err)
+	case len(rows) > c.limits.MaxSeries:
+		return nil, c.refuse(head, CauseTooManySeries, "above %d: some label has exploded, or the query names too much", c.limits.MaxSeries)
+	case len(warnings) > 0: // what a partial answer lacks may be what went wrong
+		return nil, c.refuse(head, CausePartial, "warning: %s", truncate(strings.Join(warnings, "; ")))
+	}
+	return rows, nil
+}
+
+// send makes the API's call.
+func (c *Client) send(ctx context.Context, query string, form promquery.Form, at, rangeSeconds, stepSeconds float64) (value model.Value, warnings v1.Warnings, err error) {
 	// One series more than allowed tells a full answer from one that the server cut.
-	opts := []v1.Option{v1.WithTimeout(secs(c.limits.Timeout)), v1.WithLimit(uint64(c.limits.Series) + 1)}
-	var value model.Value
-	var warnings v1.Warnings
+	options := []v1.Option{v1.WithTimeout(seconds(c.limits.TimeoutSeconds)), v1.WithLimit(uint64(c.limits.MaxSeries) + 1)}
 	if form == promquery.Range {
-		value, warnings, _, err = c.api.QueryRange(ctx, query, v1.Range{Start: moment(at - span), End: moment(at), Step: secs(step)}, opts...)
+		queried := v1.Range{Start: timeOf(at - rangeSeconds), End: timeOf(at), Step: seconds(stepSeconds)}
+		value, warnings, _, err = c.api.QueryRange(ctx, query, queried, options...)
 	} else {
-		value, warnings, _, err = c.api.Query(ctx, query, moment(at), opts...)
+		value, warnings, _, err = c.api.Query(ctx, query, timeOf(at), options...)
 	}
-	var said *v1.Error
+	return value, warnings, err
+}
+
+// checkResponse refuses a response by its head, or by the error of the call. It gives nil for an answer that can be read.
+func (c *Client) checkResponse(ctx context.Context, head *responseHead, err error) error {
+	var apiError *v1.Error
 	switch {
-	case h.tooBig:
-		return refuse(TooBig, "above %d bytes", c.limits.Bytes)
-	case h.code == http.StatusTooManyRequests || h.code == http.StatusServiceUnavailable:
-		return refuse(Busy, "status %d", h.code)
-	case h.code/100 == 3:
-		return refuse(Redirected, "status %d to %s; give the address that it leads to", h.code, short(h.location))
+	case head.tooBig:
+		return c.refuse(head, CauseTooBig, "above %d bytes", c.limits.MaxBytes)
+	case head.status == http.StatusTooManyRequests || head.status == http.StatusServiceUnavailable:
+		return c.refuse(head, CauseBusy, "status %d", head.status)
+	case head.status/100 == 3:
+		return c.refuse(head, CauseRedirected, "status %d to %s; give the address that it leads to", head.status, truncate(head.location))
 	case err == nil:
-	case errors.As(err, &said) && said.Type == v1.ErrTimeout:
-		return refuse(TimedOut, "%s", short(said.Msg))
-	case errors.As(err, &said) && said.Type == v1.ErrBadResponse:
-		return refuse(Malformed, "%s", short(said.Msg))
-	case errors.As(err, &said):
-		return refuse(Failed, "%s: %s", said.Type, short(said.Msg))
+		return nil
+	case errors.As(err, &apiError):
+		return c.refuseAPIError(head, apiError)
 	case ctx.Err() != nil || isTimeout(err):
-		return refuse(TimedOut, "no whole answer within %g s", c.limits.Timeout)
+		return c.refuse(head, CauseTimedOut, "no whole answer within %g s", c.limits.TimeoutSeconds)
 	default:
-		return refuse(Unreachable, "%s", short(err.Error()))
+		return c.refuse(head, CauseUnreachable, "%s", truncate(err.Error()))
 	}
-	rows, err = read(value, form)
-	switch {
-	case err != nil:
-		return refuse(Malformed, "%v", err)
-	case len(rows) > c.limits.Series:
-		return refuse(TooMany, "above %d: some label has exploded, or the query names too much", c.limits.Series)
-	case len(warnings) > 0: // what is missing of a part is not known to be well
-		return refuse(Partial, "warning: %s", short(strings.Join(warnings, "; ")))
-	}
-	return rows, nil
 }
 
-// isTimeout tells whether an error is a network's deadline.
-func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
+// refuseAPIError refuses an answer that says that the query failed, or that is none of the API.
+func (c *Client) refuseAPIError(head *responseHead, apiError *v1.Error) error {
+	switch apiError.Type {
+	case v1.ErrTimeout:
+		return c.refuse(head, CauseTimedOut, "%s", truncate(apiError.Msg))
+	case v1.ErrBadResponse:
+		return c.refuse(head, CauseMalformed, "%s", truncate(apiError.Msg))
+	default:
+		return c.refuse(head, CauseFailed, "%s: %s", apiError.Type, truncate(apiError.Msg))
+	}
 }
 
-func moment(s float64) time.Time {
-	whole, part := math.Modf(s)
-	return time.Unix(int64(whole), int64(part*1e9))
+// refuse makes the error of an answer that does not count.
+func (c *Client) refuse(head *responseHead, cause Cause, format string, args ...any) error {
+	return &RefusedError{Server: c.name, Cause: cause, RetryAfterSeconds: retryAfterSeconds(head.retryAfter, time.Now()),
+		Detail: fmt.Sprintf(format, args...)}
 }
 
-func short(s string) string {
-	if len(s) > 200 {
-		return s[:200] + "..."
-	}
-	return s
+// isTimeout tells whether an error is a deadline of the network.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// retryAfter reads a Retry-After, which is seconds or a date.
-func retryAfter(text string, now time.Time) float64 {
+// retryAfterSeconds reads a Retry-After header, which is seconds or a date; 0 where there is none or it makes no sense.
+func retryAfterSeconds(text string, now time.Time) float64 {
 	if n, err := strconv.ParseFloat(text, 64); err == nil && n > 0 && !math.IsInf(n, 0) {
 		return n
 	}
@@ -241,42 +212,19 @@
 	return 0
 }
 
-// read turns an answer into rows; it must be of the form asked for.
-func read(v model.Value, form promquery.Form) ([]Row, error) {
-	var rows []Row
-	switch v := v.(type) {
-	case model.Vector:
-		if form != promquery.Instant {
-			return nil, fmt.Errorf("a vector, where samples over time were asked for")
-		}
-		for _, s := range v {
-			if s == nil || s.Histogram != nil {
-				return nil, errors.New("a histogram, where a number was asked for")
-			}
-			rows = append(rows, Row{s.Metric, []metricsanalysis.Point{{At: clock(s.Timestamp), Value: float64(s.Value)}}})
-		}
-	case model.Matrix:
-		if form == promquery.Instant {
-			return nil, fmt.Errorf("a matrix, where one value a series was asked for")
-		}
-		for _, s := range v {
-			if s == nil || len(s.Histograms) > 0 {
-				return nil, errors.New("histograms, where numbers were asked for")
-			}
-			row := Row{s.Metric, make([]metricsanalysis.Point, len(s.Values))}
-			for i, p := range s.Values {
-				if row.Points[i] = (metricsanalysis.Point{At: clock(p.Timestamp), Value: float64(p.Value)}); i > 0 && row.Points[i].At <= row.Points[i-1].At {
-					return nil, fmt.Errorf("%s: times that do not go forward", short(s.Metric.String()))
-				}
-			}
-			rows = append(rows, row)
-		}
-	case nil:
-		return nil, errors.New("no result")
-	default:
-		return nil, fmt.Errorf("a %s, where series were asked for", v.Type())
+// truncate shortens a server's own words.
+func truncate(s string) string {
+	if len(s) > maxDetailBytes {
+		return s[:maxDetailBytes] + "..."
 	}
-	return rows, nil
+	return s
 }
 
-func clock(t model.Time) float64 { return float64(t) / 1000 }
+// seconds converts a duration of the settings.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// timeOf converts an instant, seconds since 1970.
+func timeOf(at float64) time.Time {
+	whole, fraction := math.Modf(at)
+	return time.Unix(int64(whole), int64(fraction*1e9))
+}
--- a/internal/promclient/prom_test.go
+++ b/internal/promclient/client_test.go
@@ -20,26 +20,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// answering serves one response to everything.
-func answering(t testing.TB, code int, header map[string]string, body string) string {
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		for k, v := range header {
-			w.Header().Set(k, v)
+// serveResponse serves one response to every request, and gives the URL.
+func serveResponse(t testing.TB, code int, header map[string]string, body string) string {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		for key, value := range header {
+			w.Header().Set(key, value)
 		}
 		w.WriteHeader(code)
-		io.WriteString(w, body)
+		if _, err := io.WriteString(w, body); err != nil {
+			t.Log(err) // the client read enough
+		}
 	}))
-	t.Cleanup(srv.Close)
-	return srv.URL
+	t.Cleanup(server.Close)
+	return server.URL
 }
 
-func asking(t testing.TB, url string, l Limits) *Client {
-	c, err := NewClient("q1", url, l)
+// newTestClient makes a client that is closed with the test.
+func newTestClient(t testing.TB, url string, limits Limits) *Client {
+	client, err := NewClient("q1", url, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	return c
+	t.Cleanup(client.Close)
+	return client
 }
 
 // The response shapes that the API's documentation gives, and what a client makes of each: rows and points, or a cause.
@@ -48,7 +51,7 @@
 	matrix := `{"resultType":"matrix","result":[{"metric":{"__name__":"up","unit":"7"},"values":[[1000.781,"1"],[1001.781,"2.5"]]}]}`
 	vector := `{"resultType":"vector","result":[{"metric":{"__name__":"up","unit":"7"},"value":[1000.781,"1"]},{"metric":{"unit":"8"},"value":[1000.781,"0"]}]}`
 	native := `"histogram":[1000.781,{"count":"60","sum":"33897","buckets":[[0,"1","2","60"]]}]`
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		form promquery.Form
 		code int
@@ -95,52 +98,52 @@
 		{"too many bytes", promquery.Instant, 200, nil, ok(vector) + strings.Repeat(" ", 5000), "too big: above 4000 bytes"},
 		{"too many series", promquery.Instant, 200, nil, ok(`{"resultType":"vector","result":[` + strings.Repeat(`{"metric":{},"value":[1,"1"]},`, 20) + `{"metric":{},"value":[1,"1"]}]}`), "too many series: above 20"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			cl := asking(t, answering(t, c.code, c.head, c.body), Limits{Timeout: 2, Bytes: 4000, Series: 20})
-			rows, err := cl.Ask(context.Background(), "up", c.form, 1001, 5, 1)
+		t.Run(test.name, func(t *testing.T) {
+			client := newTestClient(t, serveResponse(t, test.code, test.head, test.body), Limits{TimeoutSeconds: 2, MaxBytes: 4000, MaxSeries: 20})
+			rows, err := client.Query(context.Background(), "up", test.form, 1001, 5, 1)
 			got := fmt.Sprintf("%d rows", len(rows))
 			points := 0
-			for _, r := range rows {
-				points += len(r.Points)
+			for _, row := range rows {
+				points += len(row.Points)
 			}
 			if points > 0 {
 				last := rows[len(rows)-1].Points
 				got += fmt.Sprintf(", %d points, last %v at %v", points, last[len(last)-1].Value, last[len(last)-1].At)
 			}
-			var no *Refused
-			if errors.As(err, &no) {
-				got = fmt.Sprintf("%s: %s", no.Cause, no.What)
-				if no.After > 0 {
-					got += fmt.Sprintf(", after %.0f s", no.After)
+			var refused *RefusedError
+			if errors.As(err, &refused) {
+				got = fmt.Sprintf("%s: %s", refused.Cause, refused.Detail)
+				if refused.RetryAfterSeconds > 0 {
+					got += fmt.Sprintf(", after %.0f s", refused.RetryAfterSeconds)
 				}
 			} else if err != nil {
 				t.Fatal(err)
 			}
-			if !strings.HasPrefix(got, c.want) {
-				t.Errorf("got %q, want %q", got, c.want)
+			if !strings.HasPrefix(got, test.want) {
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// What a stand-in with each fault is refused for, and that it answers again after.
+// What a fake server with each fault is refused for, and that it answers again after.
 func TestFaults(t *testing.T) {
-	q, err := fakes.StartQueryServer(func() float64 { return 1000 })
+	server, err := fakes.StartQueryServer(func() float64 { return 1000 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer q.Stop()
-	q.Enter(999, []fakes.Scrape{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
-	c := asking(t, q.URL, Limits{Timeout: 0.5, Bytes: 40 << 20, Series: 100})
-	patient := asking(t, q.URL, Limits{Timeout: 30, Bytes: 40 << 20, Series: 100})
-	get := func(c *Client, query string, form promquery.Form) string {
-		rows, err := c.Ask(context.Background(), query, form, 1000, 2, 1)
+	defer server.Stop()
+	server.Enter(999, []fakes.Scrape{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
+	impatient := newTestClient(t, server.URL, Limits{TimeoutSeconds: 0.5, MaxBytes: 40 << 20, MaxSeries: 100})
+	unhurried := newTestClient(t, server.URL, Limits{TimeoutSeconds: 30, MaxBytes: 40 << 20, MaxSeries: 100})
+	get := func(client *Client, query string, form promquery.Form) string {
+		rows, err := client.Query(context.Background(), query, form, 1000, 2, 1)
 		if err != nil {
 			return err.Error()
 		}
 		return fmt.Sprint(len(rows), " rows")
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		fault fakes.Fault
 		want  string
 	}{
@@ -148,33 +151,34 @@
 		{fakes.TooManyNow, "busy: status 429"}, {fakes.Overloaded, "busy: status 503"}, {fakes.Elsewhere, "redirected"},
 		{fakes.Warns, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: above 100: some label has exploded"},
 	} {
-		q.Ail(x.fault)
-		asked := c
-		if x.fault == fakes.Exploded {
-			asked = patient
+		server.Ail(test.fault)
+		client := impatient
+		if test.fault == fakes.Exploded {
+			client = unhurried
 		}
-		if got := get(asked, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+x.want) {
-			t.Errorf("%s: %s", x.fault, got)
+		if got := get(client, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+test.want) {
+			t.Errorf("%s: %s", test.fault, got)
 		}
-		q.Ail(fakes.NoFault)
+		server.Ail(fakes.NoFault)
 		for form, query := range map[promquery.Form]string{promquery.Samples: `up{unit=~"7|8"}[5s]`, promquery.Instant: `up{unit!="8"}`, promquery.Range: "up"} {
-			if got := get(patient, query, form); got != "1 rows" {
-				t.Errorf("after %s, %s: %s", x.fault, query, got)
+			if got := get(unhurried, query, form); got != "1 rows" {
+				t.Errorf("after %s, %s: %s", test.fault, query, got)
 			}
 		}
 	}
-	small := asking(t, q.URL, Limits{Timeout: 2, Bytes: 1 << 20, Series: 100})
-	q.Ail(fakes.Exploded)
-	if _, err := small.Ask(context.Background(), "up[5s]", promquery.Samples, 1000, 0, 0); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
+	small := newTestClient(t, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 20, MaxSeries: 100})
+	server.Ail(fakes.Exploded)
+	if _, err := small.Query(context.Background(), "up[5s]", promquery.Samples, 1000, 0, 0); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
 		t.Error(err)
 	}
 }
 
+// A Retry-After header is seconds or a date.
 func TestRetryAfter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for text, want := range map[string]float64{"": 0, "3": 3, "-3": 0, "nonsense": 0, "1e400": 0, now.Add(9 * time.Second).UTC().Format(http.TimeFormat): 9,
 		now.Add(-9 * time.Second).UTC().Format(http.TimeFormat): 0} {
-		if got := retryAfter(text, now); got != want {
+		if got := retryAfterSeconds(text, now); got != want {
 			t.Errorf("%q: %g, want %g", text, got, want)
 		}
 	}
@@ -190,32 +194,34 @@
 	}
 	var body []byte
 	var code int
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(code)
-		w.Write(body)
+		if _, err := w.Write(body); err != nil {
+			return // the client read enough
+		}
 	}))
-	f.Cleanup(srv.Close)
-	c := asking(f, srv.URL, Limits{Timeout: 2, Bytes: 1 << 16, Series: 50})
+	f.Cleanup(server.Close)
+	client := newTestClient(f, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 16, MaxSeries: 50})
 	f.Fuzz(func(t *testing.T, b []byte, form byte, status int) {
 		if status < 200 || status > 599 || status == 304 || status == 204 {
 			status = 200
 		}
 		body, code = b, status
-		rows, err := c.Ask(context.Background(), "up", promquery.Form(form%3), 1000, 5, 1)
-		var no *Refused
-		if err != nil && !errors.As(err, &no) {
+		rows, err := client.Query(context.Background(), "up", promquery.Form(form%3), 1000, 5, 1)
+		var refused *RefusedError
+		if err != nil && !errors.As(err, &refused) {
 			t.Fatalf("%T %v", err, err)
 		}
 		if len(rows) > 50 {
 			t.Fatal(len(rows))
 		}
-		for _, r := range rows {
+		for _, row := range rows {
 			last := math.Inf(-1)
-			for _, p := range r.Points {
-				if p.At <= last {
-					t.Fatal("times", r)
+			for _, point := range row.Points {
+				if point.At <= last {
+					t.Fatal("times", row)
 				}
-				last = p.At
+				last = point.At
 			}
 		}
 	})
--- /dev/null
+++ b/internal/promclient/rows.go
@@ -0,0 +1,65 @@
+package promclient
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/prometheus/common/model"
+
+	"flintspread/internal/metricsanalysis"
+	"flintspread/internal/metricsanalysis/promquery"
+)
+
+// readRows turns an answer into rows; it must be of the form asked for.
+func readRows(value model.Value, form promquery.Form) ([]Row, error) {
+	switch value := value.(type) {
+	case model.Vector:
+		if form != promquery.Instant {
+			return nil, errors.New("a vector, where samples over time were asked for")
+		}
+		return readVector(value)
+	case model.Matrix:
+		if form == promquery.Instant {
+			return nil, errors.New("a matrix, where one value a series was asked for")
+		}
+		return readMatrix(value)
+	case nil:
+		return nil, errors.New("no result")
+	default:
+		return nil, fmt.Errorf("a %s, where series were asked for", value.Type())
+	}
+}
+
+// readVector reads one value a series.
+func readVector(vector model.Vector) (rows []Row, err error) {
+	for _, sample := range vector {
+		if sample == nil || sample.Histogram != nil {
+			return nil, errors.New("a histogram, where a number was asked for")
+		}
+		rows = append(rows, Row{sample.Metric, []metricsanalysis.Point{pointOf(sample.Timestamp, sample.Value)}})
+	}
+	return rows, nil
+}
+
+// readMatrix reads the values of each series over time.
+func readMatrix(matrix model.Matrix) (rows []Row, err error) {
+	for _, stream := range matrix {
+		if stream == nil || len(stream.Histograms) > 0 {
+			return nil, errors.New("histograms, where numbers were asked for")
+		}
+		points := make([]metricsanalysis.Point, len(stream.Values))
+		for i, pair := range stream.Values {
+			points[i] = pointOf(pair.Timestamp, pair.Value)
+			if i > 0 && points[i].At <= points[i-1].At {
+				return nil, fmt.Errorf("%s: times that do not go forward", truncate(stream.Metric.String()))
+			}
+		}
+		rows = append(rows, Row{stream.Metric, points})
+	}
+	return rows, nil
+}
+
+// pointOf converts a value and its time, which Prometheus counts in milliseconds.
+func pointOf(at model.Time, value model.SampleValue) metricsanalysis.Point {
+	return metricsanalysis.Point{At: float64(at) / 1000, Value: float64(value)}
+}
--- /dev/null
+++ b/internal/promclient/transport.go
@@ -0,0 +1,68 @@
+package promclient
+
+import (
+	"errors"
+	"io"
+	"net/http"
+)
+
+// errTooBig ends the reading of a response above the limit.
+var errTooBig = errors.New("answer above the bytes allowed")
+
+// responseHead is what the API's client does not hand on of a response. A request's context carries it under responseHeadKey,
+// and boundedTransport fills it.
+type responseHead struct {
+	status     int // 0: there was no response
+	retryAfter string
+	location   string
+	tooBig     bool
+}
+
+type responseHeadKey struct{}
+
+// boundedTransport bounds how much is read of a response, and notes its head.
+type boundedTransport struct {
+	next     *http.Transport
+	maxBytes int64
+}
+
+// RoundTrip implements http.RoundTripper.
+func (t *boundedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	response, err := t.next.RoundTrip(request)
+	if err != nil {
+		return nil, err
+	}
+	head, _ := request.Context().Value(responseHeadKey{}).(*responseHead)
+	if head == nil {
+		head = &responseHead{}
+	}
+	head.status = response.StatusCode
+	head.retryAfter, head.location = response.Header.Get("Retry-After"), response.Header.Get("Location")
+	if response.ContentLength > t.maxBytes {
+		head.tooBig = true
+		response.Body.Close()
+		return nil, errTooBig
+	}
+	response.Body = &boundedBody{response.Body, t.maxBytes, head}
+	return response, nil
+}
+
+// boundedBody fails when more than the bytes left are read.
+type boundedBody struct {
+	io.ReadCloser
+	left int64
+	head *responseHead
+}
+
+// Read implements io.Reader. It reads one byte more than allowed, which tells a body of just that size from a larger one.
+func (b *boundedBody) Read(p []byte) (int, error) {
+	if int64(len(p)) > b.left+1 {
+		p = p[:b.left+1]
+	}
+	n, err := b.ReadCloser.Read(p)
+	if b.left -= int64(n); b.left < 0 {
+		b.head.tooBig = true
+		return 0, errTooBig
+	}
+	return n, err
+}
