--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -3,8 +3,8 @@
 // policy.Balancer; votes on the canary; and leads every router by assignments over gRPC (package controlrpc).
 //
 // Instants are float64 seconds since 1970 on the controller's clock and are named ...At; durations are float64 seconds.
-// One mutex orders all calls of the policy; its methods say in their comments when the caller must hold it. Disk and network
-// are used outside of it, with one exception that is named where it stands (configVersions.recheck).
+// One mutex orders all calls of the policy; a method that needs it held says so in its comment. Disk and network are used
+// outside of it, but for the saving of a configuration version that gets into force (configVersions.decide).
 package controller
 
 import (
@@ -52,20 +52,17 @@
 	endpointList      endpoints.List
 	release           releases.Update // Version 0: none received yet; Age as of releaseReceivedAt
 	releaseReceivedAt float64
-	lastNotified      struct { // the vote that the routers were last notified of
-		build   int
-		verdict policy.Verdict
-	}
-	configVersions   *configVersions
-	metricsEvidence  *metricsEvidence        // nil without query servers
-	routerStatuses   map[string]routerStatus // by router
-	mismatchLogged   map[string]bool         // routers whose configuration hash differs, logged once each
-	supersededLogged bool                    // the newer controller was logged
-	nextTickAt       float64                 // 0: no tick yet
-	reportStride     atomic.Uint64           // one report in this many is read; 0 counts as 1
-	reportsSkipped   atomic.Uint64
-	reportsAccepted  uint64
-	assignmentsMade  uint64
+	lastNotified      notifiedVote
+	configVersions    *configVersions
+	metricsEvidence   *metricsEvidence        // nil without query servers
+	routerStatuses    map[string]routerStatus // by router
+	mismatchLogged    map[string]bool         // routers whose configuration hash differs, logged once each
+	supersededLogged  bool                    // the newer controller was logged
+	nextTickAt        float64                 // 0: no tick yet
+	reportStride      atomic.Uint64           // one report in this many is read; 0 counts as 1
+	reportsSkipped    atomic.Uint64
+	reportsAccepted   uint64
+	assignmentsMade   uint64
 }
 
 // Run runs a controller until ctx ends, then stops every part of it and waits for them; it gives nil for an ordinary stop.
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -96,8 +96,8 @@
 		t.Fatal(err)
 	}
 	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, c.now())
-	report := func(seq uint64, wrongAnswers float32) {
-		report := canaryFailureReport(seq)
+	sendReport := func(sequence uint64, wrongAnswers float32) {
+		report := canaryFailureReport(sequence)
 		for _, tally := range report.Tally {
 			tally.Bad = []float32{0, 0, 0, 0}
 			if tally.Build == 2 {
@@ -122,7 +122,7 @@
 	}
 	rollbackCast := func() bool { return slices.Contains(services.verdicts(), "back on 2") }
 	for range 20 {
-		report(uint64(n/40+1), 1)
+		sendReport(uint64(n/40+1), 1)
 		scrape(0)
 		if rollbackCast() {
 			t.Fatal("two wrong answers brought a vote by themselves")
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -7,6 +7,12 @@
 	"flintspread/internal/releases"
 )
 
+// notifiedVote is a vote in force that the routers were notified of.
+type notifiedVote struct {
+	build   int
+	verdict policy.Verdict
+}
+
 // openVoteSender makes the sender of votes to the release service; its Run sends what the ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
@@ -52,8 +58,9 @@
 func (c *Controller) notifyVerdict() {
 	c.mu.Lock()
 	build, verdict := c.balancer.CurrentVote()
-	changed := build != c.lastNotified.build || verdict != c.lastNotified.verdict
-	c.lastNotified.build, c.lastNotified.verdict = build, verdict
+	current := notifiedVote{build, verdict}
+	changed := current != c.lastNotified
+	c.lastNotified = current
 	c.mu.Unlock()
 	if changed {
 		c.server.NotifyAll()
