--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -15,7 +15,8 @@
 	header, share, leaseSeconds := c.leader.NextAssignment(now, router)
 	build, verdict := c.balancer.CurrentVote()
 	assignment := &linkpb.View{
-		Major: header.Major, Minor: lease.SchemaMinor, Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AckedReport,
+		Major: header.Major, Minor: lease.SchemaMinor,
+		Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AckedReport,
 		ListAt: c.endpointList.At, ListNo: c.endpointList.Version,
 		VerdictBuild: int32(build), Verdict: int32(verdict),
 		Share: share, Lease: leaseSeconds,
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -132,7 +132,10 @@
 	if outcome != configstate.Applied {
 		return outcome, err
 	}
-	entry := revisions.Entry{No: version.Number, Parent: before, Since: c.now(), Sum: version.Hash, Needs: version.RequiredListVersion, Text: string(version.Text)}
+	entry := revisions.Entry{
+		No: version.Number, Parent: before, Since: c.now(), Sum: version.Hash,
+		Needs: version.RequiredListVersion, Text: string(version.Text),
+	}
 	if saveErr := v.store.Add(entry); saveErr != nil {
 		c.log.Error("configuration version not saved", "version", version.Number, "error", saveErr)
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -44,7 +44,11 @@
 
 // evidenceOf maps a report's tallies to the policy's terms. Failure kinds that the router does not send count as zero.
 func evidenceOf(report *linkpb.Digest) policy.Evidence {
-	evidence := policy.Evidence{Build: int(report.Build), RequestsPerSecond: report.Rate, Samples: make([]policy.EndpointSample, len(report.Tally))}
+	evidence := policy.Evidence{
+		Build:             int(report.Build),
+		RequestsPerSecond: report.Rate,
+		Samples:           make([]policy.EndpointSample, len(report.Tally)),
+	}
 	for i, tally := range report.Tally {
 		sample := &evidence.Samples[i]
 		sample.Endpoint, sample.Build = tally.Unit, int(tally.Build)
--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -35,7 +35,12 @@
 	for range questions {
 		states := make([]serverState, servers)
 		for i := range states {
-			states[i] = serverState{firstAnswerAt: math.Inf(1), newestAt: math.Inf(-1), series: map[seriesKey]*seriesState{}, departed: map[int]counts{}}
+			states[i] = serverState{
+				firstAnswerAt: math.Inf(1),
+				newestAt:      math.Inf(-1),
+				series:        map[seriesKey]*seriesState{},
+				departed:      map[int]counts{},
+			}
 		}
 		a.servers = append(a.servers, states)
 	}
--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -89,6 +89,15 @@
 	transport *boundedTransport
 }
 
+// Request is one query.
+type Request struct {
+	Query        string
+	Form         promquery.Form // of the answer
+	At           float64        // the instant as of which it is answered
+	RangeSeconds float64        // of promquery.Range: how far back the answer goes
+	StepSeconds  float64        // of promquery.Range: between two values
+}
+
 // Row is one series of an answer, oldest point first.
 type Row struct {
 	Labels model.Metric
@@ -116,9 +125,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.next.CloseIdleConnections() }
 
-// Query sends one query as of an instant; rangeSeconds and stepSeconds are those of a Range. It blocks until the answer is read
-// or the timeout is over. Its errors are all of type *RefusedError.
-func (c *Client) Query(ctx context.Context, query string, form promquery.Form, at, rangeSeconds, stepSeconds float64) (rows []Row, err error) {
+// Query sends one query. It blocks until the answer is read, the timeout is over or ctx ends. Its errors are all of type *RefusedError.
+func (c *Client) Query(ctx context.Context, request Request) (rows []Row, err error) {
 	head := &responseHead{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, responseHeadKey{}, head), seconds(c.limits.TimeoutSeconds))
 	defer cancel()
@@ -127,11 +135,11 @@
 			rows, err = nil, c.refuse(head, CauseMalformed, "%v", r)
 		}
 	}()
-	value, warnings, err := c.send(ctx, query, form, at, rangeSeconds, stepSeconds)
+	value, warnings, err := c.send(ctx, request)
 	if refused := c.checkResponse(ctx, head, err); refused != nil {
 		return nil, refused
 	}
-	rows, err = readRows(value, form)
+	rows, err = readRows(value, request.Form)
 	switch {
 	case err != nil:
 		return nil, c.refuse(head, CauseMalformed, "%v", err)
@@ -144,14 +152,14 @@
 }
 
 // send makes the API's call.
-func (c *Client) send(ctx context.Context, query string, form promquery.Form, at, rangeSeconds, stepSeconds float64) (value model.Value, warnings v1.Warnings, err error) {
+func (c *Client) send(ctx context.Context, request Request) (value model.Value, warnings v1.Warnings, err error) {
 	// One series more than allowed tells a full answer from one that the server cut.
 	options := []v1.Option{v1.WithTimeout(seconds(c.limits.TimeoutSeconds)), v1.WithLimit(uint64(c.limits.MaxSeries) + 1)}
-	if form == promquery.Range {
-		queried := v1.Range{Start: timeOf(at - rangeSeconds), End: timeOf(at), Step: seconds(stepSeconds)}
-		value, warnings, _, err = c.api.QueryRange(ctx, query, queried, options...)
+	if request.Form == promquery.Range {
+		queried := v1.Range{Start: timeOf(request.At - request.RangeSeconds), End: timeOf(request.At), Step: seconds(request.StepSeconds)}
+		value, warnings, _, err = c.api.QueryRange(ctx, request.Query, queried, options...)
 	} else {
-		value, warnings, _, err = c.api.Query(ctx, query, timeOf(at), options...)
+		value, warnings, _, err = c.api.Query(ctx, request.Query, timeOf(request.At), options...)
 	}
 	return value, warnings, err
 }
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -100,7 +100,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			client := newTestClient(t, serveResponse(t, test.code, test.head, test.body), Limits{TimeoutSeconds: 2, MaxBytes: 4000, MaxSeries: 20})
-			rows, err := client.Query(context.Background(), "up", test.form, 1001, 5, 1)
+			rows, err := client.Query(context.Background(), Request{Query: "up", Form: test.form, At: 1001, RangeSeconds: 5, StepSeconds: 1})
 			got := fmt.Sprintf("%d rows", len(rows))
 			points := 0
 			for _, row := range rows {
@@ -137,7 +137,7 @@
 	impatient := newTestClient(t, server.URL, Limits{TimeoutSeconds: 0.5, MaxBytes: 40 << 20, MaxSeries: 100})
 	unhurried := newTestClient(t, server.URL, Limits{TimeoutSeconds: 30, MaxBytes: 40 << 20, MaxSeries: 100})
 	get := func(client *Client, query string, form promquery.Form) string {
-		rows, err := client.Query(context.Background(), query, form, 1000, 2, 1)
+		rows, err := client.Query(context.Background(), Request{Query: query, Form: form, At: 1000, RangeSeconds: 2, StepSeconds: 1})
 		if err != nil {
 			return err.Error()
 		}
@@ -168,7 +168,7 @@
 	}
 	small := newTestClient(t, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 20, MaxSeries: 100})
 	server.Ail(fakes.Exploded)
-	if _, err := small.Query(context.Background(), "up[5s]", promquery.Samples, 1000, 0, 0); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
+	if _, err := small.Query(context.Background(), Request{Query: "up[5s]", Form: promquery.Samples, At: 1000}); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
 		t.Error(err)
 	}
 }
@@ -207,7 +207,7 @@
 			status = 200
 		}
 		body, code = b, status
-		rows, err := client.Query(context.Background(), "up", promquery.Form(form%3), 1000, 5, 1)
+		rows, err := client.Query(context.Background(), Request{Query: "up", Form: promquery.Form(form % 3), At: 1000, RangeSeconds: 5, StepSeconds: 1})
 		var refused *RefusedError
 		if err != nil && !errors.As(err, &refused) {
 			t.Fatalf("%T %v", err, err)
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -38,12 +38,15 @@
 	Build int
 }
 
+// ApplyFunc enters an answer and counts its values. It is called from several goroutines and must not block.
+type ApplyFunc func(*metricsanalysis.Answer) metricsanalysis.AnswerResult
+
 // Poller sends all configured queries to all servers, each in its time. Its methods are safe for concurrent use.
 type Poller struct {
 	settings *config.Health
 	log      *slog.Logger
 	now      func() float64
-	apply    func(*metricsanalysis.Answer) metricsanalysis.AnswerResult
+	apply    ApplyFunc
 	clients  []*Client // by server
 	metrics  pollerMetrics
 
@@ -68,9 +71,8 @@
 	outcomes string // of counters; "" for others
 }
 
-// NewPoller makes a poller without a fleet. apply enters each answer and counts its values; it is called from several
-// goroutines and must not block. now is the clock, seconds since 1970.
-func NewPoller(settings *config.Health, log *slog.Logger, now func() float64, apply func(*metricsanalysis.Answer) metricsanalysis.AnswerResult) (*Poller, error) {
+// NewPoller makes a poller without a fleet, which gives each answer to apply. now is the clock, seconds since 1970.
+func NewPoller(settings *config.Health, log *slog.Logger, now func() float64, apply ApplyFunc) (*Poller, error) {
 	p := &Poller{
 		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.Timeout),
 		wake: make(chan struct{}, 1), scheduler: metricsanalysis.NewScheduler(settings.Bounds(), len(settings.Servers), now()),
@@ -246,9 +248,11 @@
 // send sends a job's queries. Failures are queried first, and outcomes as of the same time: what comes between is in neither.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []Row, err error) {
 	query, client := &p.settings.Queries[job.Question], p.clients[job.Server]
-	rows, err = client.Query(ctx, chunk.query, query.FormOf(), at, query.Span, query.Step)
+	request := Request{Query: chunk.query, Form: query.FormOf(), At: at, RangeSeconds: query.Span, StepSeconds: query.Step}
+	rows, err = client.Query(ctx, request)
 	if err == nil && chunk.outcomes != "" {
-		outcomes, err = client.Query(ctx, chunk.outcomes, query.FormOf(), at, query.Span, query.Step)
+		request.Query = chunk.outcomes
+		outcomes, err = client.Query(ctx, request)
 	}
 	return rows, outcomes, err
 }
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -51,7 +51,8 @@
 	for _, typeURL := range Types {
 		sub := s.subscriptions[typeURL]
 		sub.nonce, sub.answer, sub.pending = "", nil, nil
-		requests = append(requests, &discovery.DiscoveryRequest{Node: s.node, TypeUrl: typeURL, ResourceNames: s.resourceNames, VersionInfo: sub.accepted})
+		requests = append(requests, &discovery.DiscoveryRequest{Node: s.node, TypeUrl: typeURL,
+			ResourceNames: s.resourceNames, VersionInfo: sub.accepted})
 	}
 	return requests
 }
