--- a/internal/storedformats/storedformats_test.go
+++ b/internal/storedformats/storedformats_test.go
@@ -48,7 +48,7 @@
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if state.Epoch == 0 || state.Vote == nil || state.News == nil || state.List == nil || state.List.Len() == 0 {
+	if state.Epoch == 0 || state.Vote == nil || state.Release == nil || state.Endpoints == nil || state.Endpoints.Len() == 0 {
 		t.Errorf("state is incomplete: %+v", state)
 	}
 	var printed bytes.Buffer
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(store.SaveVote(*state.Vote), store.SaveRelease(*state.News, state.At), store.SaveEndpoints(state.List), store.Close())
+	err = errors.Join(store.SaveVote(*state.Vote), store.SaveRelease(*state.Release, state.ReleaseAt), store.SaveEndpoints(state.Endpoints), store.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
