--- /dev/null
+++ b/internal/router/controllerlink.go
@@ -0,0 +1,97 @@
+package router
+
+import (
+	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// fillReport fills a report to the controller with what this router counted and has. It is called once a heartbeat and does not wait.
+func (r *Router) fillReport(report *linkpb.Digest) {
+	evidence := r.proxy.LocalEvidence()
+	r.controllerConfig.fillReport(report)
+	report.MarksNo = r.healthMarkSequence.Load()
+	report.Build, report.Rate = int32(evidence.Build), evidence.RequestsPerSecond
+	report.ListAt = r.proxy.EndpointsAt()
+	report.Tally = make([]*linkpb.Tally, 0, len(evidence.Samples))
+	for _, sample := range evidence.Samples {
+		tally := &linkpb.Tally{
+			Unit:  sample.Endpoint,
+			Build: int32(sample.Build),
+			N:     make([]float32, len(sample.Outcomes)),
+			Bad:   make([]float32, len(sample.Outcomes)),
+		}
+		for kind := range sample.Outcomes {
+			tally.N[kind], tally.Bad[kind] = float32(sample.Outcomes[kind]), float32(sample.Failures[kind])
+		}
+		report.Tally = append(report.Tally, tally)
+	}
+}
+
+// applyAssignment applies an assignment that the controller client accepted; newEndpoints and newRelease say which parts changed, leaseEnd
+// is when its lease ends. It is called by the controller client's goroutine alone and does not wait.
+func (r *Router) applyAssignment(assignment *linkpb.View, newEndpoints, newRelease bool, leaseEnd float64) {
+	if newEndpoints {
+		if err := r.applyEndpointUpdate(endpointUpdate(assignment)); err != nil {
+			r.log.Error("endpoint list in an assignment rejected", "error", err)
+		}
+	}
+	if newRelease {
+		update := releaseUpdate(assignment)
+		if err := r.applyRelease(update); err != nil {
+			r.log.Error("release update in an assignment rejected", "error", err)
+		} else {
+			r.saveRelease(update)
+		}
+	}
+	r.controllerConfig.apply(assignment)
+	if r.changesHealthMarks(assignment) {
+		r.proxy.SetHealthMarks(assignment.MarksAge, healthMarks(assignment))
+		r.healthMarkSequence.Store(assignment.MarksNo)
+	}
+	r.proxy.ApplyAssignment(int(assignment.VerdictBuild), policy.Verdict(assignment.Verdict), assignment.Share, leaseEnd)
+}
+
+// changesHealthMarks reports whether an assignment brings health marks, or ends those in force: a controller that restarted, or has no
+// evidence from metrics, knows none.
+func (r *Router) changesHealthMarks(assignment *linkpb.View) bool {
+	return assignment.HasMarks || assignment.MarksNo == 0 && r.healthMarkSequence.Load() > 0
+}
+
+func healthMarks(assignment *linkpb.View) []policy.HealthMark {
+	marks := make([]policy.HealthMark, 0, len(assignment.Marks))
+	for _, mark := range assignment.Marks {
+		marks = append(marks, policy.HealthMark{Endpoint: mark.Unit, WrongShare: float64(mark.Wrong), DegradedShare: float64(mark.Ailing)})
+	}
+	return marks
+}
+
+func releaseUpdate(assignment *linkpb.View) *releases.Update {
+	return &releases.Update{
+		Version: assignment.StageNo,
+		Build:   int(assignment.Build),
+		Stage:   int(assignment.Stage),
+		Phase:   assignment.Phase,
+		Cap:     assignment.Cap,
+		Age:     assignment.StageAge,
+	}
+}
+
+// endpointUpdate gives an assignment's endpoint list; one without a list confirms the list in force.
+func endpointUpdate(assignment *linkpb.View) *endpoints.Update {
+	update := &endpoints.Update{Version: assignment.ListNo, Full: assignment.HasList, Age: max(0, wallClock()-assignment.ListAt)}
+	for _, unit := range assignment.Units {
+		update.Endpoints = append(update.Endpoints, endpoints.Endpoint{
+			ID:        unit.Id,
+			Addr:      unit.Addr,
+			State:     unit.State,
+			Build:     int(unit.Build),
+			Zone:      uint16(unit.Zone),
+			Cell:      uint16(unit.Cell),
+			Weight:    unit.Heft,
+			StartedAt: unit.Start,
+		})
+	}
+	return update
+}
--- /dev/null
+++ b/internal/router/endpoints.go
@@ -0,0 +1,39 @@
+package router
+
+import (
+	"flintspread/internal/endpoints"
+)
+
+// loadEndpoints starts on the endpoint list that was saved last. A file that can't be read counts as none.
+func (r *Router) loadEndpoints() {
+	list, err := endpoints.Load(r.endpointFile)
+	if err != nil {
+		r.log.Error("saved endpoint list not read", "error", err)
+	}
+	r.endpointList = *list
+	if list.Len() == 0 {
+		return
+	}
+	update := list.FullUpdate(wallClock())
+	r.log.Info("saved endpoint list applied", "endpoints", list.Len(), "version", list.Version, "age_seconds", update.Age)
+	r.proxy.ApplyEndpoints(update)
+}
+
+// applyEndpointUpdate applies an update to the endpoint list and saves the list. Calls must not overlap: they come from the endpoint
+// watch, from the control services under configVersions.mu, or from the controller client's goroutine, of which a router has one.
+func (r *Router) applyEndpointUpdate(update *endpoints.Update) error {
+	if err := update.Check(); err != nil {
+		return err
+	}
+	changes, err := r.endpointList.Apply(update, wallClock())
+	if err != nil {
+		return err
+	}
+	r.proxy.ApplyEndpoints(changes)
+	if len(changes.Endpoints) > 0 {
+		if err := r.endpointList.Save(r.endpointFile); err != nil { // serving needs no disk
+			r.log.Error("endpoint list not saved", "error", err)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/router/metrics.go
@@ -0,0 +1,183 @@
+package router
+
+import (
+	"net/http"
+	"slices"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/lease"
+	"flintspread/internal/processstats"
+	"flintspread/internal/proxy"
+)
+
+// metricPrefix begins every metric's name. Names, labels and help texts keep the operators' words: dashboards and alerts stand on them.
+const metricPrefix = "flintedge_"
+
+func metric(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc(metricPrefix+name, help, labels, nil)
+}
+
+var (
+	requestsTotal          = metric("commands_total", "Commands by final answer; left: the client went first.", "answer")
+	attemptsTotal          = metric("deliveries_total", "Deliveries by how they ended.", "result")
+	refusedTotal           = metric("refused_total", "Requests and connections that never became commands.", "what")
+	dialsTotal             = metric("unit_dials_total", "Connections to units begun.")
+	lateAnswersTotal       = metric("unit_late_answers_total", "Unit answers after their delivery was given up.")
+	wrongAnswersTotal      = metric("wrong_reports_total", "Wrong answers that clients reported.")
+	openConnections        = metric("connections", "Open connections.", "side")
+	requestsInFlight       = metric("commands_in_hand", "Commands without their final answer.")
+	knownEndpoints         = metric("units", "Units known.")
+	endpointListAge        = metric("list_age_seconds", "Time since what the list says was true.")
+	policySecondsTotal     = metric("policy_seconds_total", "Time spent deciding.")
+	policyCallsTotal       = metric("policy_calls_total", "Decisions asked for.")
+	controllerEpoch        = metric("planner_epoch", "Number of the planner's process that is followed, 0: none yet.")
+	assignmentAge          = metric("view_age_seconds", "Most that the last view of the planner may be old.")
+	controllerConnects     = metric("links_total", "Links to the planner made.")
+	assignmentsRefused     = metric("views_refused_total", "Views that did not count.", "reason")
+	reportsDropped         = metric("digests_dropped_total", "Digests that a newer one replaced before they were sent.")
+	shedTotal              = metric("shed_total", "Commands nacked for this process's own load, among the nacked.")
+	shedShare              = metric("shed_level", "Share of what comes that is shed now.")
+	timerDelay             = metric("timer_late_seconds", "How late the edge's own timer came, at its last look.")
+	schedulerDelay         = metric("processor_wait_seconds", "How long goroutines waited for a processor, 99th part of a hundred since the look before.")
+	cpuShare               = metric("processor_share", "Share of its processors that the edge used.")
+	gcShare                = metric("collecting_share", "Share of its processors' time that went to collecting.")
+	memoryUsed             = metric("memory_bytes", "Bytes of connections and messages, counted to the budget.")
+	memoryPeak             = metric("memory_peak_bytes", "The most that there was.")
+	readsPausedTotal       = metric("reads_paused_total", "Readings from clients that waited for room in the budget.")
+	memoryRefusedTotal     = metric("connections_refused_for_room_total", "Connections refused for want of room.")
+	acceptOverflowsTotal   = metric("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue was full, anyone's.")
+	answerSecondsHistogram = prometheus.HistogramOpts{
+		Name: metricPrefix + "answer_seconds",
+		Help: "Time from a command's coming to its final answer.",
+	}
+)
+
+// outcomeLabels are the values of the label "result", by policy.Outcome.
+var outcomeLabels = [...]string{"acked", "errored", "full", "timed_out", "unconnected", "broken", "cancelled", "unsent"}
+
+// collector gives the counts of the proxy and of the controller client to Prometheus. They are read at each scrape; nothing is counted
+// twice.
+type collector struct {
+	proxy      *proxy.Proxy
+	controller *controlrpc.RouterClient // nil without a controller
+}
+
+// Describe implements prometheus.Collector.
+func (c collector) Describe(descriptions chan<- *prometheus.Desc) {
+	prometheus.DescribeByCollect(c, descriptions)
+}
+
+// Collect implements prometheus.Collector.
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
+	out := metricWriter(metrics)
+	stats := c.proxy.Stats()
+	out.writeRequests(stats)
+	out.writeConnections(stats)
+	out.writeProcess(stats)
+	if c.controller != nil {
+		out.writeController(c.controller.Stats())
+	}
+}
+
+// metricWriter writes the values of one scrape.
+type metricWriter chan<- prometheus.Metric
+
+func (w metricWriter) counter(desc *prometheus.Desc, value float64, labels ...string) {
+	w <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, value, labels...)
+}
+
+func (w metricWriter) gauge(desc *prometheus.Desc, value float64, labels ...string) {
+	w <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
+}
+
+// writeRequests writes what became of requests and attempts.
+func (w metricWriter) writeRequests(stats proxy.Stats) {
+	w.counter(requestsTotal, float64(stats.Succeeded), "acked")
+	w.counter(requestsTotal, float64(stats.Rejected), "nacked")
+	w.counter(requestsTotal, float64(stats.Failed), "failed")
+	w.counter(requestsTotal, float64(stats.Abandoned), "left")
+	for outcome, label := range outcomeLabels {
+		w.counter(attemptsTotal, float64(stats.Outcomes[outcome]), label)
+	}
+	w.counter(lateAnswersTotal, float64(stats.LateAnswers))
+	w.counter(wrongAnswersTotal, float64(stats.WrongAnswers))
+	w.counter(policySecondsTotal, stats.PolicySeconds)
+	w.counter(policyCallsTotal, float64(stats.PolicyCalls))
+	w.gauge(requestsInFlight, float64(stats.InFlight))
+	w.gauge(knownEndpoints, float64(stats.Endpoints))
+	w.gauge(endpointListAge, stats.EndpointListAgeSeconds)
+}
+
+// writeConnections writes counts of connections on either side.
+func (w metricWriter) writeConnections(stats proxy.Stats) {
+	w.counter(refusedTotal, float64(stats.InvalidRequests), "requests")
+	w.counter(refusedTotal, float64(stats.ClientsRefused), "connections")
+	w.counter(dialsTotal, float64(stats.Dials))
+	w.gauge(openConnections, float64(stats.ClientConns), "clients")
+	w.gauge(openConnections, float64(stats.EndpointConns), "units")
+	w.counter(readsPausedTotal, float64(stats.ReadsPaused))
+	w.counter(memoryRefusedTotal, float64(stats.MemoryRefused))
+	if drops, ok := processstats.AcceptQueueOverflows(); ok {
+		w.counter(acceptOverflowsTotal, float64(drops))
+	}
+}
+
+// writeProcess writes the process's own load.
+func (w metricWriter) writeProcess(stats proxy.Stats) {
+	w.counter(shedTotal, float64(stats.Shed))
+	w.gauge(shedShare, stats.ShedShare)
+	w.gauge(timerDelay, stats.TimerDelaySeconds)
+	w.gauge(schedulerDelay, stats.Process.SchedulerDelaySeconds)
+	w.gauge(cpuShare, stats.Process.CPUShare)
+	w.gauge(gcShare, stats.Process.GCShare)
+	w.gauge(memoryUsed, float64(stats.MemoryBytes))
+	w.gauge(memoryPeak, float64(stats.MemoryPeakBytes))
+}
+
+// writeController writes counts of the link to the controller.
+func (w metricWriter) writeController(stats controlrpc.Stats) {
+	w.gauge(controllerEpoch, float64(stats.Epoch))
+	w.gauge(assignmentAge, stats.AssignmentAgeSeconds)
+	w.counter(controllerConnects, float64(stats.Connects))
+	w.counter(reportsDropped, float64(stats.ReportsDropped))
+	for reason := lease.Accepted + 1; int(reason) < lease.ReasonCount; reason++ {
+		w.counter(assignmentsRefused, float64(stats.Refused[reason]), reason.String())
+	}
+}
+
+// answerBuckets gives a histogram's bounds such that every latency objective and every request timeout is a bound: the share of answers
+// in time is read off, not interpolated.
+func answerBuckets(classes []config.RequestClass) (bounds []float64) {
+	for _, class := range classes {
+		for _, part := range []float64{0.125, 0.25, 0.5, 0.75, 1} {
+			bounds = append(bounds, part*class.Target)
+		}
+		bounds = append(bounds, class.Timeout)
+	}
+	slices.Sort(bounds)
+	return slices.Compact(bounds)
+}
+
+// observeAnswers makes the histogram of answer times and has the proxy fill it. It is called before the proxy serves.
+func (r *Router) observeAnswers() *prometheus.HistogramVec {
+	options := answerSecondsHistogram
+	options.Buckets = answerBuckets(r.config.Classes)
+	histogram := prometheus.NewHistogramVec(options, []string{"op", "answer"})
+	r.proxy.OnFinalAnswer = func(class, answer string, seconds float64) {
+		histogram.WithLabelValues(class, answer).Observe(seconds)
+	}
+	return histogram
+}
+
+// metricsHandler serves the metrics.
+func (r *Router) metricsHandler(answers *prometheus.HistogramVec) http.Handler {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collector{proxy: r.proxy, controller: r.controller}, answers)
+	mux := http.NewServeMux()
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
+	return mux
+}
--- /dev/null
+++ b/internal/router/router.go
@@ -0,0 +1,251 @@
+// Package router puts one router together: the proxy that serves clients, the endpoint list and the release updates that it follows, its
+// votes or its link to a controller, the configuration versions, and its metrics. Times in float64 are seconds; instants are seconds
+// since 1970.
+package router
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"flintspread/internal/config"
+	"flintspread/internal/controlrpc"
+	"flintspread/internal/endpoints"
+	"flintspread/internal/proxy"
+	"flintspread/internal/releases"
+	"flintspread/internal/watch"
+)
+
+// metricsHeaderTimeout bounds how long a client of the metrics address may take to send its header.
+const metricsHeaderTimeout = 5 * time.Second
+
+// Router is a running router. On its own it follows the endpoint list and the release service and casts votes; with a controller it gets
+// all of that in assignments and casts none.
+type Router struct {
+	config     *config.Router
+	log        *slog.Logger
+	proxy      *proxy.Proxy
+	httpClient *http.Client
+
+	endpointList endpoints.List
+	endpointFile string // where the endpoint list is saved
+
+	votes            *releases.VoteSender     // nil with a controller
+	controller       *controlrpc.RouterClient // nil without a controller
+	controllerConfig *controllerConfig        // nil without a controller
+	configVersions   *configVersions          // nil where the settings file is the only configuration
+
+	savedRelease       savedRelease  // used by the controller client's goroutine alone
+	healthMarkSequence atomic.Uint64 // of the health marks that are in force, 0: none
+
+	releaseMu      sync.Mutex
+	releaseVersion uint64 // of the newest release update that was applied
+
+	watches     context.Context // of what the router follows; it outlasts the listener
+	stopWatches context.CancelFunc
+	running     sync.WaitGroup
+	failed      chan error // what ends the router before its context does
+}
+
+// Run serves until ctx ends, then answers the requests that it has accepted and returns. It blocks until every goroutine that it started
+// has ended. An error before anything was served is a reason not to start.
+func Run(ctx context.Context, settings *config.Router, log *slog.Logger) error {
+	if err := os.MkdirAll(settings.StateDir, 0o755); err != nil {
+		return err
+	}
+	listener, err := listen(settings)
+	if err != nil {
+		return fmt.Errorf(":listen: %w", err)
+	}
+	defer listener.Close()
+	metricsListener, err := net.Listen("tcp", settings.Admin)
+	if err != nil {
+		return fmt.Errorf(":admin: %w", err)
+	}
+	defer metricsListener.Close()
+
+	r := newRouter(settings, log)
+	defer r.stopWatches()
+	start := r.startStandalone
+	if settings.Controller != nil {
+		start = r.startWithController
+	}
+	if err := start(); err != nil {
+		return err
+	}
+	if r.configVersions != nil {
+		defer r.configVersions.close()
+	}
+	metricsServer := &http.Server{Handler: r.metricsHandler(r.observeAnswers()), ReadHeaderTimeout: metricsHeaderTimeout}
+	r.running.Go(func() { r.serveMetrics(metricsServer, metricsListener) })
+	r.running.Go(func() { r.failed <- r.proxy.Serve(listener) })
+	log.Info("serving", "relay", settings.Relay, "listen", listener.Addr().String(), "admin", metricsListener.Addr().String())
+
+	select {
+	case <-ctx.Done():
+	case err = <-r.failed:
+	}
+	log.Info("shutting down gracefully", "relay", settings.Relay)
+	if unanswered := r.drain(listener); unanswered != nil {
+		log.Error("requests left at the end of the drain", "error", unanswered)
+		err = errors.Join(err, unanswered)
+	}
+	r.stopWatches()
+	metricsServer.Close()
+	r.proxy.Close()
+	r.running.Wait()
+	log.Info("stopped", "relay", settings.Relay)
+	return err
+}
+
+func newRouter(settings *config.Router, log *slog.Logger) *Router {
+	watches, stopWatches := context.WithCancel(context.Background())
+	return &Router{
+		config:       settings,
+		log:          log,
+		httpClient:   &http.Client{Transport: &http.Transport{DisableCompression: true}},
+		endpointFile: filepath.Join(settings.StateDir, "units.json"),
+		watches:      watches,
+		stopWatches:  stopWatches,
+		failed:       make(chan error, 2), // the proxy's end and that of one watch
+	}
+}
+
+// startStandalone makes the proxy and starts what a router without a controller follows.
+func (r *Router) startStandalone() error {
+	settings := r.config
+	r.votes = &releases.VoteSender{
+		Relay:   settings.Relay,
+		URL:     settings.Sources.Installer,
+		Timeout: settings.Release.VoteTimeout,
+		Client:  r.httpClient,
+		Log:     r.log,
+		OnSend:  func(releases.Vote) {},
+		OnReply: r.onVoteReply,
+	}
+	r.votes.Open()
+	r.proxy = proxy.NewHTTP(settings, r.seed(), r.log, r.votes.Cast)
+	r.loadEndpoints()
+	if settings.Control == nil {
+		r.running.Go(func() {
+			watch.Follow(r.watches, r.watchSource(settings.Sources.List), r.applyEndpointUpdate, func() {})
+		})
+	} else {
+		if err := r.openConfigVersions(); err != nil {
+			return err
+		}
+		r.running.Go(func() {
+			if err := r.configVersions.follow(r.watches); err != nil {
+				r.failed <- err
+			}
+		})
+	}
+	r.running.Go(func() {
+		watch.Follow(r.watches, r.watchSource(settings.Sources.Installer+"/stage"), r.onReleaseMessage, func() {})
+	})
+	r.running.Go(func() { r.votes.Run(r.watches) })
+	return nil
+}
+
+// startWithController makes the proxy and starts the client of the controller.
+func (r *Router) startWithController() error {
+	settings := r.config
+	r.proxy = proxy.NewHTTP(settings, r.seed(), r.log, nil)
+	r.loadEndpoints()
+	r.restoreRelease()
+	if err := r.openConfigVersions(); err != nil {
+		return err
+	}
+	r.controllerConfig = &controllerConfig{versions: r.configVersions}
+	r.controller = &controlrpc.RouterClient{
+		Config:          settings.Controller,
+		Log:             r.log,
+		Now:             r.proxy.Now,
+		Relay:           settings.Relay,
+		Router:          settings.Name,
+		Incarnation:     uint64(time.Now().UnixNano()),
+		ConfigHash:      ConfigHash(settings.Policy()),
+		FillReport:      r.fillReport,
+		ApplyAssignment: r.applyAssignment,
+	}
+	r.running.Go(func() {
+		if err := r.controller.Run(r.watches, r.endpointList.At); err != nil {
+			r.failed <- err
+		}
+	})
+	return nil
+}
+
+// seed gives the seed of the settings, or a random one where they have none.
+func (r *Router) seed() uint64 {
+	if r.config.Seed == 0 {
+		return rand.Uint64()
+	}
+	return r.config.Seed
+}
+
+// drain closes the listener and waits for what is in flight, for the drain time of the settings at most. Endpoint and release updates
+// are followed meanwhile: the rules bind while requests are in flight.
+func (r *Router) drain(listener net.Listener) error {
+	proxy.CloseListener(listener)
+	ctx, cancel := context.WithTimeout(context.Background(), seconds(r.config.Clients.DrainTime))
+	defer cancel()
+	return r.proxy.Drain(ctx)
+}
+
+func (r *Router) serveMetrics(server *http.Server, listener net.Listener) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		r.log.Error("metrics address not served any more", "error", err)
+	}
+}
+
+// listen opens the clients' address. With :share-port the kernel spreads connections over the routers of this host that listen there.
+func listen(settings *config.Router) (net.Listener, error) {
+	var listenConfig net.ListenConfig
+	if settings.Shared {
+		listenConfig.Control = reusePort
+	}
+	return listenConfig.Listen(context.Background(), "tcp", settings.Listen)
+}
+
+// reusePort is a net.ListenConfig.Control that lets several sockets listen at one address.
+func reusePort(_, _ string, conn syscall.RawConn) error {
+	var optionErr error
+	controlErr := conn.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	if controlErr != nil {
+		return controlErr
+	}
+	return optionErr
+}
+
+// watchSource describes a stream of the platform's services, with the limits of the settings.
+func (r *Router) watchSource(url string) watch.Source {
+	sources := r.config.Sources
+	return watch.Source{
+		URL:               url,
+		SilenceSeconds:    sources.Silence,
+		BackoffMinSeconds: sources.BackLeast,
+		BackoffMaxSeconds: sources.BackMost,
+		Log:               r.log,
+		Client:            r.httpClient,
+	}
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// wallClock is the time of day, in seconds since 1970.
+func wallClock() float64 { return float64(time.Now().UnixNano()) / 1e9 }
