--- /dev/null
+++ b/internal/platform/control/client.go
@@ -0,0 +1,264 @@
+// Package control speaks the platform's line protocol: one connection on which the platform pushes release states and wrong answers, and
+// on which votes are cast.
+package control
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+	"flintspread/internal/watch"
+)
+
+const (
+	maxLineBytes = 8 << 10
+	silenceLimit = 3 * time.Second // without a line; one is due every second
+	dialTimeout  = time.Second
+
+	// Pauses between connections, in seconds.
+	backoffMinSeconds = 0.05
+	backoffMaxSeconds = 1.0
+	// A connection that lasted so long was a working one: the pauses begin anew after it.
+	backoffResetAfter = 2 * silenceLimit
+)
+
+// Client is a router's connection to the platform. Its callbacks are called one at a time and must not block.
+type Client struct {
+	Stages        int           // how many rollout stages there are
+	VoteTimeout   time.Duration // for which the reply to a vote is waited for
+	Log           *slog.Logger
+	OnRelease     func(*releases.Update)
+	OnWrongAnswer func(host string, ageSeconds float64) // an endpoint gave a wrong answer some time ago
+	OnVoteReply   func(releases.Vote, policy.VoteReply) // called once for each vote
+
+	mu             sync.Mutex
+	address        string
+	addressChanged chan struct{}
+	conn           *connection // the one in use, nil: none
+	following      bool        // the platform accepted the command to follow on conn
+	commands       []*command  // that wait for their replies on conn, the oldest first
+}
+
+// Open gives the platform's address. It is called once, before all else.
+func (c *Client) Open(address string) {
+	c.address, c.addressChanged = address, make(chan struct{}, 1)
+}
+
+// SetAddress moves the client to another address: the new connection is established before the present one is closed. It does not block.
+func (c *Client) SetAddress(address string) {
+	c.mu.Lock()
+	same := c.address == address
+	c.address = address
+	c.mu.Unlock()
+	if same {
+		return
+	}
+	select {
+	case c.addressChanged <- struct{}{}:
+	default: // a change is pending already; it will find this address
+	}
+}
+
+// Run follows the platform until ctx ends, and reconnects with backoff.
+func (c *Client) Run(ctx context.Context) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		startedAt := time.Now()
+		err := c.serve(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if time.Since(startedAt) > backoffResetAfter {
+			attempt = 0
+		}
+		pause := watch.Backoff(attempt, backoffMinSeconds, backoffMaxSeconds, rand.Float64())
+		c.Log.Warn("platform connection ended", "error", err, "retry_in_seconds", pause)
+		select {
+		case <-ctx.Done():
+		case <-c.addressChanged:
+		case <-time.After(time.Duration(pause * float64(time.Second))):
+		}
+	}
+}
+
+// connection is one on which the client asked to follow.
+type connection struct {
+	net.Conn
+	reader    *bufio.Reader
+	firstByte chan error    // gets nil once something came, or why nothing did
+	ended     chan struct{} // closed when reading it has ended
+	err       error         // why reading ended; set before ended is closed
+}
+
+func (c *Client) connect(ctx context.Context) (*connection, error) {
+	c.mu.Lock()
+	address := c.address
+	c.mu.Unlock()
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := conn.Write([]byte("follow\r\n")); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	opened := &connection{
+		Conn:      conn,
+		reader:    bufio.NewReaderSize(conn, maxLineBytes),
+		firstByte: make(chan error, 1),
+		ended:     make(chan struct{}),
+	}
+	conn.SetReadDeadline(time.Now().Add(silenceLimit))
+	go func() { // ends with the connection, or at the deadline
+		_, err := opened.reader.Peek(1)
+		opened.firstByte <- err
+	}()
+	return opened, nil
+}
+
+// serve follows on one connection until it ends, and on those that replace it where the address changes.
+func (c *Client) serve(ctx context.Context) error {
+	current, err := c.connect(ctx)
+	if err != nil {
+		return err
+	}
+	select {
+	case <-ctx.Done():
+		err = ctx.Err()
+	case err = <-current.firstByte:
+	}
+	for err == nil {
+		c.use(current)
+		go func(conn *connection) {
+			conn.err = c.read(conn)
+			close(conn.ended)
+		}(current)
+		var next *connection
+		next, err = c.replacement(ctx, current)
+		c.abandon(current)
+		<-current.ended
+		if next != nil {
+			current = next
+		}
+	}
+	current.Close()
+	return err
+}
+
+// replacement waits for a change of address and returns the connection there once something came on it. Until then the present connection
+// is read: what the platform pushes meanwhile must not be lost. An error says that the present connection ended, that a new one can't be
+// had, or that ctx ended.
+func (c *Client) replacement(ctx context.Context, current *connection) (*connection, error) {
+	var next *connection
+	var firstByte chan error // of next; nil blocks
+	ended := current.ended
+	for {
+		select {
+		case <-ctx.Done():
+			if next != nil {
+				next.Close()
+			}
+			return nil, ctx.Err()
+		case <-ended:
+			if next == nil {
+				return nil, current.err
+			}
+			ended = nil // next is waited for
+		case err := <-firstByte:
+			if err != nil {
+				next.Close()
+				return nil, err
+			}
+			return next, nil
+		case <-c.addressChanged:
+			if next != nil {
+				next.Close()
+			}
+			var err error
+			if next, err = c.connect(ctx); err != nil {
+				return nil, err
+			}
+			firstByte = next.firstByte
+		}
+	}
+}
+
+// use makes a connection the one on which votes are cast, once its command to follow has its reply.
+func (c *Client) use(conn *connection) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn, c.following, c.commands = conn, false, []*command{{follow: true}}
+}
+
+// abandon closes a connection. The votes on it that have no reply may have been counted.
+func (c *Client) abandon(conn *connection) {
+	conn.Close()
+	c.mu.Lock()
+	commands := c.commands
+	if c.conn == conn {
+		c.conn, c.commands = nil, nil
+	}
+	c.mu.Unlock()
+	for _, command := range commands {
+		c.finish(command, policy.VoteUnknown, "the connection ended")
+	}
+}
+
+// read handles the lines of a connection until it ends. A malformed line ends it: what follows can't be told apart.
+func (c *Client) read(conn *connection) error {
+	for {
+		line, err := readLine(conn)
+		if err != nil {
+			return err
+		}
+		if err := c.handle(conn, line); err != nil {
+			return fmt.Errorf("line %.60q: %w", line, err)
+		}
+	}
+}
+
+func readLine(conn *connection) (string, error) {
+	conn.SetReadDeadline(time.Now().Add(silenceLimit))
+	text, err := conn.reader.ReadSlice('\n')
+	if err != nil {
+		return "", err
+	}
+	line, ok := strings.CutSuffix(string(text), "\r\n")
+	if !ok {
+		return "", errors.New("a line that does not end in CRLF")
+	}
+	return line, nil
+}
+
+// handle passes on what a line says.
+func (c *Client) handle(conn *connection, line string) error {
+	oldest := c.oldestCommand(conn)
+	message, err := Parse(line, c.Stages, oldest != nil && oldest.follow)
+	if err != nil {
+		return err
+	}
+	if message.Release != nil {
+		c.OnRelease(message.Release)
+	}
+	if message.WrongAnswerHost != "" {
+		c.OnWrongAnswer(message.WrongAnswerHost, message.WrongAnswerAgeMilliseconds/1000)
+	}
+	if !message.IsReply {
+		return nil
+	}
+	if oldest == nil || oldest.follow && !message.FollowAccepted {
+		return errors.New("answers nothing")
+	}
+	c.removeOldestCommand(conn)
+	c.finish(oldest, message.VoteReply, line)
+	return nil
+}
--- /dev/null
+++ b/internal/platform/discovery/message.go
@@ -0,0 +1,101 @@
+// Package discovery reads the endpoint list in the form of the platform's discovery service, and numbers its hosts and zones for the policy.
+// Times are seconds unless a name says otherwise.
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+
+	"flintspread/internal/endpoints"
+)
+
+// Message is one message of the discovery service: the whole list, or the members that changed.
+type Message struct {
+	Version uint64   `json:"seq"`
+	Full    bool     `json:"whole"`
+	Members []Member `json:"hosts"`
+}
+
+// Member is one endpoint as the discovery service names it.
+type Member struct {
+	Host                  string  `json:"host"`
+	Address               string  `json:"dial"` // HOST:PORT
+	Zone                  string  `json:"site"`
+	Cell                  float64 `json:"block"`
+	Health                string  `json:"health"` // SERVING, DRAINING or DELETED
+	Weight                float64 `json:"share"`
+	StartedAtMilliseconds float64 `json:"born_ms"` // since 1970
+	Build                 float64 `json:"image_id"`
+}
+
+const maxHostBytes = 256 // of a host's name
+
+// stateGone is the state of an endpoint that left the list.
+const stateGone = "gone"
+
+// states gives an endpoint's state by the service's word.
+var states = map[string]string{"SERVING": "ready", "DRAINING": "draining", "DELETED": stateGone}
+
+// Parse reads and checks a message.
+func Parse(text []byte) (*Message, error) {
+	message := &Message{}
+	if err := json.Unmarshal(text, message); err != nil {
+		return nil, err
+	}
+	return message, message.Check()
+}
+
+// Check rejects a message with an invalid member as a whole: what is left out of a list might be a drain. It checks what a member shows by
+// itself.
+func (m *Message) Check() error {
+	seen := make(map[string]bool, len(m.Members))
+	for i := range m.Members {
+		member := &m.Members[i]
+		if err := member.check(seen); err != nil {
+			return fmt.Errorf("host %.64q (entry %d): %w", member.Host, i, err)
+		}
+		seen[member.Host] = true
+	}
+	return nil
+}
+
+// check finds what is wrong with a member, given the hosts before it in the message.
+func (m *Member) check(seen map[string]bool) error {
+	switch {
+	case m.Host == "" || len(m.Host) > maxHostBytes:
+		return errors.New("no name")
+	case seen[m.Host]:
+		return errors.New("named twice")
+	case states[m.Health] == "":
+		return fmt.Errorf("unknown health %.32q", m.Health)
+	case !m.hasValidNumbers():
+		return fmt.Errorf("image_id %v, block %v", m.Build, m.Cell)
+	}
+	const anyID, anyZone = 1, 0
+	update := endpoints.Update{Endpoints: []endpoints.Endpoint{m.endpoint(anyID, anyZone)}}
+	return update.Check()
+}
+
+// hasValidNumbers reports whether build and cell are whole numbers and the cell is one that an endpoint can hold, NaN excluded.
+func (m *Member) hasValidNumbers() bool {
+	return m.Build == math.Trunc(m.Build) && m.Cell == math.Trunc(m.Cell) && m.Cell >= 0 && m.Cell < math.MaxUint16
+}
+
+// endpoint gives a member as an endpoint of the list. Cells count from 1 there: 0 is none.
+func (m *Member) endpoint(id uint32, zone uint16) endpoints.Endpoint {
+	endpoint := endpoints.Endpoint{
+		ID:        id,
+		State:     states[m.Health],
+		Build:     int(m.Build),
+		Weight:    m.Weight,
+		StartedAt: m.StartedAtMilliseconds / 1000,
+		Zone:      zone,
+		Cell:      uint16(m.Cell) + 1,
+	}
+	if endpoint.State != stateGone {
+		endpoint.Addr = m.Address
+	}
+	return endpoint
+}
--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"reflect"
 	"strconv"
 
 	"flintspread/internal/config"
@@ -14,87 +15,124 @@
 	"flintspread/internal/releases"
 )
 
-// Config is what the platform tells a relay in one file.
+// Config is what the platform gives a router in one file.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Platform  string
-	Seed      uint64
-	Cores     float64
-	Memory    int64 // bytes
-	Sockets   int
-	News      *releases.Update   // nil: none yet
-	Known     *discovery.Message // nil: no list yet
-	Terms     policy.Config
-	Ops       []string // the names of the terms' op types
-	Dial      float64  // s that a connection to a unit may take
+	Name             string
+	ListenAddress    string // HOST:PORT, as the two below
+	DiscoveryAddress string
+	PlatformAddress  string
+	Seed             uint64
+	Cores            float64
+	MemoryBytes      int64
+	Sockets          int
+	Release          *releases.Update   // nil: there is none yet
+	KnownEndpoints   *discovery.Message // nil: there is no list yet
+	Policy           policy.Config
+	ClassNames       []string // of Policy.Classes, in their order
+	DialSeconds      float64  // that a connection to an endpoint may take
 }
 
-// ReadConfig reads and checks the file whole. An error names file and key.
+// configFile is the form of the file.
+type configFile struct {
+	Name      string `json:"name" validate:"required"`
+	Listen    string `json:"listen" validate:"hostname_port"`
+	Discovery string `json:"discovery" validate:"hostname_port"`
+	Seed      string `json:"seed" validate:"required"`
+	Limits    struct {
+		Cores           float64 `json:"cores" validate:"gt=0"`
+		MemoryMegabytes float64 `json:"memory_mb" validate:"gte=16"`
+		Sockets         int     `json:"sockets" validate:"gte=64"`
+	} `json:"limits"`
+	Platform struct {
+		Address string          `json:"address" validate:"hostname_port"`
+		Release json.RawMessage `json:"news"`
+	} `json:"platform"`
+	KnownEndpoints json.RawMessage `json:"known"`
+	Settings       json.RawMessage `json:"settings" validate:"required"`
+}
+
+const bytesPerMegabyte = 1 << 20
+
+// ReadConfig reads and checks the whole file. An error names file and key.
 func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	t, err := ParseConfig(text)
+	settings, err := ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return t, nil
+	return settings, nil
 }
 
-// ParseConfig reads the file's text.
+// ParseConfig reads and checks the file's text. An error names the key.
 func ParseConfig(text []byte) (*Config, error) {
-	var f struct {
-		Name      string `json:"name" validate:"required"`
-		Listen    string `json:"listen" validate:"hostname_port"`
-		Discovery string `json:"discovery" validate:"hostname_port"`
-		Seed      string `json:"seed" validate:"required"`
-		Limits    struct {
-			Cores   float64 `json:"cores" validate:"gt=0"`
-			Memory  float64 `json:"memory_mb" validate:"gte=16"`
-			Sockets int     `json:"sockets" validate:"gte=64"`
-		} `json:"limits"`
-		Platform struct {
-			Address string          `json:"address" validate:"hostname_port"`
-			News    json.RawMessage `json:"news"`
-		} `json:"platform"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings" validate:"required"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	t := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address, Cores: f.Limits.Cores,
-		Memory: int64(f.Limits.Memory * (1 << 20)), Sockets: f.Limits.Sockets}
-	if err := config.CheckJSON(&f); err != nil {
+	if err := config.CheckJSON(&file); err != nil {
 		return nil, err
 	}
-	var err error
-	if t.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %.32q is no number of 16 hex digits", f.Seed)
-	}
-	pairs, err := policyconfig.ParseJSON(f.Settings)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("seed: %.32q is no number of 16 hex digits", file.Seed)
 	}
-	if t.Terms, err = policyconfig.Decode(pairs); err != nil {
-		return nil, err
+	settings := &Config{
+		Name:             file.Name,
+		ListenAddress:    file.Listen,
+		DiscoveryAddress: file.Discovery,
+		PlatformAddress:  file.Platform.Address,
+		Seed:             seed,
+		Cores:            file.Limits.Cores,
+		MemoryBytes:      int64(file.Limits.MemoryMegabytes * bytesPerMegabyte),
+		Sockets:          file.Limits.Sockets,
 	}
-	if t.Ops, err = policyconfig.ClassNames(pairs); err != nil {
+	if err := settings.parsePolicy(file.Settings); err != nil {
 		return nil, err
 	}
-	if t.Dial, err = policyconfig.Seconds(pairs, "policy_limits.dial_timeout"); err != nil {
+	if err := settings.parseState(&file); err != nil {
 		return nil, err
 	}
-	if t.News, err = control.ParseNews(f.Platform.News, len(t.Terms.StageShares)); err != nil {
-		return nil, fmt.Errorf("platform.news: %w", err)
+	return settings, nil
+}
+
+// parsePolicy reads the settings of the policy.
+func (c *Config) parsePolicy(text json.RawMessage) error {
+	values, err := policyconfig.ParseJSON(text)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if t.Known, err = discovery.Parse(f.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+	if c.Policy, err = policyconfig.Decode(values); err != nil {
+		return err
 	}
-	return t, nil
+	if c.ClassNames, err = policyconfig.ClassNames(values); err != nil {
+		return err
+	}
+	c.DialSeconds, err = policyconfig.Seconds(values, "policy_limits.dial_timeout")
+	return err
+}
+
+// parseState reads what the platform knew when it wrote the file: the release, and the endpoint list.
+func (c *Config) parseState(file *configFile) (err error) {
+	if c.Release, err = control.ParseRelease(file.Platform.Release, len(c.Policy.StageShares)); err != nil {
+		return fmt.Errorf("platform.news: %w", err)
+	}
+	if len(file.KnownEndpoints) == 0 || string(file.KnownEndpoints) == "null" {
+		return nil
+	}
+	if c.KnownEndpoints, err = discovery.Parse(file.KnownEndpoints); err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	return nil
+}
+
+// needsRestart reports whether other settings differ in what a running router does not change: all but the addresses that it connects to.
+// The seed, the release and the endpoint list count only at a start.
+func (c *Config) needsRestart(other *Config) bool {
+	rest := *other
+	rest.DiscoveryAddress, rest.PlatformAddress = c.DiscoveryAddress, c.PlatformAddress
+	rest.Seed, rest.Release, rest.KnownEndpoints = c.Seed, c.Release, c.KnownEndpoints
+	return !reflect.DeepEqual(*c, rest)
 }
--- /dev/null
+++ b/internal/platform/node/discovery.go
@@ -0,0 +1,157 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"flintspread/internal/platform/discovery"
+	"flintspread/internal/watch"
+)
+
+// Limits of a watch of discovery, in seconds. Discovery's agent runs on the same machine and sends a heartbeat every 2 s. The platform
+// takes a change for known 6 s after it was sent, or as soon as the agent is back, and counts the grace of drains from then on: two
+// silent watches and the way back fit in.
+const (
+	discoverySilenceSeconds    = 2.5
+	discoveryOpenSeconds       = 1.0
+	discoveryBackoffMinSeconds = 0.05
+	discoveryBackoffMaxSeconds = 0.25
+)
+
+// After a change of address the old one is followed until the new one says something, for handoverTimeout at most.
+const (
+	handoverTimeout = 1500 * time.Millisecond
+	handoverCheck   = 100 * time.Millisecond
+)
+
+// follower is one watch of discovery at one address. After a change of address two of them run for a while.
+type follower struct {
+	node    *Node
+	number  int // grows with each follower
+	address string
+}
+
+// followDiscovery starts to follow discovery at its present address. The follower before it ends once this one had time to connect.
+func (n *Node) followDiscovery() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.stopping {
+		return
+	}
+	n.currentFollower++
+	f := &follower{node: n, number: n.currentFollower, address: n.discoveryAddress}
+	ctx, stop := context.WithCancel(n.watches)
+	n.running.Go(func() { watch.Follow(ctx, f.source(), f.onMessage, func() {}) })
+	n.running.Go(func() {
+		defer stop()
+		f.waitForHandover()
+	})
+}
+
+func (f *follower) source() watch.Source {
+	n := f.node
+	return watch.Source{
+		SilenceSeconds:    discoverySilenceSeconds,
+		OpenSeconds:       discoveryOpenSeconds,
+		MaxObjectBytes:    n.maxListBytes,
+		BackoffMinSeconds: discoveryBackoffMinSeconds,
+		BackoffMaxSeconds: discoveryBackoffMaxSeconds,
+		Log:               n.log,
+		Client:            n.httpClient,
+		NextURL:           f.nextURL,
+		OnHeartbeat:       f.onHeartbeat,
+	}
+}
+
+// nextURL asks for the changes since the list in force.
+func (f *follower) nextURL() string {
+	n := f.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", f.address, n.endpointList.Version)
+}
+
+func (f *follower) onHeartbeat() {
+	f.noteHeard()
+	f.node.proxy.ConfirmEndpoints()
+}
+
+func (f *follower) onMessage(message *discovery.Message) error {
+	if err := message.Check(); err != nil {
+		return err
+	}
+	if replaced := f.noteHeard(); replaced && message.Full {
+		return nil // the newer follower's full list counts
+	}
+	if err := f.node.applyDiscovery(message); err != nil {
+		return err
+	}
+	if f.node.endpointCount() > 0 {
+		f.node.proxy.SetReady()
+	}
+	return nil
+}
+
+// noteHeard notes that discovery said something to this follower, and reports whether there is a newer one.
+func (f *follower) noteHeard() (replaced bool) {
+	n := f.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.newestHeard = max(n.newestHeard, f.number)
+	return n.currentFollower != f.number
+}
+
+// waitForHandover returns when this follower is not needed any more: a newer one heard from discovery or had time enough to, or
+// everything stops.
+func (f *follower) waitForHandover() {
+	n := f.node
+	ticker := time.NewTicker(handoverCheck)
+	defer ticker.Stop()
+	for left := handoverTimeout; left > 0; {
+		select {
+		case <-n.watches.Done():
+			return
+		case <-ticker.C:
+		}
+		n.mu.Lock()
+		if n.currentFollower != f.number {
+			left -= handoverCheck
+		}
+		if n.newestHeard > f.number {
+			left = 0
+		}
+		n.mu.Unlock()
+	}
+}
+
+// applyDiscovery applies a message of discovery to the endpoint list. Changes that came already from another follower are skipped; an
+// outdated full list is an error.
+func (n *Node) applyDiscovery(message *discovery.Message) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.proxy.Now()
+	inForce := n.endpointList.Version
+	if !message.Full && message.Version < inForce {
+		return nil
+	}
+	if message.Full && !n.versionGuard.Accepts(message.Version, inForce, now, forgetEndpointSeconds) {
+		return fmt.Errorf("list version %d is older than %d, which is in force", message.Version, inForce)
+	}
+	update := n.registry.Update(message, now)
+	if err := update.Check(); err != nil {
+		return err
+	}
+	changes, err := n.endpointList.Apply(update, now)
+	if err != nil {
+		return err
+	}
+	n.proxy.ApplyEndpoints(changes)
+	return nil
+}
+
+func (n *Node) endpointCount() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.endpointList.Len()
+}
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -1,16 +1,14 @@
-// Package node is the relay on the platform's sockets: it puts the relay, the platform's control service and discovery together
-// from one configuration, and follows the platform's signals.
+// Package node runs a router on the platform's sockets: it puts the proxy, the platform's control service and its discovery service
+// together from one configuration file, and follows the platform's signals. Times in float64 are seconds; instants in them are on the
+// proxy's clock.
 package node
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"log/slog"
 	"math"
 	"net"
 	"net/http"
-	"reflect"
 	"runtime"
 	"runtime/debug"
 	"sync"
@@ -24,290 +22,186 @@
 	"flintspread/internal/policy"
 	"flintspread/internal/proxy"
 	"flintspread/internal/releases"
-	"flintspread/internal/watch"
 )
 
-// What the platform's page gives.
+// What the platform's description gives, and the configuration file does not.
 const (
-	speakUp   = 2.3    // s in which a client must have sent something, and a command have come whole
-	idleTime  = 2.2    // s that a client's connection may be idle: the platform's clients may be closed on after 2
-	forget    = 60.0   // s after which a unit that left is forgotten
-	keysKept  = 50_000 // for one-way keys
-	silence   = 2.5    // s of discovery's: a heartbeat is due every 2 s. Two silent watches and the return fit in the 6 s after which
-	opening   = 1.0    // what they miss counts as told; discovery's agent is on this machine and answers at once
-	backLeast = 0.05   // s
-	backMost  = 0.25   // a change counts as told when the agent is back, and the grace runs from then
-	joinTime  = 1.5    // s that the list's old address is still followed where a new one says nothing
+	clientReadSeconds     = 2.3    // for a client's first byte, and for a request from its first byte to its last
+	clientIdleSeconds     = 2.2    // of a client's connection; the platform's clients may be closed on after 2 s
+	forgetEndpointSeconds = 60.0   // after it left the list
+	maxRememberedKeys     = 50_000 // for one-way keys
+	keepHostSeconds       = 2 * forgetEndpointSeconds
 )
 
-// Node is one relay.
+// Node is one router on the platform.
 type Node struct {
-	told  *Config
-	log   *slog.Logger
-	relay *proxy.Proxy
-	line  *control.Client
-	http  *http.Client
-
-	mu      sync.Mutex // orders lists and news
-	names   discovery.IDs
-	list    endpoints.List
-	from    string // discovery's address
-	feed    int    // the follower whose objects count; earlier ones may still add changes
-	joined  int    // the newest that was told something
-	renewal discovery.Renewal
-	ended   bool // nothing new is followed
-	running sync.WaitGroup
+	settings   *Config
+	log        *slog.Logger
+	proxy      *proxy.Proxy
+	platform   *control.Client
+	httpClient *http.Client // for discovery
+
+	mu               sync.Mutex // guards what follows, and orders changes of the endpoint list
+	registry         discovery.Registry
+	endpointList     endpoints.List
+	versionGuard     discovery.VersionGuard
+	discoveryAddress string
+	currentFollower  int  // the follower whose full lists count; earlier ones may still bring changes
+	newestHeard      int  // the newest follower that heard from discovery
+	stopping         bool // no follower is started any more
+
+	shutdownPlan   loadshed.ShutdownPlan
+	readinessDelay time.Duration // after which the router calls itself ready though discovery said nothing
+	maxListBytes   int64         // of one message of discovery
+
+	watches     context.Context // of what the router follows; it outlasts the listener
+	stopWatches context.CancelFunc
+	running     sync.WaitGroup
+}
 
-	plan     loadshed.ShutdownPlan
-	unheard  float64 // s after which it is ready though discovery said nothing
-	mostList int64   // bytes of a list
+// New makes a router from its configuration, and sets the process's processors and memory limit by it. It starts on the release and the
+// endpoint list that the configuration holds.
+func New(settings *Config, log *slog.Logger) *Node {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(settings.Cores))))
+	limits := loadshed.SplitLimits(settings.Sockets, settings.MemoryBytes)
+	debug.SetMemoryLimit(limits.HeapBytes)
+	policyConfig := routerPolicy(settings.Policy)
+	n := &Node{
+		settings:         settings,
+		log:              log,
+		discoveryAddress: settings.DiscoveryAddress,
+		maxListBytes:     limits.BufferBytes / 2,
+		registry:         discovery.Registry{KeepSeconds: keepHostSeconds},
+		httpClient:       &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}},
+		shutdownPlan:     loadshed.PlanShutdown(longestTimeoutSeconds(policyConfig.Classes)),
+	}
+	n.watches, n.stopWatches = context.WithCancel(context.Background())
+	n.platform = &control.Client{
+		Stages:        len(policyConfig.StageShares),
+		VoteTimeout:   seconds(policyConfig.VoteTimeoutSeconds),
+		Log:           log,
+		OnRelease:     n.applyRelease,
+		OnWrongAnswer: n.reportWrongAnswer,
+		OnVoteReply:   func(_ releases.Vote, reply policy.VoteReply) { n.proxy.OnVoteReply(reply) },
+	}
+	n.platform.Open(settings.PlatformAddress)
+	n.proxy = proxy.NewRESP(proxySettings(settings, policyConfig, limits), settings.Seed, log, n.castVote)
+	if settings.Release != nil {
+		n.applyRelease(settings.Release)
+	}
+	if settings.KnownEndpoints != nil {
+		if err := n.applyDiscovery(settings.KnownEndpoints); err != nil {
+			log.Error("endpoint list of the configuration rejected", "error", err) // discovery sends it anew
+		}
+	}
+	n.readinessDelay = seconds(loadshed.ReadinessDelaySeconds(n.endpointCount() > 0))
+	return n
+}
 
-	feeds     context.Context // of what is followed; it outlasts the listener
-	stopFeeds context.CancelFunc
+// routerPolicy completes the platform's policy settings by what they leave to the router.
+func routerPolicy(settings policy.Config) policy.Config {
+	settings.ForgetEndpointSeconds = forgetEndpointSeconds
+	settings.MaxRememberedKeys = maxRememberedKeys
+	settings.RequestsPerConn = 1 // whatever endpoints allow: this router has one attempt in flight on a connection
+	return settings
 }
 
-// New makes a relay of what it was told.
-func New(t *Config, log *slog.Logger) *Node {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(t.Cores))))
-	parts := loadshed.SplitLimits(t.Sockets, t.Memory)
-	debug.SetMemoryLimit(parts.HeapBytes)
-	terms := t.Terms
-	terms.ForgetEndpointSeconds, terms.MaxRememberedKeys = forget, keysKept
-	terms.RequestsPerConn = 1 // whatever units allow, this relay has one delivery out on a connection
-	set := config.ForPlatform(t.Name, terms, t.Ops,
-		config.Clients{Connections: parts.ClientConns, Keep: parts.IdleEvictionThreshold, ReadTime: speakUp, IdleTime: idleTime},
-		config.Endpoints{Connections: parts.EndpointConns, Total: parts.EndpointConns, DialTime: t.Dial, IdleTime: loadshed.EndpointIdleSeconds(terms.ConnIdleSeconds)}, parts.BufferBytes)
-	n := &Node{told: t, log: log, from: t.Discovery, mostList: parts.BufferBytes / 2, names: discovery.IDs{KeepSeconds: 2 * forget},
-		http: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
-	longest := 0.0
-	for _, op := range terms.Classes {
-		longest = max(longest, op.TimeoutSeconds)
+func proxySettings(settings *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
+	clients := config.Clients{
+		Connections: limits.ClientConns,
+		Keep:        limits.IdleEvictionThreshold,
+		ReadTime:    clientReadSeconds,
+		IdleTime:    clientIdleSeconds,
 	}
-	n.plan = loadshed.PlanShutdown(longest)
-	n.feeds, n.stopFeeds = context.WithCancel(context.Background())
-	n.line = &control.Client{Stages: len(terms.StageShares), Timeout: terms.VoteTimeoutSeconds, Log: log, OnRelease: n.news, OnWrongAnswer: n.blamed,
-		OnVoteReply: func(_ releases.Vote, reply policy.VoteReply) { n.relay.OnVoteReply(reply) }}
-	n.line.Open(t.Platform)
-	n.relay = proxy.NewRESP(set, t.Seed, log, n.cast)
-	if t.News != nil {
-		n.news(t.News)
+	upstreams := config.Endpoints{
+		Connections: limits.EndpointConns,
+		Total:       limits.EndpointConns,
+		DialTime:    settings.DialSeconds,
+		IdleTime:    loadshed.EndpointIdleSeconds(policyConfig.ConnIdleSeconds),
 	}
-	if t.Known != nil {
-		if err := n.object(t.Known); err != nil {
-			log.Error("known list", "error", err) // discovery tells it anew
-		}
+	return config.ForPlatform(settings.Name, policyConfig, settings.ClassNames, clients, upstreams, limits.BufferBytes)
+}
+
+func longestTimeoutSeconds(classes []policy.RequestClass) float64 {
+	longest := 0.0
+	for _, class := range classes {
+		longest = max(longest, class.TimeoutSeconds)
 	}
-	n.unheard = loadshed.ReadinessDelaySeconds(n.units() > 0)
-	return n
+	return longest
 }
 
-// Run serves until ctx ends, then answers what it has taken.
-func (n *Node) Run(ctx context.Context, l net.Listener) error {
-	defer n.stopFeeds()
-	n.running.Go(func() { n.line.Run(n.feeds) })
-	n.follow()
+// Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every goroutine that it
+// started has ended. It is called once.
+func (n *Node) Run(ctx context.Context, listener net.Listener) error {
+	defer n.stopWatches()
+	n.running.Go(func() { n.platform.Run(n.watches) })
+	n.followDiscovery()
 	failed := make(chan error, 1)
-	n.running.Go(func() { failed <- n.relay.Serve(l) })
-	n.running.Go(func() { n.report(n.feeds) })
-	unheard := time.AfterFunc(span(n.unheard), n.relay.SetReady)
-	defer unheard.Stop()
-	n.log.Info("serving", "relay", n.told.Name, "listen", l.Addr().String())
+	n.running.Go(func() { failed <- n.proxy.Serve(listener) })
+	n.running.Go(func() { n.logStats(n.watches) })
+	ready := time.AfterFunc(n.readinessDelay, n.proxy.SetReady)
+	defer ready.Stop()
+	n.log.Info("serving", "relay", n.settings.Name, "listen", listener.Addr().String())
 	var err error
 	select {
 	case <-ctx.Done():
-		n.log.Info("leaving", "relay", n.told.Name)
-		n.relay.SetAnswerDeadline(n.relay.Now() + n.plan.AnswerBy)
-		closed := time.AfterFunc(span(n.plan.AcceptUntil), func() { proxy.CloseListener(l) })
-		time.Sleep(span(n.plan.ServeUntil))
-		n.relay.StopServing()
-		time.Sleep(span(n.plan.AcceptUntil - n.plan.ServeUntil))
-		closed.Stop()
+		n.log.Info("shutting down gracefully", "relay", n.settings.Name)
+		n.stopAccepting(listener)
 	case err = <-failed:
 	}
-	proxy.CloseListener(l)
-	until, cancel := context.WithTimeout(context.Background(), span(n.plan.GiveUpAt-max(n.plan.ServeUntil, n.plan.AcceptUntil)))
-	defer cancel()
-	if late := n.relay.Drain(until); late != nil {
-		n.log.Error("drain", "error", late)
-	}
-	n.mu.Lock()
-	n.ended = true // a reload in the last moment begins nothing
-	n.mu.Unlock()
-	n.stopFeeds()
-	n.relay.Close()
-	n.running.Wait()
-	n.log.Info("stopped", "relay", n.told.Name)
+	n.drain(listener)
+	n.stop()
+	n.log.Info("stopped", "relay", n.settings.Name)
 	return err
 }
 
-func span(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
-
-func (n *Node) units() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.list.Len()
+// stopAccepting goes through the shutdown plan up to the point from which no request is accepted. Clients may not know of the shutdown
+// yet, or have nowhere else to go: they are served as long as there is time to answer them.
+func (n *Node) stopAccepting(listener net.Listener) {
+	plan := n.shutdownPlan
+	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
+	closing := time.AfterFunc(seconds(plan.AcceptUntil), func() { proxy.CloseListener(listener) })
+	time.Sleep(seconds(plan.ServeUntil))
+	n.proxy.StopServing()
+	time.Sleep(seconds(plan.AcceptUntil - plan.ServeUntil))
+	closing.Stop()
 }
 
-// Reload takes the addresses of a configuration that was replaced.
-func (n *Node) Reload(t *Config) {
-	if !reflect.DeepEqual([]any{t.Terms, t.Ops, t.Dial, t.Cores, t.Memory, t.Sockets, t.Name, t.Listen},
-		[]any{n.told.Terms, n.told.Ops, n.told.Dial, n.told.Cores, n.told.Memory, n.told.Sockets, n.told.Name, n.told.Listen}) {
-		n.log.Warn("the file has other settings or limits than those in force; they count from the next start")
-	}
-	n.line.SetAddress(t.Platform)
-	n.mu.Lock()
-	same := n.from == t.Discovery
-	n.from = t.Discovery
-	n.mu.Unlock()
-	if !same {
-		n.follow()
-	}
-}
-
-// follow begins to follow discovery at its present address. A follower before it goes once this one had time to join.
-func (n *Node) follow() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.ended {
-		return
-	}
-	n.feed++
-	me, from := n.feed, n.from
-	mine, stop := context.WithCancel(n.feeds)
-	heard := func() (old bool) {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		n.joined = max(n.joined, me)
-		return n.feed != me
+// drain closes the listener and waits for what is in flight, up to the end of the shutdown plan.
+func (n *Node) drain(listener net.Listener) {
+	plan := n.shutdownPlan
+	proxy.CloseListener(listener)
+	ctx, cancel := context.WithTimeout(context.Background(), seconds(plan.GiveUpAt-max(plan.ServeUntil, plan.AcceptUntil)))
+	defer cancel()
+	if err := n.proxy.Drain(ctx); err != nil {
+		n.log.Error("requests left at the end of the drain", "error", err)
 	}
-	source := watch.Source{SilenceSeconds: silence, OpenSeconds: opening, MaxObjectBytes: n.mostList, BackoffMinSeconds: backLeast, BackoffMaxSeconds: backMost, Log: n.log, Client: n.http,
-		OnHeartbeat: func() {
-			heard()
-			n.relay.ConfirmEndpoints()
-		},
-		NextURL: func() string {
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			return fmt.Sprintf("http://%s/catalog/members?stream=1&index=%d", from, n.list.Version)
-		}}
-	n.running.Go(func() {
-		watch.Follow(mine, source, func(o *discovery.Message) error {
-			if err := o.Check(); err != nil {
-				return err
-			}
-			if heard() && o.Whole {
-				return nil // the newer follower's whole list counts
-			}
-			if err := n.object(o); err != nil {
-				return err
-			}
-			if n.units() > 0 {
-				n.relay.SetReady()
-			}
-			return nil
-		}, func() {})
-	})
-	n.running.Go(func() {
-		defer stop()
-		const step = 0.1
-		tick := time.NewTicker(span(step))
-		defer tick.Stop()
-		for left := joinTime; left > 0; {
-			select {
-			case <-n.feeds.Done():
-				return
-			case <-tick.C:
-			}
-			n.mu.Lock()
-			if n.feed != me {
-				left -= step
-			}
-			if n.joined > me {
-				left = 0
-			}
-			n.mu.Unlock()
-		}
-	})
 }
 
-// object enters one of discovery's. Changes that came already by another way are passed over.
-func (n *Node) object(o *discovery.Message) error {
+// stop ends what the router follows and waits for it. A reload that comes from now on starts nothing.
+func (n *Node) stop() {
 	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.relay.Now()
-	if !o.Whole && o.Seq < n.list.Version {
-		return nil
-	}
-	if o.Whole && !n.renewal.Takes(o.Seq, n.list.Version, now, forget) {
-		return fmt.Errorf("list version %d is older than %d, which is in force", o.Seq, n.list.Version)
-	}
-	line := n.names.Update(o, now)
-	if err := line.Check(); err != nil {
-		return err
-	}
-	changes, err := n.list.Apply(line, now)
-	if err != nil {
-		return err
-	}
-	n.relay.ApplyEndpoints(changes)
-	return nil
+	n.stopping = true
+	n.mu.Unlock()
+	n.stopWatches()
+	n.proxy.Close()
+	n.running.Wait()
 }
 
-// cast hands a vote on. One that sends a build back is logged with what it rests on.
-func (n *Node) cast(v releases.Vote) {
-	if v.Verdict == policy.VoteRollback {
-		type sum struct {
-			Units, N, Bad [len(policy.FailureKinds)]float64
-		}
-		by := map[int]*sum{}
-		for _, t := range n.relay.LocalEvidence().Samples {
-			s := by[t.Build]
-			if s == nil {
-				s = &sum{}
-				by[t.Build] = s
-			}
-			for i := range t.Outcomes {
-				s.N[i] += t.Outcomes[i]
-				s.Bad[i] += t.Failures[i]
-				if t.Failures[i] > 0 {
-					s.Units[i]++
-				}
-			}
-		}
-		for build, s := range by {
-			n.log.Info("evidence", "trial", v.Build, "build", build, "kinds", policy.FailureKinds, "outcomes", s.N, "failures", s.Bad, "failing_units", s.Units)
-		}
+// Reload takes the addresses of a configuration that was replaced. It does not block; the old addresses are left once the new ones
+// answer.
+func (n *Node) Reload(settings *Config) {
+	if n.settings.needsRestart(settings) {
+		n.log.Warn("the configuration has other settings or limits than those in force; they count from the next start")
 	}
-	n.line.Cast(v)
-}
-
-func (n *Node) news(s *releases.Update) {
-	n.relay.ApplyRelease(s.Build, s.Stage, s.PolicyPhase(), s.Cap, s.Age)
-}
-
-func (n *Node) blamed(unit string, age float64) {
+	n.platform.SetAddress(settings.PlatformAddress)
 	n.mu.Lock()
-	id := n.names.EndpointID(unit)
+	same := n.discoveryAddress == settings.DiscoveryAddress
+	n.discoveryAddress = settings.DiscoveryAddress
 	n.mu.Unlock()
-	if id > 0 {
-		n.relay.ReportWrongAnswer(id, age)
+	if !same {
+		n.followDiscovery()
 	}
 }
 
-// report logs now and then what the relay thinks.
-func (n *Node) report(ctx context.Context) {
-	tick := time.NewTicker(5 * time.Second)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		c := n.relay.Stats()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		text, _ := json.Marshal(c)
-		n.log.Info("numbers", "relay", n.told.Name, "heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "counts", string(text))
-	}
-}
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- /dev/null
+++ b/internal/platform/node/release.go
@@ -0,0 +1,56 @@
+package node
+
+import (
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+func (n *Node) applyRelease(update *releases.Update) {
+	n.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.Cap, update.Age)
+}
+
+// reportWrongAnswer passes on that an endpoint gave a wrong answer some time ago. One that is not known any more is ignored.
+func (n *Node) reportWrongAnswer(host string, ageSeconds float64) {
+	n.mu.Lock()
+	id := n.registry.EndpointID(host)
+	n.mu.Unlock()
+	if id > 0 {
+		n.proxy.ReportWrongAnswer(id, ageSeconds)
+	}
+}
+
+// castVote casts a vote of the policy without waiting for its reply.
+func (n *Node) castVote(vote releases.Vote) {
+	if vote.Verdict == policy.VoteRollback {
+		n.logEvidence(vote.Build)
+	}
+	n.platform.Cast(vote)
+}
+
+// buildEvidence sums up the samples of one build by failure kind.
+type buildEvidence struct {
+	failingEndpoints, outcomes, failures [len(policy.FailureKinds)]float64
+}
+
+// logEvidence logs what a vote to roll back rests on: the samples of the canary and of the builds before it.
+func (n *Node) logEvidence(canary int) {
+	byBuild := map[int]*buildEvidence{}
+	for _, sample := range n.proxy.LocalEvidence().Samples {
+		evidence := byBuild[sample.Build]
+		if evidence == nil {
+			evidence = &buildEvidence{}
+			byBuild[sample.Build] = evidence
+		}
+		for kind := range sample.Outcomes {
+			evidence.outcomes[kind] += sample.Outcomes[kind]
+			evidence.failures[kind] += sample.Failures[kind]
+			if sample.Failures[kind] > 0 {
+				evidence.failingEndpoints[kind]++
+			}
+		}
+	}
+	for build, evidence := range byBuild {
+		n.log.Info("rollback evidence", "canary", canary, "build", build, "kinds", policy.FailureKinds,
+			"outcomes", evidence.outcomes, "failures", evidence.failures, "failing_endpoints", evidence.failingEndpoints)
+	}
+}
--- /dev/null
+++ b/internal/platform/node/statslog.go
@@ -0,0 +1,32 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"runtime"
+	"time"
+)
+
+const statsInterval = 5 * time.Second
+
+// logStats logs the proxy's counts and the process's memory every statsInterval until ctx ends.
+func (n *Node) logStats(ctx context.Context) {
+	ticker := time.NewTicker(statsInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		stats := n.proxy.Stats()
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
+		text, err := json.Marshal(stats)
+		if err != nil {
+			n.log.Error("stats not encoded", "error", err)
+			continue
+		}
+		n.log.Info("stats", "relay", n.settings.Name, "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "counts", string(text))
+	}
+}
--- /dev/null
+++ b/internal/platform/resp/read.go
@@ -0,0 +1,210 @@
+// Package resp reads and writes RESP2 messages within fixed limits: requests, which are arrays of bulk strings, and replies, which are
+// such arrays or error lines. Memory grows as bytes arrive, not by the length that a message claims, and a malformed message is reported
+// at the first byte that shows it.
+package resp
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"strconv"
+)
+
+// Limits of messages.
+const (
+	MaxValueBytes   = 64 << 10  // of one value in a request
+	MaxReplyBytes   = 1 << 20   // of all values in a reply; endpoints send far larger values than they accept
+	maxRequestBytes = 160 << 10 // of all values in a request
+	maxValues       = 8         // of one message
+	maxErrorBytes   = 1 << 10   // of an error line
+	maxLengthDigits = 10        // of a length
+	minGrowBytes    = 4 << 10   // the least by which a value's buffer grows
+)
+
+// The bytes that begin each kind of message.
+const (
+	arrayMark = '*'
+	bulkMark  = '$'
+	errorMark = '-'
+)
+
+// nullLength is the length of a null value.
+const nullLength = -1
+
+// MalformedError says what is wrong with a message. What follows it on the connection can't be told apart any more.
+type MalformedError struct{ Reason string }
+
+// Error implements error.
+func (e *MalformedError) Error() string { return "malformed message: " + e.Reason }
+
+func malformed(format string, args ...any) error {
+	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
+}
+
+// Bad reports whether an error is a malformed message rather than a broken connection.
+func Bad(err error) bool {
+	var malformed *MalformedError
+	return errors.As(err, &malformed)
+}
+
+// Command reads one request: an array of bulk strings, the first of them the command's name.
+func Command(reader *bufio.Reader) ([][]byte, error) {
+	if err := expect(reader, arrayMark); err != nil {
+		return nil, err
+	}
+	count, err := readLength(reader, maxValues)
+	if err != nil {
+		return nil, err
+	}
+	if count < 1 {
+		return nil, malformed("a command of %d words", count)
+	}
+	args, total := make([][]byte, count), 0
+	for i := range args {
+		if args[i], err = readBulk(reader, min(MaxValueBytes, maxRequestBytes-total)); err != nil {
+			return nil, err
+		}
+		if args[i] == nil {
+			return nil, malformed("a word that is null")
+		}
+		total += len(args[i])
+	}
+	return args, nil
+}
+
+// Reply is an endpoint's reply: an error line, or the values of an array.
+type Reply struct {
+	Error  string
+	Values [][]byte // nil among them: null
+}
+
+// Answer reads an endpoint's reply.
+func Answer(reader *bufio.Reader) (Reply, error) {
+	mark, err := reader.ReadByte()
+	if err != nil {
+		return Reply{}, err
+	}
+	switch mark {
+	case errorMark:
+		text, err := readLine(reader, maxErrorBytes)
+		return Reply{Error: string(text)}, err
+	case arrayMark:
+		values, err := readReplyValues(reader)
+		return Reply{Values: values}, err
+	}
+	return Reply{}, malformed("%q begins no answer", mark)
+}
+
+// readReplyValues reads the rest of a reply's array.
+func readReplyValues(reader *bufio.Reader) ([][]byte, error) {
+	count, err := readLength(reader, maxValues)
+	if err != nil {
+		return nil, err
+	}
+	if count < 1 {
+		return nil, malformed("an array of %d values", count)
+	}
+	values, total := make([][]byte, count), 0
+	for i := range values {
+		if values[i], err = readBulk(reader, MaxReplyBytes-total); err != nil {
+			return nil, err
+		}
+		total += len(values[i])
+	}
+	return values, nil
+}
+
+// readBulk reads a bulk string of at most so many bytes; nil is null.
+func readBulk(reader *bufio.Reader, maxBytes int) ([]byte, error) {
+	if err := expect(reader, bulkMark); err != nil {
+		return nil, err
+	}
+	length, err := readLength(reader, maxBytes)
+	if length == nullLength || err != nil {
+		return nil, err
+	}
+	value, err := readValue(reader, length)
+	if err != nil {
+		return nil, err
+	}
+	for _, want := range []byte("\r\n") {
+		if c, err := reader.ReadByte(); err != nil {
+			return nil, err
+		} else if c != want {
+			return nil, malformed("a value of %d bytes goes on", length)
+		}
+	}
+	return value, nil
+}
+
+// readValue reads length bytes. The buffer doubles as they arrive: a claimed length alone reserves minGrowBytes at most.
+func readValue(reader *bufio.Reader, length int) ([]byte, error) {
+	value := make([]byte, 0, min(length, minGrowBytes))
+	for len(value) < length {
+		filled := len(value)
+		value = append(value, make([]byte, min(length-filled, max(minGrowBytes, filled)))...)
+		for filled < len(value) {
+			n, err := reader.Read(value[filled:])
+			if err != nil {
+				return nil, err
+			}
+			filled += n
+		}
+	}
+	return value, nil
+}
+
+// readLength reads the rest of a line that holds a length, nullLength included.
+func readLength(reader *bufio.Reader, most int) (int, error) {
+	text, err := readLine(reader, maxLengthDigits)
+	if err != nil {
+		return 0, err
+	}
+	if string(text) == "-1" {
+		return nullLength, nil
+	}
+	for _, c := range text {
+		if c < '0' || c > '9' {
+			return 0, malformed("length %.16q", text)
+		}
+	}
+	length, err := strconv.Atoi(string(text))
+	if err != nil || length > most {
+		return 0, malformed("length %.16q, at most %d", text, most)
+	}
+	return length, nil
+}
+
+// readLine reads what stands before CRLF, maxBytes at most. The result is valid until the next read.
+func readLine(reader *bufio.Reader, maxBytes int) ([]byte, error) {
+	for length := 0; ; {
+		// The end is looked for in what has arrived, so that a line without one is not read further than the limit.
+		if _, err := reader.Peek(length + 1); err != nil {
+			return nil, err
+		}
+		arrived, err := reader.Peek(reader.Buffered())
+		if err != nil {
+			return nil, err
+		}
+		for ; length < len(arrived); length++ {
+			switch {
+			case arrived[length] == '\n' && length > 0 && arrived[length-1] == '\r':
+				line := arrived[:length-1]
+				_, err := reader.Discard(length + 1)
+				return line, err
+			case arrived[length] == '\n':
+				return nil, malformed("a line ends without a carriage return")
+			case length > maxBytes:
+				return nil, malformed("a line above %d bytes", maxBytes)
+			}
+		}
+	}
+}
+
+func expect(reader *bufio.Reader, mark byte) error {
+	c, err := reader.ReadByte()
+	if err == nil && c != mark {
+		err = malformed("%q where %q belongs", c, mark)
+	}
+	return err
+}
--- a/internal/platform/resp/resp_test.go
+++ b/internal/platform/resp/resp_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func command(text string) string {
+func readRequest(text string) string {
 	args, err := Command(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%q", args)
 }
 
-func answer(text string) string {
+func readReply(text string) string {
 	r, err := Answer(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
@@ -45,14 +45,14 @@
 		"*1\r\n$\r\n\r\n":                  `malformed message: length "", at most 65536`,
 		"*" + strings.Repeat("1", 100_000): "malformed message: a line above 10 bytes",
 	} {
-		if got := command(text); got != want {
+		if got := readRequest(text); got != want {
 			t.Errorf("%.40q: %s, want %s", text, got, want)
 		}
 	}
 }
 
 func TestAnswer(t *testing.T) {
-	big := strings.Repeat("x", 400_000) // units give such, whatever they take
+	big := strings.Repeat("x", 400_000) // endpoints send such, whatever they accept
 	for text, want := range map[string]string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n": `"" ["v" "" "a=1"]`,
 		"-ERR failed inflight=1\r\n":            `"ERR failed inflight=1" []`,
@@ -69,7 +69,7 @@
 		"*2\r\n$400000\r\n" + big + "\r\n$-1\r\n":                    fmt.Sprintf("%q %q", "", []string{big, ""}),
 		"*2\r\n$600000\r\n" + big + big[:200000] + "\r\n$600000\r\n": `malformed message: length "600000", at most 448576`,
 	} {
-		if got := answer(text); got != want {
+		if got := readReply(text); got != want {
 			t.Errorf("%.40q: %s, want %s", text, got, want)
 		}
 	}
@@ -86,34 +86,36 @@
 	return len(p), nil
 }
 
-// What only claims a length, or has no end, costs no more than its first bytes.
+// A message that only claims a length, or has no end, is read no further than its first bytes.
 func TestBounds(t *testing.T) {
 	for _, head := range []string{"*", "*1\r\n$", "*1\r\n$60000000\r\n", "-", "*1\r\n$3000000000\r\n", "*4\r\n$65536\r\n"} {
 		c := &counter{}
-		br := bufio.NewReader(io.MultiReader(strings.NewReader(head), c))
+		reader := bufio.NewReader(io.MultiReader(strings.NewReader(head), c))
 		if head[0] == '-' {
-			Answer(br)
-		} else if _, err := Command(br); !Bad(err) {
+			if _, err := Answer(reader); !Bad(err) {
+				t.Errorf("%q: %v", head, err)
+			}
+		} else if _, err := Command(reader); !Bad(err) {
 			t.Errorf("%q: %v", head, err)
 		}
-		if c.n > MostValue+2*4096 {
+		if c.n > MaxValueBytes+2*4096 {
 			t.Errorf("%q: %d bytes were read", head, c.n)
 		}
 	}
-	if Bad(io.EOF) || !Bad(fmt.Errorf("unit 1: %w", &Malformed{})) {
+	if Bad(io.EOF) || !Bad(fmt.Errorf("endpoint 1: %w", &MalformedError{})) {
 		t.Error("Bad")
 	}
 }
 
-// What is read as a command is worded as the same bytes again, and nothing behind it is touched.
+// What is read as a request is written as the same bytes again, and nothing behind it is read.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{"*1\r\n$4\r\nPING\r\n", "*2\r\n$1\r\na\r\n$0\r\n\r\nrest", "*1\r\n$-1\r\n", "*8\r\n$65536\r\n", "*01\r\n$01\r\na\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		in := bytes.NewReader(data)
-		br := bufio.NewReader(in)
-		args, err := Command(br)
+		reader := bufio.NewReader(in)
+		args, err := Command(reader)
 		if err != nil {
 			if !Bad(err) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Fatal(err)
@@ -128,8 +130,8 @@
 		if err != nil || fmt.Sprintf("%q", again) != fmt.Sprintf("%q", args) {
 			t.Fatalf("%q is read again as %q, %v", args, again, err)
 		}
-		if read := len(data) - in.Len() - br.Buffered(); read < len(buf) {
-			t.Fatalf("%d bytes read of %q, worded in %d", read, args, len(buf))
+		if read := len(data) - in.Len() - reader.Buffered(); read < len(buf) {
+			t.Fatalf("%d bytes read of %q, written in %d", read, args, len(buf))
 		}
 	})
 }
