--- /dev/null
+++ b/internal/simadapter/adapter.go
@@ -0,0 +1,186 @@
+// Package simadapter connects the policy to the simulator: it reads frames of events, passes each event to its instance's policy and
+// writes the policy's decisions as frames of actions. It decides nothing. Times are seconds inside and milliseconds on the wire; the
+// clock is the simulator's.
+package simadapter
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"flintspread/internal/policy"
+	"flintspread/internal/policyconfig"
+)
+
+const (
+	ioBufferBytes      = 1 << 16
+	endpointTableCount = 16 // that the simulator may keep
+)
+
+// adapter serves all instances of one simulator.
+type adapter struct {
+	actions        actionFrame
+	instances      map[uint32]*instance
+	endpointTables [endpointTableCount][]byte
+	now            float64
+}
+
+// Serve answers frames until the input ends. An error is a malformed frame, or one of in or out.
+func Serve(in io.Reader, out io.Writer) error {
+	a := &adapter{instances: map[uint32]*instance{}}
+	reader, writer := bufio.NewReaderSize(in, ioBufferBytes), bufio.NewWriterSize(out, ioBufferBytes)
+	var frame []byte
+	for {
+		var err error
+		frame, err = readFrame(reader, frame)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		a.actions.reset()
+		if err := a.handleFrame(frame); err != nil {
+			return err
+		}
+		if err := a.actions.writeTo(writer); err != nil {
+			return err
+		}
+		if err := writer.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+func (a *adapter) handleFrame(frame []byte) error {
+	header := record(frame)
+	a.now = header.seconds(0)
+	count := uint64(header.u32(8))
+	if count*eventBytes > uint64(len(frame)-headerBytes) {
+		return fmt.Errorf("frame of %d bytes holds no %d records", len(frame), count)
+	}
+	events, tail := frame[headerBytes:headerBytes+count*eventBytes], frame[headerBytes+count*eventBytes:]
+	for len(events) > 0 {
+		event := record(events[:eventBytes])
+		events = events[eventBytes:]
+		if err := a.handleEvent(event, tail); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (a *adapter) handleEvent(event record, tail []byte) error {
+	code := event.u8(0)
+	if code < firstEvent || code > lastEvent {
+		return fmt.Errorf("unknown event code %d", code)
+	}
+	if code == eventEndpointTable {
+		return a.storeEndpointTable(event, tail)
+	}
+	id := event.u32(1)
+	if code == eventStart {
+		return a.startInstance(id, event, tail)
+	}
+	i := a.instances[id]
+	if i == nil {
+		return nil // an event for an instance that has stopped
+	}
+	i.now = a.now
+	switch code {
+	case eventStop:
+		delete(a.instances, id)
+		return nil
+	case eventEndpointList:
+		return a.updateEndpoints(i, event)
+	case eventRequest:
+		return i.onRequest(event)
+	case eventAttemptDone:
+		return i.onAttemptDone(event)
+	case eventStreaming:
+		i.onStreaming(event)
+	case eventClientGone:
+		i.onClientGone(event)
+	case eventTimer:
+		i.onTimer(event)
+	case eventRelease:
+		if err := i.onRelease(event); err != nil {
+			return err
+		}
+	case eventWrongAnswer:
+		i.onWrongAnswer(event)
+	}
+	i.setPickTimer()
+	return nil
+}
+
+// storeEndpointTable keeps the endpoints of a tail for the endpoint lists that refer to them.
+func (a *adapter) storeEndpointTable(event record, tail []byte) error {
+	entries, err := event.tail(3, tail, endpointBytes)
+	slot, slotErr := a.tableSlot(event.u16(1))
+	if slotErr != nil {
+		return slotErr
+	}
+	if err != nil {
+		return err
+	}
+	*slot = append([]byte{}, entries...)
+	return nil
+}
+
+func (a *adapter) tableSlot(number uint16) (*[]byte, error) {
+	if int(number) >= len(a.endpointTables) {
+		return nil, fmt.Errorf("table number %d", number)
+	}
+	return &a.endpointTables[number], nil
+}
+
+// startInstance starts an instance on the settings in the tail, in place of one with the same id.
+func (a *adapter) startInstance(id uint32, event record, tail []byte) error {
+	seed := event.u64(5)
+	text, err := event.tail(13, tail, 1)
+	if err != nil {
+		return err
+	}
+	settings, err := policyconfig.Decode(policyconfig.ParseLines(string(text)))
+	if err != nil {
+		return err
+	}
+	i := &instance{
+		id:         id,
+		now:        a.now,
+		balancer:   policy.New(settings, seed, a.now),
+		classCount: len(settings.Classes),
+		requests:   map[uint32]*policy.Request{},
+		actions:    &a.actions,
+	}
+	a.instances[id] = i
+	i.tickController()
+	return nil
+}
+
+// updateEndpoints passes an endpoint list, in a table that came before, to an instance.
+func (a *adapter) updateEndpoints(i *instance, event record) error {
+	kind := event.u8(5)
+	if kind > lastListKind {
+		return fmt.Errorf("unknown list kind %d", kind)
+	}
+	if kind == listFailed {
+		i.balancer.EndpointListFailed()
+		return nil
+	}
+	table, err := a.tableSlot(event.u16(10))
+	if err != nil {
+		return err
+	}
+	full := kind != listChanges
+	i.balancer.BeginEndpointList(full)
+	for entries := *table; len(entries) > 0; entries = entries[endpointBytes:] {
+		if err := i.updateEndpoint(record(entries)); err != nil {
+			return err
+		}
+	}
+	i.balancer.EndEndpointList(a.now)
+	return nil
+}
--- /dev/null
+++ b/internal/simadapter/codes.go
@@ -0,0 +1,95 @@
+package simadapter
+
+import "flintspread/internal/policy"
+
+// Codes of the records from the simulator. Those without a handler are known and ignored.
+const (
+	eventStart         = 16 // of an instance, with its settings
+	eventEndpointList  = 17
+	eventRequest       = 18
+	eventStreaming     = 19 // the answer to a request has begun
+	eventAttemptDone   = 20
+	eventClientGone    = 21
+	eventTimer         = 22
+	eventChecked       = 23 // ignored
+	eventPeerData      = 24 // ignored
+	eventStop          = 25 // of an instance
+	eventRelease       = 26 // a release update, or the reply to a vote
+	eventMetrics       = 27 // ignored
+	eventWrongAnswer   = 28
+	eventEndpointTable = 29 // endpoints that later records refer to
+
+	firstEvent, lastEvent = eventStart, eventEndpointTable
+)
+
+// Codes of the records to the simulator.
+const (
+	actionReject    = 81
+	actionVote      = 83
+	actionSend      = 85
+	actionFail      = 88
+	actionCancel    = 89
+	actionSubscribe = 91
+	actionSetTimer  = 92
+)
+
+// Kinds of an endpoint list; 1 and 2 are full lists.
+const (
+	listChanges  = 0
+	listFailed   = 3
+	lastListKind = listFailed
+)
+
+// endpointState gives an endpoint's state by its code.
+func endpointState(code uint8) (state policy.EndpointState, ok bool) {
+	switch code {
+	case 0:
+		return policy.Ready, true
+	case 1:
+		return policy.Draining, true
+	case 3:
+		return policy.Gone, true
+	}
+	return 0, false
+}
+
+// attemptOutcomes gives, by its code, the outcome of an attempt and whether the request may have run.
+var attemptOutcomes = [...]struct {
+	outcome    policy.Outcome
+	mayHaveRun bool
+}{
+	{policy.ServerError, true},
+	{policy.Succeeded, true},
+	{policy.Overloaded, false},
+	{policy.TimedOut, true},
+	{policy.NotConnected, false},
+	{policy.ConnectionLost, true},
+	{policy.Cancelled, true},
+	{policy.NotSent, false},
+}
+
+// statusOK is the status of a release event that holds a release state.
+const statusOK = 1
+
+// voteReply gives the policy's reply by the status of a release event that answers a vote.
+func voteReply(status uint16) policy.VoteReply {
+	const (
+		timedOut        = 3
+		conditionFailed = 7
+	)
+	switch status {
+	case statusOK:
+		return policy.VoteCounted
+	case conditionFailed:
+		return policy.VoteMoot
+	case timedOut:
+		return policy.VoteUnknown
+	}
+	return policy.VoteRefused
+}
+
+// Flags of a request.
+const (
+	flagWorkKnown   = 1 << 0
+	flagClientRetry = 1 << 1
+)
--- a/internal/simadapter/frame.go
+++ b/internal/simadapter/frame.go
@@ -2,52 +2,71 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"math"
 )
 
+// A frame from the simulator is the length of its records and tail (u32), the clock in milliseconds (f64), the number of records (u32), the
+// records, and a tail of bytes that records refer to. A frame to the simulator is the length of its records, their number, and the
+// records. All numbers are little-endian.
 const (
-	headLen   = 12 // of a batch's header, behind the length
-	eventLen  = 48
-	actionLen = 24
-	entryLen  = 27
-	mostBytes = 1 << 30 // a longer frame is taken for a malformed one
+	lengthBytes   = 4
+	headerBytes   = 12 // clock and number of records
+	eventBytes    = 48 // of a record from the simulator
+	actionBytes   = 24 // of a record to it
+	endpointBytes = 27 // of an endpoint in the tail
+	replyBytes    = 8  // of the length and the number of records to it
 )
 
-// readFrame reads a batch: the clock, the number of records and what follows. io.EOF: the input ended between two frames.
+const (
+	maxTailBytes = 1 << 30 // a longer frame is malformed
+	growBytes    = 1 << 20 // by which the buffer of a frame grows
+)
+
+const millisecondsPerSecond = 1000
+
+// readFrame reads a frame from its header on, into buf if it is large enough. io.EOF: the input ended between two frames.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
-		if err == io.ErrUnexpectedEOF {
-			err = fmt.Errorf("frame cut off in its length")
+	var length [lengthBytes]byte
+	if _, err := io.ReadFull(in, length[:]); err != nil {
+		if errors.Is(err, io.ErrUnexpectedEOF) {
+			err = errors.New("frame cut off in its length")
 		}
 		return nil, err
 	}
-	n := int(binary.LittleEndian.Uint32(head[:]))
-	if n > mostBytes {
+	n := int(binary.LittleEndian.Uint32(length[:]))
+	if n > maxTailBytes {
 		return nil, fmt.Errorf("frame of %d bytes", n)
 	}
-	n += headLen
+	n += headerBytes
 	if cap(buf) < n {
-		buf = nil // grown as bytes come: a wrong length reserves nothing
-		for len(buf) < n {
-			old := len(buf)
-			buf = append(buf, make([]byte, min(n-old, 1<<20))...)
-			if _, err := io.ReadFull(in, buf[old:]); err != nil {
-				return nil, fmt.Errorf("frame of %d bytes cut off", n)
-			}
-		}
-		return buf, nil
+		return readGrowing(in, n)
 	}
 	buf = buf[:n]
 	if _, err := io.ReadFull(in, buf); err != nil {
-		return nil, fmt.Errorf("frame of %d bytes cut off", n)
+		return nil, cutOff(n)
+	}
+	return buf, nil
+}
+
+// readGrowing reads n bytes into a new buffer that grows as they arrive: a wrong length alone reserves nothing.
+func readGrowing(in io.Reader, n int) ([]byte, error) {
+	var buf []byte
+	for len(buf) < n {
+		filled := len(buf)
+		buf = append(buf, make([]byte, min(n-filled, growBytes))...)
+		if _, err := io.ReadFull(in, buf[filled:]); err != nil {
+			return nil, cutOff(n)
+		}
 	}
 	return buf, nil
 }
 
-// record reads the fields of one fixed-size record.
+func cutOff(n int) error { return fmt.Errorf("frame of %d bytes cut off", n) }
+
+// record is one record of fixed size; its fields are read and written by their offsets.
 type record []byte
 
 func (r record) u8(at int) uint8    { return r[at] }
@@ -56,11 +75,20 @@
 func (r record) u64(at int) uint64  { return binary.LittleEndian.Uint64(r[at:]) }
 func (r record) f32(at int) float64 { return float64(math.Float32frombits(r.u32(at))) }
 func (r record) f64(at int) float64 { return math.Float64frombits(r.u64(at)) }
-func (r record) secs(at int) float64 {
-	return r.f64(at) / 1000
+
+// seconds reads a time, which is in milliseconds.
+func (r record) seconds(at int) float64 { return r.f64(at) / millisecondsPerSecond }
+
+func (r record) putU16(at int, v uint16) { binary.LittleEndian.PutUint16(r[at:], v) }
+func (r record) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
+func (r record) putU64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
+
+// putSeconds writes a time, in milliseconds.
+func (r record) putSeconds(at int, seconds float64) {
+	r.putU64(at, math.Float64bits(seconds*millisecondsPerSecond))
 }
 
-// tail gives the bytes that a field points at; size is that of one counted thing.
+// tail gives the part of the tail that a field refers to by offset and count; size is that of one counted item.
 func (r record) tail(at int, tail []byte, size int) ([]byte, error) {
 	from, n := uint64(r.u32(at)), uint64(r.u32(at+4))*uint64(size)
 	if from+n > uint64(len(tail)) {
@@ -69,34 +97,29 @@
 	return tail[from : from+n], nil
 }
 
-// reply gathers actions.
-type reply struct {
+// actionFrame collects the records of one frame to the simulator.
+type actionFrame struct {
 	buf   []byte
 	count uint32
 }
 
-func (w *reply) reset() { w.buf, w.count = append(w.buf[:0], make([]byte, 8)...), 0 }
-
-// add appends an action with its code and instance and returns it for its further fields.
-func (w *reply) add(code uint8, inst uint32) record {
-	var blank [actionLen]byte
-	at := len(w.buf)
-	w.buf = append(w.buf, blank[:]...)
-	w.count++
-	rec := record(w.buf[at:])
-	rec[0] = code
-	rec.put32(1, inst)
-	return rec
-}
+func (f *actionFrame) reset() { f.buf, f.count = append(f.buf[:0], make([]byte, replyBytes)...), 0 }
 
-func (r record) put16(at int, v uint16)     { binary.LittleEndian.PutUint16(r[at:], v) }
-func (r record) put32(at int, v uint32)     { binary.LittleEndian.PutUint32(r[at:], v) }
-func (r record) put64(at int, v uint64)     { binary.LittleEndian.PutUint64(r[at:], v) }
-func (r record) putMS(at int, secs float64) { r.put64(at, math.Float64bits(secs*1000)) }
+// add appends a record with its code and instance, and returns it for its other fields. It is valid until the next call.
+func (f *actionFrame) add(code uint8, instance uint32) record {
+	var blank [actionBytes]byte
+	at := len(f.buf)
+	f.buf = append(f.buf, blank[:]...)
+	f.count++
+	action := record(f.buf[at:])
+	action[0] = code
+	action.putU32(1, instance)
+	return action
+}
 
-func (w *reply) flush(out io.Writer) error {
-	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)-8))
-	binary.LittleEndian.PutUint32(w.buf[4:], w.count)
-	_, err := out.Write(w.buf)
+func (f *actionFrame) writeTo(out io.Writer) error {
+	binary.LittleEndian.PutUint32(f.buf, uint32(len(f.buf)-replyBytes))
+	binary.LittleEndian.PutUint32(f.buf[lengthBytes:], f.count)
+	_, err := out.Write(f.buf)
 	return err
 }
