--- /dev/null
+++ b/internal/policyconfig/decode.go
@@ -0,0 +1,134 @@
+// Package policyconfig reads the settings that a deployment gives by name into a policy.Config. The simulator's adapter and the platform's
+// router read them by this one decoder. The keys are the operators'; times are milliseconds there and seconds in the result.
+package policyconfig
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"flintspread/internal/policy"
+)
+
+// Values are settings by their keys, which are paths with dots.
+type Values = map[string]string
+
+const millisecondsPerSecond = 1000
+
+// Decode reads the policy's part of the settings; unknown keys are skipped. An error names the first key that is missing or malformed.
+func Decode(values Values) (policy.Config, error) {
+	d := &decoder{values: values}
+	config := policy.Config{
+		Routers:                  d.integer("balancers"),
+		RollbackVotes:            d.integer("family_info.noes_needed"),
+		MinTickSeconds:           d.seconds("round"),
+		SubscribeToEndpoints:     d.choice("discovery", "push", "ask") == 1,
+		AllowHedging:             d.boolean("policy_limits.parallel_tries"),
+		AllowCancel:              d.boolean("policy_limits.may_cancel"),
+		MaxRetryAfterSeconds:     d.seconds("policy_limits.max_retry_after"),
+		ConnIdleSeconds:          d.seconds("policy_limits.conn_idle"),
+		RequestsPerConn:          max(1, d.integer("policy_limits.max_streams")),
+		MaxAttempts:              d.integer("policy_limits.send_cap"),
+		SlowStartInitialShare:    d.number("rules.cold_from"),
+		SlowStartSeconds:         d.seconds("rules.warm_up"),
+		SlowStartOverloadFactor:  d.number("rules.fall_multiple"),
+		SlowStartOverloadSeconds: d.seconds("rules.fall"),
+		CanaryWindowSeconds:      d.seconds("family_info.window"),
+		CanaryFreeAttempts:       d.number("family_info.spare_tries"),
+		CanaryLimits:             d.numbers("family_info.exposure_caps"),
+		StageShares:              d.numbers("family_info.waves"),
+		CanaryLimitPerClass:      d.choice("family_info.counts", "all", "each_class") == 1,
+		IdempotentOnlyStages:     d.integer("family_info.shielded"),
+		OneWayKeys:               d.boolean("family_info.forward_only"),
+		AutomaticStages:          d.choice("family_info.gate_mode", "first_voice", "by_count", "automatic") == 2,
+		ReplaceInPlace:           d.choice("family_info.replace_mode", "parallel", "replace") == 1,
+		WrongAnswerPrice:         d.number("family_info.harm_fee"),
+		StaleBuildPrice:          d.number("family_info.stale_build_price"),
+		WrongAnswerReportShare:   d.number("family_info.reported_share"),
+		VoteLifetimeSeconds:      d.seconds("family_info.vote_life"),
+		VoteTimeoutSeconds:       d.seconds("family_info.api_timeout"),
+		VotesPerSecond:           d.number("family_info.votes_per_s"),
+	}
+	config.Classes = d.classes()
+	if d.err == nil && len(config.CanaryLimits) != len(config.StageShares) {
+		d.err = fmt.Errorf("settings family_info.exposure_caps and family_info.waves differ in length")
+	}
+	return config, d.err
+}
+
+// decoder looks settings up and keeps the first error. Each method reads one setting by its key and returns a zero value on error.
+type decoder struct {
+	values Values
+	err    error
+}
+
+func (d *decoder) classes() (classes []policy.RequestClass) {
+	count := d.integer("classes.count")
+	for i := 0; i < count && d.err == nil; i++ {
+		prefix := fmt.Sprintf("classes.%d.", i)
+		classes = append(classes, policy.RequestClass{
+			LatencyObjectiveSeconds: d.seconds(prefix + "aim"),
+			TimeoutSeconds:          d.seconds(prefix + "deadline"),
+			PriorityWeight:          d.number(prefix + "value"),
+			Idempotency:             policy.Idempotency(d.choice(prefix+"semantics", "safe", "keyed", "unsafe")),
+			DedupScope:              policy.DedupScope(d.choice(prefix+"group", "all", "zone", "cell")),
+			DedupWindowSeconds:      d.seconds(prefix + "key_ttl"),
+		})
+	}
+	return classes
+}
+
+func (d *decoder) text(key string) string {
+	value, ok := d.values[key]
+	if !ok {
+		d.fail("setting %s is missing", key)
+	}
+	return value
+}
+
+func (d *decoder) number(key string) float64 {
+	text := d.text(key)
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		d.fail("setting %s is no number: %q", key, text)
+	}
+	return value
+}
+
+// integer reads a number; a fraction is cut off.
+func (d *decoder) integer(key string) int { return int(d.number(key)) }
+
+// seconds reads a time, which is in milliseconds.
+func (d *decoder) seconds(key string) float64 { return d.number(key) / millisecondsPerSecond }
+
+// numbers reads numbers that are separated by commas.
+func (d *decoder) numbers(key string) (list []float64) {
+	for _, text := range strings.Split(d.text(key), ",") {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			d.fail("setting %s is no list of numbers: %q", key, text)
+		}
+		list = append(list, value)
+	}
+	return list
+}
+
+func (d *decoder) boolean(key string) bool { return d.choice(key, "false", "true") == 1 }
+
+// choice gives the index of a setting among the words that it may be.
+func (d *decoder) choice(key string, words ...string) int {
+	text := d.text(key)
+	for i, word := range words {
+		if text == word {
+			return i
+		}
+	}
+	d.fail("setting %s is none of %s: %q", key, strings.Join(words, ", "), text)
+	return 0
+}
+
+func (d *decoder) fail(format string, args ...any) {
+	if d.err == nil {
+		d.err = fmt.Errorf(format, args...)
+	}
+}
