--- a/cmd/flintspread-controller/config.go
+++ b/cmd/flintspread-controller/config.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -12,77 +13,115 @@
 	"flintspread/internal/revisions"
 )
 
-// configCommand looks at the versions of the settings in a program's store. It needs no service.
+// configCommand looks at the configuration versions in a program's history. It needs no running program.
 func configCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "config", Short: "Look at the versions of the settings that were in force"}
-	open := func(file string, with func(*revisions.Store) error) error {
-		s, err := revisions.Read(file)
-		if err != nil {
-			return err
-		}
-		defer s.Close()
-		return with(s)
-	}
-	get := func(s *revisions.Store, no string) (*revisions.Entry, error) {
-		n, err := strconv.ParseUint(no, 10, 64)
-		if err != nil {
-			return nil, fmt.Errorf("%q is no version", no)
-		}
-		return s.Get(n)
+	cmd := &cobra.Command{Use: "config", Short: "Look at the configuration versions that were in force"}
+	cmd.AddCommand(configListCommand(), configShowCommand(), configDiffCommand(), configCheckCommand())
+	return cmd
+}
+
+func configListCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "list STORE",
+		Short: "List the versions, the oldest first",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return withHistory(args[0], func(history *revisions.Store) error {
+				entries, err := history.All()
+				for _, entry := range entries {
+					fmt.Fprintf(cmd.OutOrStdout(), "%d after %d, in force since %s, %d bytes\n",
+						entry.No, entry.Parent, formatTime(entry.Since), len(entry.Text))
+				}
+				return err
+			})
+		},
 	}
-	cmd.AddCommand(
-		&cobra.Command{Use: "list STORE", Short: "List them, the oldest first", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return open(args[0], func(s *revisions.Store) error {
-					list, err := s.All()
-					for _, e := range list {
-						fmt.Fprintf(cmd.OutOrStdout(), "%d after %d, in force since %s, %d bytes\n", e.No, e.Parent,
-							time.Unix(0, int64(e.Since*1e9)).UTC().Format(time.RFC3339), len(e.Text))
-					}
-					return err
-				})
-			}},
-		&cobra.Command{Use: "show STORE VERSION", Short: "Print the text of one", Args: cobra.ExactArgs(2),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return open(args[0], func(s *revisions.Store) error {
-					e, err := get(s, args[1])
-					if err == nil {
-						fmt.Fprintln(cmd.OutOrStdout(), e.Text)
-					}
+}
+
+func configShowCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "show STORE VERSION",
+		Short: "Print the text of a version",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return withHistory(args[0], func(history *revisions.Store) error {
+				entry, err := version(history, args[1])
+				if err != nil {
 					return err
-				})
-			}},
-		&cobra.Command{Use: "diff STORE VERSION VERSION", Short: "Print the differences by key", Args: cobra.ExactArgs(3),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return open(args[0], func(s *revisions.Store) error {
-					a, err := get(s, args[1])
-					if err != nil {
-						return err
-					}
-					b, err := get(s, args[2])
-					if err != nil {
-						return err
-					}
-					lines, err := revisions.Diff(a.Text, b.Text)
-					for _, l := range lines {
-						fmt.Fprintln(cmd.OutOrStdout(), l)
-					}
+				}
+				fmt.Fprintln(cmd.OutOrStdout(), entry.Text)
+				return nil
+			})
+		},
+	}
+}
+
+func configDiffCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "diff STORE VERSION VERSION",
+		Short: "Print the differences of two versions by key",
+		Args:  cobra.ExactArgs(3),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return withHistory(args[0], func(history *revisions.Store) error {
+				older, err := version(history, args[1])
+				if err != nil {
 					return err
-				})
-			}},
-		&cobra.Command{Use: "check FILE", Short: "Check a document by the reader that the programs use", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				text, err := os.ReadFile(args[0])
+				}
+				newer, err := version(history, args[2])
 				if err != nil {
 					return err
 				}
-				d, err := config.ParseDocument(args[0], text)
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: schema %d, %d op types, %d routes, %d stages\n", args[0], d.Schema, len(d.Classes),
-						len(d.Routes), len(d.Release.Stages))
+				lines, err := revisions.Diff(older.Text, newer.Text)
+				for _, line := range lines {
+					fmt.Fprintln(cmd.OutOrStdout(), line)
 				}
 				return err
-			}},
-	)
-	return cmd
+			})
+		},
+	}
+}
+
+func configCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a configuration document as the programs do",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			file := args[0]
+			text, err := os.ReadFile(file)
+			if err != nil {
+				return err
+			}
+			document, err := config.ParseDocument(file, text)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: schema %d, %d request classes, %d routes, %d stages\n",
+				file, document.Schema, len(document.Classes), len(document.Routes), len(document.Release.Stages))
+			return nil
+		},
+	}
+}
+
+// withHistory opens a history file for reading while use runs.
+func withHistory(file string, use func(*revisions.Store) error) error {
+	history, err := revisions.Read(file)
+	if err != nil {
+		return err
+	}
+	return errors.Join(use(history), history.Close())
+}
+
+// version reads the version of a number on the command line.
+func version(history *revisions.Store, number string) (*revisions.Entry, error) {
+	n, err := strconv.ParseUint(number, 10, 64)
+	if err != nil {
+		return nil, fmt.Errorf("%q is no version", number)
+	}
+	return history.Get(n)
+}
+
+// formatTime formats an instant in seconds since 1970.
+func formatTime(at float64) string {
+	return time.Unix(0, int64(at*1e9)).UTC().Format(time.RFC3339)
 }
--- a/cmd/flintspread-controller/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -1,4 +1,5 @@
-// Command flintspread-controller judges builds for the edges of one relay: it hears what they counted, votes, and leads them.
+// Command flintspread-controller judges the builds of a release from the reports of its routers: it casts the votes and sends each router
+// its assignment.
 package main
 
 import (
@@ -12,43 +13,50 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintspread-controller", Short: "Judges builds and leads the edges of a relay"}
-	root.AddCommand(
-		&cobra.Command{Use: "run FILE", Short: "Plan by a settings file until SIGTERM", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return run(args[0]) }},
-		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := config.ReadController(args[0])
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d stages, link %s\n",
-						args[0], set.Relay, len(set.OpTypes), len(set.Release.Stages), set.Link.Address)
-				}
-				return err
-			}},
-		&cobra.Command{Use: "state DIR", Short: "Print what a stopped planner left in its state folder", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				return controller.PrintState(cmd.OutOrStdout(), args[0])
-			}},
-	)
-	root.AddCommand(configCommand())
+	root := &cobra.Command{Use: "flintspread-controller", Short: "Judges builds and assigns their traffic to routers"}
+	root.AddCommand(runCommand(), checkCommand(), stateCommand(), configCommand())
 	cli.Main(root)
 }
 
-func run(file string) error {
-	set, err := config.ReadController(file)
-	if err != nil {
-		return err
+func runCommand() *cobra.Command {
+	program := cli.Program[config.Controller]{
+		Read: config.ReadController,
+		Log:  func(settings *config.Controller) config.Log { return settings.Log },
+		Run:  controller.Run,
+	}
+	return &cobra.Command{
+		Use:   "run FILE",
+		Short: "Serve routers by a settings file until SIGTERM",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return cli.Serve(program, args[0]) },
 	}
-	log, level := cli.Logger(set.Log)
-	ctx, stop := cli.SignalContext(func() {
-		cli.Reload(log, level, func() (config.Log, error) {
-			set, err := config.ReadController(file)
+}
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a settings file and say what is wrong with it",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			file := args[0]
+			settings, err := config.ReadController(file)
 			if err != nil {
-				return config.Log{}, err
+				return err
 			}
-			return set.Log, nil
-		})
-	})
-	defer stop()
-	return controller.Run(ctx, set, log)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d request classes, %d stages, link %s\n",
+				file, settings.Relay, len(settings.OpTypes), len(settings.Release.Stages), settings.Link.Address)
+			return nil
+		},
+	}
+}
+
+func stateCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "state DIR",
+		Short: "Print what a stopped controller left in its state folder",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return controller.PrintState(cmd.OutOrStdout(), args[0])
+		},
+	}
 }
--- a/cmd/flintspread-router/main.go
+++ b/cmd/flintspread-router/main.go
@@ -1,4 +1,4 @@
-// Command flintspread-router forwards commands between clients and units, and moves traffic between builds.
+// Command flintspread-router forwards requests from clients to endpoints, and moves traffic between builds.
 package main
 
 import (
@@ -13,40 +13,48 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintspread-router", Short: "Forwards commands to units while their builds change"}
-	root.AddCommand(
-		&cobra.Command{Use: "run FILE", Short: "Serve by a settings file; SIGTERM drains and stops", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return run(args[0]) }},
-		&cobra.Command{Use: "node", Short: "Serve on the platform that LB_CONFIG tells of; SIGTERM drains and stops", Args: cobra.NoArgs,
-			RunE: func(*cobra.Command, []string) error { return node.Main() }},
-		&cobra.Command{Use: "check FILE", Short: "Check a settings file and say what is wrong with it", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				set, err := config.ReadRouter(args[0])
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d op types, %d routes, %d stages\n",
-						args[0], set.Relay, len(set.Classes), len(set.Routes), len(set.Release.Stages))
-				}
-				return err
-			}},
-	)
+	root := &cobra.Command{Use: "flintspread-router", Short: "Forwards requests to endpoints while their builds change"}
+	root.AddCommand(runCommand(), nodeCommand(), checkCommand())
 	cli.Main(root)
 }
 
-func run(file string) error {
-	set, err := config.ReadRouter(file)
-	if err != nil {
-		return err
+func runCommand() *cobra.Command {
+	program := cli.Program[config.Router]{
+		Read: config.ReadRouter,
+		Log:  func(settings *config.Router) config.Log { return settings.Log },
+		Run:  router.Run,
+	}
+	return &cobra.Command{
+		Use:   "run FILE",
+		Short: "Serve by a settings file; SIGTERM shuts down gracefully",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return cli.Serve(program, args[0]) },
+	}
+}
+
+func nodeCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "node",
+		Short: "Serve on the platform by the configuration that LB_CONFIG names; SIGTERM shuts down gracefully",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return node.Main() },
 	}
-	log, level := cli.Logger(set.Log)
-	ctx, stop := cli.SignalContext(func() {
-		cli.Reload(log, level, func() (config.Log, error) {
-			set, err := config.ReadRouter(file)
+}
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a settings file and say what is wrong with it",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			file := args[0]
+			settings, err := config.ReadRouter(file)
 			if err != nil {
-				return config.Log{}, err
+				return err
 			}
-			return set.Log, nil
-		})
-	})
-	defer stop()
-	return router.Run(ctx, set, log)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d request classes, %d routes, %d stages\n",
+				file, settings.Relay, len(settings.Classes), len(settings.Routes), len(settings.Release.Stages))
+			return nil
+		},
+	}
 }
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,4 @@
-// Command sim-adapter answers the simulator's wire on standard input and output with the policy's decisions.
+// Command sim-adapter answers the frames that the simulator writes to its standard input with the policy's decisions on standard output.
 package main
 
 import (
--- /dev/null
+++ b/internal/cli/cli.go
@@ -0,0 +1,53 @@
+// Package cli holds what the programs have in common: exit codes, the version command, logging, and signals.
+package cli
+
+import (
+	"fmt"
+	"os"
+	"runtime/debug"
+
+	"github.com/spf13/cobra"
+
+	"flintspread/internal/config"
+)
+
+// Exit codes.
+const (
+	ExitFailed    = 1
+	ExitBadConfig = 2 // the settings file is at fault; nothing was started
+)
+
+// Main runs a root command and ends the process.
+func Main(root *cobra.Command) {
+	root.SilenceUsage, root.SilenceErrors = true, true
+	root.AddCommand(&cobra.Command{
+		Use:   "version",
+		Short: "Print the build",
+		Args:  cobra.NoArgs,
+		Run:   func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), root.Name(), Version()) },
+	})
+	err := root.Execute()
+	if err == nil {
+		os.Exit(0)
+	}
+	fmt.Fprintf(os.Stderr, "%s: %v\n", root.Name(), err)
+	if config.IsFieldError(err) {
+		os.Exit(ExitBadConfig)
+	}
+	os.Exit(ExitFailed)
+}
+
+// Version names the build.
+func Version() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	text := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += " " + setting.Value
+		}
+	}
+	return text + " " + info.GoVersion
+}
