--- a/internal/platform/control/client.go
+++ b/internal/platform/control/client.go
@@ -31,7 +31,8 @@
 	backoffResetAfter = 2 * silenceLimit
 )
 
-// Client is a router's connection to the platform. Its callbacks are called one at a time and must not block.
+// Client is a router's connection to the platform. Its callbacks must not block; they come from several goroutines, since a vote's time-out
+// has its own.
 type Client struct {
 	Stages        int           // how many rollout stages there are
 	VoteTimeout   time.Duration // for which the reply to a vote is waited for
@@ -44,8 +45,8 @@
 	address        string
 	addressChanged chan struct{}
 	conn           *connection // the one in use, nil: none
-	following      bool        // the platform accepted the command to follow on conn
-	commands       []*command  // that wait for their replies on conn, the oldest first
+	following      bool        // the platform accepted the call to follow on conn
+	calls          []*call     // that wait for their replies on conn, the oldest first
 }
 
 // Open gives the platform's address. It is called once, before all else.
@@ -192,24 +193,24 @@
 	}
 }
 
-// use makes a connection the one on which votes are cast, once its command to follow has its reply.
+// use makes a connection the one on which votes are cast, once its call to follow has its reply.
 func (c *Client) use(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.conn, c.following, c.commands = conn, false, []*command{{follow: true}}
+	c.conn, c.following, c.calls = conn, false, []*call{{follow: true}}
 }
 
 // abandon closes a connection. The votes on it that have no reply may have been counted.
 func (c *Client) abandon(conn *connection) {
 	conn.Close()
 	c.mu.Lock()
-	commands := c.commands
+	unanswered := c.calls
 	if c.conn == conn {
-		c.conn, c.commands = nil, nil
+		c.conn, c.calls = nil, nil
 	}
 	c.mu.Unlock()
-	for _, command := range commands {
-		c.finish(command, policy.VoteUnknown, "the connection ended")
+	for _, call := range unanswered {
+		c.finish(call, policy.VoteUnknown, "the connection ended")
 	}
 }
 
@@ -241,7 +242,7 @@
 
 // handle passes on what a line says.
 func (c *Client) handle(conn *connection, line string) error {
-	oldest := c.oldestCommand(conn)
+	oldest := c.oldestCall(conn)
 	message, err := Parse(line, c.Stages, oldest != nil && oldest.follow)
 	if err != nil {
 		return err
@@ -258,7 +259,7 @@
 	if oldest == nil || oldest.follow && !message.FollowAccepted {
 		return errors.New("answers nothing")
 	}
-	c.removeOldestCommand(conn)
+	c.removeOldestCall(conn)
 	c.finish(oldest, message.VoteReply, line)
 	return nil
 }
--- a/internal/platform/control/protocol.go
+++ b/internal/platform/control/protocol.go
@@ -12,7 +12,7 @@
 )
 
 // The platform's lines end in CRLF; their fields are separated by one space. A line that begins with pushMark is pushed, any other one
-// answers the oldest command that has no answer.
+// is the reply to the oldest call without one.
 const (
 	pushMark        = "*"
 	progressPush    = "progress"  // * progress BUILD STAGE PHASE CAP AGE_MS
@@ -71,7 +71,7 @@
 // parseProgress reads the fields BUILD STAGE PHASE CAP AGE_MS of a release state.
 func parseProgress(fields []string, stages int) (*releases.Update, error) {
 	if len(fields) != progressFields {
-		return nil, fmt.Errorf("a state of %d fields", len(fields))
+		return nil, fmt.Errorf("a release state of %d fields", len(fields))
 	}
 	build, buildErr := strconv.ParseUint(fields[0], 10, 16)
 	stage, stageErr := strconv.Atoi(fields[1])
@@ -88,13 +88,13 @@
 	Release                    *releases.Update // the state of the newest build, nil: not in this line
 	WrongAnswerHost            string           // the endpoint that gave a wrong answer, "": not in this line
 	WrongAnswerAgeMilliseconds float64
-	IsReply                    bool             // to the oldest command without an answer
+	IsReply                    bool             // to the oldest call without one
 	VoteReply                  policy.VoteReply // of a reply to a vote
-	FollowAccepted             bool             // a reply to the command to follow
+	FollowAccepted             bool             // a reply to the call to follow
 }
 
-// Parse reads one line without its CRLF. expectFollow: the oldest command without an answer is the one to follow. An error says that the
-// line is malformed.
+// Parse reads one line without its CRLF. expectFollow: the oldest call without a reply is the one to follow. An error says that the line is
+// malformed.
 func Parse(line string, stages int, expectFollow bool) (Message, error) {
 	fields := strings.Split(line, " ")
 	switch {
@@ -117,7 +117,7 @@
 	case kind == metricsPush && len(fields) == metricsFields:
 		err = checkMetrics(fields)
 	default:
-		err = errors.New("told of an unknown kind")
+		err = errors.New("a push of an unknown kind")
 	}
 	return message, err
 }
@@ -136,7 +136,7 @@
 		state, err := parseProgress(fields[1:], stages)
 		return Message{IsReply: true, VoteReply: policy.VoteCounted, Release: state}, err
 	}
-	return Message{}, errors.New("no answer of the platform's")
+	return Message{}, errors.New("no reply of the platform")
 }
 
 func parseAge(field string) (float64, error) {
--- a/internal/platform/control/votes.go
+++ b/internal/platform/control/votes.go
@@ -16,29 +16,29 @@
 // replyNames gives the log's word by policy.VoteReply.
 var replyNames = [...]string{"counted", "moot", "refused", "unknown"}
 
-// command is one that was sent to the platform: to follow, or a vote.
-type command struct {
+// call is one request to the platform that waits for its reply: to follow, or a vote.
+type call struct {
 	follow   bool
 	vote     releases.Vote
-	timeout  *time.Timer // nil for the command to follow
-	finished bool        // what became of the vote was reported
+	timeout  *time.Timer // nil for the one to follow
+	reported bool        // what became of the vote was passed on
 }
 
 // Cast casts a vote without waiting for its reply. Where the client follows on no connection, the vote is refused: the policy casts it
 // again.
 func (c *Client) Cast(vote releases.Vote) {
-	command := &command{vote: vote}
-	command.timeout = time.AfterFunc(c.VoteTimeout, func() {
-		c.finish(command, policy.VoteUnknown, "no answer in time")
+	cast := &call{vote: vote}
+	cast.timeout = time.AfterFunc(c.VoteTimeout, func() {
+		c.finish(cast, policy.VoteUnknown, "no answer in time")
 	})
 	c.mu.Lock()
 	conn := c.conn
 	if conn == nil || !c.following {
 		c.mu.Unlock()
-		go c.finish(command, policy.VoteRefused, "no connection")
+		go c.finish(cast, policy.VoteRefused, "no connection")
 		return
 	}
-	c.commands = append(c.commands, command)
+	c.calls = append(c.calls, cast)
 	err := writeVote(conn, vote)
 	c.mu.Unlock()
 	if err != nil {
@@ -52,37 +52,37 @@
 	return err
 }
 
-// oldestCommand is the command that the next reply on a connection belongs to; nil: there is none.
-func (c *Client) oldestCommand(conn *connection) *command {
+// oldestCall is the call that the next reply on a connection belongs to; nil: there is none.
+func (c *Client) oldestCall(conn *connection) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != conn || len(c.commands) == 0 {
+	if c.conn != conn || len(c.calls) == 0 {
 		return nil
 	}
-	return c.commands[0]
+	return c.calls[0]
 }
 
-// removeOldestCommand notes that a command got its reply. The first one is that to follow: from then on votes may be cast.
-func (c *Client) removeOldestCommand(conn *connection) {
+// removeOldestCall notes that a call got its reply. The first one is that to follow: from then on votes may be cast.
+func (c *Client) removeOldestCall(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
-		c.commands = slices.Delete(c.commands, 0, 1)
+		c.calls = slices.Delete(c.calls, 0, 1)
 		c.following = true
 	}
 }
 
-// finish reports what became of a vote, once: a reply may come after the time-out.
-func (c *Client) finish(command *command, reply policy.VoteReply, reason string) {
+// finish passes on what became of a vote, once: a reply may come after the time-out. It does nothing for the call to follow.
+func (c *Client) finish(ended *call, reply policy.VoteReply, reason string) {
 	c.mu.Lock()
-	ignore := command.finished || command.follow
-	command.finished = true
+	ignore := ended.reported || ended.follow
+	ended.reported = true
 	c.mu.Unlock()
 	if ignore {
 		return
 	}
-	command.timeout.Stop()
-	vote := command.vote
+	ended.timeout.Stop()
+	vote := ended.vote
 	c.Log.Info("vote reply", "build", vote.Build, "stage", vote.Stage, "verdict", verdictWords[vote.Verdict],
 		"reply", replyNames[reply], "reason", reason)
 	c.OnVoteReply(vote, reply)
--- a/internal/platform/discovery/message.go
+++ b/internal/platform/discovery/message.go
@@ -70,7 +70,7 @@
 		return errors.New("named twice")
 	case states[m.Health] == "":
 		return fmt.Errorf("unknown health %.32q", m.Health)
-	case !m.hasValidNumbers():
+	case !m.hasValidBuildAndCell():
 		return fmt.Errorf("image_id %v, block %v", m.Build, m.Cell)
 	}
 	const anyID, anyZone = 1, 0
@@ -78,8 +78,8 @@
 	return update.Check()
 }
 
-// hasValidNumbers reports whether build and cell are whole numbers and the cell is one that an endpoint can hold, NaN excluded.
-func (m *Member) hasValidNumbers() bool {
+// hasValidBuildAndCell reports whether build and cell are whole numbers and the cell is one that an endpoint can hold, NaN excluded.
+func (m *Member) hasValidBuildAndCell() bool {
 	return m.Build == math.Trunc(m.Build) && m.Cell == math.Trunc(m.Cell) && m.Cell >= 0 && m.Cell < math.MaxUint16
 }
 
--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -73,7 +73,7 @@
 }
 
 func (f *follower) onHeartbeat() {
-	f.noteHeard()
+	f.noteConnected()
 	f.node.proxy.ConfirmEndpoints()
 }
 
@@ -81,7 +81,7 @@
 	if err := message.Check(); err != nil {
 		return err
 	}
-	if replaced := f.noteHeard(); replaced && message.Full {
+	if replaced := f.noteConnected(); replaced && message.Full {
 		return nil // the newer follower's full list counts
 	}
 	if err := f.node.applyDiscovery(message); err != nil {
@@ -93,16 +93,16 @@
 	return nil
 }
 
-// noteHeard notes that discovery said something to this follower, and reports whether there is a newer one.
-func (f *follower) noteHeard() (replaced bool) {
+// noteConnected notes that discovery said something to this follower, and reports whether there is a newer one.
+func (f *follower) noteConnected() (replaced bool) {
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.newestHeard = max(n.newestHeard, f.number)
+	n.newestConnected = max(n.newestConnected, f.number)
 	return n.currentFollower != f.number
 }
 
-// waitForHandover returns when this follower is not needed any more: a newer one heard from discovery or had time enough to, or
+// waitForHandover returns when this follower is not needed any more: discovery said something to a newer one or had the time to, or
 // everything stops.
 func (f *follower) waitForHandover() {
 	n := f.node
@@ -118,7 +118,7 @@
 		if n.currentFollower != f.number {
 			left -= handoverCheck
 		}
-		if n.newestHeard > f.number {
+		if n.newestConnected > f.number {
 			left = 0
 		}
 		n.mu.Unlock()
--- a/internal/platform/node/discovery_test.go
+++ b/internal/platform/node/discovery_test.go
@@ -84,7 +84,7 @@
 	settings := *s.node.settings
 	settings.DiscoveryAddress, settings.PlatformAddress = silent, silent
 	s.node.Reload(&settings)
-	eventually(t, "the silent one is asked", func() bool { return accepted() >= 2 })
+	eventually(t, "a connection to the silent one", func() bool { return accepted() >= 2 })
 	endOld()
 	settings.DiscoveryAddress, settings.PlatformAddress, _ = s.startServices(t, nil)
 	s.node.Reload(&settings)
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -47,7 +47,7 @@
 	versionGuard     discovery.VersionGuard
 	discoveryAddress string
 	currentFollower  int  // the follower whose full lists count; earlier ones may still bring changes
-	newestHeard      int  // the newest follower that heard from discovery
+	newestConnected  int  // the newest follower that discovery said something to
 	stopping         bool // no follower is started any more
 
 	shutdownPlan   loadshed.ShutdownPlan
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -87,7 +87,7 @@
 		s.stopNode()
 	}
 	if accepted() == 0 {
-		t.Error("discovery was not asked")
+		t.Error("no connection to discovery")
 	}
 	// Here the list comes only once the PING waits; the time-out is off, so that nothing else can answer.
 	gate := make(chan struct{})
@@ -121,7 +121,7 @@
 	defer s.stopNode()
 	c := s.dial()
 	c.send("PING")
-	eventually(t, "it is asked", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
+	eventually(t, "the connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
 	if err := s.Unit(1, 1, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -35,8 +35,8 @@
 		SlowStartOverloadSeconds: d.seconds("rules.fall"),
 		CanaryWindowSeconds:      d.seconds("family_info.window"),
 		CanaryFreeAttempts:       d.number("family_info.spare_tries"),
-		CanaryLimits:             d.numbers("family_info.exposure_caps"),
-		StageShares:              d.numbers("family_info.waves"),
+		CanaryLimits:             d.numberList("family_info.exposure_caps"),
+		StageShares:              d.numberList("family_info.waves"),
 		CanaryLimitPerClass:      d.choice("family_info.counts", "all", "each_class") == 1,
 		IdempotentOnlyStages:     d.integer("family_info.shielded"),
 		OneWayKeys:               d.boolean("family_info.forward_only"),
@@ -101,8 +101,8 @@
 // seconds reads a time, which is in milliseconds.
 func (d *decoder) seconds(key string) float64 { return d.number(key) / millisecondsPerSecond }
 
-// numbers reads numbers that are separated by commas.
-func (d *decoder) numbers(key string) (list []float64) {
+// numberList reads numbers that are separated by commas.
+func (d *decoder) numberList(key string) (list []float64) {
 	for _, text := range strings.Split(d.text(key), ",") {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
--- a/internal/router/confighash.go
+++ b/internal/router/confighash.go
@@ -11,8 +11,8 @@
 // ConfigHash identifies the policy configuration that a router and its controller must share. Each sends it to the other, so that it
 // has to be the same for programs of different versions: the text that is hashed keeps the field names of the first
 // version (hashedConfig), whatever policy.Config calls its fields now. Fields that only one of the two programs reads are left out.
-func ConfigHash(c policy.Config) uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("%+v", newHashedConfig(c)))
+func ConfigHash(config policy.Config) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%+v", newHashedConfig(config)))
 }
 
 // hashedConfig fixes the names and the order of what ConfigHash covers. Don't rename, reorder or add fields.
@@ -61,43 +61,43 @@
 	Window     float64
 }
 
-func newHashedConfig(c policy.Config) hashedConfig {
-	h := hashedConfig{
-		Balancers:   c.Routers,
-		BackVotes:   c.RollbackVotes,
-		Round:       c.MinTickSeconds,
-		Ask:         c.SubscribeToEndpoints,
-		Parallel:    c.AllowHedging,
-		Cancel:      c.AllowCancel,
-		MaxPause:    c.MaxRetryAfterSeconds,
+func newHashedConfig(config policy.Config) hashedConfig {
+	hashed := hashedConfig{
+		Balancers:   config.Routers,
+		BackVotes:   config.RollbackVotes,
+		Round:       config.MinTickSeconds,
+		Ask:         config.SubscribeToEndpoints,
+		Parallel:    config.AllowHedging,
+		Cancel:      config.AllowCancel,
+		MaxPause:    config.MaxRetryAfterSeconds,
 		ConnIdle:    0, // the router's own
-		Streams:     c.RequestsPerConn,
-		Deliveries:  c.MaxAttempts,
-		ColdFrom:    c.SlowStartInitialShare,
-		WarmUp:      c.SlowStartSeconds,
-		FallFactor:  c.SlowStartOverloadFactor,
-		FallTime:    c.SlowStartOverloadSeconds,
-		Window:      c.CanaryWindowSeconds,
-		Free:        c.CanaryFreeAttempts,
-		Caps:        c.CanaryLimits,
-		Stages:      c.StageShares,
-		PerOp:       c.CanaryLimitPerClass,
-		Guarded:     c.IdempotentOnlyStages,
-		OneWay:      c.OneWayKeys,
-		Keys:        c.MaxRememberedKeys,
-		Forget:      c.ForgetEndpointSeconds,
+		Streams:     config.RequestsPerConn,
+		Deliveries:  config.MaxAttempts,
+		ColdFrom:    config.SlowStartInitialShare,
+		WarmUp:      config.SlowStartSeconds,
+		FallFactor:  config.SlowStartOverloadFactor,
+		FallTime:    config.SlowStartOverloadSeconds,
+		Window:      config.CanaryWindowSeconds,
+		Free:        config.CanaryFreeAttempts,
+		Caps:        config.CanaryLimits,
+		Stages:      config.StageShares,
+		PerOp:       config.CanaryLimitPerClass,
+		Guarded:     config.IdempotentOnlyStages,
+		OneWay:      config.OneWayKeys,
+		Keys:        config.MaxRememberedKeys,
+		Forget:      config.ForgetEndpointSeconds,
 		Led:         false, // the router's own
-		Automatic:   c.AutomaticStages,
-		Replace:     c.ReplaceInPlace,
-		HarmPrice:   c.WrongAnswerPrice,
-		StalePrice:  c.StaleBuildPrice,
-		Reported:    c.WrongAnswerReportShare,
-		VoteLife:    c.VoteLifetimeSeconds,
-		VoteTimeout: c.VoteTimeoutSeconds,
-		VoteRate:    c.VotesPerSecond,
+		Automatic:   config.AutomaticStages,
+		Replace:     config.ReplaceInPlace,
+		HarmPrice:   config.WrongAnswerPrice,
+		StalePrice:  config.StaleBuildPrice,
+		Reported:    config.WrongAnswerReportShare,
+		VoteLife:    config.VoteLifetimeSeconds,
+		VoteTimeout: config.VoteTimeoutSeconds,
+		VoteRate:    config.VotesPerSecond,
 	}
-	for _, class := range c.Classes {
-		h.Ops = append(h.Ops, hashedClass{
+	for _, class := range config.Classes {
+		hashed.Ops = append(hashed.Ops, hashedClass{
 			Target:     class.LatencyObjectiveSeconds,
 			Timeout:    class.TimeoutSeconds,
 			Importance: class.PriorityWeight,
@@ -106,5 +106,5 @@
 			Window:     class.DedupWindowSeconds,
 		})
 	}
-	return h
+	return hashed
 }
--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -58,7 +58,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, stateDir: t.TempDir(), listenAddr: freeAddr(t), answers: map[string]int{}}
-	unit := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if d, err := time.ParseDuration(req.Header.Get("X-Take")); err == nil {
 			time.Sleep(d)
 		}
@@ -66,8 +66,8 @@
 			t.Error(err)
 		}
 	}))
-	t.Cleanup(unit.Close)
-	f.endpoint = endpoints.Endpoint{ID: 1, Addr: strings.TrimPrefix(unit.URL, "http://"), State: "ready", Build: 1}
+	t.Cleanup(upstream.Close)
+	f.endpoint = endpoints.Endpoint{ID: 1, Addr: strings.TrimPrefix(upstream.URL, "http://"), State: "ready", Build: 1}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,14 +123,14 @@
  :sources {:installer %q :silence 5.0 :back-least 0.01 :back-most 0.05}
  :control {:addresses [%s] :silence 1.0 :back-least 0.01 :back-most 0.05 :patience 0.4 :most-bytes 1000000 %s}
  %s`, f.listenAddr, freeAddr(f.t), f.stateDir, installer.URL, f.controlAddresses, f.tlsSettings, f.document[1:])
-	set, err := config.ParseRouter("edge.edn", []byte(file))
+	settings, err := config.ParseRouter("edge.edn", []byte(file))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	var log bytes.Buffer
-	go func() { done <- Run(ctx, set, slog.New(slog.NewTextHandler(&log, nil))) }()
+	go func() { done <- Run(ctx, settings, slog.New(slog.NewTextHandler(&log, nil))) }()
 	return func() {
 		cancel()
 		if err := <-done; err != nil {
@@ -186,7 +186,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Errorf("not within 5 s: %s; the service heard\n%s", what, strings.Join(f.control.Log(), "\n"))
+	f.t.Errorf("not within 5 s: %s; the service received\n%s", what, strings.Join(f.control.Log(), "\n"))
 }
 
 // sendAndWait sends a response and waits for what the client says to it.
@@ -201,7 +201,7 @@
 func TestControlScript(t *testing.T) {
 	f := newFixture(t)
 	c := f.control
-	units := func(version uint64) *discovery.DiscoveryResponse {
+	endpointList := func(version uint64) *discovery.DiscoveryResponse {
 		return fakes.UnitsResponse("r1", version, []endpoints.Endpoint{f.endpoint})
 	}
 	doc := func(n, needs uint64, text string) *discovery.DiscoveryResponse {
@@ -210,7 +210,7 @@
 	stop := f.start()
 	defer func() { stop() }()
 	f.eventually("the stream", func() bool { return len(c.Log()) == 2 })
-	f.sendAndWait(func() { c.Set(units(5)) })
+	f.sendAndWait(func() { c.Set(endpointList(5)) })
 	f.sendAndWait(func() { c.Set(doc(1, 0, f.documentText(1))) })
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -234,14 +234,14 @@
 	f.sendAndWait(func() { c.Send(doc(3, 0, strings.Replace(f.documentText(3), "]}", "", 1))) })                 // cut off
 	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":window        4.0", ":widow 4.0"))) })           // unknown key
 	f.sendAndWait(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, f.documentText(3))) })                      // for another router
-	f.sendAndWait(func() { c.Send(units(4)) })                                                                   // an older list
-	f.sendAndWait(func() { r := units(6); r.VersionInfo = "six"; c.Send(r) })                                    // a version that is no number
+	f.sendAndWait(func() { c.Send(endpointList(4)) })                                                            // an older list
+	f.sendAndWait(func() { r := endpointList(6); r.VersionInfo = "six"; c.Send(r) })                             // a version that is no number
 	f.sendAndWait(func() { c.Send(fakes.UnitsResponse("r1", 6, []endpoints.Endpoint{f.endpoint, f.endpoint})) }) // an endpoint twice
 	f.sendAndWait(func() { c.Send(doc(4, 7, f.documentText(4))) })                                               // requires an endpoint list that does not come
-	f.sendAndWait(func() { c.Send(doc(5, 7, f.documentText(5))); c.Send(units(7)) })                             // and with one that does
+	f.sendAndWait(func() { c.Send(doc(5, 7, f.documentText(5))); c.Send(endpointList(7)) })                      // and with one that does
 	f.eventually("both", func() bool { return strings.Contains(strings.Join(c.Log(), "\n"), `"v5"`) })
 	serves(5)
-	f.sendAndWait(func() { c.Set(units(7)) })
+	f.sendAndWait(func() { c.Set(endpointList(7)) })
 	f.sendAndWait(func() { c.Set(doc(5, 7, f.documentText(5))) })
 	begun := len(c.Log())
 	c.Drop() // the stream drops; nothing changed meanwhile
@@ -278,7 +278,7 @@
 		want = []byte(got)
 	}
 	if err != nil || got != string(want) {
-		t.Errorf("%v; the service heard\n%s\nwant\n%s", err, got, want)
+		t.Errorf("%v; the service received\n%s\nwant\n%s", err, got, want)
 	}
 	if kept, _ := filepath.Glob(filepath.Join(f.stateDir, "versions.db")); len(kept) != 1 {
 		t.Error("no history")
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/proxy"
 )
 
-// metricPrefix begins every metric's name. Names, labels and help texts keep the operators' words: dashboards and alerts stand on them.
+// metricPrefix begins every metric's name. Names, labels and help texts keep the operators' words: dashboards and alerts rely on them.
 const metricPrefix = "flintedge_"
 
 func metric(name, help string, labels ...string) *prometheus.Desc {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -33,7 +33,7 @@
 	code := entry.u8(14)
 	state, ok := endpointState(code)
 	if !ok {
-		return fmt.Errorf("unknown unit state %d", code)
+		return fmt.Errorf("unknown endpoint state %d", code)
 	}
 	id, zone, cell := entry.u32(0), entry.u16(4), entry.u16(12)
 	build, weight, startedAt := int(entry.f32(8)), entry.f32(15), entry.seconds(19)
