--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -72,14 +72,14 @@
 }
 
 func (a *adapter) handleEvent(event record, tail []byte) error {
-	code := event.u8(0)
+	code := eventCode(event)
 	if code < firstEvent || code > lastEvent {
 		return fmt.Errorf("unknown event code %d", code)
 	}
 	if code == eventEndpointTable {
 		return a.storeEndpointTable(event, tail)
 	}
-	id := event.u32(1)
+	id := eventInstance(event)
 	if code == eventStart {
 		return a.startInstance(id, event, tail)
 	}
@@ -95,62 +95,56 @@
 	case eventEndpointList:
 		return a.updateEndpoints(i, event)
 	case eventRequest:
-		return i.onRequest(event)
+		return i.onRequest(readRequest(event))
 	case eventAttemptDone:
-		return i.onAttemptDone(event)
+		return i.onAttemptDone(readAttemptDone(event))
 	case eventStreaming:
-		i.onStreaming(event)
+		i.onStreaming(requestID(event))
 	case eventClientGone:
-		i.onClientGone(event)
+		i.onClientGone(requestID(event))
 	case eventTimer:
-		i.onTimer(event)
+		i.onTimer(timerMark(event))
 	case eventRelease:
-		if err := i.onRelease(event); err != nil {
+		if err := i.onRelease(readRelease(event)); err != nil {
 			return err
 		}
 	case eventWrongAnswer:
-		i.onWrongAnswer(event)
+		wrong := readWrongAnswer(event)
+		i.balancer.ReportWrongAnswer(a.now, wrong.endpoint, wrong.ageSeconds)
 	}
 	i.setPickTimer()
 	return nil
 }
 
-// storeEndpointTable keeps the endpoints of a tail for the endpoint lists that refer to them.
-func (a *adapter) storeEndpointTable(event record, tail []byte) error {
-	entries, err := event.tail(3, tail, endpointBytes)
-	slot, slotErr := a.tableSlot(event.u16(1))
-	if slotErr != nil {
-		return slotErr
+// storeEndpointTable keeps the endpoints of a table for the endpoint lists that refer to it.
+func (a *adapter) storeEndpointTable(r record, tail []byte) error {
+	event, err := readEndpointTable(r, tail)
+	if int(event.table) >= len(a.endpointTables) {
+		return errUnknownTable(event.table)
 	}
 	if err != nil {
 		return err
 	}
-	*slot = append([]byte{}, entries...)
+	a.endpointTables[event.table] = append([]byte{}, event.entries...)
 	return nil
 }
 
-func (a *adapter) tableSlot(number uint16) (*[]byte, error) {
-	if int(number) >= len(a.endpointTables) {
-		return nil, fmt.Errorf("table number %d", number)
-	}
-	return &a.endpointTables[number], nil
-}
+func errUnknownTable(number uint16) error { return fmt.Errorf("table number %d", number) }
 
-// startInstance starts an instance on the settings in the tail, in place of one with the same id.
-func (a *adapter) startInstance(id uint32, event record, tail []byte) error {
-	seed := event.u64(5)
-	text, err := event.tail(13, tail, 1)
+// startInstance starts an instance, in place of one with the same id.
+func (a *adapter) startInstance(id uint32, r record, tail []byte) error {
+	event, err := readStart(r, tail)
 	if err != nil {
 		return err
 	}
-	settings, err := policyconfig.Decode(policyconfig.ParseLines(string(text)))
+	settings, err := policyconfig.Decode(policyconfig.ParseLines(event.settings))
 	if err != nil {
 		return err
 	}
 	i := &instance{
 		id:         id,
 		now:        a.now,
-		balancer:   policy.New(settings, seed, a.now),
+		balancer:   policy.New(settings, event.seed, a.now),
 		classCount: len(settings.Classes),
 		requests:   map[uint32]*policy.Request{},
 		actions:    &a.actions,
@@ -161,26 +155,18 @@
 }
 
 // updateEndpoints passes an endpoint list, in a table that came before, to an instance.
-func (a *adapter) updateEndpoints(i *instance, event record) error {
-	kind := event.u8(5)
-	if kind > lastListKind {
-		return fmt.Errorf("unknown list kind %d", kind)
+func (a *adapter) updateEndpoints(i *instance, r record) error {
+	event := readEndpointList(r)
+	if event.kind > lastListKind {
+		return fmt.Errorf("unknown list kind %d", event.kind)
 	}
-	if kind == listFailed {
+	if event.kind == listFailed {
 		i.balancer.EndpointListFailed()
 		return nil
 	}
-	table, err := a.tableSlot(event.u16(10))
-	if err != nil {
-		return err
-	}
-	full := kind != listChanges
-	i.balancer.BeginEndpointList(full)
-	for entries := *table; len(entries) > 0; entries = entries[endpointBytes:] {
-		if err := i.updateEndpoint(record(entries)); err != nil {
-			return err
-		}
+	if int(event.table) >= len(a.endpointTables) {
+		return errUnknownTable(event.table)
 	}
-	i.balancer.EndEndpointList(a.now)
-	return nil
+	full := event.kind != listChanges
+	return i.updateEndpoints(a.endpointTables[event.table], full)
 }
--- a/internal/simadapter/codes.go
+++ b/internal/simadapter/codes.go
@@ -87,9 +87,3 @@
 	}
 	return policy.VoteRefused
 }
-
-// Flags of a request.
-const (
-	flagWorkKnown   = 1 << 0
-	flagClientRetry = 1 << 1
-)
--- a/internal/simadapter/frame.go
+++ b/internal/simadapter/frame.go
@@ -79,6 +79,7 @@
 // seconds reads a time, which is in milliseconds.
 func (r record) seconds(at int) float64 { return r.f64(at) / millisecondsPerSecond }
 
+func (r record) putU8(at int, v uint8)   { r[at] = v }
 func (r record) putU16(at int, v uint16) { binary.LittleEndian.PutUint16(r[at:], v) }
 func (r record) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
 func (r record) putU64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
@@ -96,30 +97,3 @@
 	}
 	return tail[from : from+n], nil
 }
-
-// actionFrame collects the records of one frame to the simulator.
-type actionFrame struct {
-	buf   []byte
-	count uint32
-}
-
-func (f *actionFrame) reset() { f.buf, f.count = append(f.buf[:0], make([]byte, replyBytes)...), 0 }
-
-// add appends a record with its code and instance, and returns it for its other fields. It is valid until the next call.
-func (f *actionFrame) add(code uint8, instance uint32) record {
-	var blank [actionBytes]byte
-	at := len(f.buf)
-	f.buf = append(f.buf, blank[:]...)
-	f.count++
-	action := record(f.buf[at:])
-	action[0] = code
-	action.putU32(1, instance)
-	return action
-}
-
-func (f *actionFrame) writeTo(out io.Writer) error {
-	binary.LittleEndian.PutUint32(f.buf, uint32(len(f.buf)-replyBytes))
-	binary.LittleEndian.PutUint32(f.buf[lengthBytes:], f.count)
-	_, err := out.Write(f.buf)
-	return err
-}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -28,35 +28,34 @@
 // timerTolerance is how early a timer may come, in seconds: its time goes to the simulator and back in milliseconds.
 const timerTolerance = 1e-9
 
-// updateEndpoint passes one endpoint of a table to the policy.
-func (i *instance) updateEndpoint(entry record) error {
-	code := entry.u8(14)
-	state, ok := endpointState(code)
-	if !ok {
-		return fmt.Errorf("unknown endpoint state %d", code)
-	}
-	id, zone, cell := entry.u32(0), entry.u16(4), entry.u16(12)
-	build, weight, startedAt := int(entry.f32(8)), entry.f32(15), entry.seconds(19)
-	i.balancer.UpdateEndpoint(id, zone, cell, build, state, weight, startedAt)
+// updateEndpoints passes the endpoints of a table to the policy: the full list, or those that changed.
+func (i *instance) updateEndpoints(table []byte, full bool) error {
+	i.balancer.BeginEndpointList(full)
+	for ; len(table) > 0; table = table[endpointBytes:] {
+		entry := readEndpointEntry(record(table))
+		state, ok := endpointState(entry.stateCode)
+		if !ok {
+			return fmt.Errorf("unknown endpoint state %d", entry.stateCode)
+		}
+		i.balancer.UpdateEndpoint(entry.id, entry.zone, entry.cell, entry.build, state, entry.weight, entry.startedAt)
+	}
+	i.balancer.EndEndpointList(i.now)
 	return nil
 }
 
 // onRequest takes a new request and picks for it.
-func (i *instance) onRequest(event record) error {
-	class, flags := int(event.u8(17)), event.u8(26)
-	if class >= i.classCount {
-		return fmt.Errorf("unknown class %d", class)
+func (i *instance) onRequest(event requestEvent) error {
+	if event.class >= i.classCount {
+		return fmt.Errorf("unknown class %d", event.class)
 	}
 	request := &policy.Request{
-		ID:          event.u32(5),
-		Class:       class,
-		Key:         event.u64(18),
+		ID:          event.id,
+		Class:       event.class,
+		Key:         event.key,
 		ReceivedAt:  i.now,
-		Deadline:    i.now + event.seconds(9),
-		ClientRetry: flags&flagClientRetry != 0,
-	}
-	if flags&flagWorkKnown != 0 {
-		request.Work = event.seconds(31)
+		Deadline:    i.now + event.timeoutSeconds,
+		Work:        event.workSeconds,
+		ClientRetry: event.clientRetry,
 	}
 	i.requests[request.ID] = request
 	i.pick(request)
@@ -65,71 +64,57 @@
 }
 
 // onAttemptDone takes the outcome of an attempt. One that is not in flight any more is ignored.
-func (i *instance) onAttemptDone(event record) error {
-	code := int(event.u16(15))
-	if code >= len(attemptOutcomes) {
-		return fmt.Errorf("unknown outcome %d", code)
+func (i *instance) onAttemptDone(event attemptDoneEvent) error {
+	if event.outcomeCode >= len(attemptOutcomes) {
+		return fmt.Errorf("unknown outcome %d", event.outcomeCode)
 	}
-	request, number := i.requests[event.u32(5)], int(event.u16(9))
-	if request == nil || number >= len(request.Attempts) || !request.Attempts[number].InFlight {
+	request := i.requests[event.requestID]
+	if request == nil || event.attempt >= len(request.Attempts) || !request.Attempts[event.attempt].InFlight {
 		return nil
 	}
-	attempt, done := &request.Attempts[number], attemptOutcomes[code]
+	attempt, done := &request.Attempts[event.attempt], attemptOutcomes[event.outcomeCode]
 	attempt.InFlight, attempt.MayHaveRun = false, done.mayHaveRun
-	requestEnded := event.u8(25) != 0
-	request.Completed = request.Completed || requestEnded
-	i.execute(request, i.balancer.OnAttemptDone(i.now, request, attempt.Endpoint, done.outcome, event.seconds(17)))
+	request.Completed = request.Completed || event.requestEnded
+	i.execute(request, i.balancer.OnAttemptDone(i.now, request, attempt.Endpoint, done.outcome, event.latencySeconds))
 	i.setPickTimer()
 	return nil
 }
 
-func (i *instance) onStreaming(event record) {
-	if request := i.requests[event.u32(5)]; request != nil {
+func (i *instance) onStreaming(requestID uint32) {
+	if request := i.requests[requestID]; request != nil {
 		request.Streaming = true
 	}
 }
 
-func (i *instance) onClientGone(event record) {
-	if request := i.requests[event.u32(5)]; request != nil {
+func (i *instance) onClientGone(requestID uint32) {
+	if request := i.requests[requestID]; request != nil {
 		request.Completed = true
 		i.pick(request)
 	}
 }
 
-func (i *instance) onWrongAnswer(event record) {
-	endpoint, ageSeconds := event.u32(5), event.seconds(10)
-	i.balancer.ReportWrongAnswer(i.now, endpoint, ageSeconds)
-}
-
-// onRelease takes a release update, which comes by itself or in the reply to a vote.
-func (i *instance) onRelease(event record) error {
-	phase := event.u8(8)
-	if phase > uint8(policy.PhaseWithdrawn) {
-		return fmt.Errorf("unknown phase %d", phase)
+func (i *instance) onRelease(event releaseEvent) error {
+	if event.phase > uint8(policy.PhaseWithdrawn) {
+		return fmt.Errorf("unknown phase %d", event.phase)
 	}
-	isVoteReply, status := event.u8(9) == 1, event.u16(10)
-	if isVoteReply {
-		i.balancer.OnVoteReply(i.now, voteReply(status))
+	if event.isVoteReply {
+		i.balancer.OnVoteReply(i.now, voteReply(event.status))
 	}
-	if status == statusOK {
-		build, stage, canaryLimit, ageSeconds := int(event.u16(5)), int(event.u8(7)), event.f32(12), event.seconds(16)
-		i.balancer.ApplyRelease(i.now, build, stage, policy.Phase(phase), canaryLimit, ageSeconds)
+	if event.status == statusOK {
+		i.balancer.ApplyRelease(i.now, event.build, event.stage, policy.Phase(event.phase), event.canaryLimit, event.ageSeconds)
 	}
 	return nil
 }
 
-func (i *instance) onTimer(event record) {
-	mark := event.u64(5)
-	if mark == controllerTimer {
+// onTimer takes a timer that fired. A pick timer that an earlier one replaced is ignored.
+func (i *instance) onTimer(mark uint64) {
+	switch {
+	case mark == controllerTimer:
 		i.tickController()
-		return
+	case mark == i.pickTimer && i.pickTimerAt != 0:
+		i.pickTimerAt = 0
+		i.pickDue()
 	}
-	replaced := mark != i.pickTimer || i.pickTimerAt == 0 // by a timer that was to fire earlier
-	if replaced {
-		return
-	}
-	i.pickTimerAt = 0
-	i.pickDue()
 }
 
 // pickDue picks again for the requests whose time has come. What a pick puts back into the queue waits for the next timer.
@@ -146,20 +131,12 @@
 func (i *instance) tickController() {
 	tick := i.balancer.TickController(i.now)
 	if tick.SubscribeToEndpoints {
-		i.actions.add(actionSubscribe, i.id)[5] = 1
+		i.actions.subscribe(i.id)
 	}
 	if tick.CastVote {
-		vote := i.actions.add(actionVote, i.id)
-		vote.putU16(5, uint16(tick.Build))
-		vote[7], vote[8] = uint8(tick.Stage), uint8(tick.Verdict)
+		i.actions.vote(i.id, tick.Build, tick.Stage, tick.Verdict)
 	}
-	i.setTimer(tick.NextTickSeconds, controllerTimer)
-}
-
-func (i *instance) setTimer(seconds float64, mark uint64) {
-	timer := i.actions.add(actionSetTimer, i.id)
-	timer.putSeconds(5, seconds)
-	timer.putU64(13, mark)
+	i.actions.setTimer(i.id, tick.NextTickSeconds, controllerTimer)
 }
 
 // pick asks the policy what to do with a request now.
@@ -171,14 +148,13 @@
 func (i *instance) execute(request *policy.Request, decision policy.Decision) {
 	switch decision.Action {
 	case policy.Send:
-		i.send(request, decision)
+		i.actions.send(i.id, request.ID, decision.Endpoint, decision.AttemptDeadline)
+		request.Attempts = append(request.Attempts, policy.Attempt{Endpoint: decision.Endpoint, StartedAt: i.now, InFlight: true})
 	case policy.Reject:
-		reject := i.actions.add(actionReject, i.id)
-		reject.putU32(5, request.ID)
-		reject.putSeconds(9, decision.RetryAfterSeconds)
+		i.actions.reject(i.id, request.ID, decision.RetryAfterSeconds)
 		request.Completed = true
 	case policy.Fail:
-		i.actions.add(actionFail, i.id).putU32(5, request.ID)
+		i.actions.fail(i.id, request.ID)
 		request.Completed = true
 	}
 	if decision.PickAgainAt > 0 && decision.PickAgainAt < request.Deadline && !request.Completed {
@@ -192,20 +168,10 @@
 	}
 }
 
-func (i *instance) send(request *policy.Request, decision policy.Decision) {
-	send := i.actions.add(actionSend, i.id)
-	send.putU32(5, request.ID)
-	send.putU32(9, decision.Endpoint)
-	send.putSeconds(13, decision.AttemptDeadline)
-	request.Attempts = append(request.Attempts, policy.Attempt{Endpoint: decision.Endpoint, StartedAt: i.now, InFlight: true})
-}
-
 func (i *instance) cancelInFlight(request *policy.Request) {
 	for number, attempt := range request.Attempts {
 		if attempt.InFlight {
-			cancel := i.actions.add(actionCancel, i.id)
-			cancel.putU32(5, request.ID)
-			cancel.putU16(9, uint16(number))
+			i.actions.cancel(i.id, request.ID, number)
 		}
 	}
 }
--- a/internal/simadapter/picktimer.go
+++ b/internal/simadapter/picktimer.go
@@ -56,5 +56,5 @@
 	}
 	i.pickTimerAt = i.picks[0].at
 	i.pickTimer++
-	i.setTimer(max(0, i.pickTimerAt-i.now), i.pickTimer)
+	i.actions.setTimer(i.id, max(0, i.pickTimerAt-i.now), i.pickTimer)
 }
