--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -17,14 +17,14 @@
 
 // Config is what the platform gives a router in one file.
 type Config struct {
-	Name             string
+	Name             string // the router's name to the platform
 	ListenAddress    string // HOST:PORT, as the two below
 	DiscoveryAddress string
 	PlatformAddress  string
 	Seed             uint64
-	Cores            float64
-	MemoryBytes      int64
-	Sockets          int
+	Cores            float64            // processors' time that the process may use, in cores
+	MemoryBytes      int64              // that the process may use
+	Sockets          int                // descriptors that the process may have open
 	Release          *releases.Update   // nil: there is none yet
 	KnownEndpoints   *discovery.Message // nil: there is no list yet
 	Policy           policy.Config
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -60,7 +60,8 @@
 }
 
 // Run serves until ctx ends, then answers the requests that it has accepted and returns. It blocks until every goroutine that it started
-// has ended. An error before anything was served is a reason not to start.
+// has ended. An error before "serving" was logged is a reason not to start; a later one says why serving ended, or that requests were left
+// without an answer.
 func Run(ctx context.Context, settings *config.Router, log *slog.Logger) error {
 	if err := os.MkdirAll(settings.StateDir, 0o755); err != nil {
 		return err
