--- /dev/null
+++ b/internal/simadapter/instance.go
@@ -0,0 +1,186 @@
+package simadapter
+
+import (
+	"container/heap"
+	"fmt"
+
+	"flintspread/internal/policy"
+)
+
+// instance is one router in the simulator: a policy with its requests in flight and its timers.
+type instance struct {
+	id         uint32
+	now        float64 // of the frame that is handled
+	balancer   *policy.Balancer
+	classCount int
+	requests   map[uint32]*policy.Request // by the simulator's number, until nothing of them is in flight
+	actions    *actionFrame               // where its actions go
+
+	picks        pickQueue
+	pickSequence uint64
+	pickTimerAt  float64 // when the pick timer that is set fires, 0: none is set
+	pickTimer    uint64  // its mark
+}
+
+// controllerTimer is the mark of the timer of the controller's tick. Pick timers are marked by numbers from 1.
+const controllerTimer = 0
+
+// timerTolerance is how early a timer may come, in seconds: its time goes to the simulator and back in milliseconds.
+const timerTolerance = 1e-9
+
+// updateEndpoints passes the endpoints of a table to the policy: the full list, or those that changed.
+func (i *instance) updateEndpoints(table []byte, full bool) error {
+	i.balancer.BeginEndpointList(full)
+	for ; len(table) > 0; table = table[endpointBytes:] {
+		entry := readEndpointEntry(record(table))
+		state, ok := endpointState(entry.stateCode)
+		if !ok {
+			return fmt.Errorf("unknown endpoint state %d", entry.stateCode)
+		}
+		i.balancer.UpdateEndpoint(entry.id, entry.zone, entry.cell, entry.build, state, entry.weight, entry.startedAt)
+	}
+	i.balancer.EndEndpointList(i.now)
+	return nil
+}
+
+// onRequest takes a new request and picks for it.
+func (i *instance) onRequest(event requestEvent) error {
+	if event.class >= i.classCount {
+		return fmt.Errorf("unknown class %d", event.class)
+	}
+	request := &policy.Request{
+		ID:          event.id,
+		Class:       event.class,
+		Key:         event.key,
+		ReceivedAt:  i.now,
+		Deadline:    i.now + event.timeoutSeconds,
+		Work:        event.workSeconds,
+		ClientRetry: event.clientRetry,
+	}
+	i.requests[request.ID] = request
+	i.pick(request)
+	i.setPickTimer()
+	return nil
+}
+
+// onAttemptDone takes the outcome of an attempt. One that is not in flight any more is ignored.
+func (i *instance) onAttemptDone(event attemptDoneEvent) error {
+	if event.outcomeCode >= len(attemptOutcomes) {
+		return fmt.Errorf("unknown outcome %d", event.outcomeCode)
+	}
+	request := i.requests[event.requestID]
+	if request == nil || event.attempt >= len(request.Attempts) || !request.Attempts[event.attempt].InFlight {
+		return nil
+	}
+	attempt, done := &request.Attempts[event.attempt], attemptOutcomes[event.outcomeCode]
+	attempt.InFlight, attempt.MayHaveRun = false, done.mayHaveRun
+	request.Completed = request.Completed || event.requestEnded
+	i.execute(request, i.balancer.OnAttemptDone(i.now, request, attempt.Endpoint, done.outcome, event.latencySeconds))
+	i.setPickTimer()
+	return nil
+}
+
+func (i *instance) onStreaming(requestID uint32) {
+	if request := i.requests[requestID]; request != nil {
+		request.Streaming = true
+	}
+}
+
+func (i *instance) onClientGone(requestID uint32) {
+	if request := i.requests[requestID]; request != nil {
+		request.Completed = true
+		i.pick(request)
+	}
+}
+
+func (i *instance) onRelease(event releaseEvent) error {
+	if event.phase > uint8(policy.PhaseWithdrawn) {
+		return fmt.Errorf("unknown phase %d", event.phase)
+	}
+	if event.isVoteReply {
+		i.balancer.OnVoteReply(i.now, voteReply(event.status))
+	}
+	if event.status == statusOK {
+		i.balancer.ApplyRelease(i.now, event.build, event.stage, policy.Phase(event.phase), event.canaryLimit, event.ageSeconds)
+	}
+	return nil
+}
+
+// onTimer takes a timer that fired. A pick timer that an earlier one replaced is ignored.
+func (i *instance) onTimer(mark uint64) {
+	switch {
+	case mark == controllerTimer:
+		i.tickController()
+	case mark == i.pickTimer && i.pickTimerAt != 0:
+		i.pickTimerAt = 0
+		i.pickDue()
+	}
+}
+
+// pickDue picks again for the requests whose time has come. What a pick puts back into the queue waits for the next timer.
+func (i *instance) pickDue() {
+	for left := len(i.picks); left > 0 && i.picks.isDue(i.now); left-- {
+		request := heap.Pop(&i.picks).(scheduledPick).request
+		if !request.Completed {
+			i.pick(request)
+		}
+	}
+}
+
+// tickController runs the policy's periodic work and sets its next timer.
+func (i *instance) tickController() {
+	tick := i.balancer.TickController(i.now)
+	if tick.SubscribeToEndpoints {
+		i.actions.subscribe(i.id)
+	}
+	if tick.CastVote {
+		i.actions.vote(i.id, tick.Build, tick.Stage, tick.Verdict)
+	}
+	i.actions.setTimer(i.id, tick.NextTickSeconds, controllerTimer)
+}
+
+// pick asks the policy what to do with a request now.
+func (i *instance) pick(request *policy.Request) {
+	i.execute(request, i.balancer.Pick(i.now, request))
+}
+
+// execute writes what the policy decided on a request as actions.
+func (i *instance) execute(request *policy.Request, decision policy.Decision) {
+	switch decision.Action {
+	case policy.Send:
+		i.actions.send(i.id, request.ID, decision.Endpoint, decision.AttemptDeadline)
+		request.Attempts = append(request.Attempts, policy.Attempt{Endpoint: decision.Endpoint, StartedAt: i.now, InFlight: true})
+	case policy.Reject:
+		i.actions.reject(i.id, request.ID, decision.RetryAfterSeconds)
+		request.Completed = true
+	case policy.Fail:
+		i.actions.fail(i.id, request.ID)
+		request.Completed = true
+	}
+	if decision.PickAgainAt > 0 && decision.PickAgainAt < request.Deadline && !request.Completed {
+		i.schedulePick(request, decision.PickAgainAt)
+	}
+	if decision.CancelInFlight {
+		i.cancelInFlight(request)
+	}
+	if request.Completed && !hasInFlight(request) {
+		delete(i.requests, request.ID)
+	}
+}
+
+func (i *instance) cancelInFlight(request *policy.Request) {
+	for number, attempt := range request.Attempts {
+		if attempt.InFlight {
+			i.actions.cancel(i.id, request.ID, number)
+		}
+	}
+}
+
+func hasInFlight(request *policy.Request) bool {
+	for _, attempt := range request.Attempts {
+		if attempt.InFlight {
+			return true
+		}
+	}
+	return false
+}
