--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -51,7 +51,7 @@
 	memoryRefusedTotal     = metric("connections_refused_for_room_total", "Connections refused for want of room.")
 	acceptOverflowsTotal   = metric("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue was full, anyone's.")
 	answerSecondsHistogram = prometheus.HistogramOpts{
-		Name: metricPrefix + "answer_seconds",
+		Name: "flintedge_answer_seconds", // whole, so that a search for a metric finds it
 		Help: "Time from a command's coming to its final answer.",
 	}
 )
