--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/proxy"
 )
 
-// metricPrefix begins every metric's name. Names, labels and help texts keep the operators' words: dashboards and alerts rely on them.
+// metricPrefix begins every metric's name. Names and labels keep the words of the first version: dashboards and alerts rely on them.
 const metricPrefix = "flintedge_"
 
 func metric(name, help string, labels ...string) *prometheus.Desc {
@@ -22,37 +22,37 @@
 }
 
 var (
-	requestsTotal          = metric("commands_total", "Commands by final answer; left: the client went first.", "answer")
-	attemptsTotal          = metric("deliveries_total", "Deliveries by how they ended.", "result")
-	refusedTotal           = metric("refused_total", "Requests and connections that never became commands.", "what")
-	dialsTotal             = metric("unit_dials_total", "Connections to units begun.")
-	lateAnswersTotal       = metric("unit_late_answers_total", "Unit answers after their delivery was given up.")
+	requestsTotal          = metric("commands_total", "Requests by final answer; left: the client closed first.", "answer")
+	attemptsTotal          = metric("deliveries_total", "Attempts by outcome.", "result")
+	refusedTotal           = metric("refused_total", "Malformed requests, and connections above the limit.", "what")
+	dialsTotal             = metric("unit_dials_total", "Connections to endpoints begun.")
+	lateAnswersTotal       = metric("unit_late_answers_total", "Answers of endpoints to attempts that had been given up.")
 	wrongAnswersTotal      = metric("wrong_reports_total", "Wrong answers that clients reported.")
 	openConnections        = metric("connections", "Open connections.", "side")
-	requestsInFlight       = metric("commands_in_hand", "Commands without their final answer.")
-	knownEndpoints         = metric("units", "Units known.")
-	endpointListAge        = metric("list_age_seconds", "Time since what the list says was true.")
-	policySecondsTotal     = metric("policy_seconds_total", "Time spent deciding.")
-	policyCallsTotal       = metric("policy_calls_total", "Decisions asked for.")
-	controllerEpoch        = metric("planner_epoch", "Number of the planner's process that is followed, 0: none yet.")
-	assignmentAge          = metric("view_age_seconds", "Most that the last view of the planner may be old.")
-	controllerConnects     = metric("links_total", "Links to the planner made.")
-	assignmentsRefused     = metric("views_refused_total", "Views that did not count.", "reason")
-	reportsDropped         = metric("digests_dropped_total", "Digests that a newer one replaced before they were sent.")
-	shedTotal              = metric("shed_total", "Commands nacked for this process's own load, among the nacked.")
-	shedShare              = metric("shed_level", "Share of what comes that is shed now.")
-	timerDelay             = metric("timer_late_seconds", "How late the edge's own timer came, at its last look.")
-	schedulerDelay         = metric("processor_wait_seconds", "How long goroutines waited for a processor, 99th part of a hundred since the look before.")
-	cpuShare               = metric("processor_share", "Share of its processors that the edge used.")
-	gcShare                = metric("collecting_share", "Share of its processors' time that went to collecting.")
-	memoryUsed             = metric("memory_bytes", "Bytes of connections and messages, counted to the budget.")
-	memoryPeak             = metric("memory_peak_bytes", "The most that there was.")
-	readsPausedTotal       = metric("reads_paused_total", "Readings from clients that waited for room in the budget.")
-	memoryRefusedTotal     = metric("connections_refused_for_room_total", "Connections refused for want of room.")
-	acceptOverflowsTotal   = metric("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue was full, anyone's.")
+	requestsInFlight       = metric("commands_in_hand", "Requests in flight.")
+	knownEndpoints         = metric("units", "Endpoints known.")
+	endpointListAge        = metric("list_age_seconds", "Age of the endpoint list.")
+	policySecondsTotal     = metric("policy_seconds_total", "Time spent in the decision core.")
+	policyCallsTotal       = metric("policy_calls_total", "Calls of the decision core.")
+	controllerEpoch        = metric("planner_epoch", "Epoch of the controller that is followed, 0: none yet.")
+	assignmentAge          = metric("view_age_seconds", "Upper bound of the age of the controller's last assignment.")
+	controllerConnects     = metric("links_total", "Connections to the controller made.")
+	assignmentsRefused     = metric("views_refused_total", "Assignments refused.", "reason")
+	reportsDropped         = metric("digests_dropped_total", "Reports that a newer one replaced before they were sent.")
+	shedTotal              = metric("shed_total", "Requests rejected because this process is overloaded, among the rejected.")
+	shedShare              = metric("shed_level", "Share of the offered work that is shed now.")
+	timerDelay             = metric("timer_late_seconds", "How late the router's own timer was, at the last sample.")
+	schedulerDelay         = metric("processor_wait_seconds", "99th percentile of the time that goroutines waited for a processor, since the sample before.")
+	cpuShare               = metric("processor_share", "Share of its processors that the router used.")
+	gcShare                = metric("collecting_share", "Share of its processors' time spent collecting garbage.")
+	memoryUsed             = metric("memory_bytes", "Bytes of connections and messages, as counted for the memory budget.")
+	memoryPeak             = metric("memory_peak_bytes", "Peak of memory_bytes.")
+	readsPausedTotal       = metric("reads_paused_total", "Reads from clients that waited for the memory budget.")
+	memoryRefusedTotal     = metric("connections_refused_for_room_total", "Connections refused because the memory budget was used up.")
+	acceptOverflowsTotal   = metric("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue, of any process, was full.")
 	answerSecondsHistogram = prometheus.HistogramOpts{
 		Name: "flintedge_answer_seconds", // whole, so that a search for a metric finds it
-		Help: "Time from a command's coming to its final answer.",
+		Help: "Time from the receipt of a request to its final answer.",
 	}
 )
 
