--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -30,8 +30,8 @@
 
 var plainAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\nchute 17")
 
-// quickUnit answers each request without a body at once.
-func quickUnit(b *testing.B) net.Listener {
+// newQuickEndpoint answers each request without a body at once.
+func newQuickEndpoint(b *testing.B) net.Listener {
 	l, err := fakes.Serve(func(c net.Conn) {
 		br := bufio.NewReaderSize(c, 4096)
 		for skipHead(br) >= 0 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// load asks b.N commands over so many connections, each one after the other, and reports what came of them.
-func load(b *testing.B, addr string, conns int) {
+// runLoad asks b.N commands over so many connections, each one after the other, and reports what came of them.
+func runLoad(b *testing.B, addr string, conns int) {
 	hist := make([]*hdrhistogram.Histogram, conns)
 	var left atomic.Int64
 	var started, done sync.WaitGroup
@@ -121,25 +121,25 @@
 	b.ReportMetric(float64(hist[0].ValueAtQuantile(99)), "p99-µs")
 }
 
-// benchHall is a relay before so many quick units.
-func benchHall(b *testing.B, units int) *hall {
-	h := newHall(b, func(s *config.Router) {
+// newBenchHarness is a relay before so many quick units.
+func newBenchHarness(b *testing.B, units int) *harness {
+	h := newHarness(b, func(s *config.Router) {
 		s.Endpoints.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
 	})
 	var list []endpoints.Endpoint
 	for i := range units {
-		list = append(list, endpoints.Endpoint{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
+		list = append(list, endpoints.Endpoint{ID: uint32(i + 1), Addr: newQuickEndpoint(b).Addr().String(), State: "ready", Build: 1})
 	}
-	h.list(true, list...)
+	h.updateEndpoints(true, list...)
 	return h
 }
 
 // BenchmarkProxies compares, with the same clients and unit: no proxy, the standard library's, the relay.
 func BenchmarkProxies(b *testing.B) {
 	const conns = 256
-	b.Run("direct", func(b *testing.B) { load(b, quickUnit(b).Addr().String(), conns) })
+	b.Run("direct", func(b *testing.B) { runLoad(b, newQuickEndpoint(b).Addr().String(), conns) })
 	b.Run("ReverseProxy", func(b *testing.B) {
-		to, _ := url.Parse("http://" + quickUnit(b).Addr().String())
+		to, _ := url.Parse("http://" + newQuickEndpoint(b).Addr().String())
 		p := httputil.NewSingleHostReverseProxy(to)
 		p.Transport = &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}
 		p.ErrorLog = log.New(io.Discard, "", 0)
@@ -150,17 +150,17 @@
 		srv := &http.Server{Handler: p}
 		go srv.Serve(l)
 		defer srv.Close()
-		load(b, l.Addr().String(), conns)
+		runLoad(b, l.Addr().String(), conns)
 	})
-	b.Run("relay", func(b *testing.B) { load(b, benchHall(b, 1).l.Addr().String(), conns) })
+	b.Run("relay", func(b *testing.B) { runLoad(b, newBenchHarness(b, 1).listener.Addr().String(), conns) })
 }
 
 // BenchmarkFleet is the relay before 100 units with 1,000 client connections.
 func BenchmarkFleet(b *testing.B) {
-	h := benchHall(b, 100)
-	before := h.r.Stats()
-	load(b, h.l.Addr().String(), 1000)
-	n := h.r.Stats()
+	h := newBenchHarness(b, 100)
+	before := h.proxy.Stats()
+	runLoad(b, h.listener.Addr().String(), 1000)
+	n := h.proxy.Stats()
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -173,10 +173,10 @@
 // BenchmarkLongLife is a relay whose list and keys change for ever; one operation is a day's worth: 200 units replaced,
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
-	h := newHall(b, func(s *config.Router) {
+	h := newHarness(b, func(s *config.Router) {
 		s.Rules.OneWayKeys, s.Rules.KeysKept, s.Rules.UnitsForget = true, 10000, 1.6
 	})
-	unit := quickUnit(b).Addr().String()
+	unit := newQuickEndpoint(b).Addr().String()
 	id := uint32(0)
 	var m runtime.MemStats
 	c := h.dial()
@@ -186,7 +186,7 @@
 			id++
 			list = append(list, endpoints.Endpoint{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
 		}
-		h.list(true, list...)
+		h.updateEndpoints(true, list...)
 		for k := range 2000 {
 			fmt.Fprintf(c, "GET /chute/1 HTTP/1.1\r\nHost: x\r\nFlint-Key: %d-%d\r\n\r\n", id, k)
 			c.br.Discard(skipHead(c.br))
@@ -195,13 +195,13 @@
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.HeapInuse)/(1<<20), "heap-MiB")
-	b.ReportMetric(float64(h.r.Stats().Endpoints), "units")
+	b.ReportMetric(float64(h.proxy.Stats().Endpoints), "units")
 }
 
 // BenchmarkOrder compares two ways to order the policy's calls, for one command's two calls from many goroutines: a
 // lock that the caller takes, and an owner goroutine that it asks over a channel.
 func BenchmarkOrder(b *testing.B) {
-	set := newHall(b, nil).r.set
+	set := newHarness(b, nil).proxy.settings
 	fresh := func() *policy.Balancer {
 		p := policy.New(set.Policy(), 1, 100)
 		p.BeginEndpointList(true)
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -16,35 +16,35 @@
 	"flintspread/internal/policy"
 )
 
-// client is one client's connection. Its goroutine reads; the answer is written by whoever has it.
-type client struct {
-	r    *Proxy
-	sock socket
-	open int  // commands in hand, under the relay's lock
-	last bool // no further command; set before the answer that says so
-	done chan struct{}
-	dead bool // an answer could not be written
+// clientConn is one client's connection. Its goroutine reads; the answer is written by whoever has it.
+type clientConn struct {
+	proxy    *Proxy
+	socket socket
+	inFlight int  // commands in hand, under the relay's lock
+	closeAfterAnswer bool // no further command; set before the answer that says so
+	answerWritten chan struct{}
+	writeFailed bool // an answer could not be written
 
 	reading bool    // a request has begun to come; under the relay's lock, as the next four
-	spoke   bool    // one came before
-	going   bool    // it is to make room
-	since   float64 // idle since
+	hasSentRequest   bool    // one came before
+	evicted   bool    // it is to make room
+	idleSince   float64 // idle since
 
-	who    uint64  // its host
-	owes   owes    // answers in order, where a client may ask ahead
-	parked parking // where its reader waits
+	hostHash    uint64  // its host
+	answers   answerQueue    // answers in order, where a client may ask ahead
+	waiter readWaiter // where its reader waits
 }
 
-func span(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
+func secondsToDuration(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
 
 // Serve takes connections until the listener is closed.
-func (r *Proxy) Serve(l net.Listener) error {
+func (p *Proxy) Serve(l net.Listener) error {
 	for {
-		nc, err := l.Accept()
+		netConn, err := l.Accept()
 		if err != nil {
 			var wait interface{ Temporary() bool }
 			if errors.As(err, &wait) && wait.Temporary() { // no descriptor left: those in hand give some back
-				r.log.Warn("accept", "error", err)
+				p.log.Warn("accept", "error", err)
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -53,45 +53,45 @@
 			}
 			return err
 		}
-		cl := &client{r: r, sock: newSocket(nc), done: make(chan struct{}, 1), who: whoIs(nc.RemoteAddr().String()), since: r.Now()}
-		noRoom := r.mem.full(connBytes)
-		r.mu.Lock()
-		lim := &r.now.Load().Document.Clients
-		crammed := func() bool { return lim.Keep > 0 && loadshed.OverCapacity(len(r.clients), lim.Connections) }
+		conn := &clientConn{proxy: p, socket: newSocket(netConn), answerWritten: make(chan struct{}, 1), hostHash: hashHost(netConn.RemoteAddr().String()), idleSince: p.Now()}
+		noRoom := p.memory.exceededBy(connOverheadBytes)
+		p.mu.Lock()
+		limits := &p.currentConfig.Load().Document.Clients
+		crammed := func() bool { return limits.Keep > 0 && loadshed.OverCapacity(len(p.clients), limits.Connections) }
 		for try := 0; crammed() && try < 20; try++ { // who is to make room has not gone yet
-			r.mu.Unlock()
+			p.mu.Unlock()
 			time.Sleep(time.Millisecond)
-			r.mu.Lock()
+			p.mu.Lock()
 		}
-		over := lim.Keep > 0 && len(r.clients) >= lim.Keep
-		full := noRoom || crammed() || !(over && r.evict()) && len(r.clients) >= lim.Connections
+		over := limits.Keep > 0 && len(p.clients) >= limits.Keep
+		full := noRoom || crammed() || !(over && p.evictClient()) && len(p.clients) >= limits.Connections
 		if full {
-			r.count.ClientsRefused++
+			p.stats.ClientsRefused++
 			if noRoom {
-				r.count.MemoryRefused++
+				p.stats.MemoryRefused++
 			}
 		} else {
-			r.mem.add(connBytes)
-			r.clients[cl] = struct{}{}
-			r.count.ClientsAccepted++
-			r.conns.Add(1)
+			p.memory.add(connOverheadBytes)
+			p.clients[conn] = struct{}{}
+			p.stats.ClientsAccepted++
+			p.goroutines.Add(1)
 		}
-		r.mu.Unlock()
+		p.mu.Unlock()
 		if full {
-			cl.sock.writeNow(r.speech.crowded(r.now.Load().Document.Rules.MaxPause))
-			nc.Close()
+			conn.socket.writeNow(p.protocol.tooManyConnections(p.currentConfig.Load().Document.Rules.MaxPause))
+			netConn.Close()
 			continue
 		}
 		go func() {
-			defer r.conns.Done()
+			defer p.goroutines.Done()
 			defer func() {
-				r.mu.Lock()
-				delete(r.clients, cl)
-				r.mu.Unlock()
-				cl.sock.Close()
-				r.mem.add(-connBytes)
+				p.mu.Lock()
+				delete(p.clients, conn)
+				p.mu.Unlock()
+				conn.socket.Close()
+				p.memory.add(-connOverheadBytes)
 			}()
-			r.speech.serve(cl)
+			p.protocol.serveClient(conn)
 		}()
 	}
 }
@@ -120,298 +120,298 @@
 }
 
 // linger ends this side of a connection whose client has its last answer, and reads for a moment what still comes.
-func (cl *client) linger() {
-	if tcp, ok := cl.sock.Conn.(*net.TCPConn); ok {
+func (conn *clientConn) linger() {
+	if tcp, ok := conn.socket.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	cl.sock.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	conn.socket.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var sink [4096]byte
 	for range 64 {
-		if _, err := cl.sock.Read(sink[:]); err != nil {
+		if _, err := conn.socket.Read(sink[:]); err != nil {
 			return
 		}
 	}
 }
 
-// evict has a connection make room for another, by the shedding module's order. Its reader closes it: what it has begun to read
+// evictClient has a connection make room for another, by the shedding module's order. Its reader closes it: what it has begun to read
 // meanwhile is served. Under the lock.
-func (r *Proxy) evict() bool {
-	now := r.Now()
-	var first *client
-	var as loadshed.ClientConn
-	for cl := range r.clients {
-		g := loadshed.ClientConn{Busy: cl.open > 0, Reading: cl.reading, HasSentRequest: cl.spoke, IdleSince: cl.since}
-		if !cl.going && !g.Pinned() && (first == nil || g.EvictBefore(now, as)) && !cl.sock.unread() {
-			first, as = cl, g
+func (p *Proxy) evictClient() bool {
+	now := p.Now()
+	var first *clientConn
+	var firstState loadshed.ClientConn
+	for conn := range p.clients {
+		candidate := loadshed.ClientConn{Busy: conn.inFlight > 0, Reading: conn.reading, HasSentRequest: conn.hasSentRequest, IdleSince: conn.idleSince}
+		if !conn.evicted && !candidate.Pinned() && (first == nil || candidate.EvictBefore(now, firstState)) && !conn.socket.hasUnread() {
+			first, firstState = conn, candidate
 		}
 	}
 	if first == nil {
 		return false
 	}
-	first.going = true
-	r.speech.rouse(first)
+	first.evicted = true
+	p.protocol.wakeReader(first)
 	return true
 }
 
-func (cl *client) serve() {
-	r := cl.r
-	g := &gate{from: cl.sock.Conn, mem: &r.mem}
-	defer g.release()
-	br := bufio.NewReaderSize(g, 4096)
+func (conn *clientConn) serveHTTP() {
+	p := conn.proxy
+	reader := &limitedReader{source: conn.socket.Conn, memory: &p.memory}
+	defer reader.release()
+	br := bufio.NewReaderSize(reader, 4096)
 	for {
-		lim := &r.now.Load().Document.Clients
-		g.left = math.MaxInt64
-		cl.sock.SetReadDeadline(time.Now().Add(span(lim.IdleTime)))
-		if _, err := br.Peek(1); err != nil && !cl.more() {
+		limits := &p.currentConfig.Load().Document.Clients
+		reader.remaining = math.MaxInt64
+		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTime)))
+		if _, err := br.Peek(1); err != nil && !conn.hasUnreadBytes() {
 			return
 		}
-		r.mem.wait(r.stop)
-		waited := cl.waited()
-		done, goOn, admitted := cl.shortcut(br, waited)
+		p.memory.waitAvailable(p.stop)
+		waited := conn.queuedSecondsIfOverloaded()
+		done, goOn, admitted := conn.shedUnparsed(br, waited)
 		if done && goOn {
-			g.release()
+			reader.release()
 			continue
 		} else if done {
 			return
 		}
-		r.mu.Lock()
-		cl.reading = true // a drain lets it come
-		cl.sock.SetReadDeadline(time.Now().Add(span(lim.ReadTime)))
-		r.mu.Unlock()
-		req, err := readRequest(br, g, lim.HeadBytes, lim.BodyBytes, func() {
-			cl.sock.writeNow([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		p.mu.Lock()
+		conn.reading = true // a drain lets it come
+		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.ReadTime)))
+		p.mu.Unlock()
+		message, err := readHTTPMessage(br, reader, limits.HeadBytes, limits.BodyBytes, func() {
+			conn.socket.writeNow([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		})
 		if err != nil {
-			cl.refuse(err)
+			conn.rejectUnreadable(err)
 			return
 		}
-		req.admitted, req.waited = admitted, waited
-		if !cl.handle(br, g, req) || cl.last {
+		message.admitted, message.queuedSeconds = admitted, waited
+		if !conn.handleMessage(br, reader, message) || conn.closeAfterAnswer {
 			return
 		}
-		g.release()
+		reader.release()
 	}
 }
 
-// toEnd tells whether the connection is to end once nothing is open on it. One that came during a drain, when others could not
+// shouldClose tells whether the connection is to end once nothing is open on it. One that came during a drain, when others could not
 // know of it yet, is still to bring its first command.
-func (cl *client) toEnd(first bool) bool {
-	cl.r.mu.Lock()
-	defer cl.r.mu.Unlock()
-	return cl.going || cl.r.draining && !first
+func (conn *clientConn) shouldClose(first bool) bool {
+	conn.proxy.mu.Lock()
+	defer conn.proxy.mu.Unlock()
+	return conn.evicted || conn.proxy.draining && !first
 }
 
-// more tells whether a request lies unread in the kernel: a drain ends the wait for one by the clock, and what had come by
+// hasUnreadBytes tells whether a request lies unread in the kernel: a drain ends the wait for one by the clock, and what had come by
 // then is served.
-func (cl *client) more() bool {
-	if cl.sock.raw == nil {
+func (conn *clientConn) hasUnreadBytes() bool {
+	if conn.socket.raw == nil {
 		return false
 	}
 	n := 0
-	cl.sock.raw.Control(func(fd uintptr) {
+	conn.socket.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, _ = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return n > 0
 }
 
-// refuse answers a request that can't be read, and lets its sender see the answer: closing with bytes unread would
+// rejectUnreadable answers a request that can't be read, and lets its sender see the answer: closing with bytes unread would
 // reset the connection under it.
-func (cl *client) refuse(err error) {
-	var bad *refusal
+func (conn *clientConn) rejectUnreadable(err error) {
+	var bad *requestError
 	var late net.Error
 	switch {
 	case errors.As(err, &bad):
 	case errors.As(err, &late) && late.Timeout():
-		bad = &refusal{408, fmt.Sprintf("the request took longer than %g s", cl.r.now.Load().Document.Clients.ReadTime)}
+		bad = &requestError{408, fmt.Sprintf("the request took longer than %g s", conn.proxy.currentConfig.Load().Document.Clients.ReadTime)}
 	default:
 		return
 	}
-	cl.r.mu.Lock()
-	cl.r.count.InvalidRequests++
-	cl.r.mu.Unlock()
-	cl.sock.writeNow(plain(bad.status, "", bad.what, 0).closing().bytes)
-	cl.linger()
+	conn.proxy.mu.Lock()
+	conn.proxy.stats.InvalidRequests++
+	conn.proxy.mu.Unlock()
+	conn.socket.writeNow(newHTTPAnswer(bad.status, "", bad.reason, 0).withConnectionClose().bytes)
+	conn.linger()
 }
 
-// handle serves one request and tells whether the connection goes on.
-func (cl *client) handle(br *bufio.Reader, g *gate, req *request) bool {
-	r := cl.r
-	if req.last {
-		cl.last = true
+// handleMessage serves one request and tells whether the connection goes on.
+func (conn *clientConn) handleMessage(br *bufio.Reader, reader *limitedReader, message *message) bool {
+	p := conn.proxy
+	if message.closeAfter {
+		conn.closeAfterAnswer = true
 	}
-	if req.path == wrongPath {
-		return cl.direct(wrongAnswer(r.wrong(req.receipt)))
+	if message.path == wrongAnswerPath {
+		return conn.answerInvalid(wrongAnswerReply(p.reportWrongAnswerByReceipt(message.receipt)))
 	}
-	v := r.now.Load()
-	op := v.ClassOf(req.method, req.path)
-	if op < 0 {
-		return cl.direct(plain(404, "", "no route for "+req.method+" "+req.path, 0))
+	v := p.currentConfig.Load()
+	class := v.ClassOf(message.method, message.path)
+	if class < 0 {
+		return conn.answerInvalid(newHTTPAnswer(404, "", "no route for "+message.method+" "+message.path, 0))
 	}
-	if v.Policy.Classes[op].Idempotency == policy.IdempotentWithKey && !req.mark {
-		return cl.direct(plain(400, "", "an op type with deduplicated commands needs "+headMark, 0))
+	if v.Policy.Classes[class].Idempotency == policy.IdempotentWithKey && !message.hasIdempotencyKey {
+		return conn.answerInvalid(newHTTPAnswer(400, "", "an op type with deduplicated commands needs "+headerIdempotencyKey, 0))
 	}
-	cl.sock.SetReadDeadline(time.Time{})
-	g.left = math.MaxInt64
-	c := r.accept(cl, req, v, op, nil)
+	conn.socket.SetReadDeadline(time.Time{})
+	reader.remaining = math.MaxInt64
+	request := p.accept(conn, message, v, class, nil)
 	// Watches for the client's going while the command is in hand. More bytes are its next request; they wait.
 	_, gone := br.Peek(1)
-	if gone != nil && r.left(c) {
+	if gone != nil && p.abandonRequest(request) {
 		return false
 	}
-	<-cl.done
-	return gone == nil && !cl.dead
+	<-conn.answerWritten
+	return gone == nil && !conn.writeFailed
 }
 
-func wrongAnswer(err error) answer {
+func wrongAnswerReply(err error) answer {
 	if err != nil {
-		return plain(400, "", err.Error(), 0)
+		return newHTTPAnswer(400, "", err.Error(), 0)
 	}
-	return plain(200, "", "noted", 0)
+	return newHTTPAnswer(200, "", "noted", 0)
 }
 
-// direct writes an answer to what was no command.
-func (cl *client) direct(ans answer) bool {
-	cl.r.mu.Lock()
-	cl.r.count.InvalidRequests++
-	cl.reading = false
-	cl.r.mu.Unlock()
-	cl.reply(ans)
-	<-cl.done
-	return !cl.dead
+// answerInvalid writes an answer to what was no command.
+func (conn *clientConn) answerInvalid(ans answer) bool {
+	conn.proxy.mu.Lock()
+	conn.proxy.stats.InvalidRequests++
+	conn.reading = false
+	conn.proxy.mu.Unlock()
+	conn.writeAnswer(ans)
+	<-conn.answerWritten
+	return !conn.writeFailed
 }
 
-// reply writes an answer without waiting; what the kernel does not take at once goes on by itself for as long as a
+// writeAnswer writes an answer without waiting; what the kernel does not take at once goes on by itself for as long as a
 // request may take to come.
-func (cl *client) reply(ans answer) {
+func (conn *clientConn) writeAnswer(ans answer) {
 	// From here on the connection is idle, also for the read that watches it; or that read is to end.
 	until := time.Now()
-	if cl.last {
-		ans = ans.closing()
+	if conn.closeAfterAnswer {
+		ans = ans.withConnectionClose()
 	} else {
-		until = until.Add(span(cl.r.now.Load().Document.Clients.IdleTime))
+		until = until.Add(secondsToDuration(conn.proxy.currentConfig.Load().Document.Clients.IdleTime))
 	}
-	cl.sock.SetReadDeadline(until)
-	n, err := cl.sock.writeNow(ans.bytes)
+	conn.socket.SetReadDeadline(until)
+	n, err := conn.socket.writeNow(ans.bytes)
 	if err == nil && n < len(ans.bytes) {
-		cl.r.conns.Add(1)
-		cl.r.mem.add(len(ans.bytes)) // its client reads slowly
+		conn.proxy.goroutines.Add(1)
+		conn.proxy.memory.add(len(ans.bytes)) // its client reads slowly
 		go func() {
-			defer cl.r.conns.Done()
-			defer cl.r.mem.add(-len(ans.bytes))
-			cl.sock.SetWriteDeadline(time.Now().Add(span(cl.r.now.Load().Document.Clients.ReadTime)))
-			_, err := cl.sock.Write(ans.bytes[n:])
-			cl.sock.SetWriteDeadline(time.Time{})
-			cl.answered(err)
+			defer conn.proxy.goroutines.Done()
+			defer conn.proxy.memory.add(-len(ans.bytes))
+			conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(conn.proxy.currentConfig.Load().Document.Clients.ReadTime)))
+			_, err := conn.socket.Write(ans.bytes[n:])
+			conn.socket.SetWriteDeadline(time.Time{})
+			conn.onAnswerWritten(err)
 		}()
 		return
 	}
-	cl.answered(err)
+	conn.onAnswerWritten(err)
 }
 
-func (cl *client) answered(err error) {
-	if cl.dead = err != nil; cl.dead {
-		cl.sock.Close()
+func (conn *clientConn) onAnswerWritten(err error) {
+	if conn.writeFailed = err != nil; conn.writeFailed {
+		conn.socket.Close()
 	}
-	cl.done <- struct{}{}
+	conn.answerWritten <- struct{}{}
 }
 
 // SetReady has the relay say that it is ready, to all who asked and to who asks. Until then it can't decide where commands go.
-func (r *Proxy) SetReady() {
-	r.mu.Lock()
-	pings := r.pings
-	r.ready, r.pings = true, nil
-	r.mu.Unlock()
+func (p *Proxy) SetReady() {
+	p.mu.Lock()
+	pings := p.awaitingReady
+	p.ready, p.awaitingReady = true, nil
+	p.mu.Unlock()
 	for _, answer := range pings {
 		answer()
 	}
 }
 
-// whenReady answers a client's question now or once the relay is ready.
-func (r *Proxy) whenReady(cl *client, answer func()) {
-	r.mu.Lock()
-	cl.reading = false
-	ready := r.ready
+// answerWhenReady answers a client's question now or once the relay is ready.
+func (p *Proxy) answerWhenReady(conn *clientConn, answer func()) {
+	p.mu.Lock()
+	conn.reading = false
+	ready := p.ready
 	if !ready {
-		r.pings = append(r.pings, answer)
+		p.awaitingReady = append(p.awaitingReady, answer)
 	}
-	r.mu.Unlock()
+	p.mu.Unlock()
 	if ready {
 		answer()
 	}
 }
 
 // SetAnswerDeadline has all that is in hand, and all that is taken from now on, answered by a time, whatever its client would wait.
-func (r *Proxy) SetAnswerDeadline(at float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.answerBy = at
-	for _, c := range append(dues(nil), r.dues...) { // all in hand: each waits for something
-		if c.Completed || c.Deadline <= at {
+func (p *Proxy) SetAnswerDeadline(at float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.answerDeadline = at
+	for _, request := range append(deadlineQueue(nil), p.deadlines...) { // all in hand: each waits for something
+		if request.Completed || request.Deadline <= at {
 			continue
 		}
-		c.Deadline = at
-		for _, d := range c.outs {
-			d.until = min(d.until, at)
+		request.Deadline = at
+		for _, attempt := range request.attempts {
+			attempt.deadline = min(attempt.deadline, at)
 		}
-		if c.again > at {
-			c.again = at
+		if request.pickAgainAt > at {
+			request.pickAgainAt = at
 		}
-		r.due(c)
+		p.scheduleCheck(request)
 	}
 }
 
 // StopServing begins a stop while the listener goes on: clients are still served, and each connection ends once nothing is open on it.
 // What has begun to come on one has until all is to be answered.
-func (r *Proxy) StopServing() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.draining = true
-	for cl := range r.clients {
-		if cl.open == 0 || cl.reading {
-			r.speech.rouse(cl)
+func (p *Proxy) StopServing() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.draining = true
+	for conn := range p.clients {
+		if conn.inFlight == 0 || conn.reading {
+			p.protocol.wakeReader(conn)
 		}
 	}
 }
 
 // Drain stops taking commands and waits until those in hand have their answers, or ctx ends. The listener is to be
 // closed before. Connections that have nothing in hand are closed at once.
-func (r *Proxy) Drain(ctx context.Context) error {
-	r.StopServing()
+func (p *Proxy) Drain(ctx context.Context) error {
+	p.StopServing()
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
 	for {
-		r.mu.Lock()
-		hands := r.hands
-		for cl := range r.clients {
-			if cl.open == 0 && !cl.reading {
-				r.speech.rouse(cl)
+		p.mu.Lock()
+		unanswered := p.inFlight
+		for conn := range p.clients {
+			if conn.inFlight == 0 && !conn.reading {
+				p.protocol.wakeReader(conn)
 			}
 		}
-		clients := len(r.clients)
-		r.mu.Unlock()
-		if hands == 0 && clients == 0 {
+		clients := len(p.clients)
+		p.mu.Unlock()
+		if unanswered == 0 && clients == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d commands and %d connections left: %w", hands, clients, ctx.Err())
+			return fmt.Errorf("%d commands and %d connections left: %w", unanswered, clients, ctx.Err())
 		case <-look.C:
 		}
 	}
 }
 
 // Close ends every connection and the timer, and waits for their goroutines.
-func (r *Proxy) Close() {
-	close(r.stop)
-	r.mu.Lock()
-	r.draining = true
-	for cl := range r.clients {
-		cl.sock.Close()
+func (p *Proxy) Close() {
+	close(p.stop)
+	p.mu.Lock()
+	p.draining = true
+	for conn := range p.clients {
+		conn.socket.Close()
 	}
-	for uc := range r.units {
-		uc.close()
+	for conn := range p.endpointConns {
+		conn.close()
 	}
-	r.mu.Unlock()
-	r.conns.Wait()
+	p.mu.Unlock()
+	p.goroutines.Wait()
 }
--- a/internal/proxy/due.go
+++ b/internal/proxy/due.go
@@ -2,42 +2,42 @@
 
 import "container/heap"
 
-// dues orders the commands in hand by when each is next looked at. A command stands in it once, so that it holds no
+// deadlineQueue orders the commands in hand by when each is next looked at. A command stands in it once, so that it holds no
 // more than there is in hand, and one timer serves all.
-type dues []*command
+type deadlineQueue []*request
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].next < d[j].next }
-func (d dues) Swap(i, j int) {
+func (d deadlineQueue) Len() int           { return len(d) }
+func (d deadlineQueue) Less(i, j int) bool { return d[i].nextCheckAt < d[j].nextCheckAt }
+func (d deadlineQueue) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
-func (d *dues) Push(x any) {
-	c := x.(*command)
-	c.place = len(*d)
-	*d = append(*d, c)
+func (d *deadlineQueue) Push(x any) {
+	request := x.(*request)
+	request.heapIndex = len(*d)
+	*d = append(*d, request)
 }
 
-func (d *dues) Pop() any {
+func (d *deadlineQueue) Pop() any {
 	old := *d
-	c := old[len(old)-1]
+	request := old[len(old)-1]
 	old[len(old)-1] = nil
 	*d = old[:len(old)-1]
-	c.place = -1
-	return c
+	request.heapIndex = -1
+	return request
 }
 
-// set puts a command where its next due time belongs; 0 takes it out.
-func (d *dues) set(c *command, next float64) {
-	c.next = next
+// update puts a command where its next due time belongs; 0 takes it out.
+func (d *deadlineQueue) update(request *request, next float64) {
+	request.nextCheckAt = next
 	switch {
-	case next == 0 && c.place >= 0:
-		heap.Remove(d, c.place)
+	case next == 0 && request.heapIndex >= 0:
+		heap.Remove(d, request.heapIndex)
 	case next == 0:
-	case c.place >= 0:
-		heap.Fix(d, c.place)
+	case request.heapIndex >= 0:
+		heap.Fix(d, request.heapIndex)
 	default:
-		heap.Push(d, c)
+		heap.Push(d, request)
 	}
 }
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/helper_test.go
@@ -19,25 +19,25 @@
 	"flintspread/internal/releases"
 )
 
-// hall is a relay between scripted units and clients of a test.
-type hall struct {
+// harness is a relay between scripted units and clients of a test.
+type harness struct {
 	t    testing.TB
-	r    *Proxy
-	l    net.Listener
-	unit map[uint32]*unitScript
+	proxy    *Proxy
+	listener    net.Listener
+	endpoints map[uint32]*scriptedEndpoint
 	done chan error
 }
 
-// unitScript is a unit that does on each connection what the test says.
-type unitScript struct {
+// scriptedEndpoint is a unit that does on each connection what the test says.
+type scriptedEndpoint struct {
 	id   uint32
-	l    net.Listener
+	listener    net.Listener
 	mu   sync.Mutex
-	seen []string // request lines
+	requests []string // request lines
 }
 
-// newHall starts a relay; edit changes the example settings.
-func newHall(t testing.TB, edit func(*config.Router)) *hall {
+// newHarness starts a relay; edit changes the example settings.
+func newHarness(t testing.TB, edit func(*config.Router)) *harness {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
@@ -53,48 +53,48 @@
 			t.Fatal(err)
 		}
 	}
-	return startHall(t, NewHTTP(set, 1, quiet(), func(releases.Vote) {}))
+	return startHarness(t, NewHTTP(set, 1, discardLogger(), func(releases.Vote) {}))
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// startHall has a relay listen until the test ends.
-func startHall(t testing.TB, r *Proxy) *hall {
-	h := &hall{t: t, r: r, unit: map[uint32]*unitScript{}, done: make(chan error, 1)}
+// startHarness has a relay listen until the test ends.
+func startHarness(t testing.TB, r *Proxy) *harness {
+	h := &harness{t: t, proxy: r, endpoints: map[uint32]*scriptedEndpoint{}, done: make(chan error, 1)}
 	var err error
-	if h.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if h.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	go func() { h.done <- h.r.Serve(h.l) }()
+	go func() { h.done <- h.proxy.Serve(h.listener) }()
 	t.Cleanup(func() {
-		h.l.Close()
-		for _, u := range h.unit {
-			u.l.Close()
+		h.listener.Close()
+		for _, u := range h.endpoints {
+			u.listener.Close()
 		}
-		h.r.Close()
+		h.proxy.Close()
 	})
 	return h
 }
 
-// serve makes a unit that runs play for each connection, and lists all units there are as ready.
-func (h *hall) serve(id uint32, build int, play func(u *unitScript, c net.Conn, br *bufio.Reader)) *unitScript {
-	u := &unitScript{id: id}
+// addEndpoint makes a unit that runs play for each connection, and lists all units there are as ready.
+func (h *harness) addEndpoint(id uint32, build int, play func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
+	u := &scriptedEndpoint{id: id}
 	l, err := fakes.Serve(func(c net.Conn) { play(u, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	u.l = l
-	h.unit[id] = u
-	h.list(false, endpoints.Endpoint{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
+	u.listener = l
+	h.endpoints[id] = u
+	h.updateEndpoints(false, endpoints.Endpoint{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
 	return u
 }
 
-func (h *hall) list(full bool, units ...endpoints.Endpoint) {
-	h.r.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: units})
+func (h *harness) updateEndpoints(full bool, units ...endpoints.Endpoint) {
+	h.proxy.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: units})
 }
 
-// read takes one request and notes it.
-func (u *unitScript) read(br *bufio.Reader) (*http.Request, bool) {
+// readRequest takes one request and notes it.
+func (u *scriptedEndpoint) readRequest(br *bufio.Reader) (*http.Request, bool) {
 	req, err := http.ReadRequest(br)
 	if err != nil {
 		return nil, false
@@ -102,26 +102,26 @@
 	io.Copy(io.Discard, req.Body)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.seen = append(u.seen, req.Method+" "+req.RequestURI)
+	u.requests = append(u.requests, req.Method+" "+req.RequestURI)
 	return req, true
 }
 
-func (u *unitScript) count() int {
+func (u *scriptedEndpoint) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.seen)
+	return len(u.requests)
 }
 
-func (u *unitScript) all() string {
+func (u *scriptedEndpoint) allRequests() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return strings.Join(u.seen, "\n")
+	return strings.Join(u.requests, "\n")
 }
 
-// good answers everything with the path.
-func good(u *unitScript, c net.Conn, br *bufio.Reader) {
+// answerPath answers everything with the path.
+func answerPath(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 	for {
-		req, ok := u.read(br)
+		req, ok := u.readRequest(br)
 		if !ok {
 			return
 		}
@@ -130,18 +130,18 @@
 }
 
 // silent reads and never answers.
-func silent(u *unitScript, _ net.Conn, br *bufio.Reader) {
+func silent(u *scriptedEndpoint, _ net.Conn, br *bufio.Reader) {
 	for {
-		if _, ok := u.read(br); !ok {
+		if _, ok := u.readRequest(br); !ok {
 			return
 		}
 	}
 }
 
-func always(text string) func(*unitScript, net.Conn, *bufio.Reader) {
-	return func(u *unitScript, c net.Conn, br *bufio.Reader) {
+func answerHTTP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
+	return func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
-			if _, ok := u.read(br); !ok {
+			if _, ok := u.readRequest(br); !ok {
 				return
 			}
 			io.WriteString(c, text)
@@ -149,31 +149,31 @@
 	}
 }
 
-// talk is a client's connection.
-type talk struct {
+// testClient is a client's connection.
+type testClient struct {
 	net.Conn
 	br *bufio.Reader
 	t  testing.TB
 }
 
-func (h *hall) dial() *talk {
-	c, err := net.Dial("tcp", h.l.Addr().String())
+func (h *harness) dial() *testClient {
+	c, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { c.Close() })
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	return &talk{c, bufio.NewReader(c), h.t}
+	return &testClient{c, bufio.NewReader(c), h.t}
 }
 
 // Requests of each effect by the example's routes.
 const (
-	lookup = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
-	divert = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
-	seal   = "POST /seal/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
+	idempotentRequest = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
+	keyedRequest = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
+	nonIdempotentRequest   = "POST /seal/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
 )
 
-func (c *talk) send(head string) {
+func (c *testClient) send(head string) {
 	body := ""
 	if strings.HasPrefix(head, "POST") {
 		body = "ok"
@@ -181,8 +181,8 @@
 	io.WriteString(c, head+"\r\n"+body)
 }
 
-// answer reads one answer: status, kind and body.
-func (c *talk) answer() string {
+// readAnswer reads one answer: status, kind and body.
+func (c *testClient) readAnswer() string {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		return err.Error()
@@ -192,20 +192,20 @@
 		return err.Error()
 	}
 	text := fmt.Sprint(resp.StatusCode)
-	if k := resp.Header.Get(headAnswer); k != "" {
+	if k := resp.Header.Get(headerAnswer); k != "" {
 		text += " " + k
 	}
 	return text + ": " + strings.TrimSpace(string(body))
 }
 
-func (h *hall) ask(head string) string {
+func (h *harness) ask(head string) string {
 	c := h.dial()
 	c.send(head)
-	return c.answer()
+	return c.readAnswer()
 }
 
-// soon waits for something to become true.
-func (h *hall) soon(what string, is func() bool) {
+// eventually waits for something to become true.
+func (h *harness) eventually(what string, is func() bool) {
 	h.t.Helper()
 	for range 500 {
 		if is() {
@@ -216,7 +216,7 @@
 	h.t.Errorf("not within 5 s: %s", what)
 }
 
-func (h *hall) want(what, got, want string) {
+func (h *harness) wantEqual(what, got, want string) {
 	h.t.Helper()
 	if got != want {
 		h.t.Errorf("%s: %q, want %q", what, got, want)
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memory.go
@@ -8,78 +8,78 @@
 	"flintspread/internal/loadshed"
 )
 
-// memory counts the bytes that connections and messages hold, against a budget. It is approximate by what the runtime adds, which
+// memoryBudget counts the bytes that connections and messages hold, against a budget. It is approximate by what the runtime adds, which
 // the operators' page says how to allow for.
-type memory struct {
-	budget int64 // 0: none
-	used   atomic.Int64
-	peak   atomic.Int64
-	paused atomic.Uint64 // readings that waited for room
+type memoryBudget struct {
+	limitBytes int64 // 0: none
+	usedBytes   atomic.Int64
+	peakBytes   atomic.Int64
+	readsPaused atomic.Uint64 // readings that waited for room
 
 	mu    sync.Mutex
-	freed chan struct{} // closed when there is room again
+	available chan struct{} // closed when there is room again
 }
 
 const (
-	connBytes = 12 << 10 // a connection's buffers and stack
+	connOverheadBytes = 12 << 10 // a connection's buffers and stack
 )
 
-func (m *memory) add(n int) {
-	now := m.used.Add(int64(n))
+func (m *memoryBudget) add(n int) {
+	now := m.usedBytes.Add(int64(n))
 	for {
-		p := m.peak.Load()
-		if now <= p || m.peak.CompareAndSwap(p, now) {
+		p := m.peakBytes.Load()
+		if now <= p || m.peakBytes.CompareAndSwap(p, now) {
 			break
 		}
 	}
-	if n < 0 && m.budget > 0 && !m.tight() {
+	if n < 0 && m.limitBytes > 0 && !m.underPressure() {
 		m.mu.Lock()
-		if m.freed != nil {
-			close(m.freed)
-			m.freed = nil
+		if m.available != nil {
+			close(m.available)
+			m.available = nil
 		}
 		m.mu.Unlock()
 	}
 }
 
-// share is how much of the budget is used.
-func (m *memory) share() float64 {
-	if m.budget <= 0 {
+// usedShare is how much of the budget is used.
+func (m *memoryBudget) usedShare() float64 {
+	if m.limitBytes <= 0 {
 		return 0
 	}
-	return float64(m.used.Load()) / float64(m.budget)
+	return float64(m.usedBytes.Load()) / float64(m.limitBytes)
 }
 
-func (m *memory) tight() bool { return loadshed.ReadPauseSeconds(m.share()) > 0 }
+func (m *memoryBudget) underPressure() bool { return loadshed.ReadPauseSeconds(m.usedShare()) > 0 }
 
-// full tells whether there is no room for so much more.
-func (m *memory) full(n int) bool { return m.budget > 0 && m.used.Load()+int64(n) > m.budget }
+// exceededBy tells whether there is no room for so much more.
+func (m *memoryBudget) exceededBy(n int) bool { return m.limitBytes > 0 && m.usedBytes.Load()+int64(n) > m.limitBytes }
 
-// pause counts a reader that is held up while the budget is tight, and says for how long at most, s; 0: it is not.
-func (m *memory) pause() float64 {
-	most := loadshed.ReadPauseSeconds(m.share())
+// beginPause counts a reader that is held up while the budget is tight, and says for how long at most, s; 0: it is not.
+func (m *memoryBudget) beginPause() float64 {
+	most := loadshed.ReadPauseSeconds(m.usedShare())
 	if most > 0 {
-		m.paused.Add(1)
+		m.readsPaused.Add(1)
 	}
 	return most
 }
 
-// wait holds up a reader while the budget is tight: its client's bytes stay in the kernel, and its client's kernel stops sending.
-func (m *memory) wait(stop <-chan struct{}) {
-	most := m.pause()
+// waitAvailable holds up a reader while the budget is tight: its client's bytes stay in the kernel, and its client's kernel stops sending.
+func (m *memoryBudget) waitAvailable(stop <-chan struct{}) {
+	most := m.beginPause()
 	if most == 0 {
 		return
 	}
 	m.mu.Lock()
-	if m.freed == nil {
-		m.freed = make(chan struct{})
+	if m.available == nil {
+		m.available = make(chan struct{})
 	}
-	freed := m.freed
+	freed := m.available
 	m.mu.Unlock()
-	if !m.tight() { // room came meanwhile, and nobody else may close it
+	if !m.underPressure() { // room came meanwhile, and nobody else may close it
 		return
 	}
-	t := time.NewTimer(span(most))
+	t := time.NewTimer(secondsToDuration(most))
 	defer t.Stop()
 	select {
 	case <-freed:
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -13,7 +13,7 @@
 // That a proxy and a server part a stream differently is how requests are smuggled.
 func FuzzReadRequest(f *testing.F) {
 	for _, s := range []string{
-		lookup + "\r\n", divert + "\r\nok", seal + "\r\nok", "GET / HTTP/1.0\r\n\r\n",
+		idempotentRequest + "\r\n", keyedRequest + "\r\nok", nonIdempotentRequest + "\r\nok", "GET / HTTP/1.0\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nA: b\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n",
 		"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close, A, Host\r\nA: b\r\nFlint-Time: 1e-3\r\nFlint-Key: \x00\r\n\r\n",
@@ -23,21 +23,21 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		const headBytes, bodyBytes = 4096, 256
-		g := &gate{from: bytes.NewReader(data)}
+		g := &limitedReader{source: bytes.NewReader(data)}
 		br := bufio.NewReader(g)
 		for range 8 {
-			req, err := readRequest(br, g, headBytes, bodyBytes, func() {})
+			req, err := readHTTPMessage(br, g, headBytes, bodyBytes, func() {})
 			if err != nil {
-				var bad *refusal
+				var bad *requestError
 				if errors.As(err, &bad) && (bad.status < 400 || bad.status > 499) {
 					t.Fatalf("refused with %d", bad.status)
 				}
 				return
 			}
-			if len(req.body) > bodyBytes || req.due < 0 || req.work < 0 {
+			if len(req.body) > bodyBytes || req.timeoutSeconds < 0 || req.workSeconds < 0 {
 				t.Fatalf("%+v", req)
 			}
-			text := string(req.head) + headTime + ": 1.000\r\n\r\n" + string(req.body)
+			text := string(req.head) + headerTime + ": 1.000\r\n\r\n" + string(req.body)
 			in := bufio.NewReader(strings.NewReader(text))
 			again, err := http.ReadRequest(in)
 			if err != nil {
@@ -50,8 +50,8 @@
 			if again.Method != req.method || again.URL.Path != req.path {
 				t.Fatalf("a unit would read %s %s of %q", again.Method, again.URL.Path, text)
 			}
-			for name := range hopByHop {
-				if name != headTime && name != "Content-Length" && again.Header.Get(name) != "" {
+			for name := range hopByHopHeaders {
+				if name != headerTime && name != "Content-Length" && again.Header.Get(name) != "" {
 					t.Fatalf("%s was passed on in %q", name, text)
 				}
 			}
--- a/internal/proxy/overload.go
+++ b/internal/proxy/overload.go
@@ -10,97 +10,97 @@
 	"flintspread/internal/policy"
 )
 
-// worths gives the shedding module what it reads of the terms.
-func worths(t *policy.Config) (ops []loadshed.RequestClass) {
-	for _, op := range t.Classes {
-		ops = append(ops, loadshed.RequestClass{LatencyObjectiveSeconds: op.LatencyObjectiveSeconds, PriorityWeight: op.PriorityWeight})
+// shedderClasses gives the shedding module what it reads of the terms.
+func shedderClasses(t *policy.Config) (ops []loadshed.RequestClass) {
+	for _, class := range t.Classes {
+		ops = append(ops, loadshed.RequestClass{LatencyObjectiveSeconds: class.LatencyObjectiveSeconds, PriorityWeight: class.PriorityWeight})
 	}
 	return ops
 }
 
 // shed asks whether this process can take a command at all, before the policy is asked where it goes. What is turned away was
 // never sent, so that a nack is right. Under the lock.
-func (r *Proxy) shed(now float64, c *command) bool {
-	if c.req.admitted || !r.mem.full(0) && (r.gate == nil || r.gate.Admit(now, loadshed.Request{Class: c.Class, Client: c.client.who, Retry: c.ClientRetry, RemainingSeconds: c.Deadline - now})) {
+func (p *Proxy) shed(now float64, request *request) bool {
+	if request.message.admitted || !p.memory.exceededBy(0) && (p.shedder == nil || p.shedder.Admit(now, loadshed.Request{Class: request.Class, Client: request.conn.hostHash, Retry: request.ClientRetry, RemainingSeconds: request.Deadline - now})) {
 		return false
 	}
-	r.count.Shed++
+	p.stats.Shed++
 	return true
 }
 
-// turnedAway is the answer to what is shed: one text for a version, for it is given when there is no time to write others.
-func (r *Proxy) turnedAway(v *configstate.Version) answer {
-	if r.away.bytes == nil || r.awayFor != v {
-		r.awayFor, r.away = v, r.speech.nacked(v, v.Policy.MaxRetryAfterSeconds)
+// shedAnswerFor is the answer to what is shed: one text for a version, for it is given when there is no time to write others.
+func (p *Proxy) shedAnswerFor(v *configstate.Version) answer {
+	if p.shedAnswer.bytes == nil || p.shedAnswerConfig != v {
+		p.shedAnswerConfig, p.shedAnswer = v, p.protocol.rejectedAnswer(v, v.Policy.MaxRetryAfterSeconds)
 	}
-	return r.away
+	return p.shedAnswer
 }
 
-// waited is how long what is being read lay in the kernel before this process came to it, s: its client's time began then. It
+// queuedSecondsIfOverloaded is how long what is being read lay in the kernel before this process came to it, s: its client's time began then. It
 // costs a call for each command, so that it is asked only while the process is behind.
-func (cl *client) waited() float64 {
-	if !cl.r.behind.Load() {
+func (conn *clientConn) queuedSecondsIfOverloaded() float64 {
+	if !conn.proxy.overloaded.Load() {
 		return 0
 	}
-	return cl.lay()
+	return conn.queuedSeconds()
 }
 
-// lay asks the kernel when it last got something from the client.
-func (cl *client) lay() float64 {
-	if cl.sock.raw == nil {
+// queuedSeconds asks the kernel when it last got something from the client.
+func (conn *clientConn) queuedSeconds() float64 {
+	if conn.socket.raw == nil {
 		return 0
 	}
 	ms := uint32(0)
-	cl.sock.raw.Control(func(fd uintptr) {
+	conn.socket.raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			ms = info.Last_data_recv
 		}
 	})
 	for {
-		most := cl.r.oldest.Load()
-		if ms <= most || cl.r.oldest.CompareAndSwap(most, ms) {
+		most := conn.proxy.maxQueuedMillis.Load()
+		if ms <= most || conn.proxy.maxQueuedMillis.CompareAndSwap(most, ms) {
 			return float64(ms) / 1e3
 		}
 	}
 }
 
-// look measures this process and tells the module. Under the lock.
-func (r *Proxy) look(now float64) {
-	r.lag = max(0, now-r.turnAt)
-	r.self = r.watch.Sample()
-	r.b.SetOwnDelay(r.late.Observe(r.lag, r.self.SchedulerDelaySeconds, r.now.Load().Document.Rules.Round)) // what this process is late with is no unit's silence
-	if r.gate == nil {
+// sampleLoad measures this process and tells the module. Under the lock.
+func (p *Proxy) sampleLoad(now float64) {
+	p.timerDelaySeconds = max(0, now-p.policyTickAt)
+	p.processSample = p.sampler.Sample()
+	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, p.currentConfig.Load().Document.Rules.Round)) // what this process is late with is no unit's silence
+	if p.shedder == nil {
 		return
 	}
 	heap := 0.0
-	if r.self.HeapLimitBytes > 0 {
-		heap = float64(r.self.HeapBytes) / float64(r.self.HeapLimitBytes)
+	if p.processSample.HeapLimitBytes > 0 {
+		heap = float64(p.processSample.HeapBytes) / float64(p.processSample.HeapLimitBytes)
 	}
-	reading := loadshed.LoadSample{TimerDelaySeconds: max(r.lag, float64(r.oldest.Swap(0))/1e3), SchedulerDelaySeconds: r.self.SchedulerDelaySeconds, GCShare: r.self.GCShare, CPUShare: r.self.CPUShare,
-		HeapShare: heap, BufferShare: r.mem.share()}
+	reading := loadshed.LoadSample{TimerDelaySeconds: max(p.timerDelaySeconds, float64(p.maxQueuedMillis.Swap(0))/1e3), SchedulerDelaySeconds: p.processSample.SchedulerDelaySeconds, GCShare: p.processSample.GCShare, CPUShare: p.processSample.CPUShare,
+		HeapShare: heap, BufferShare: p.memory.usedShare()}
 	defer func() {
-		r.shedding.Store(r.gate.ShedShare() > 0)
-		r.behind.Store(r.gate.Overloaded(reading))
+		p.shedding.Store(p.shedder.ShedShare() > 0)
+		p.overloaded.Store(p.shedder.Overloaded(reading))
 	}()
-	r.gate.Observe(now, reading)
+	p.shedder.Observe(now, reading)
 }
 
-// answeredBy tells the module what a command took. Under the lock.
-func (r *Proxy) answeredBy(c *command, now float64, bytes int) {
-	if r.gate != nil {
-		r.gate.OnSuccess(c.Class, now-c.ReceivedAt, bytes)
+// observeSuccess tells the module what a command took. Under the lock.
+func (p *Proxy) observeSuccess(request *request, now float64, bytes int) {
+	if p.shedder != nil {
+		p.shedder.OnSuccess(request.Class, now-request.ReceivedAt, bytes)
 	}
 }
 
-// reworth follows a version of the settings. Under the lock.
-func (r *Proxy) reworth(v *configstate.Version) {
-	if r.gate != nil {
-		r.gate.SetClasses(worths(v.Policy))
+// setShedderClasses follows a version of the settings. Under the lock.
+func (p *Proxy) setShedderClasses(v *configstate.Version) {
+	if p.shedder != nil {
+		p.shedder.SetClasses(shedderClasses(v.Policy))
 	}
 }
 
-// whoIs names a client by its host: many connections of one are one.
-func whoIs(addr string) uint64 {
+// hashHost names a client by its host: many connections of one are one.
+func hashHost(addr string) uint64 {
 	for i := len(addr) - 1; i >= 0; i-- {
 		if addr[i] == ':' {
 			addr = addr[:i]
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -13,12 +13,12 @@
 	"flintspread/internal/loadshed"
 )
 
-// overloaded makes a relay take itself for far behind: everything that its module may turn away goes.
-func (h *hall) overloaded() {
-	h.r.mu.Lock()
-	defer h.r.mu.Unlock()
-	now := h.r.Now()
-	g := loadshed.New(worths(h.r.now.Load().Policy), 1, now-100)
+// forceOverload makes a relay take itself for far behind: everything that its module may turn away goes.
+func (h *harness) forceOverload() {
+	h.proxy.mu.Lock()
+	defer h.proxy.mu.Unlock()
+	now := h.proxy.Now()
+	g := loadshed.New(shedderClasses(h.proxy.currentConfig.Load().Policy), 1, now-100)
 	for look := range 40 {
 		at := now - 100 + float64(look+1)
 		for i := range 1000 {
@@ -30,30 +30,30 @@
 		}
 		g.Observe(at, loadshed.LoadSample{TimerDelaySeconds: lag})
 	}
-	h.r.gate = g
-	h.r.shedding.Store(g.ShedShare() > 0)
-	h.r.turnAt = now + 1000 // no look at how this process really is
+	h.proxy.shedder = g
+	h.proxy.shedding.Store(g.ShedShare() > 0)
+	h.proxy.policyTickAt = now + 1000 // no look at how this process really is
 }
 
 // A relay that is behind turns commands away with a nack, each once and in order, whether they come in the plainest form or in any
 // other; nothing of them reaches a unit, and what is no command is answered as ever.
 func TestShedding(t *testing.T) {
-	h := newHall(t, nil)
-	u := h.serve(1, 1, good)
-	h.want("before", h.ask(lookup), "200 acked: /chute/7")
-	h.overloaded()
-	if h.r.gate.ShedShare() < 0.5 {
-		t.Fatal(h.r.gate.ShedShare())
+	h := newHarness(t, nil)
+	u := h.addEndpoint(1, 1, answerPath)
+	h.wantEqual("before", h.ask(idempotentRequest), "200 acked: /chute/7")
+	h.forceOverload()
+	if h.proxy.shedder.ShedShare() < 0.5 {
+		t.Fatal(h.proxy.shedder.ShedShare())
 	}
 	before := u.count()
 	shedAll, taken := 0, 0
 	for i := range 60 {
 		c := h.dial()
-		for _, head := range []string{lookup, divert, seal, lookup + "Flint-Repeat: 1\r\n", lookup + "Connection: keep-alive\r\n", "GET /chute/%37 HTTP/1.1\r\nHost: x\r\n",
-			lookup + fmt.Sprintf("X-Long: %s\r\n", strings.Repeat("x", i*100))} {
+		for _, head := range []string{idempotentRequest, keyedRequest, nonIdempotentRequest, idempotentRequest + "Flint-Repeat: 1\r\n", idempotentRequest + "Connection: keep-alive\r\n", "GET /chute/%37 HTTP/1.1\r\nHost: x\r\n",
+			idempotentRequest + fmt.Sprintf("X-Long: %s\r\n", strings.Repeat("x", i*100))} {
 			c.send(head)
-			switch got := c.answer(); {
-			case got == nack:
+			switch got := c.readAnswer(); {
+			case got == rejectedText:
 				shedAll++
 			case strings.HasPrefix(got, "200 acked"):
 				taken++
@@ -70,15 +70,15 @@
 	c := h.dial()
 	io.WriteString(c, strings.Repeat("GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\n", 3)+"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 3 {
-		if got := c.answer(); got != nack && got != "200 acked: /chute/a" {
+		if got := c.readAnswer(); got != rejectedText && got != "200 acked: /chute/a" {
 			t.Error(got)
 		}
 	}
-	if got := c.answer(); !strings.HasPrefix(got, "404") {
+	if got := c.readAnswer(); !strings.HasPrefix(got, "404") {
 		t.Error(got)
 	}
-	h.soon("nothing in hand", func() bool { return h.r.Stats().InFlight == 0 })
-	n := h.r.Stats()
+	h.eventually("nothing in hand", func() bool { return h.proxy.Stats().InFlight == 0 })
+	n := h.proxy.Stats()
 	if n.Received != n.Succeeded+n.Rejected+n.Failed+n.Abandoned || n.Shed < uint64(shedAll) || uint64(u.count()-before) > n.Received-n.Shed {
 		t.Errorf("%+v, %d reached the unit", n, u.count()-before)
 	}
@@ -88,13 +88,13 @@
 // budget is not exceeded by more than one message a connection, and all of it comes back.
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
-	h := newHall(t, func(s *config.Router) {
+	h := newHarness(t, func(s *config.Router) {
 		s.Overload = &config.Overload{Memory: budget}
 	})
 	release := make(chan struct{})
-	h.serve(1, 1, func(u *unitScript, c net.Conn, br *bufio.Reader) {
+	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
-			if _, ok := u.read(br); !ok {
+			if _, ok := u.readRequest(br); !ok {
 				return
 			}
 			<-release
@@ -103,48 +103,48 @@
 	})
 	const each = 60000
 	head := fmt.Sprintf("POST /batch/7 HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", each) + strings.Repeat("b", each)
-	var open []*talk
+	var open []*testClient
 	for range 60 {
 		c := h.dial()
 		open = append(open, c)
 		go io.WriteString(c, head)
 	}
-	h.soon("reading pauses", func() bool { return h.r.Stats().ReadsPaused > 0 })
+	h.eventually("reading pauses", func() bool { return h.proxy.Stats().ReadsPaused > 0 })
 	refused := 0
 	for range 40 {
-		if got := h.ask(lookup); strings.HasPrefix(got, "503 nacked") {
+		if got := h.ask(idempotentRequest); strings.HasPrefix(got, "503 nacked") {
 			refused++
 		}
 	}
 	close(release)
 	answers := map[string]int{}
 	for _, c := range open {
-		answers[strings.Fields(c.answer())[0]]++
+		answers[strings.Fields(c.readAnswer())[0]]++
 		c.Close()
 	}
 	if answers["200"] == 0 || answers["200"]+answers["503"] != len(open) || refused+answers["503"] == 0 {
 		t.Errorf("%v, %d refused", answers, refused)
 	}
-	if peak := h.r.Stats().MemoryPeakBytes; peak < budget/2 || peak > budget+60*(each+connBytes) {
+	if peak := h.proxy.Stats().MemoryPeakBytes; peak < budget/2 || peak > budget+60*(each+connOverheadBytes) {
 		t.Errorf("at most %d bytes, of %d", peak, budget)
 	}
-	h.soon("all of it is given back", func() bool { return h.r.mem.used.Load() <= int64(len(h.r.units))*connBytes+connBytes })
-	h.want("after", h.ask(lookup), "200 acked: ")
+	h.eventually("all of it is given back", func() bool { return h.proxy.memory.usedBytes.Load() <= int64(len(h.proxy.endpointConns))*connOverheadBytes+connOverheadBytes })
+	h.wantEqual("after", h.ask(idempotentRequest), "200 acked: ")
 }
 
 // A slow reader holds memory only as long as it holds its connection.
 func TestSlowReadersMemory(t *testing.T) {
-	h := newHall(t, func(s *config.Router) {
+	h := newHarness(t, func(s *config.Router) {
 		s.Overload = &config.Overload{Memory: 64 << 20}
 		s.Clients.ReadTime = 0.4
 		s.Endpoints.AnswerBytes = 16 << 20
 	})
 	big := strings.Repeat("x", 12<<20)
-	h.serve(1, 1, always(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)))
+	h.addEndpoint(1, 1, answerHTTP(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)))
 	c := h.dial()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
-	c.send(lookup)
-	h.soon("its answer is counted", func() bool { return h.r.mem.used.Load() > 8<<20 })
+	c.send(idempotentRequest)
+	h.eventually("its answer is counted", func() bool { return h.proxy.memory.usedBytes.Load() > 8<<20 })
 	time.Sleep(500 * time.Millisecond)
-	h.soon("it is given back once the reader's time is over", func() bool { return h.r.mem.used.Load() < 1<<20 })
+	h.eventually("it is given back once the reader's time is over", func() bool { return h.proxy.memory.usedBytes.Load() < 1<<20 })
 }
--- a/internal/proxy/owes.go
+++ b/internal/proxy/owes.go
@@ -7,104 +7,104 @@
 	"flintspread/internal/loadshed"
 )
 
-// owed is an answer's place in its client's order.
-type owed struct {
+// pendingAnswer is an answer's place in its client's order.
+type pendingAnswer struct {
 	bytes []byte
-	done  bool
+	completed  bool
 }
 
-// owes holds what one client is owed, the oldest first: answers follow the order of its commands, whoever comes first.
-type owes struct {
+// answerQueue holds what one client is owed, the oldest first: answers follow the order of its commands, whoever comes first.
+type answerQueue struct {
 	mu      sync.Mutex
-	line    []*owed
-	out     []byte // due, and not yet taken by the kernel
+	pending    []*pendingAnswer
+	unwritten     []byte // due, and not yet taken by the kernel
 	writing bool   // a goroutine of its own writes
-	dead    bool
+	broken    bool
 }
 
-func (o *owes) next() *owed {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	x := &owed{}
-	o.line = append(o.line, x)
-	return x
+func (q *answerQueue) enqueue() *pendingAnswer {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	pending := &pendingAnswer{}
+	q.pending = append(q.pending, pending)
+	return pending
 }
 
 // state tells whether something is still owed or on its way, whether more may be read, and whether nobody is there any more.
-func (o *owes) state() (owed, room, dead bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.line) > 0 || len(o.out) > 0 || o.writing, loadshed.MayPipeline(len(o.line), len(o.out)), o.dead
+func (q *answerQueue) state() (owed, room, dead bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.pending) > 0 || len(q.unwritten) > 0 || q.writing, loadshed.MayPipeline(len(q.pending), len(q.unwritten)), q.broken
 }
 
-// settle gives an answer, and writes what is due by that, without waiting; what the kernel does not take at once goes on by
+// completeAnswer gives an answer, and writes what is due by that, without waiting; what the kernel does not take at once goes on by
 // itself.
-func (cl *client) settle(x *owed, bytes []byte) {
-	defer cl.wake()
-	o := &cl.owes
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	x.bytes, x.done = bytes, true
-	for len(o.line) > 0 && o.line[0].done {
-		o.out = append(o.out, o.line[0].bytes...)
-		o.line[0] = nil
-		o.line = o.line[1:]
+func (conn *clientConn) completeAnswer(pending *pendingAnswer, bytes []byte) {
+	defer conn.wakeReader()
+	queue := &conn.answers
+	queue.mu.Lock()
+	defer queue.mu.Unlock()
+	pending.bytes, pending.completed = bytes, true
+	for len(queue.pending) > 0 && queue.pending[0].completed {
+		queue.unwritten = append(queue.unwritten, queue.pending[0].bytes...)
+		queue.pending[0] = nil
+		queue.pending = queue.pending[1:]
 	}
-	if len(o.out) > 0 && !o.writing && !o.dead {
-		n, err := cl.sock.writeNow(o.out)
-		o.out = o.out[:copy(o.out, o.out[n:])]
+	if len(queue.unwritten) > 0 && !queue.writing && !queue.broken {
+		n, err := conn.socket.writeNow(queue.unwritten)
+		queue.unwritten = queue.unwritten[:copy(queue.unwritten, queue.unwritten[n:])]
 		switch {
 		case err != nil:
-			o.dead = true
-			cl.sock.Close()
-		case len(o.out) > 0:
-			o.writing = true
-			cl.r.conns.Add(1)
-			go cl.writeOn()
-		case cap(o.out) > 16<<10:
-			o.out = nil
+			queue.broken = true
+			conn.socket.Close()
+		case len(queue.unwritten) > 0:
+			queue.writing = true
+			conn.proxy.goroutines.Add(1)
+			go conn.writeRemaining()
+		case cap(queue.unwritten) > 16<<10:
+			queue.unwritten = nil
 		}
 	}
 }
 
-// writeOn writes for a client that reads slowly, for as long as it takes something: an answer that is cut is none. One that takes
+// writeRemaining writes for a client that reads slowly, for as long as it takes something: an answer that is cut is none. One that takes
 // nothing is waited for as long as a command may take at most.
-func (cl *client) writeOn() {
+func (conn *clientConn) writeRemaining() {
 	const piece = 64 << 10
-	defer cl.r.conns.Done()
-	o := &cl.owes
+	defer conn.proxy.goroutines.Done()
+	queue := &conn.answers
 	for {
-		o.mu.Lock()
-		buf := o.out
-		o.out = nil
-		if o.writing = len(buf) > 0 && !o.dead; !o.writing {
-			o.mu.Unlock()
-			cl.wake()
+		queue.mu.Lock()
+		buf := queue.unwritten
+		queue.unwritten = nil
+		if queue.writing = len(buf) > 0 && !queue.broken; !queue.writing {
+			queue.mu.Unlock()
+			conn.wakeReader()
 			return
 		}
-		o.mu.Unlock()
-		cl.r.mem.add(len(buf))
+		queue.mu.Unlock()
+		conn.proxy.memory.add(len(buf))
 		var err error
 		for rest := buf; len(rest) > 0 && err == nil; rest = rest[min(piece, len(rest)):] {
-			cl.sock.SetWriteDeadline(time.Now().Add(span(cl.r.longest())))
-			_, err = cl.sock.Write(rest[:min(piece, len(rest))])
+			conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(conn.proxy.longestTimeoutSeconds())))
+			_, err = conn.socket.Write(rest[:min(piece, len(rest))])
 		}
-		cl.sock.SetWriteDeadline(time.Time{})
-		cl.r.mem.add(-len(buf))
+		conn.socket.SetWriteDeadline(time.Time{})
+		conn.proxy.memory.add(-len(buf))
 		if err != nil {
-			o.mu.Lock()
-			o.dead = true
-			o.mu.Unlock()
-			cl.sock.Close()
+			queue.mu.Lock()
+			queue.broken = true
+			queue.mu.Unlock()
+			conn.socket.Close()
 		}
 	}
 }
 
-// longest is the most that a command may take by the settings, s.
-func (r *Proxy) longest() float64 {
+// longestTimeoutSeconds is the most that a command may take by the settings, s.
+func (p *Proxy) longestTimeoutSeconds() float64 {
 	most := 0.0
-	for _, op := range r.now.Load().Policy.Classes {
-		most = max(most, op.TimeoutSeconds)
+	for _, class := range p.currentConfig.Load().Policy.Classes {
+		most = max(most, class.TimeoutSeconds)
 	}
 	return most
 }
--- a/internal/proxy/park.go
+++ b/internal/proxy/park.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// parking is where a client's reader waits between commands. Whoever changes what it waits by wakes it; a wake that comes while it
+// readWaiter is where a client's reader waits between commands. Whoever changes what it waits by wakes it; a wake that comes while it
 // does not wait is kept, so that none is lost. A command that has begun to come is not disturbed.
-type parking struct {
+type readWaiter struct {
 	mu      sync.Mutex
 	waiting bool
 	woken   bool
@@ -20,21 +20,21 @@
 
 var errWoken = errors.New("woken")
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-// wake has the reader look again at what it waits by.
-func (cl *client) wake() {
-	cl.parked.mu.Lock()
-	defer cl.parked.mu.Unlock()
-	cl.parked.woken = true
-	if cl.parked.waiting {
-		cl.sock.SetReadDeadline(longAgo)
+// wakeReader has the reader look again at what it waits by.
+func (conn *clientConn) wakeReader() {
+	conn.waiter.mu.Lock()
+	defer conn.waiter.mu.Unlock()
+	conn.waiter.woken = true
+	if conn.waiter.waiting {
+		conn.socket.SetReadDeadline(pastDeadline)
 	}
 }
 
-// wait runs look, which ends by the connection's read deadline at the latest: at the time given (zero: none), or when woken.
-func (cl *client) wait(until time.Time, look func() error) error {
-	p := &cl.parked
+// waitForReader runs look, which ends by the connection's read deadline at the latest: at the time given (zero: none), or when woken.
+func (conn *clientConn) waitForReader(until time.Time, look func() error) error {
+	p := &conn.waiter
 	p.mu.Lock()
 	if p.woken {
 		p.woken = false
@@ -42,30 +42,30 @@
 		return errWoken
 	}
 	p.waiting = true
-	cl.sock.SetReadDeadline(until)
+	conn.socket.SetReadDeadline(until)
 	p.mu.Unlock()
 	err := look()
 	p.mu.Lock()
 	woken := p.woken
 	p.waiting, p.woken = false, false
 	p.mu.Unlock()
-	if woken && timedOut(err) {
+	if woken && isTimeout(err) {
 		return errWoken
 	}
 	if woken {
-		cl.wake() // what came goes first; the news is still to be looked at
+		conn.wakeReader() // what came goes first; the news is still to be looked at
 	}
 	return err
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var net net.Error
 	return errors.As(err, &net) && net.Timeout()
 }
 
-// hangUp waits until the peer has ended its side, whatever lies unread before that: a reader that takes nothing more would not see
+// waitHangUp waits until the peer has ended its side, whatever lies unread before that: a reader that takes nothing more would not see
 // it. nil: it has.
-func (s socket) hangUp() error {
+func (s socket) waitHangUp() error {
 	if s.raw == nil {
 		return os.ErrDeadlineExceeded
 	}
--- a/internal/proxy/platform.go
+++ b/internal/proxy/platform.go
@@ -18,49 +18,49 @@
 	"flintspread/internal/policy"
 )
 
-// plat is the platform's protocol: RESP2, commands behind one another, each named by an id.
-type plat struct{}
+// resp2 is the platform's protocol: RESP2, commands behind one another, each named by an id.
+type resp2 struct{}
 
 const (
-	cmdRead   = "API.READ"  // of redeliverable op types
-	cmdWrite  = "API.WRITE" // of the others, with a body
-	pauseLook = 0.02        // s between two looks for room in the memory budget
+	commandRead   = "API.READ"  // of redeliverable op types
+	commandWrite  = "API.WRITE" // of the others, with a body
+	memoryPollSeconds = 0.02        // s between two looks for room in the memory budget
 
-	mostName = 256 // bytes of an id, of a key, of a list of names and values
+	maxWordBytes = 256 // bytes of an id, of a key, of a list of names and values
 )
 
-func (plat) nacked(_ *configstate.Version, pause float64) answer {
+func (resp2) rejectedAnswer(_ *configstate.Version, pause float64) answer {
 	if pause <= 0 {
 		return answer{[]byte("-BUSY\r\n"), "nacked"}
 	}
 	return answer{fmt.Appendf(nil, "-BUSY %d\r\n", int(math.Ceil(pause*1000))), "nacked"}
 }
 
-func (plat) failed(*configstate.Version, bool) answer {
+func (resp2) failedAnswer(*configstate.Version, bool) answer {
 	return answer{[]byte("-ERR failed; it may have been done\r\n"), "failed"}
 }
 
-func (plat) crowded(float64) []byte { return []byte("-ERR too many connections\r\n") }
+func (resp2) tooManyConnections(float64) []byte { return []byte("-ERR too many connections\r\n") }
 
-func (plat) reply(c *command, ans answer) { c.client.settle(c.owed, ans.bytes) }
+func (resp2) deliverAnswer(request *request, ans answer) { request.conn.completeAnswer(request.answer, ans.bytes) }
 
-func (plat) rest() float64 { return loadshed.ConnReuseDelaySeconds }
+func (resp2) connReuseDelaySeconds() float64 { return loadshed.ConnReuseDelaySeconds }
 
-func (plat) atLastByte() bool { return true }
+func (resp2) startsAtLastByte() bool { return true }
 
-func (plat) word(req *request, left float64) []byte {
+func (resp2) encodeAttempt(message *message, left float64) []byte {
 	ms := strconv.AppendInt(nil, int64(max(1, left*1000)), 10)
-	buf := make([]byte, 0, len(req.head)+len(req.extras)+len(req.body)+64)
-	buf = append(buf, req.head...)
-	extras := make([]byte, 0, len(req.extras)+8)
-	extras = append(append(append(extras, req.extras[:req.dAt]...), ms...), req.extras[req.dAt:]...)
+	buf := make([]byte, 0, len(message.head)+len(message.options)+len(message.body)+64)
+	buf = append(buf, message.head...)
+	extras := make([]byte, 0, len(message.options)+8)
+	extras = append(append(append(extras, message.options[:message.timeoutOffset]...), ms...), message.options[message.timeoutOffset:]...)
 	buf = resp.Bulk(buf, extras)
-	return append(buf, req.body...)
+	return append(buf, message.body...)
 }
 
-// read takes the value from a unit's answer. What can't be read, or says what no unit says, is spoilt: it may have run.
-func (plat) read(br *bufio.Reader, g *gate, d *delivery) (answer, policy.Outcome, bool, error) {
-	g.left = math.MaxInt64 // the framing has its own bounds
+// readAnswer takes the value from a unit's answer. What can't be read, or says what no unit says, is spoilt: it may have run.
+func (resp2) readAnswer(br *bufio.Reader, reader *limitedReader, attempt *attempt) (answer, policy.Outcome, bool, error) {
+	reader.remaining = math.MaxInt64 // the framing has its own bounds
 	a, err := resp.Answer(br)
 	switch {
 	case err != nil:
@@ -75,148 +75,148 @@
 	return answer{}, policy.ConnectionLost, false, fmt.Errorf("the answer %.60q is none of a unit's", a.Error)
 }
 
-// command reads the words of a client's command.
-func (plat) command(v *configstate.Version, args [][]byte) (req *request, op int, err error) {
-	write := string(args[0]) == cmdWrite
+// parseCommand reads the words of a client's command.
+func (resp2) parseCommand(v *configstate.Version, args [][]byte) (parsed *message, class int, err error) {
+	write := string(args[0]) == commandWrite
 	switch {
-	case !write && string(args[0]) != cmdRead:
+	case !write && string(args[0]) != commandRead:
 		return nil, 0, fmt.Errorf("unknown command %.32q", args[0])
 	case !write && len(args) != 4 || write && len(args) != 5:
 		return nil, 0, fmt.Errorf("%s with %d words", args[0], len(args)-1)
 	}
 	key, id, extras := args[1], args[2], args[3]
-	if !named(key) || !named(id) || len(extras) > mostName {
+	if !isWord(key) || !isWord(id) || len(extras) > maxWordBytes {
 		return nil, 0, errors.New("no key or no id, or one that can't be meant")
 	}
-	req, op = &request{id: string(id), key: max(1, xxhash.Sum64(key)), dAt: -1}, -1
+	parsed, class = &message{id: string(id), keyHash: max(1, xxhash.Sum64(key)), timeoutOffset: -1}, -1
 	mark := false
 	for at, rest := 0, extras; len(rest) > 0; {
 		pair, after, _ := bytes.Cut(rest, []byte(","))
 		name, value, ok := bytes.Cut(pair, []byte("="))
-		if !ok || !named(value) {
+		if !ok || !isWord(value) {
 			return nil, 0, fmt.Errorf("%.32q is no name and value", pair)
 		}
 		switch string(name) {
 		case "c":
-			op = v.ClassNamed(value)
+			class = v.ClassNamed(value)
 		case "d":
 			ms, err := strconv.ParseUint(string(value), 10, 31)
-			if err != nil || ms == 0 || req.dAt >= 0 {
+			if err != nil || ms == 0 || parsed.timeoutOffset >= 0 {
 				return nil, 0, fmt.Errorf("d: %.32q is no number of milliseconds", value)
 			}
-			req.due, req.dAt = float64(ms)/1000, at+2
-			req.extras = append(append(req.extras, extras[:at+2]...), extras[at+len(pair):]...)
+			parsed.timeoutSeconds, parsed.timeoutOffset = float64(ms)/1000, at+2
+			parsed.options = append(append(parsed.options, extras[:at+2]...), extras[at+len(pair):]...)
 		case "k":
 			mark = true
 		case "r":
-			req.repeat = string(value) == "1"
+			parsed.clientRetry = string(value) == "1"
 		default:
 			return nil, 0, fmt.Errorf("unknown name %.32q", name)
 		}
 		at, rest = at+len(pair)+1, after
 	}
 	switch {
-	case op < 0:
+	case class < 0:
 		return nil, 0, errors.New("no such class")
-	case req.dAt < 0:
+	case parsed.timeoutOffset < 0:
 		return nil, 0, errors.New("no d")
-	case write != (v.Policy.Classes[op].Idempotency != policy.Idempotent):
+	case write != (v.Policy.Classes[class].Idempotency != policy.Idempotent):
 		return nil, 0, fmt.Errorf("%s is not for this class", args[0])
-	case mark != (v.Policy.Classes[op].Idempotency == policy.IdempotentWithKey):
+	case mark != (v.Policy.Classes[class].Idempotency == policy.IdempotentWithKey):
 		return nil, 0, errors.New("k belongs to classes with a key, and to no others")
 	}
-	req.head = resp.Array(make([]byte, 0, 32+len(key)+len(id)), len(args))
+	parsed.head = resp.Array(make([]byte, 0, 32+len(key)+len(id)), len(args))
 	for _, word := range args[:3] {
-		req.head = resp.Bulk(req.head, word)
+		parsed.head = resp.Bulk(parsed.head, word)
 	}
 	if write {
-		req.body = resp.Bulk(make([]byte, 0, len(args[4])+16), args[4])
+		parsed.body = resp.Bulk(make([]byte, 0, len(args[4])+16), args[4])
 	}
-	return req, op, nil
+	return parsed, class, nil
 }
 
-// named tells whether a word can stand for something: not empty, not long, nothing that ends a line.
-func named(word []byte) bool {
+// isWord tells whether a word can stand for something: not empty, not long, nothing that ends a line.
+func isWord(word []byte) bool {
 	for _, c := range word {
 		if c <= ' ' || c >= 127 {
 			return false
 		}
 	}
-	return len(word) > 0 && len(word) <= mostName
+	return len(word) > 0 && len(word) <= maxWordBytes
 }
 
-// serve takes commands as they come, each with its own clock, and lets answers follow in their order.
-func (p plat) serve(cl *client) {
-	r, o := cl.r, &cl.owes
-	g := &gate{from: cl.sock.Conn, mem: &r.mem, left: math.MaxInt64}
-	defer g.release()
-	br := bufio.NewReaderSize(g, 4096)
-	var hands []*command // that may have no answer yet
-	defer func() { p.left(cl, hands) }()
-	for first := true; p.next(cl, br, first); first = false {
-		waited := cl.lay()
-		r.mu.Lock()
-		cl.reading = true // a drain lets it come
-		cl.sock.SetReadDeadline(time.Now().Add(span(p.patience(cl))))
-		r.mu.Unlock()
+// serveClient takes commands as they come, each with its own clock, and lets answers follow in their order.
+func (proto resp2) serveClient(conn *clientConn) {
+	p, queue := conn.proxy, &conn.answers
+	reader := &limitedReader{source: conn.socket.Conn, memory: &p.memory, remaining: math.MaxInt64}
+	defer reader.release()
+	br := bufio.NewReaderSize(reader, 4096)
+	var unanswered []*request // that may have no answer yet
+	defer func() { proto.abandonRequests(conn, unanswered) }()
+	for first := true; proto.waitForCommand(conn, br, first); first = false {
+		waited := conn.queuedSeconds()
+		p.mu.Lock()
+		conn.reading = true // a drain lets it come
+		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
+		p.mu.Unlock()
 		args, err := resp.Command(br)
 		if err != nil {
-			p.refuse(cl, err)
+			proto.rejectUnreadable(conn, err)
 			return
 		}
-		v := r.now.Load()
-		x := o.next()
+		v := p.currentConfig.Load()
+		pending := queue.enqueue()
 		if len(args) == 1 && string(args[0]) == "PING" {
-			r.whenReady(cl, func() { p.direct(cl, x, []byte("+PONG\r\n")) })
-		} else if req, op, err := p.command(v, args); err != nil {
-			p.direct(cl, x, resp.Error(nil, "ERR "+err.Error()))
+			p.answerWhenReady(conn, func() { proto.answerDirectly(conn, pending, []byte("+PONG\r\n")) })
+		} else if message, class, err := proto.parseCommand(v, args); err != nil {
+			proto.answerDirectly(conn, pending, resp.Error(nil, "ERR "+err.Error()))
 		} else {
-			req.waited = waited
-			if c := r.accept(cl, req, v, op, x); c == nil {
-				p.direct(cl, x, []byte("-ERR a command with this id is in hand\r\n"))
+			message.queuedSeconds = waited
+			if request := p.accept(conn, message, v, class, pending); request == nil {
+				proto.answerDirectly(conn, pending, []byte("-ERR a command with this id is in hand\r\n"))
 			} else {
-				hands = append(hands, c)
+				unanswered = append(unanswered, request)
 			}
 		}
-		g.release()
-		hands = r.stillIn(hands)
+		reader.release()
+		unanswered = p.withoutCompleted(unanswered)
 	}
 }
 
-// rouse bounds a command that has begun to come, too: half a one must not outlast the room or the relay.
-func (p plat) rouse(cl *client) {
-	if cl.reading && cl.going {
-		cl.sock.SetReadDeadline(time.Now()) // others wait for its room; it is told
-	} else if cl.reading {
-		cl.sock.SetReadDeadline(time.Now().Add(span(p.patience(cl))))
+// wakeReader bounds a command that has begun to come, too: half a one must not outlast the room or the relay.
+func (proto resp2) wakeReader(conn *clientConn) {
+	if conn.reading && conn.evicted {
+		conn.socket.SetReadDeadline(time.Now()) // others wait for its room; it is told
+	} else if conn.reading {
+		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
 	}
-	cl.wake()
+	conn.wakeReader()
 }
 
-// patience is how long a command may take to come, s. Under the relay's lock.
-func (plat) patience(cl *client) float64 {
-	r := cl.r
-	most := loadshed.ReadTimeoutSeconds(r.now.Load().Document.Clients.ReadTime, cl.going)
-	if r.draining && r.answerBy > 0 {
-		most = max(0, min(most, r.answerBy-r.Now()))
+// readTimeoutSeconds is how long a command may take to come, s. Under the relay's lock.
+func (resp2) readTimeoutSeconds(conn *clientConn) float64 {
+	p := conn.proxy
+	most := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTime, conn.evicted)
+	if p.draining && p.answerDeadline > 0 {
+		most = max(0, min(most, p.answerDeadline-p.Now()))
 	}
 	return most
 }
 
-// next waits for a command's first byte, and for room to read it. false: the client has gone, or nothing is owed to it and it was
+// waitForCommand waits for a command's first byte, and for room to read it. false: the client has gone, or nothing is owed to it and it was
 // idle for too long, or is to go. Its going is seen at any time, also while something is owed and while nothing more is read.
-func (p plat) next(cl *client, br *bufio.Reader, first bool) bool {
-	r := cl.r
+func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, first bool) bool {
+	p := conn.proxy
 	peek := func() error { _, err := br.Peek(1); return err }
 	idle, paused := time.Now(), 0.0
 	for {
-		owed, room, dead := cl.owes.state()
-		lim := &r.now.Load().Document.Clients
-		patience := lim.IdleTime
+		owed, room, dead := conn.answers.state()
+		limits := &p.currentConfig.Load().Document.Clients
+		patience := limits.IdleTime
 		if first {
-			r.mu.Lock()
-			patience = p.patience(cl) // one that connects and says nothing
-			r.mu.Unlock()
+			p.mu.Lock()
+			patience = proto.readTimeoutSeconds(conn) // one that connects and says nothing
+			p.mu.Unlock()
 		}
 		var until time.Time
 		switch {
@@ -224,33 +224,33 @@
 			return false
 		case owed:
 			idle = time.Now()
-		case cl.toEnd(first) && br.Buffered() == 0 && !cl.more():
+		case conn.shouldClose(first) && br.Buffered() == 0 && !conn.hasUnreadBytes():
 			return false
 		default:
-			until = idle.Add(span(patience))
+			until = idle.Add(secondsToDuration(patience))
 		}
 		look := peek
 		if !room {
-			look = cl.sock.hangUp
+			look = conn.socket.waitHangUp
 		} else if paused > 0 {
-			look, until = cl.sock.hangUp, time.Now().Add(span(min(pauseLook, paused)))
+			look, until = conn.socket.waitHangUp, time.Now().Add(secondsToDuration(min(memoryPollSeconds, paused)))
 		}
-		switch err := cl.wait(until, look); {
+		switch err := conn.waitForReader(until, look); {
 		case err == nil && !room, err == nil && paused > 0: // it hung up
 			return false
 		case err == nil:
-			if paused = r.mem.pause(); paused == 0 {
+			if paused = p.memory.beginPause(); paused == 0 {
 				return true
 			}
 		case errors.Is(err, errWoken):
-		case !timedOut(err):
+		case !isTimeout(err):
 			return false
 		case paused > 0: // what has come is read once there is room, or it was waited for long enough
-			if paused -= pauseLook; paused <= 0 || !r.mem.tight() {
+			if paused -= memoryPollSeconds; paused <= 0 || !p.memory.underPressure() {
 				return true
 			}
 		case owed:
-		case !cl.more():
+		case !conn.hasUnreadBytes():
 			return false // idle for too long
 		default:
 			idle = time.Now() // a command came in the last moment
@@ -258,33 +258,33 @@
 	}
 }
 
-// finish lets everything owed go out before the connection ends. false: its client has gone.
-func (p plat) finish(cl *client) bool {
+// flushAnswers lets everything owed go out before the connection ends. false: its client has gone.
+func (proto resp2) flushAnswers(conn *clientConn) bool {
 	for {
-		owed, _, dead := cl.owes.state()
+		owed, _, dead := conn.answers.state()
 		if dead {
 			return false
 		}
 		if !owed {
 			return true
 		}
-		if err := cl.wait(time.Time{}, cl.sock.hangUp); !errors.Is(err, errWoken) {
+		if err := conn.waitForReader(time.Time{}, conn.socket.waitHangUp); !errors.Is(err, errWoken) {
 			return false
 		}
 	}
 }
 
-// direct answers what was no command.
-func (plat) direct(cl *client, x *owed, text []byte) {
-	cl.r.mu.Lock()
-	cl.r.count.InvalidRequests++
-	cl.reading, cl.spoke, cl.since = false, true, cl.r.Now()
-	cl.r.mu.Unlock()
-	cl.settle(x, text)
+// answerDirectly answers what was no command.
+func (resp2) answerDirectly(conn *clientConn, pending *pendingAnswer, text []byte) {
+	conn.proxy.mu.Lock()
+	conn.proxy.stats.InvalidRequests++
+	conn.reading, conn.hasSentRequest, conn.idleSince = false, true, conn.proxy.Now()
+	conn.proxy.mu.Unlock()
+	conn.completeAnswer(pending, text)
 }
 
-// refuse answers what can't be read, behind what is owed before it, and lets its sender see the answer.
-func (p plat) refuse(cl *client, err error) {
+// rejectUnreadable answers what can't be read, behind what is owed before it, and lets its sender see the answer.
+func (proto resp2) rejectUnreadable(conn *clientConn, err error) {
 	text := "ERR the command did not come whole in time"
 	var late net.Error
 	switch {
@@ -293,34 +293,34 @@
 	case !errors.As(err, &late) || !late.Timeout():
 		return
 	}
-	p.direct(cl, cl.owes.next(), resp.Error(nil, text))
-	if !p.finish(cl) {
+	proto.answerDirectly(conn, conn.answers.enqueue(), resp.Error(nil, text))
+	if !proto.flushAnswers(conn) {
 		return
 	}
-	cl.r.mu.Lock()
-	crowd := cl.going || len(cl.r.clients) >= cl.r.now.Load().Document.Clients.Connections
-	cl.r.mu.Unlock()
+	conn.proxy.mu.Lock()
+	crowd := conn.evicted || len(conn.proxy.clients) >= conn.proxy.currentConfig.Load().Document.Clients.Connections
+	conn.proxy.mu.Unlock()
 	if crowd { // others wait for the room
 		return
 	}
-	cl.linger()
+	conn.linger()
 }
 
-// left ends what a client that went away has in hand.
-func (plat) left(cl *client, hands []*command) {
-	for _, c := range hands {
-		cl.r.left(c)
+// abandonRequests ends what a client that went away has in hand.
+func (resp2) abandonRequests(conn *clientConn, unanswered []*request) {
+	for _, request := range unanswered {
+		conn.proxy.abandonRequest(request)
 	}
 }
 
-// stillIn gives the commands that have no final answer yet.
-func (r *Proxy) stillIn(list []*command) []*command {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// withoutCompleted gives the commands that have no final answer yet.
+func (p *Proxy) withoutCompleted(list []*request) []*request {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
-	for _, c := range list {
-		if !c.Completed {
-			list[n] = c
+	for _, request := range list {
+		if !request.Completed {
+			list[n] = request
 			n++
 		}
 	}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -25,56 +25,56 @@
 
 // Proxy is one instance: a policy and the connections it decides about.
 type Proxy struct {
-	set    *config.Router
+	settings    *config.Router
 	log    *slog.Logger
-	speech speech
-	cast   func(releases.Vote) // called without the lock; must not wait. nil: a planner judges, and leads
+	protocol protocol
+	castVote   func(releases.Vote) // called without the lock; must not wait. nil: a planner judges, and leads
 
 	// Answered, where set, is told of each final answer: op type, answer, s since the command came. It must not wait.
 	OnFinalAnswer func(op, kind string, secs float64)
 
-	rest  float64   // s after an answer in which its connection gets no further delivery
-	base  time.Time // on the clock that only goes forward, wall tells when that was
-	wall  float64
-	now   atomic.Pointer[configstate.Version] // in force; readers take no lock
+	connReuseDelaySeconds  float64   // s after an answer in which its connection gets no further delivery
+	clockBase  time.Time // on the clock that only goes forward, wall tells when that was
+	clockBaseSeconds  float64
+	currentConfig   atomic.Pointer[configstate.Version] // in force; readers take no lock
 	stop  chan struct{}
-	wake  chan struct{} // the timer is to look again
-	conns sync.WaitGroup
+	timerWake  chan struct{} // the timer is to look again
+	goroutines sync.WaitGroup
 
 	shedding atomic.Bool   // something is shed now
-	behind   atomic.Bool   // this process is late, or something is shed
-	oldest   atomic.Uint32 // ms that a command lay in the kernel, the most since the last look
+	overloaded   atomic.Bool   // this process is late, or something is shed
+	maxQueuedMillis   atomic.Uint32 // ms that a command lay in the kernel, the most since the last look
 
 	mu       sync.Mutex // orders the policy's calls; all below is under it
-	b        *policy.Balancer
-	gate     *loadshed.Shedder // nil: nothing is shed
-	watch    *processstats.Sampler
-	self     processstats.Sample
-	lag      float64 // s that the timer came late, as of the last look
-	late     loadshed.DelayTracker
-	away     answer // to what is shed
-	awayFor  *configstate.Version
-	keeper   *configstate.State
-	byOp     []int // commands in hand, by the place of their op type
-	dues     dues
+	balancer        *policy.Balancer
+	shedder     *loadshed.Shedder // nil: nothing is shed
+	sampler    *processstats.Sampler
+	processSample     processstats.Sample
+	timerDelaySeconds      float64 // s that the timer came late, as of the last look
+	delayTracker     loadshed.DelayTracker
+	shedAnswer     answer // to what is shed
+	shedAnswerConfig  *configstate.Version
+	configState   *configstate.State
+	inFlightByClass     []int // commands in hand, by the place of their op type
+	deadlines     deadlineQueue
 	timerAt  float64 // what the timer waits for
-	turnAt   float64
-	sweepAt  float64
-	lastID   uint32
-	hands    int // commands in hand
-	pools    map[uint32]*pool
-	ids      map[string]struct{} // of commands in hand, where the protocol names them
-	units    map[*unitConn]struct{}
-	clients  map[*client]struct{}
+	policyTickAt   float64
+	idleSweepAt  float64
+	lastRequestID   uint32
+	inFlight    int // commands in hand
+	pools    map[uint32]*endpointPool
+	requestIDs      map[string]struct{} // of commands in hand, where the protocol names them
+	endpointConns    map[*endpointConn]struct{}
+	clients  map[*clientConn]struct{}
 	draining bool
 	ready    bool     // it says so to who asks
-	pings    []func() // answers to those who asked before
-	answerBy float64  // when all is to be answered, 0: no such time
-	listNo   uint64
-	listAt   float64 // when what the list says was true
-	count    Stats
+	awaitingReady    []func() // answers to those who asked before
+	answerDeadline float64  // when all is to be answered, 0: no such time
+	endpointListVersion   uint64
+	endpointListAt   float64 // when what the list says was true
+	stats    Stats
 
-	mem memory
+	memory memoryBudget
 }
 
 // Stats counts what a relay did since its start.
@@ -96,461 +96,461 @@
 	PolicySeconds                                       float64 // s spent in the policy
 }
 
-// command is one in hand, with what the policy does not need to know.
-type command struct {
+// request is one in hand, with what the policy does not need to know.
+type request struct {
 	policy.Request
-	client *client
-	req    *request
-	under  *configstate.Version // it is served by from start to end
-	outs   []*delivery          // as long as Sent
-	again  float64              // earliest time to ask the policy again, 0: not
-	next   float64              // earliest of again and the deliveries' ends
-	place  int
-	owed   *owed // its place among its client's answers, where several are owed
+	conn *clientConn
+	message    *message
+	config  *configstate.Version // it is served by from start to end
+	attempts   []*attempt          // as long as Sent
+	pickAgainAt  float64              // earliest time to ask the policy again, 0: not
+	nextCheckAt   float64              // earliest of again and the deliveries' ends
+	heapIndex  int
+	answer   *pendingAnswer // its place among its client's answers, where several are owed
 }
 
 // NewHTTP makes a relay that speaks HTTP; cast takes the votes.
 func NewHTTP(set *config.Router, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
-	return newRelay(set, web{}, seed, log, cast)
+	return newProxy(set, http1{}, seed, log, cast)
 }
 
 // NewRESP makes one that speaks the platform's protocol.
 func NewRESP(set *config.Router, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
-	return newRelay(set, plat{}, seed, log, cast)
+	return newProxy(set, resp2{}, seed, log, cast)
 }
 
-func newRelay(set *config.Router, speech speech, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
+func newProxy(set *config.Router, speech protocol, seed uint64, log *slog.Logger, cast func(releases.Vote)) *Proxy {
 	now := time.Now()
-	r := &Proxy{set: set, log: log, speech: speech, cast: cast, rest: speech.rest(), base: now, wall: float64(now.UnixNano()) / 1e9,
-		stop: make(chan struct{}), wake: make(chan struct{}, 1),
-		pools: map[uint32]*pool{}, ids: map[string]struct{}{}, units: map[*unitConn]struct{}{}, clients: map[*client]struct{}{}}
-	r.keeper = configstate.NewState(&set.Document, nil, 0, set.ConfigWaitSeconds())
-	r.now.Store(r.keeper.Current())
-	r.b = policy.New(*r.keeper.Current().Policy, seed, r.wall)
-	r.byOp = make([]int, len(r.keeper.Current().Policy.Classes))
-	r.turnAt, r.listAt = r.wall, r.wall
-	r.watch = processstats.New()
+	p := &Proxy{settings: set, log: log, protocol: speech, castVote: cast, connReuseDelaySeconds: speech.connReuseDelaySeconds(), clockBase: now, clockBaseSeconds: float64(now.UnixNano()) / 1e9,
+		stop: make(chan struct{}), timerWake: make(chan struct{}, 1),
+		pools: map[uint32]*endpointPool{}, requestIDs: map[string]struct{}{}, endpointConns: map[*endpointConn]struct{}{}, clients: map[*clientConn]struct{}{}}
+	p.configState = configstate.NewState(&set.Document, nil, 0, set.ConfigWaitSeconds())
+	p.currentConfig.Store(p.configState.Current())
+	p.balancer = policy.New(*p.configState.Current().Policy, seed, p.clockBaseSeconds)
+	p.inFlightByClass = make([]int, len(p.configState.Current().Policy.Classes))
+	p.policyTickAt, p.endpointListAt = p.clockBaseSeconds, p.clockBaseSeconds
+	p.sampler = processstats.New()
 	if o := set.Overload; o != nil {
-		r.mem.budget = o.Memory
+		p.memory.limitBytes = o.Memory
 		if o.Shed {
-			r.gate = loadshed.New(worths(r.keeper.Current().Policy), seed, r.wall)
+			p.shedder = loadshed.New(shedderClasses(p.configState.Current().Policy), seed, p.clockBaseSeconds)
 		}
 	}
-	r.conns.Add(1)
-	go r.keepTime()
-	return r
+	p.goroutines.Add(1)
+	go p.runTimer()
+	return p
 }
 
 // Now is the relay's clock: s since 1970 as of its start, going forward steadily from there.
-func (r *Proxy) Now() float64 { return r.wall + time.Since(r.base).Seconds() }
+func (p *Proxy) Now() float64 { return p.clockBaseSeconds + time.Since(p.clockBase).Seconds() }
 
 // ApplyEndpoints enters a checked line of the unit list.
-func (r *Proxy) ApplyEndpoints(line *endpoints.Update) {
-	var a acts
-	defer r.do(&a)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Now()
-	r.listAt, r.listNo = now-line.Age, line.Version
-	line.ApplyTo(r.b, now)
+func (p *Proxy) ApplyEndpoints(line *endpoints.Update) {
+	var effects effects
+	defer p.runEffects(&effects)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.Now()
+	p.endpointListAt, p.endpointListVersion = now-line.Age, line.Version
+	line.ApplyTo(p.balancer, now)
 	if line.Full {
-		for _, p := range r.pools {
-			p.listed = false
+		for _, pool := range p.pools {
+			pool.usable = false
 		}
 	}
 	for _, u := range line.Endpoints {
-		r.listed(u, &a)
+		p.updatePool(u, &effects)
 	}
-	r.dropPools()
+	p.removeUnusedPools()
 }
 
 // ConfirmEndpoints enters that the list still holds.
-func (r *Proxy) ConfirmEndpoints() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.listAt = r.Now()
+func (p *Proxy) ConfirmEndpoints() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endpointListAt = p.Now()
 }
 
 // ApplyRelease enters news of the newest build.
-func (r *Proxy) ApplyRelease(build, stage int, phase policy.Phase, limit, age float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.b.ApplyRelease(r.Now(), build, stage, phase, limit, age)
+func (p *Proxy) ApplyRelease(build, stage int, phase policy.Phase, limit, age float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.ApplyRelease(p.Now(), build, stage, phase, limit, age)
 }
 
 // ApplyAssignment enters what a planner's view says of this edge's part.
-func (r *Proxy) ApplyAssignment(build int, v policy.Verdict, share, until float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.b.ApplyAssignment(build, v, share, until)
+func (p *Proxy) ApplyAssignment(build int, v policy.Verdict, share, until float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.ApplyAssignment(build, v, share, until)
 }
 
 // SetHealthMarks enters what a planner's health source says of units, age ago.
-func (r *Proxy) SetHealthMarks(age float64, marks []policy.HealthMark) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.b.SetHealthMarks(r.Now(), age, marks)
+func (p *Proxy) SetHealthMarks(age float64, marks []policy.HealthMark) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.SetHealthMarks(p.Now(), age, marks)
 }
 
 // LocalEvidence gives what the policy counted of the present build, for a planner.
-func (r *Proxy) LocalEvidence() policy.Evidence {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.b.LocalEvidence(r.Now())
+func (p *Proxy) LocalEvidence() policy.Evidence {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.balancer.LocalEvidence(p.Now())
 }
 
 // EndpointsAt is when what the list says was true.
-func (r *Proxy) EndpointsAt() float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.listAt
+func (p *Proxy) EndpointsAt() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.endpointListAt
 }
 
 // RestoreRelease enters news that the process before had, confirmed some time ago.
-func (r *Proxy) RestoreRelease(build, stage int, phase policy.Phase, limit, age, ago float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.b.RestoreRelease(r.Now(), build, stage, phase, limit, age, ago)
+func (p *Proxy) RestoreRelease(build, stage int, phase policy.Phase, limit, age, ago float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.RestoreRelease(p.Now(), build, stage, phase, limit, age, ago)
 }
 
 // ReportWrongAnswer enters that a unit gave a wrong answer to a delivery of age ago.
-func (r *Proxy) ReportWrongAnswer(unit uint32, age float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.count.WrongAnswers++
-	r.b.ReportWrongAnswer(r.Now(), unit, age)
+func (p *Proxy) ReportWrongAnswer(unit uint32, age float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.stats.WrongAnswers++
+	p.balancer.ReportWrongAnswer(p.Now(), unit, age)
 }
 
 // OnVoteReply enters what became of the vote last cast.
-func (r *Proxy) OnVoteReply(reply policy.VoteReply) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.b.OnVoteReply(r.Now(), reply)
+func (p *Proxy) OnVoteReply(reply policy.VoteReply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.balancer.OnVoteReply(p.Now(), reply)
 }
 
 // Stats gives the counts as of now.
-func (r *Proxy) Stats() Stats {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := r.count
-	n.InFlight, n.ClientConns, n.EndpointListAgeSeconds = r.hands, len(r.clients), r.Now()-r.listAt
-	n.EndpointConns, n.Endpoints = len(r.units), len(r.pools)
-	n.Process, n.TimerDelaySeconds, n.MemoryBytes, n.MemoryPeakBytes, n.ReadsPaused = r.self, r.lag, r.mem.used.Load(), r.mem.peak.Load(), r.mem.paused.Load()
-	if r.gate != nil {
-		n.ShedShare = r.gate.ShedShare()
+func (p *Proxy) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := p.stats
+	n.InFlight, n.ClientConns, n.EndpointListAgeSeconds = p.inFlight, len(p.clients), p.Now()-p.endpointListAt
+	n.EndpointConns, n.Endpoints = len(p.endpointConns), len(p.pools)
+	n.Process, n.TimerDelaySeconds, n.MemoryBytes, n.MemoryPeakBytes, n.ReadsPaused = p.processSample, p.timerDelaySeconds, p.memory.usedBytes.Load(), p.memory.peakBytes.Load(), p.memory.readsPaused.Load()
+	if p.shedder != nil {
+		n.ShedShare = p.shedder.ShedShare()
 	}
 	return n
 }
 
-// acts is what is left to do once the lock is given back: connections to close, then messages to write. A connection
+// effects is what is left to do once the lock is given back: connections to close, then messages to write. A connection
 // is closed before the answer that makes it needless goes out, so that nothing of a command follows its answer.
-type acts struct {
-	closes []*unitConn
-	sends  []*delivery
+type effects struct {
+	connsToClose []*endpointConn
+	attemptsToWrite  []*attempt
 	answer answer
-	to     *command // that it answers
+	answeredRequest     *request // that it answers
 }
 
 // accept takes a command and does the first of what follows. nil: one with its id is in hand. The path of an ordinary command is: accept, Pick, send,
 // serveUnit, arrived, After, the answer.
-func (r *Proxy) accept(cl *client, req *request, v *configstate.Version, op int, x *owed) *command {
-	r.mu.Lock()
-	if _, twice := r.ids[req.id]; twice && req.id != "" {
-		r.mu.Unlock()
+func (p *Proxy) accept(conn *clientConn, message *message, v *configstate.Version, class int, pending *pendingAnswer) *request {
+	p.mu.Lock()
+	if _, twice := p.requestIDs[message.id]; twice && message.id != "" {
+		p.mu.Unlock()
 		return nil
 	}
-	now := r.Now()
-	r.lastID++
-	c := &command{client: cl, req: req, under: v, place: -1, owed: x, Request: policy.Request{ID: r.lastID, Class: op, Config: v.Policy,
-		Key: req.key, ReceivedAt: now, Deadline: now + v.Policy.Classes[op].TimeoutSeconds, Work: req.work, ClientRetry: req.repeat}}
-	if req.due > 0 {
-		c.Deadline = min(c.Deadline, now+req.due)
-	}
-	c.Deadline -= req.waited
-	if r.answerBy > 0 {
-		c.Deadline = min(c.Deadline, r.answerBy)
-	}
-	if req.id != "" {
-		r.ids[req.id] = struct{}{}
-	}
-	cl.reading, cl.spoke = false, true
-	cl.open++
-	r.count.Received++
-	r.hands++
-	r.byOp[op]++
-	var a acts
-	if r.shed(now, c) {
-		r.count.Rejected++
-		r.finish(c, r.turnedAway(c.under), &a)
+	now := p.Now()
+	p.lastRequestID++
+	request := &request{conn: conn, message: message, config: v, heapIndex: -1, answer: pending, Request: policy.Request{ID: p.lastRequestID, Class: class, Config: v.Policy,
+		Key: message.keyHash, ReceivedAt: now, Deadline: now + v.Policy.Classes[class].TimeoutSeconds, Work: message.workSeconds, ClientRetry: message.clientRetry}}
+	if message.timeoutSeconds > 0 {
+		request.Deadline = min(request.Deadline, now+message.timeoutSeconds)
+	}
+	request.Deadline -= message.queuedSeconds
+	if p.answerDeadline > 0 {
+		request.Deadline = min(request.Deadline, p.answerDeadline)
+	}
+	if message.id != "" {
+		p.requestIDs[message.id] = struct{}{}
+	}
+	conn.reading, conn.hasSentRequest = false, true
+	conn.inFlight++
+	p.stats.Received++
+	p.inFlight++
+	p.inFlightByClass[class]++
+	var effects effects
+	if p.shed(now, request) {
+		p.stats.Rejected++
+		p.finishRequest(request, p.shedAnswerFor(request.config), &effects)
 	} else {
-		r.apply(now, c, r.pick(now, c), &a)
+		p.applyDecision(now, request, p.pick(now, request), &effects)
 	}
-	r.mu.Unlock()
-	r.do(&a)
-	return c
+	p.mu.Unlock()
+	p.runEffects(&effects)
+	return request
 }
 
 // pick asks the policy, and counts the time that takes.
-func (r *Proxy) pick(now float64, c *command) policy.Decision {
+func (p *Proxy) pick(now float64, request *request) policy.Decision {
 	from := time.Now()
-	s := r.b.Pick(now, &c.Request)
-	r.spent(from)
+	s := p.balancer.Pick(now, &request.Request)
+	p.countPolicyCall(from)
 	return s
 }
 
-func (r *Proxy) spent(from time.Time) {
-	r.count.PolicyCalls++
-	r.count.PolicySeconds += time.Since(from).Seconds()
+func (p *Proxy) countPolicyCall(from time.Time) {
+	p.stats.PolicyCalls++
+	p.stats.PolicySeconds += time.Since(from).Seconds()
 }
 
-// apply carries out a step, and what the policy says to what comes of that at once.
-func (r *Proxy) apply(now float64, c *command, s policy.Decision, a *acts) {
-	if s.PickAgainAt > 0 && s.PickAgainAt < c.Deadline && (c.again == 0 || s.PickAgainAt < c.again) {
-		c.again = s.PickAgainAt
+// applyDecision carries out a step, and what the policy says to what comes of that at once.
+func (p *Proxy) applyDecision(now float64, request *request, s policy.Decision, effects *effects) {
+	if s.PickAgainAt > 0 && s.PickAgainAt < request.Deadline && (request.pickAgainAt == 0 || s.PickAgainAt < request.pickAgainAt) {
+		request.pickAgainAt = s.PickAgainAt
 	}
 	switch s.Action {
 	case policy.Send:
-		r.count.Attempts++
-		d := &delivery{cmd: c, try: len(c.Attempts), unit: s.Endpoint, at: now, until: s.AttemptDeadline}
-		c.Attempts = append(c.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: now, InFlight: true})
-		c.outs = append(c.outs, d)
-		if !r.carry(d, a) {
-			r.ended(now, d, policy.NotSent, a)
+		p.stats.Attempts++
+		attempt := &attempt{request: request, index: len(request.Attempts), endpoint: s.Endpoint, startedAt: now, deadline: s.AttemptDeadline}
+		request.Attempts = append(request.Attempts, policy.Attempt{Endpoint: s.Endpoint, StartedAt: now, InFlight: true})
+		request.attempts = append(request.attempts, attempt)
+		if !p.assignConn(attempt, effects) {
+			p.endAttempt(now, attempt, policy.NotSent, effects)
 			return
 		}
 	case policy.Reject:
-		r.count.Rejected++
-		r.finish(c, r.speech.nacked(c.under, s.RetryAfterSeconds), a)
+		p.stats.Rejected++
+		p.finishRequest(request, p.protocol.rejectedAnswer(request.config, s.RetryAfterSeconds), effects)
 	case policy.Fail:
-		r.count.Failed++
-		n := len(c.outs)
-		r.finish(c, r.speech.failed(c.under, n > 0 && c.outs[n-1].result == policy.TimedOut), a)
+		p.stats.Failed++
+		n := len(request.attempts)
+		p.finishRequest(request, p.protocol.failedAnswer(request.config, n > 0 && request.attempts[n-1].outcome == policy.TimedOut), effects)
 	}
 	if s.CancelInFlight {
-		for _, d := range c.outs {
-			if c.Attempts[d.try].InFlight {
-				r.count.Cancels++
-				r.ended(now, d, policy.Cancelled, a)
+		for _, attempt := range request.attempts {
+			if request.Attempts[attempt.index].InFlight {
+				p.stats.Cancels++
+				p.endAttempt(now, attempt, policy.Cancelled, effects)
 			}
 		}
 	}
-	r.due(c)
+	p.scheduleCheck(request)
 }
 
-// ended enters how a delivery ended. What can be proved never to have left is told so, whatever ended it.
-func (r *Proxy) ended(now float64, d *delivery, result policy.Outcome, a *acts) {
-	c := d.cmd
-	if !c.Attempts[d.try].InFlight {
+// endAttempt enters how a delivery ended. What can be proved never to have left is told so, whatever ended it.
+func (p *Proxy) endAttempt(now float64, attempt *attempt, result policy.Outcome, effects *effects) {
+	request := attempt.request
+	if !request.Attempts[attempt.index].InFlight {
 		return
 	}
 	answered := result == policy.Succeeded || result == policy.ServerError || result == policy.Overloaded
-	part := d.fate.Load() == held
-	if !answered && d.drop() && result != policy.NotConnected {
+	part := attempt.writeState.Load() == lastByteHeld
+	if !answered && attempt.drop() && result != policy.NotConnected {
 		result = policy.NotSent
-		if d.conn != nil && (d.conn.dialing || part) && !c.Completed {
+		if attempt.conn != nil && (attempt.conn.dialing || part) && !request.Completed {
 			result = policy.NotConnected // there was time, and no connection that takes a command came of it
 		}
 	}
-	d.result = result
-	r.count.Outcomes[result]++
-	sent := &c.Attempts[d.try]
+	attempt.outcome = result
+	p.stats.Outcomes[result]++
+	sent := &request.Attempts[attempt.index]
 	sent.InFlight = false
 	sent.MayHaveRun = result != policy.NotSent && result != policy.NotConnected && result != policy.Overloaded
-	if uc := d.conn; uc != nil {
-		d.conn = nil
-		if uc.cur == d {
-			uc.cur = nil
-			r.drop(uc, a) // something of the command may still be on it
+	if conn := attempt.conn; conn != nil {
+		attempt.conn = nil
+		if conn.attempt == attempt {
+			conn.attempt = nil
+			p.removeConn(conn, effects) // something of the command may still be on it
 		}
 	}
 	from := time.Now()
-	s := r.b.OnAttemptDone(now, &c.Request, d.unit, result, now-d.at)
-	r.spent(from)
-	r.apply(now, c, s, a)
+	s := p.balancer.OnAttemptDone(now, &request.Request, attempt.endpoint, result, now-attempt.startedAt)
+	p.countPolicyCall(from)
+	p.applyDecision(now, request, s, effects)
 }
 
-// finish ends a command with its final answer.
-func (r *Proxy) finish(c *command, ans answer, a *acts) {
-	r.close(c)
-	a.answer, a.to = ans, c
-	if r.draining {
-		c.client.last = true
+// finishRequest ends a command with its final answer.
+func (p *Proxy) finishRequest(request *request, ans answer, effects *effects) {
+	p.removeRequest(request)
+	effects.answer, effects.answeredRequest = ans, request
+	if p.draining {
+		request.conn.closeAfterAnswer = true
 	}
-	if r.OnFinalAnswer != nil {
-		r.OnFinalAnswer(r.keeper.ClassName(c.Class), ans.kind, r.Now()-c.ReceivedAt)
+	if p.OnFinalAnswer != nil {
+		p.OnFinalAnswer(p.configState.ClassName(request.Class), ans.kind, p.Now()-request.ReceivedAt)
 	}
 }
 
-// close takes a command out of hand.
-func (r *Proxy) close(c *command) {
-	c.Completed = true
-	r.hands--
-	r.byOp[c.Class]--
-	c.client.open--
-	c.client.since = r.Now()
-	delete(r.ids, c.req.id)
+// removeRequest takes a command out of hand.
+func (p *Proxy) removeRequest(request *request) {
+	request.Completed = true
+	p.inFlight--
+	p.inFlightByClass[request.Class]--
+	request.conn.inFlight--
+	request.conn.idleSince = p.Now()
+	delete(p.requestIDs, request.message.id)
 }
 
-// due puts a command where its next due time belongs.
-func (r *Proxy) due(c *command) {
+// scheduleCheck puts a command where its next due time belongs.
+func (p *Proxy) scheduleCheck(request *request) {
 	next := 0.0
-	if !c.Completed {
-		next = c.again
+	if !request.Completed {
+		next = request.pickAgainAt
 	}
-	for _, d := range c.outs { // also what nobody waits for any more: a unit that never answers must not hold its connection for ever
-		if c.Attempts[d.try].InFlight && (next == 0 || d.until < next) {
-			next = d.until
+	for _, attempt := range request.attempts { // also what nobody waits for any more: a unit that never answers must not hold its connection for ever
+		if request.Attempts[attempt.index].InFlight && (next == 0 || attempt.deadline < next) {
+			next = attempt.deadline
 		}
 	}
-	r.dues.set(c, next)
-	if next > 0 && next < r.timerAt {
+	p.deadlines.update(request, next)
+	if next > 0 && next < p.timerAt {
 		select {
-		case r.wake <- struct{}{}:
+		case p.timerWake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// do carries out what needs no lock.
-func (r *Proxy) do(a *acts) {
-	for _, uc := range a.closes {
-		uc.close()
+// runEffects carries out what needs no lock.
+func (p *Proxy) runEffects(effects *effects) {
+	for _, conn := range effects.connsToClose {
+		conn.close()
 	}
-	for _, d := range a.sends {
-		r.send(d)
+	for _, attempt := range effects.attemptsToWrite {
+		p.writeAttempt(attempt)
 	}
-	if a.to != nil {
-		r.speech.reply(a.to, a.answer)
+	if effects.answeredRequest != nil {
+		p.protocol.deliverAnswer(effects.answeredRequest, effects.answer)
 	}
 }
 
-// keepTime is the one timer: the policy's periodic work and every command's due times.
-func (r *Proxy) keepTime() {
-	defer r.conns.Done()
+// runTimer is the one timer: the policy's periodic work and every command's due times.
+func (p *Proxy) runTimer() {
+	defer p.goroutines.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-r.stop:
+		case <-p.stop:
 			return
 		case <-timer.C:
-		case <-r.wake:
+		case <-p.timerWake:
 		}
-		timer.Reset(r.tick())
+		timer.Reset(p.tick())
 	}
 }
 
 // tick does all that is due and gives the time until the next.
-func (r *Proxy) tick() time.Duration {
+func (p *Proxy) tick() time.Duration {
 	const batch = 64 // commands served before the lock is offered to others
 	for {
-		r.mu.Lock()
-		now := r.Now()
-		var all []acts
-		for len(r.dues) > 0 && r.dues[0].next <= now && len(all) < batch {
-			c := heap.Pop(&r.dues).(*command)
-			var a acts
-			r.overdue(now, c, &a)
-			all = append(all, a)
+		p.mu.Lock()
+		now := p.Now()
+		var batchEffects []effects
+		for len(p.deadlines) > 0 && p.deadlines[0].nextCheckAt <= now && len(batchEffects) < batch {
+			request := heap.Pop(&p.deadlines).(*request)
+			var effects effects
+			p.onDeadline(now, request, &effects)
+			batchEffects = append(batchEffects, effects)
 		}
-		more := len(all) == batch
+		more := len(batchEffects) == batch
 		var vote *releases.Vote
-		if r.turnAt <= now {
-			r.look(now)
+		if p.policyTickAt <= now {
+			p.sampleLoad(now)
 			from := time.Now()
-			r.b.SetEndpointListAge(now - r.listAt)
+			p.balancer.SetEndpointListAge(now - p.endpointListAt)
 			var t policy.TickResult
-			if r.cast != nil {
-				t = r.b.TickController(now)
+			if p.castVote != nil {
+				t = p.balancer.TickController(now)
 			} else {
-				t = r.b.TickRouter(now)
+				t = p.balancer.TickRouter(now)
 			}
-			r.spent(from)
-			r.turnAt = now + t.NextTickSeconds
+			p.countPolicyCall(from)
+			p.policyTickAt = now + t.NextTickSeconds
 			if t.CastVote {
 				vote = &releases.Vote{Build: t.Build, Stage: t.Stage, Verdict: t.Verdict}
 			}
 		}
-		var idle acts
-		if r.sweepAt <= now {
-			r.sweepAt = now + min(1, r.now.Load().Document.Endpoints.IdleTime/4)
-			r.sweep(now, &idle)
+		var sweepEffects effects
+		if p.idleSweepAt <= now {
+			p.idleSweepAt = now + min(1, p.currentConfig.Load().Document.Endpoints.IdleTime/4)
+			p.closeIdleConns(now, &sweepEffects)
 		}
-		next := min(r.turnAt, r.sweepAt)
-		if len(r.dues) > 0 {
-			next = min(next, r.dues[0].next)
+		next := min(p.policyTickAt, p.idleSweepAt)
+		if len(p.deadlines) > 0 {
+			next = min(next, p.deadlines[0].nextCheckAt)
 		}
-		r.timerAt = next
-		r.mu.Unlock()
-		for i := range all {
-			r.do(&all[i])
+		p.timerAt = next
+		p.mu.Unlock()
+		for i := range batchEffects {
+			p.runEffects(&batchEffects[i])
 		}
-		r.do(&idle)
+		p.runEffects(&sweepEffects)
 		if vote != nil {
-			r.cast(*vote)
+			p.castVote(*vote)
 		}
 		if !more {
-			return max(0, time.Duration((next-r.Now())*float64(time.Second)))
+			return max(0, time.Duration((next-p.Now())*float64(time.Second)))
 		}
 	}
 }
 
-// overdue looks at a command whose due time has come: deliveries past their end first, then the policy's wish to be
+// onDeadline looks at a command whose due time has come: deliveries past their end first, then the policy's wish to be
 // asked.
-func (r *Proxy) overdue(now float64, c *command, a *acts) {
-	again := c.again
+func (p *Proxy) onDeadline(now float64, request *request, effects *effects) {
+	again := request.pickAgainAt
 	if again <= now {
-		c.again = 0
+		request.pickAgainAt = 0
 	}
-	for _, d := range c.outs {
-		if c.Attempts[d.try].InFlight && d.until <= now {
-			r.ended(now, d, policy.TimedOut, a)
+	for _, attempt := range request.attempts {
+		if request.Attempts[attempt.index].InFlight && attempt.deadline <= now {
+			p.endAttempt(now, attempt, policy.TimedOut, effects)
 			return // that asked the policy
 		}
 	}
-	if again > 0 && again <= now && !c.Completed {
-		r.apply(now, c, r.pick(now, c), a)
+	if again > 0 && again <= now && !request.Completed {
+		p.applyDecision(now, request, p.pick(now, request), effects)
 		return
 	}
-	r.due(c)
+	p.scheduleCheck(request)
 }
 
-// left is told when a client went away. It tells whether its command was still in hand, and so gets no answer.
-func (r *Proxy) left(c *command) bool {
-	r.mu.Lock()
-	if c.Completed {
-		r.mu.Unlock()
+// abandonRequest is told when a client went away. It tells whether its command was still in hand, and so gets no answer.
+func (p *Proxy) abandonRequest(request *request) bool {
+	p.mu.Lock()
+	if request.Completed {
+		p.mu.Unlock()
 		return false
 	}
-	now := r.Now()
-	r.count.Abandoned++
-	r.close(c)
-	var a acts
-	for _, d := range c.outs {
-		if c.Attempts[d.try].InFlight && d.fate.Load() == fresh { // nobody waits for what has not left yet
-			r.ended(now, d, policy.Cancelled, &a)
+	now := p.Now()
+	p.stats.Abandoned++
+	p.removeRequest(request)
+	var effects effects
+	for _, attempt := range request.attempts {
+		if request.Attempts[attempt.index].InFlight && attempt.writeState.Load() == notWritten { // nobody waits for what has not left yet
+			p.endAttempt(now, attempt, policy.Cancelled, &effects)
 		}
 	}
-	r.apply(now, c, r.pick(now, c), &a)
-	r.mu.Unlock()
-	r.do(&a)
+	p.applyDecision(now, request, p.pick(now, request), &effects)
+	p.mu.Unlock()
+	p.runEffects(&effects)
 	return true
 }
 
-// wrong enters a client's report of a wrong answer, by the receipt that came with the answer.
-func (r *Proxy) wrong(receipt string) error {
+// reportWrongAnswerByReceipt enters a client's report of a wrong answer, by the receipt that came with the answer.
+func (p *Proxy) reportWrongAnswerByReceipt(receipt string) error {
 	var unit uint32
 	var at float64
 	if _, err := fmt.Sscanf(receipt, "%d-%f", &unit, &at); err != nil {
-		return fmt.Errorf("%s: %q is no receipt", headReceipt, receipt)
+		return fmt.Errorf("%s: %q is no receipt", headerReceipt, receipt)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	age := r.Now() - at
-	if !(age >= 0 && age < r.now.Load().Document.Rules.UnitsForget) {
-		return fmt.Errorf("%s: %q is not of the last %.0f s", headReceipt, receipt, r.now.Load().Document.Rules.UnitsForget)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	age := p.Now() - at
+	if !(age >= 0 && age < p.currentConfig.Load().Document.Rules.UnitsForget) {
+		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, p.currentConfig.Load().Document.Rules.UnitsForget)
 	}
-	r.count.WrongAnswers++
-	r.b.ReportWrongAnswer(r.Now(), unit, age)
+	p.stats.WrongAnswers++
+	p.balancer.ReportWrongAnswer(p.Now(), unit, age)
 	return nil
 }
--- a/internal/proxy/unit.go
+++ b/internal/proxy/unit.go
@@ -12,258 +12,258 @@
 	"flintspread/internal/policy"
 )
 
-// delivery is one sending of a command to a unit.
-type delivery struct {
-	cmd    *command
-	try    int // its place in the command's Sent
-	unit   uint32
-	at     float64
-	until  float64
-	conn   *unitConn // nil once it ended
-	result policy.Outcome
-	fate   atomic.Int32
-	sentBy *unitConn // as conn, but never changed once given
+// attempt is one sending of a command to a unit.
+type attempt struct {
+	request    *request
+	index    int // its place in the command's Sent
+	endpoint   uint32
+	startedAt     float64
+	deadline  float64
+	conn   *endpointConn // nil once it ended
+	outcome policy.Outcome
+	writeState   atomic.Int32
+	assignedConn *endpointConn // as conn, but never changed once given
 }
 
 // A delivery's fate is settled once: whoever takes it from fresh, or from held where units begin one with its last byte, says whether
 // that byte may leave. One that was dropped before provably never ran; one that is written may have run.
 const (
-	fresh   int32 = iota // nothing of it has left
-	held                 // the kernel took a part, and the last byte is held back
+	notWritten   int32 = iota // nothing of it has left
+	lastByteHeld                 // the kernel took a part, and the last byte is held back
 	written              // the last byte leaves, or has left
 	dropped
 )
 
-func (d *delivery) drop() bool {
-	return d.fate.CompareAndSwap(fresh, dropped) || d.fate.CompareAndSwap(held, dropped)
+func (a *attempt) drop() bool {
+	return a.writeState.CompareAndSwap(notWritten, dropped) || a.writeState.CompareAndSwap(lastByteHeld, dropped)
 }
 
-func (d *delivery) begin() bool { return d.fate.CompareAndSwap(fresh, written) }
+func (a *attempt) claimWrite() bool { return a.writeState.CompareAndSwap(notWritten, written) }
 
-// pool is the connections to one unit. Under the relay's lock.
-type pool struct {
+// endpointPool is the connections to one unit. Under the relay's lock.
+type endpointPool struct {
 	id     uint32
 	addr   string
-	listed bool // a connection may get a delivery: it is on the list as this process, and does not drain
+	usable bool // a connection may get a delivery: it is on the list as this process, and does not drain
 	build  int
-	start  float64
+	startedAt  float64
 	zone   uint16
 	cell   uint16
-	idle   []*unitConn // the longest idle first; the latest is used first
-	conns  int
+	idle   []*endpointConn // the longest idle first; the latest is used first
+	connCount  int
 }
 
-// unitConn is one connection to a unit; its goroutine dials and reads.
-type unitConn struct {
-	pool    *pool
-	cur     *delivery // under the relay's lock, as the next three
+// endpointConn is one connection to a unit; its goroutine dials and reads.
+type endpointConn struct {
+	pool    *endpointPool
+	attempt     *attempt // under the relay's lock, as the next three
 	dialing bool
-	gone    bool
-	since   float64 // idle since
-	sock    atomic.Pointer[socket]
-	shut    atomic.Bool
+	removed    bool
+	idleSince   float64 // idle since
+	socket    atomic.Pointer[socket]
+	closed    atomic.Bool
 }
 
 // close ends the connection, also one that is still to be made.
-func (uc *unitConn) close() {
-	uc.shut.Store(true)
-	if s := uc.sock.Load(); s != nil {
+func (conn *endpointConn) close() {
+	conn.closed.Store(true)
+	if s := conn.socket.Load(); s != nil {
 		s.Close()
 	}
 }
 
-// listed keeps the pools in step with the list.
-func (r *Proxy) listed(u endpoints.Endpoint, a *acts) {
-	p := r.pools[u.ID]
+// updatePool keeps the pools in step with the list.
+func (p *Proxy) updatePool(u endpoints.Endpoint, effects *effects) {
+	pool := p.pools[u.ID]
 	if u.State == "gone" {
-		if p != nil {
-			p.listed = false
+		if pool != nil {
+			pool.usable = false
 		}
 		return
 	}
-	if p != nil && (p.addr != u.Addr || p.build != u.Build || p.start != u.StartedAt) {
-		p.listed = false // another process; what is out at the earlier one ends, and its connection with it
-		for len(p.idle) > 0 {
-			r.drop(p.idle[0], a)
+	if pool != nil && (pool.addr != u.Addr || pool.build != u.Build || pool.startedAt != u.StartedAt) {
+		pool.usable = false // another process; what is out at the earlier one ends, and its connection with it
+		for len(pool.idle) > 0 {
+			p.removeConn(pool.idle[0], effects)
 		}
-		p = nil
+		pool = nil
 	}
-	if p == nil {
-		p = &pool{id: u.ID, addr: u.Addr, build: u.Build, start: u.StartedAt}
-		r.pools[u.ID] = p
+	if pool == nil {
+		pool = &endpointPool{id: u.ID, addr: u.Addr, build: u.Build, startedAt: u.StartedAt}
+		p.pools[u.ID] = pool
 	}
-	p.listed, p.zone, p.cell = u.State != "draining", u.Zone, u.Cell
+	pool.usable, pool.zone, pool.cell = u.State != "draining", u.Zone, u.Cell
 }
 
-// dropPools forgets the units that left the list and have no connection any more.
-func (r *Proxy) dropPools() {
-	for id, p := range r.pools {
-		if !p.listed && p.conns == 0 {
-			delete(r.pools, id)
+// removeUnusedPools forgets the units that left the list and have no connection any more.
+func (p *Proxy) removeUnusedPools() {
+	for id, pool := range p.pools {
+		if !pool.usable && pool.connCount == 0 {
+			delete(p.pools, id)
 		}
 	}
 }
 
-// sweep closes what has been idle for too long, or leads to a unit that left the list.
-func (r *Proxy) sweep(now float64, a *acts) {
-	for _, p := range r.pools {
+// closeIdleConns closes what has been idle for too long, or leads to a unit that left the list.
+func (p *Proxy) closeIdleConns(now float64, effects *effects) {
+	for _, pool := range p.pools {
 		n := 0
-		for n < len(p.idle) && (!p.listed || now-p.idle[n].since > r.now.Load().Document.Endpoints.IdleTime) {
+		for n < len(pool.idle) && (!pool.usable || now-pool.idle[n].idleSince > p.currentConfig.Load().Document.Endpoints.IdleTime) {
 			n++
 		}
-		for _, uc := range append([]*unitConn(nil), p.idle[:n]...) {
-			r.drop(uc, a)
+		for _, conn := range append([]*endpointConn(nil), pool.idle[:n]...) {
+			p.removeConn(conn, effects)
 		}
 	}
-	r.dropPools()
+	p.removeUnusedPools()
 }
 
-// drop takes a connection out of its pool for good.
-func (r *Proxy) drop(uc *unitConn, a *acts) {
-	if uc.gone {
+// removeConn takes a connection out of its pool for good.
+func (p *Proxy) removeConn(conn *endpointConn, effects *effects) {
+	if conn.removed {
 		return
 	}
-	uc.gone = true
-	delete(r.units, uc)
-	p := uc.pool
-	p.conns--
-	for i, other := range p.idle {
-		if other == uc {
-			p.idle = append(p.idle[:i], p.idle[i+1:]...)
+	conn.removed = true
+	delete(p.endpointConns, conn)
+	pool := conn.pool
+	pool.connCount--
+	for i, other := range pool.idle {
+		if other == conn {
+			pool.idle = append(pool.idle[:i], pool.idle[i+1:]...)
 			break
 		}
 	}
-	a.closes = append(a.closes, uc)
+	effects.connsToClose = append(effects.connsToClose, conn)
 }
 
-// carry gives a delivery a connection: an idle one or, within the bound, a new one. It tells whether there is one.
-func (r *Proxy) carry(d *delivery, a *acts) bool {
-	p := r.pools[d.unit]
-	if p == nil || !p.listed {
+// assignConn gives a delivery a connection: an idle one or, within the bound, a new one. It tells whether there is one.
+func (p *Proxy) assignConn(attempt *attempt, effects *effects) bool {
+	pool := p.pools[attempt.endpoint]
+	if pool == nil || !pool.usable {
 		return false
 	}
-	lim := &r.now.Load().Document.Endpoints
-	for n := len(p.idle); n > 0; n-- {
-		uc := p.idle[n-1]
-		if d.at-uc.since < r.rest {
+	limits := &p.currentConfig.Load().Document.Endpoints
+	for n := len(pool.idle); n > 0; n-- {
+		conn := pool.idle[n-1]
+		if attempt.startedAt-conn.idleSince < p.connReuseDelaySeconds {
 			continue // what else its unit may say would be taken for this one's answer
 		}
-		if d.at-uc.since > lim.IdleTime || uc.spoken() { // the sweep, or its reader, has not come to it yet
-			r.drop(uc, a)
+		if attempt.startedAt-conn.idleSince > limits.IdleTime || conn.spoken() { // the sweep, or its reader, has not come to it yet
+			p.removeConn(conn, effects)
 			continue
 		}
-		p.idle = append(p.idle[:n-1], p.idle[n:]...)
-		uc.cur, d.conn, d.sentBy = d, uc, uc
-		a.sends = append(a.sends, d)
+		pool.idle = append(pool.idle[:n-1], pool.idle[n:]...)
+		conn.attempt, attempt.conn, attempt.assignedConn = attempt, conn, conn
+		effects.attemptsToWrite = append(effects.attemptsToWrite, attempt)
 		return true
 	}
-	if p.conns >= lim.Connections || lim.Total > 0 && len(r.units) >= lim.Total && !r.dropIdlest(a) {
+	if pool.connCount >= limits.Connections || limits.Total > 0 && len(p.endpointConns) >= limits.Total && !p.removeLongestIdle(effects) {
 		return false
 	}
-	p.conns++
-	r.count.Dials++
-	uc := &unitConn{pool: p, cur: d, dialing: true}
-	d.conn, d.sentBy = uc, uc
-	r.units[uc] = struct{}{}
-	r.conns.Add(1)
-	go r.serveUnit(uc)
+	pool.connCount++
+	p.stats.Dials++
+	conn := &endpointConn{pool: pool, attempt: attempt, dialing: true}
+	attempt.conn, attempt.assignedConn = conn, conn
+	p.endpointConns[conn] = struct{}{}
+	p.goroutines.Add(1)
+	go p.serveEndpointConn(conn)
 	return true
 }
 
 // spoken tells whether an idle connection's unit has closed it, or sent what nobody asked for: what is written to it would be lost,
 // or take the answer of another.
-func (uc *unitConn) spoken() bool {
-	s := uc.sock.Load()
-	return s == nil || s.unread()
+func (conn *endpointConn) spoken() bool {
+	s := conn.socket.Load()
+	return s == nil || s.hasUnread()
 }
 
-// dropIdlest gives back the descriptor of the connection that has been idle longest of all.
-func (r *Proxy) dropIdlest(a *acts) bool {
-	var idlest *unitConn
-	for _, p := range r.pools {
-		if len(p.idle) > 0 && (idlest == nil || p.idle[0].since < idlest.since) {
-			idlest = p.idle[0]
+// removeLongestIdle gives back the descriptor of the connection that has been idle longest of all.
+func (p *Proxy) removeLongestIdle(effects *effects) bool {
+	var idlest *endpointConn
+	for _, pool := range p.pools {
+		if len(pool.idle) > 0 && (idlest == nil || pool.idle[0].idleSince < idlest.idleSince) {
+			idlest = pool.idle[0]
 		}
 	}
 	if idlest != nil {
-		r.drop(idlest, a)
+		p.removeConn(idlest, effects)
 	}
 	return idlest != nil
 }
 
-// send writes a delivery to its connection, unless it was dropped meanwhile.
-func (r *Proxy) send(d *delivery) {
-	if !d.begin() {
+// writeAttempt writes a delivery to its connection, unless it was dropped meanwhile.
+func (p *Proxy) writeAttempt(attempt *attempt) {
+	if !attempt.claimWrite() {
 		return
 	}
-	buf := r.speech.word(d.cmd.req, max(0.001, d.until-r.Now()))
-	s := d.sentBy.sock.Load()
+	buf := p.protocol.encodeAttempt(attempt.request.message, max(0.001, attempt.deadline-p.Now()))
+	s := attempt.assignedConn.socket.Load()
 	n, err := s.writeNow(buf)
 	switch {
-	case err != nil && (n == 0 || r.speech.atLastByte()):
-		r.unwritten(d, n, err)
+	case err != nil && (n == 0 || p.protocol.startsAtLastByte()):
+		p.failUnwritten(attempt, n, err)
 	case err != nil:
 		s.Close() // its reader tells
 	case n < len(buf):
 		// The unit does not read. The rest goes from a goroutine of its own; the delivery's end closes the connection.
-		if r.speech.atLastByte() {
-			d.fate.Store(held)
+		if p.protocol.startsAtLastByte() {
+			attempt.writeState.Store(lastByteHeld)
 		}
-		r.conns.Add(1)
-		go r.sendRest(d, s, buf, n)
+		p.goroutines.Add(1)
+		go p.writeRemaining(attempt, s, buf, n)
 	}
 }
 
-// sendRest writes what the kernel did not take at once, from byte n on.
-func (r *Proxy) sendRest(d *delivery, s *socket, buf []byte, n int) {
-	defer r.conns.Done()
+// writeRemaining writes what the kernel did not take at once, from byte n on.
+func (p *Proxy) writeRemaining(attempt *attempt, s *socket, buf []byte, n int) {
+	defer p.goroutines.Done()
 	last := len(buf)
-	if r.speech.atLastByte() {
+	if p.protocol.startsAtLastByte() {
 		last--
 	}
 	m, err := s.Write(buf[n:last])
 	if n += m; err == nil && n < len(buf) {
-		if !d.fate.CompareAndSwap(held, written) {
+		if !attempt.writeState.CompareAndSwap(lastByteHeld, written) {
 			return // given up: it never ran
 		}
 		m, err = s.Write(buf[n:])
 		n += m
 	}
 	switch {
-	case err != nil && r.speech.atLastByte():
-		r.unwritten(d, n, err)
+	case err != nil && p.protocol.startsAtLastByte():
+		p.failUnwritten(attempt, n, err)
 	case err != nil:
 		s.Close() // its reader tells
 	}
 }
 
-// unwritten ends a delivery whose last byte the kernel did not take: it never ran. Where it took none the connection was over before,
+// failUnwritten ends a delivery whose last byte the kernel did not take: it never ran. Where it took none the connection was over before,
 // which says nothing of the unit now.
-func (r *Proxy) unwritten(d *delivery, n int, err error) {
+func (p *Proxy) failUnwritten(attempt *attempt, n int, err error) {
 	result := policy.NotConnected
 	if n == 0 {
 		result = policy.NotSent
 	}
-	r.mu.Lock()
-	var a acts
-	if c := d.cmd; c.Attempts[d.try].InFlight {
-		r.log.Debug("delivery not written", "unit", d.unit, "bytes", n, "error", err)
-		d.fate.Store(fresh)
-		r.ended(r.Now(), d, result, &a)
+	p.mu.Lock()
+	var effects effects
+	if request := attempt.request; request.Attempts[attempt.index].InFlight {
+		p.log.Debug("delivery not written", "unit", attempt.endpoint, "bytes", n, "error", err)
+		attempt.writeState.Store(notWritten)
+		p.endAttempt(p.Now(), attempt, result, &effects)
 	}
-	r.mu.Unlock()
-	r.do(&a)
+	p.mu.Unlock()
+	p.runEffects(&effects)
 }
 
-// serveUnit makes a connection to a unit and reads from it until it ends.
-func (r *Proxy) serveUnit(uc *unitConn) {
-	defer r.conns.Done()
-	nc, err := net.DialTimeout("tcp", uc.pool.addr, time.Duration(r.now.Load().Document.Endpoints.DialTime*float64(time.Second)))
-	r.mu.Lock()
-	uc.dialing = false
-	var a acts
-	if err != nil || uc.gone || !uc.pool.listed {
-		if d := uc.cur; d != nil {
+// serveEndpointConn makes a connection to a unit and reads from it until it ends.
+func (p *Proxy) serveEndpointConn(conn *endpointConn) {
+	defer p.goroutines.Done()
+	netConn, err := net.DialTimeout("tcp", conn.pool.addr, time.Duration(p.currentConfig.Load().Document.Endpoints.DialTime*float64(time.Second)))
+	p.mu.Lock()
+	conn.dialing = false
+	var effects effects
+	if err != nil || conn.removed || !conn.pool.usable {
+		if attempt := conn.attempt; attempt != nil {
 			result := policy.NotConnected
 			if err == nil { // its unit left, drains or was replaced while the connection was made
 				result = policy.NotSent
@@ -271,98 +271,98 @@
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				result = policy.NotSent // want of descriptors here says nothing of the unit
 			}
-			r.ended(r.Now(), d, result, &a)
+			p.endAttempt(p.Now(), attempt, result, &effects)
 		} else {
-			r.drop(uc, &a)
+			p.removeConn(conn, &effects)
 		}
-		r.mu.Unlock()
-		if nc != nil {
-			nc.Close()
+		p.mu.Unlock()
+		if netConn != nil {
+			netConn.Close()
 		}
-		r.do(&a)
+		p.runEffects(&effects)
 		return
 	}
-	sock := newSocket(nc)
-	uc.sock.Store(&sock)
-	if uc.cur != nil {
-		a.sends = append(a.sends, uc.cur)
+	sock := newSocket(netConn)
+	conn.socket.Store(&sock)
+	if conn.attempt != nil {
+		effects.attemptsToWrite = append(effects.attemptsToWrite, conn.attempt)
 	}
-	r.mu.Unlock()
-	if uc.shut.Load() {
-		nc.Close()
+	p.mu.Unlock()
+	if conn.closed.Load() {
+		netConn.Close()
 	}
-	r.do(&a)
-	r.mem.add(connBytes)
-	g := &gate{from: nc, left: 1, mem: &r.mem}
+	p.runEffects(&effects)
+	p.memory.add(connOverheadBytes)
+	reader := &limitedReader{source: netConn, remaining: 1, memory: &p.memory}
 	defer func() {
-		g.release()
-		r.mem.add(-connBytes)
+		reader.release()
+		p.memory.add(-connOverheadBytes)
 	}()
-	br := bufio.NewReaderSize(g, 4096)
+	br := bufio.NewReaderSize(reader, 4096)
 	for {
-		g.left = 1 << 20
+		reader.remaining = 1 << 20
 		// What comes stays in the kernel until it is known whose it is: taken before, it would hide from who looks whether the
 		// connection is quiet (spoken), and pass for the answer to what is sent on it in that moment.
-		err := sock.readable()
-		r.mu.Lock()
-		d := uc.cur
-		r.mu.Unlock()
-		if err != nil || d == nil { // closed, or an answer nobody asked for
-			r.broken(uc, d)
+		err := sock.waitReadable()
+		p.mu.Lock()
+		attempt := conn.attempt
+		p.mu.Unlock()
+		if err != nil || attempt == nil { // closed, or an answer nobody asked for
+			p.onConnLost(conn, attempt)
 			return
 		}
-		ans, result, keep, err := r.speech.read(br, g, d)
+		ans, result, keep, err := p.protocol.readAnswer(br, reader, attempt)
 		if err != nil {
-			r.log.Debug("unit's answer", "unit", d.unit, "addr", uc.pool.addr, "error", err)
-			r.broken(uc, d)
+			p.log.Debug("unit's answer", "unit", attempt.endpoint, "addr", conn.pool.addr, "error", err)
+			p.onConnLost(conn, attempt)
 			return
 		}
-		if !r.arrived(uc, d, ans, result, keep && br.Buffered() == 0) {
-			nc.Close()
+		if !p.onAnswer(conn, attempt, ans, result, keep && br.Buffered() == 0) {
+			netConn.Close()
 			return
 		}
-		g.release()
+		reader.release()
 	}
 }
 
-// arrived enters a unit's whole answer and tells whether the connection goes on.
-func (r *Proxy) arrived(uc *unitConn, d *delivery, ans answer, result policy.Outcome, keep bool) bool {
-	r.mu.Lock()
-	now := r.Now()
-	c := d.cmd
-	if uc.cur != d { // given up while the answer was read
-		r.count.LateAnswers++
-		r.mu.Unlock()
+// onAnswer enters a unit's whole answer and tells whether the connection goes on.
+func (p *Proxy) onAnswer(conn *endpointConn, attempt *attempt, ans answer, result policy.Outcome, keep bool) bool {
+	p.mu.Lock()
+	now := p.Now()
+	request := attempt.request
+	if conn.attempt != attempt { // given up while the answer was read
+		p.stats.LateAnswers++
+		p.mu.Unlock()
 		return false
 	}
-	var a acts
-	uc.cur, d.conn = nil, nil
-	if keep = keep && !uc.gone && uc.pool.listed && d.fate.Load() == written; keep {
-		uc.since = now
-		uc.pool.idle = append(uc.pool.idle, uc)
+	var effects effects
+	conn.attempt, attempt.conn = nil, nil
+	if keep = keep && !conn.removed && conn.pool.usable && attempt.writeState.Load() == written; keep {
+		conn.idleSince = now
+		conn.pool.idle = append(conn.pool.idle, conn)
 	} else {
-		r.drop(uc, &a)
+		p.removeConn(conn, &effects)
 	}
 	if result == policy.Succeeded {
-		r.count.Succeeded++
-		r.answeredBy(c, now, len(c.req.head)+len(c.req.body)+len(ans.bytes))
-		r.finish(c, ans, &a)
+		p.stats.Succeeded++
+		p.observeSuccess(request, now, len(request.message.head)+len(request.message.body)+len(ans.bytes))
+		p.finishRequest(request, ans, &effects)
 	}
-	r.ended(now, d, result, &a)
-	r.mu.Unlock()
-	r.do(&a)
+	p.endAttempt(now, attempt, result, &effects)
+	p.mu.Unlock()
+	p.runEffects(&effects)
 	return keep
 }
 
-// broken enters the end of a connection.
-func (r *Proxy) broken(uc *unitConn, d *delivery) {
-	r.mu.Lock()
-	var a acts
-	if d != nil && uc.cur == d {
-		r.ended(r.Now(), d, policy.ConnectionLost, &a)
+// onConnLost enters the end of a connection.
+func (p *Proxy) onConnLost(conn *endpointConn, attempt *attempt) {
+	p.mu.Lock()
+	var effects effects
+	if attempt != nil && conn.attempt == attempt {
+		p.endAttempt(p.Now(), attempt, policy.ConnectionLost, &effects)
 	}
-	r.drop(uc, &a)
-	r.mu.Unlock()
-	uc.close()
-	r.do(&a)
+	p.removeConn(conn, &effects)
+	p.mu.Unlock()
+	conn.close()
+	p.runEffects(&effects)
 }
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -6,60 +6,60 @@
 
 // OfferConfig says what becomes of a version of the settings: where it is taken, it is in force for every command accepted from
 // then on, in one step; those in hand go to their end by their own.
-func (r *Proxy) OfferConfig(v *configstate.Version) (configstate.Outcome, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	o, err := r.keeper.Offer(r.Now(), v, r.situation())
+func (p *Proxy) OfferConfig(v *configstate.Version) (configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	o, err := p.configState.Offer(p.Now(), v, p.configConditions())
 	if o == configstate.Applied {
-		r.adopt()
+		p.useCurrentConfig()
 	}
 	return o, err
 }
 
 // CheckConfig says whether a version could be taken now, without taking it.
-func (r *Proxy) CheckConfig(v *configstate.Version) (configstate.Outcome, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.keeper.Check(v, r.situation())
+func (p *Proxy) CheckConfig(v *configstate.Version) (configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.configState.Check(v, p.configConditions())
 }
 
 // RecheckConfig has a version that waits looked at again.
-func (r *Proxy) RecheckConfig() (*configstate.Version, configstate.Outcome, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v, o, err := r.keeper.Recheck(r.Now(), r.situation())
+func (p *Proxy) RecheckConfig() (*configstate.Version, configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	v, o, err := p.configState.Recheck(p.Now(), p.configConditions())
 	if v != nil && o == configstate.Applied {
-		r.adopt()
+		p.useCurrentConfig()
 	}
 	return v, o, err
 }
 
 // ConfigVersion is the one in force.
-func (r *Proxy) ConfigVersion() *configstate.Version { return r.now.Load() }
+func (p *Proxy) ConfigVersion() *configstate.Version { return p.currentConfig.Load() }
 
-// adopt puts the keeper's present version in force: the policy first, so that no command comes under terms that it does not
+// useCurrentConfig puts the keeper's present version in force: the policy first, so that no command comes under terms that it does not
 // know.
-func (r *Proxy) adopt() {
-	v := r.keeper.Current()
-	r.b.SetConfig(v.Policy)
-	r.reworth(v)
-	for len(r.byOp) < len(v.Policy.Classes) {
-		r.byOp = append(r.byOp, 0)
+func (p *Proxy) useCurrentConfig() {
+	v := p.configState.Current()
+	p.balancer.SetConfig(v.Policy)
+	p.setShedderClasses(v)
+	for len(p.inFlightByClass) < len(v.Policy.Classes) {
+		p.inFlightByClass = append(p.inFlightByClass, 0)
 	}
-	r.now.Store(v)
+	p.currentConfig.Store(v)
 }
 
-// situation is what a version would meet now.
-func (r *Proxy) situation() configstate.Conditions {
-	s := configstate.Conditions{InFlight: map[string]int{}, ClientConns: len(r.clients), ListVersion: r.listNo}
-	for i, n := range r.byOp {
+// configConditions is what a version would meet now.
+func (p *Proxy) configConditions() configstate.Conditions {
+	s := configstate.Conditions{InFlight: map[string]int{}, ClientConns: len(p.clients), ListVersion: p.endpointListVersion}
+	for i, n := range p.inFlightByClass {
 		if n > 0 {
-			s.InFlight[r.keeper.ClassName(i)] = n
+			s.InFlight[p.configState.ClassName(i)] = n
 		}
 	}
-	for _, p := range r.pools {
-		s.HasZones = s.HasZones || p.listed && p.zone > 0
-		s.HasCells = s.HasCells || p.listed && p.cell > 0
+	for _, pool := range p.pools {
+		s.HasZones = s.HasZones || pool.usable && pool.zone > 0
+		s.HasCells = s.HasCells || pool.usable && pool.cell > 0
 	}
 	return s
 }
--- a/internal/proxy/versions_bench_test.go
+++ b/internal/proxy/versions_bench_test.go
@@ -10,7 +10,7 @@
 	"flintspread/internal/endpoints"
 )
 
-func versionText(b *testing.B) string {
+func configVersionText(b *testing.B) string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		b.Fatal(err)
@@ -20,15 +20,15 @@
 
 // BenchmarkSwap is a version that is read, checked and put in force.
 func BenchmarkSwap(b *testing.B) {
-	h := newHall(b, nil)
-	text := versionText(b)
+	h := newHarness(b, nil)
+	text := configVersionText(b)
 	b.ReportAllocs()
 	for no := uint64(1); b.Loop(); no++ {
 		v, err := configstate.Read(no, []byte(text))
 		if err != nil {
 			b.Fatal(err)
 		}
-		if o, err := h.r.OfferConfig(v); o != configstate.Applied {
+		if o, err := h.proxy.OfferConfig(v); o != configstate.Applied {
 			b.Fatal(o, err)
 		}
 	}
@@ -39,12 +39,12 @@
 func BenchmarkReader(b *testing.B) {
 	for _, swaps := range []bool{false, true} {
 		b.Run(fmt.Sprint("swaps-", swaps), func(b *testing.B) {
-			h := newHall(b, nil)
+			h := newHarness(b, nil)
 			stop := make(chan struct{})
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				text := versionText(b)
+				text := configVersionText(b)
 				for no := uint64(1); swaps; no++ {
 					select {
 					case <-stop:
@@ -56,12 +56,12 @@
 						b.Error(err)
 						return
 					}
-					h.r.OfferConfig(v)
+					h.proxy.OfferConfig(v)
 				}
 			}()
 			b.ReportAllocs()
 			for b.Loop() {
-				if h.r.ConfigVersion().ClassOf("GET", "/chute/4711") < 0 {
+				if h.proxy.ConfigVersion().ClassOf("GET", "/chute/4711") < 0 {
 					b.Fatal("no op type")
 				}
 			}
@@ -75,7 +75,7 @@
 func BenchmarkApplyList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("units-", n), func(b *testing.B) {
-			h := newHall(b, nil)
+			h := newHarness(b, nil)
 			lines := [2]*endpoints.Update{}
 			for k := range lines {
 				l := &endpoints.Update{Version: 1, Full: true, Endpoints: make([]endpoints.Endpoint, n)}
@@ -93,7 +93,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				h.r.ApplyEndpoints(changes)
+				h.proxy.ApplyEndpoints(changes)
 			}
 			apply(lines[0])
 			b.ReportAllocs()
--- a/internal/proxy/write.go
+++ b/internal/proxy/write.go
@@ -12,9 +12,9 @@
 	raw syscall.RawConn // nil where there is none: then nothing is written without waiting
 }
 
-func newSocket(nc net.Conn) socket {
-	s := socket{Conn: nc}
-	if sc, ok := nc.(syscall.Conn); ok {
+func newSocket(netConn net.Conn) socket {
+	s := socket{Conn: netConn}
+	if sc, ok := netConn.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			s.raw = raw
 		}
@@ -50,8 +50,8 @@
 	return n, err
 }
 
-// unread tells whether something lies unread in the kernel, or the peer has closed.
-func (s socket) unread() bool {
+// hasUnread tells whether something lies unread in the kernel, or the peer has closed.
+func (s socket) hasUnread() bool {
 	if s.raw == nil {
 		return false
 	}
@@ -64,8 +64,8 @@
 	return is
 }
 
-// readable waits until there is something to read, or the connection has ended, without taking it.
-func (s socket) readable() error {
+// waitReadable waits until there is something to read, or the connection has ended, without taking it.
+func (s socket) waitReadable() error {
 	if s.raw == nil {
 		return nil
 	}
