--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/admission_test.go
@@ -128,7 +128,9 @@
 	if peak := h.proxy.Stats().MemoryPeakBytes; peak < budget/2 || peak > budget+60*(each+connOverheadBytes) {
 		t.Errorf("at most %d bytes, of %d", peak, budget)
 	}
-	h.eventually("all of it is given back", func() bool { return h.proxy.memory.usedBytes.Load() <= int64(len(h.proxy.endpointConns))*connOverheadBytes+connOverheadBytes })
+	h.eventually("all of it is given back", func() bool {
+		return h.proxy.memory.usedBytes.Load() <= int64(len(h.proxy.endpointConns))*connOverheadBytes+connOverheadBytes
+	})
 	h.wantEqual("after", h.ask(idempotentRequest), "200 acked: ")
 }
 
--- /dev/null
+++ b/internal/proxy/config_versions.go
@@ -0,0 +1,63 @@
+package proxy
+
+import "flintspread/internal/configstate"
+
+// OfferConfig applies a configuration version, keeps it waiting, or rejects it, and says which. An applied version is in force
+// for every request accepted from then on, in one step; those in flight are served by their own to the end.
+func (p *Proxy) OfferConfig(version *configstate.Version) (configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	outcome, err := p.configState.Offer(p.Now(), version, p.configConditions())
+	if outcome == configstate.Applied {
+		p.useCurrentConfig()
+	}
+	return outcome, err
+}
+
+// CheckConfig says what OfferConfig would do with a version now.
+func (p *Proxy) CheckConfig(version *configstate.Version) (configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.configState.Check(version, p.configConditions())
+}
+
+// RecheckConfig looks again at the version that waits, and gives it with what became of it; nil: none waited.
+func (p *Proxy) RecheckConfig() (*configstate.Version, configstate.Outcome, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	version, outcome, err := p.configState.Recheck(p.Now(), p.configConditions())
+	if version != nil && outcome == configstate.Applied {
+		p.useCurrentConfig()
+	}
+	return version, outcome, err
+}
+
+// ConfigVersion is the version in force.
+func (p *Proxy) ConfigVersion() *configstate.Version { return p.currentConfig.Load() }
+
+// useCurrentConfig puts the configuration state's version in force. The balancer gets it first, so that no request comes
+// under a version that it does not know. The caller holds p.mu.
+func (p *Proxy) useCurrentConfig() {
+	version := p.configState.Current()
+	p.balancer.SetConfig(version.Policy)
+	p.setShedderClasses(version)
+	for len(p.inFlightByClass) < len(version.Policy.Classes) {
+		p.inFlightByClass = append(p.inFlightByClass, 0)
+	}
+	p.currentConfig.Store(version)
+}
+
+// configConditions is what a version would meet now. The caller holds p.mu.
+func (p *Proxy) configConditions() configstate.Conditions {
+	conditions := configstate.Conditions{InFlight: map[string]int{}, ClientConns: len(p.clients), ListVersion: p.endpointListVersion}
+	for class, n := range p.inFlightByClass {
+		if n > 0 {
+			conditions.InFlight[p.configState.ClassName(class)] = n
+		}
+	}
+	for _, pool := range p.pools {
+		conditions.HasZones = conditions.HasZones || pool.usable && pool.zone > 0
+		conditions.HasCells = conditions.HasCells || pool.usable && pool.cell > 0
+	}
+	return conditions
+}
--- /dev/null
+++ b/internal/proxy/deadlines.go
@@ -0,0 +1,196 @@
+package proxy
+
+import (
+	"container/heap"
+	"time"
+
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+const (
+	// deadlineBatch is how many requests are looked at before the lock is offered to others.
+	deadlineBatch = 64
+
+	// Idle endpoint connections are looked at so many times in their idle time, and at least so often.
+	sweepsPerIdleTime   = 4
+	maxIdleSweepSeconds = 1
+)
+
+// deadlineQueue orders requests by nextCheckAt, as a heap. A request stands in it once at most, so that it holds no more
+// than is in flight, and one timer serves all.
+type deadlineQueue []*request
+
+// Len implements sort.Interface.
+func (q deadlineQueue) Len() int { return len(q) }
+
+// Less implements sort.Interface.
+func (q deadlineQueue) Less(i, j int) bool { return q[i].nextCheckAt < q[j].nextCheckAt }
+
+// Swap implements sort.Interface.
+func (q deadlineQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].heapIndex, q[j].heapIndex = i, j
+}
+
+// Push implements heap.Interface.
+func (q *deadlineQueue) Push(x any) {
+	request := x.(*request)
+	request.heapIndex = len(*q)
+	*q = append(*q, request)
+}
+
+// Pop implements heap.Interface.
+func (q *deadlineQueue) Pop() any {
+	old := *q
+	request := old[len(old)-1]
+	old[len(old)-1] = nil
+	*q = old[:len(old)-1]
+	request.heapIndex = -1
+	return request
+}
+
+// update puts a request where its next check belongs; 0 takes it out.
+func (q *deadlineQueue) update(request *request, nextCheckAt float64) {
+	request.nextCheckAt = nextCheckAt
+	switch {
+	case nextCheckAt == 0 && request.heapIndex >= 0:
+		heap.Remove(q, request.heapIndex)
+	case nextCheckAt == 0:
+	case request.heapIndex >= 0:
+		heap.Fix(q, request.heapIndex)
+	default:
+		heap.Push(q, request)
+	}
+}
+
+// due tells whether a request is to be looked at.
+func (q deadlineQueue) due(now float64) bool { return len(q) > 0 && q[0].nextCheckAt <= now }
+
+// scheduleCheck puts a request in the queue by what comes first: its balancer's wish to be asked again, or the deadline of an
+// attempt in flight. The latter counts also for completed requests: an endpoint that never answers must not hold its
+// connection for ever. The caller holds p.mu.
+func (p *Proxy) scheduleCheck(request *request) {
+	next := 0.0
+	if !request.Completed {
+		next = request.pickAgainAt
+	}
+	for _, attempt := range request.attempts {
+		if attempt.inFlight() && (next == 0 || attempt.deadline < next) {
+			next = attempt.deadline
+		}
+	}
+	p.deadlines.update(request, next)
+	if next > 0 && next < p.timerAt {
+		select {
+		case p.timerWake <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// runTimer runs the one timer, for the balancer's periodic work and every request's deadlines, until Close.
+func (p *Proxy) runTimer() {
+	defer p.goroutines.Done()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-p.stop:
+			return
+		case <-timer.C:
+		case <-p.timerWake:
+		}
+		timer.Reset(p.tick())
+	}
+}
+
+// tick does all that is due, and gives the time until the next.
+func (p *Proxy) tick() time.Duration {
+	for {
+		p.mu.Lock()
+		now := p.Now()
+		batch := p.checkDeadlines(now)
+		var vote *releases.Vote
+		if p.policyTickAt <= now {
+			vote = p.tickPolicy(now)
+		}
+		var sweep effects
+		if p.idleSweepAt <= now {
+			p.idleSweepAt = now + min(maxIdleSweepSeconds, p.currentConfig.Load().Document.Endpoints.IdleTime/sweepsPerIdleTime)
+			p.closeIdleConns(now, &sweep)
+		}
+		next := p.nextTickAt()
+		p.timerAt = next
+		p.mu.Unlock()
+		for i := range batch {
+			p.runEffects(&batch[i])
+		}
+		p.runEffects(&sweep)
+		if vote != nil {
+			p.castVote(*vote)
+		}
+		if len(batch) < deadlineBatch {
+			return max(0, secondsToDuration(next-p.Now()))
+		}
+	}
+}
+
+// checkDeadlines looks at the requests that are due, a batch at most. The caller holds p.mu.
+func (p *Proxy) checkDeadlines(now float64) (batch []effects) {
+	for p.deadlines.due(now) && len(batch) < deadlineBatch {
+		request := heap.Pop(&p.deadlines).(*request)
+		var effects effects
+		p.onDeadline(now, request, &effects)
+		batch = append(batch, effects)
+	}
+	return batch
+}
+
+// onDeadline looks at a request that is due: first at attempts past their deadline, then at the balancer's wish to be asked
+// again. The caller holds p.mu.
+func (p *Proxy) onDeadline(now float64, request *request, effects *effects) {
+	pickAgainAt := request.pickAgainAt
+	if pickAgainAt <= now {
+		request.pickAgainAt = 0
+	}
+	for _, attempt := range request.attempts {
+		if attempt.inFlight() && attempt.deadline <= now {
+			p.endAttempt(now, attempt, policy.TimedOut, effects) // which asks the balancer
+			return
+		}
+	}
+	if pickAgainAt > 0 && pickAgainAt <= now && !request.Completed {
+		p.applyDecision(now, request, p.pick(now, request), effects)
+		return
+	}
+	p.scheduleCheck(request)
+}
+
+// tickPolicy does the balancer's periodic work, and gives the vote to cast, if any. The caller holds p.mu.
+func (p *Proxy) tickPolicy(now float64) *releases.Vote {
+	p.sampleLoad(now)
+	from := time.Now()
+	p.balancer.SetEndpointListAge(now - p.endpointListAt)
+	var result policy.TickResult
+	if p.castVote != nil {
+		result = p.balancer.TickController(now)
+	} else {
+		result = p.balancer.TickRouter(now)
+	}
+	p.countPolicyCall(from)
+	p.policyTickAt = now + result.NextTickSeconds
+	if !result.CastVote {
+		return nil
+	}
+	return &releases.Vote{Build: result.Build, Stage: result.Stage, Verdict: result.Verdict}
+}
+
+// nextTickAt is when something is due next. The caller holds p.mu.
+func (p *Proxy) nextTickAt() float64 {
+	next := min(p.policyTickAt, p.idleSweepAt)
+	if len(p.deadlines) > 0 {
+		next = min(next, p.deadlines[0].nextCheckAt)
+	}
+	return next
+}
--- /dev/null
+++ b/internal/proxy/endpoint_pool.go
@@ -0,0 +1,157 @@
+package proxy
+
+import (
+	"flintspread/internal/config"
+	"flintspread/internal/endpoints"
+)
+
+// The states of an endpoint as its list names them.
+const (
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+// endpointPool is the connections to one endpoint process. It is guarded by Proxy.mu.
+type endpointPool struct {
+	id        uint32
+	addr      string
+	usable    bool // attempts may be sent: the list has the endpoint as this process, and it does not drain
+	build     int
+	startedAt float64
+	zone      uint16
+	cell      uint16
+	idle      []*endpointConn // the longest idle first; the last one is used first
+	connCount int             // idle ones, those with an attempt, and those being dialled
+}
+
+// updatePool brings the pools in step with an entry of the endpoint list. The caller holds p.mu.
+func (p *Proxy) updatePool(endpoint endpoints.Endpoint, effects *effects) {
+	pool := p.pools[endpoint.ID]
+	if endpoint.State == stateGone {
+		if pool != nil {
+			pool.usable = false
+		}
+		return
+	}
+	if pool != nil && !pool.sameProcess(endpoint) {
+		// Attempts in flight at the earlier process end there, and their connections with them.
+		pool.usable = false
+		for len(pool.idle) > 0 {
+			p.removeConn(pool.idle[0], effects)
+		}
+		pool = nil
+	}
+	if pool == nil {
+		pool = &endpointPool{id: endpoint.ID, addr: endpoint.Addr, build: endpoint.Build, startedAt: endpoint.StartedAt}
+		p.pools[endpoint.ID] = pool
+	}
+	pool.usable, pool.zone, pool.cell = endpoint.State != stateDraining, endpoint.Zone, endpoint.Cell
+}
+
+func (pool *endpointPool) sameProcess(endpoint endpoints.Endpoint) bool {
+	return pool.addr == endpoint.Addr && pool.build == endpoint.Build && pool.startedAt == endpoint.StartedAt
+}
+
+// removeUnusedPools forgets endpoints that are not usable and have no connection any more. The caller holds p.mu.
+func (p *Proxy) removeUnusedPools() {
+	for id, pool := range p.pools {
+		if !pool.usable && pool.connCount == 0 {
+			delete(p.pools, id)
+		}
+	}
+}
+
+// closeIdleConns closes connections that have been idle for too long, or whose endpoint is not usable. The caller holds p.mu.
+func (p *Proxy) closeIdleConns(now float64, effects *effects) {
+	idleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTime
+	for _, pool := range p.pools {
+		n := 0
+		for n < len(pool.idle) && (!pool.usable || now-pool.idle[n].idleSince > idleSeconds) {
+			n++
+		}
+		for _, conn := range append([]*endpointConn(nil), pool.idle[:n]...) {
+			p.removeConn(conn, effects)
+		}
+	}
+	p.removeUnusedPools()
+}
+
+// removeConn takes a connection out of its pool, and has it closed. The caller holds p.mu.
+func (p *Proxy) removeConn(conn *endpointConn, effects *effects) {
+	if conn.removed {
+		return
+	}
+	conn.removed = true
+	delete(p.endpointConns, conn)
+	pool := conn.pool
+	pool.connCount--
+	for i, other := range pool.idle {
+		if other == conn {
+			pool.idle = append(pool.idle[:i], pool.idle[i+1:]...)
+			break
+		}
+	}
+	effects.connsToClose = append(effects.connsToClose, conn)
+}
+
+// assignConn gives an attempt a connection: an idle one or, within the limits, a new one. It returns false if there is
+// none, or the endpoint is not usable any more. The caller holds p.mu.
+func (p *Proxy) assignConn(attempt *attempt, effects *effects) bool {
+	pool := p.pools[attempt.endpoint]
+	if pool == nil || !pool.usable {
+		return false
+	}
+	limits := &p.currentConfig.Load().Document.Endpoints
+	if conn := p.takeIdleConn(pool, attempt.startedAt, limits.IdleTime, effects); conn != nil {
+		conn.attempt, attempt.conn, attempt.assignedConn = attempt, conn, conn
+		effects.attemptsToWrite = append(effects.attemptsToWrite, attempt)
+		return true
+	}
+	if pool.connCount >= limits.Connections || !p.mayDial(limits, effects) {
+		return false
+	}
+	p.dial(pool, attempt)
+	return true
+}
+
+// takeIdleConn takes the connection that was used last out of a pool's idle ones, and closes those that it meets and that
+// are of no more use. One that is within its reuse delay stays: what else its endpoint sends would be taken for this
+// attempt's answer. The caller holds p.mu.
+func (p *Proxy) takeIdleConn(pool *endpointPool, now, maxIdleSeconds float64, effects *effects) *endpointConn {
+	for n := len(pool.idle); n > 0; n-- {
+		conn := pool.idle[n-1]
+		idleSeconds := now - conn.idleSince
+		if idleSeconds < p.connReuseDelaySeconds {
+			continue
+		}
+		// Neither the sweep of idle connections nor the connection's reader may have come to it yet.
+		if idleSeconds > maxIdleSeconds || conn.unusable() {
+			p.removeConn(conn, effects)
+			continue
+		}
+		pool.idle = append(pool.idle[:n-1], pool.idle[n:]...)
+		return conn
+	}
+	return nil
+}
+
+// mayDial tells whether the limit on all endpoint connections allows one more, closing an idle one where needed. The
+// caller holds p.mu.
+func (p *Proxy) mayDial(limits *config.Endpoints, effects *effects) bool {
+	return limits.Total <= 0 || len(p.endpointConns) < limits.Total || p.removeLongestIdle(effects)
+}
+
+// removeLongestIdle closes the connection that has been idle longest of all. It returns false if none is idle. The caller
+// holds p.mu.
+func (p *Proxy) removeLongestIdle(effects *effects) bool {
+	var longest *endpointConn
+	for _, pool := range p.pools {
+		if len(pool.idle) > 0 && (longest == nil || pool.idle[0].idleSince < longest.idleSince) {
+			longest = pool.idle[0]
+		}
+	}
+	if longest != nil {
+		p.removeConn(longest, effects)
+	}
+	return longest != nil
+}
--- a/internal/proxy/helper_test.go
+++ b/internal/proxy/harness_test.go
@@ -21,18 +21,18 @@
 
 // harness is a relay between scripted units and clients of a test.
 type harness struct {
-	t    testing.TB
-	proxy    *Proxy
-	listener    net.Listener
+	t         testing.TB
+	proxy     *Proxy
+	listener  net.Listener
 	endpoints map[uint32]*scriptedEndpoint
-	done chan error
+	done      chan error
 }
 
 // scriptedEndpoint is a unit that does on each connection what the test says.
 type scriptedEndpoint struct {
-	id   uint32
-	listener    net.Listener
-	mu   sync.Mutex
+	id       uint32
+	listener net.Listener
+	mu       sync.Mutex
 	requests []string // request lines
 }
 
@@ -168,9 +168,9 @@
 
 // Requests of each effect by the example's routes.
 const (
-	idempotentRequest = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
-	keyedRequest = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
-	nonIdempotentRequest   = "POST /seal/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
+	idempotentRequest    = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
+	keyedRequest         = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
+	nonIdempotentRequest = "POST /seal/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
 )
 
 func (c *testClient) send(head string) {
--- /dev/null
+++ b/internal/proxy/http.go
@@ -0,0 +1,72 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"net/http"
+	"time"
+
+	"flintspread/internal/configstate"
+	"flintspread/internal/policy"
+)
+
+// http1 is HTTP/1.1 to clients and endpoints, as docs/protocol.md describes it. A client connection has one request in
+// flight; further ones wait in the kernel.
+type http1 struct{}
+
+const (
+	textRejected = "not done; trying again does no harm"
+	textFailed   = "failed; it may have been done"
+)
+
+func (http1) wakeReader(conn *clientConn) {
+	if !conn.reading { // a message that has begun to come may come whole
+		conn.socket.SetReadDeadline(time.Now())
+	}
+}
+
+func (proto http1) deliverAnswer(request *request, answer answer) {
+	proto.writeAnswer(request.conn, answer)
+}
+
+func (http1) rejectedAnswer(config *configstate.Version, retryAfterSeconds float64) answer {
+	return newHTTPAnswer(http.StatusServiceUnavailable, kindRejected, textRejected, retryAfterSeconds).withConfigVersion(config)
+}
+
+func (http1) failedAnswer(config *configstate.Version, timedOut bool) answer {
+	status := http.StatusBadGateway
+	if timedOut {
+		status = http.StatusGatewayTimeout
+	}
+	return newHTTPAnswer(status, kindFailed, textFailed, 0).withConfigVersion(config)
+}
+
+func (http1) tooManyConnections(retryAfterSeconds float64) []byte {
+	return newHTTPAnswer(http.StatusServiceUnavailable, kindRejected, "too many connections", retryAfterSeconds).withConnectionClose().bytes
+}
+
+func (http1) connReuseDelaySeconds() float64 { return 0 }
+
+func (http1) startsAtLastByte() bool { return false } // an endpoint may act on a head alone
+
+func (http1) encodeAttempt(message *message, remainingSeconds float64) []byte {
+	buf := make([]byte, 0, len(message.head)+len(message.body)+40)
+	buf = append(buf, message.head...)
+	buf = fmt.Appendf(buf, headerTime+": %.3f\r\n\r\n", remainingSeconds)
+	return append(buf, message.body...)
+}
+
+// readAnswer reads an endpoint's response. One that says that the request never ran is an overload, other 5xx are errors.
+func (http1) readAnswer(br *bufio.Reader, reader *limitedReader, attempt *attempt) (endpointAnswer, error) {
+	config := attempt.request.config
+	response, err := readHTTPAnswer(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.AnswerBytes)
+	switch {
+	case err != nil:
+		return endpointAnswer{}, err
+	case response.neverRan:
+		return endpointAnswer{outcome: policy.Overloaded, reusable: response.keepAlive}, nil
+	case response.status >= 500:
+		return endpointAnswer{outcome: policy.ServerError, reusable: response.keepAlive}, nil
+	}
+	return endpointAnswer{answer: response.answer.withConfigVersion(config), outcome: policy.Succeeded, reusable: response.keepAlive}, nil
+}
--- /dev/null
+++ b/internal/proxy/http_conn.go
@@ -0,0 +1,178 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"math"
+	"net/http"
+	"time"
+
+	"flintspread/internal/configstate"
+	"flintspread/internal/policy"
+)
+
+// noReadLimit lets a limitedReader read on.
+const noReadLimit = math.MaxInt64
+
+// serveClient serves one request after the other.
+func (proto http1) serveClient(conn *clientConn) {
+	reader := &limitedReader{source: conn.socket.Conn, memory: &conn.proxy.memory}
+	defer reader.release()
+	br := bufio.NewReaderSize(reader, readBufferBytes)
+	for proto.serveRequest(conn, br, reader) {
+		reader.release()
+	}
+}
+
+// serveRequest waits for a request, serves it, and tells whether the connection goes on.
+func (proto http1) serveRequest(conn *clientConn, br *bufio.Reader, reader *limitedReader) bool {
+	p := conn.proxy
+	limits := &p.currentConfig.Load().Document.Clients
+	reader.remaining = noReadLimit
+	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTime)))
+	// A shutdown ends this wait by the clock; what had come by then is served.
+	if _, err := br.Peek(1); err != nil && !conn.socket.hasUnread() {
+		return false
+	}
+	p.memory.waitAvailable(p.stop)
+	queuedSeconds := conn.queuedSecondsIfOverloaded()
+	result := proto.shedUnparsed(conn, br, queuedSeconds)
+	switch result {
+	case shedKeepConn:
+		return true
+	case shedEndConn:
+		return false
+	}
+	p.mu.Lock()
+	conn.reading = true // a shutdown lets the message come whole
+	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.ReadTime)))
+	p.mu.Unlock()
+	message, err := readHTTPMessage(br, reader, limits.HeadBytes, limits.BodyBytes, func() {
+		p.writeBestEffort(conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	})
+	if err != nil {
+		proto.rejectUnreadable(conn, err)
+		return false
+	}
+	message.admitted, message.queuedSeconds = result == shedAdmitted, queuedSeconds
+	return proto.handleMessage(conn, br, reader, message) && !conn.closeAfterAnswer
+}
+
+// handleMessage has a message served, and tells whether the connection goes on.
+func (proto http1) handleMessage(conn *clientConn, br *bufio.Reader, reader *limitedReader, message *message) bool {
+	p := conn.proxy
+	if message.closeAfter {
+		conn.closeAfterAnswer = true
+	}
+	if message.path == wrongAnswerPath {
+		return proto.answerDirectly(conn, wrongAnswerReply(p.reportWrongAnswerByReceipt(message.receipt)))
+	}
+	config := p.currentConfig.Load()
+	class := config.ClassOf(message.method, message.path)
+	if invalid := checkClass(config, class, message); invalid.bytes != nil {
+		return proto.answerDirectly(conn, invalid)
+	}
+	conn.socket.SetReadDeadline(time.Time{})
+	reader.remaining = noReadLimit
+	request := p.accept(conn, message, config, class, nil)
+	// Watches for the client's leaving while the request is in flight. More bytes are its next request; they wait.
+	_, gone := br.Peek(1)
+	if gone != nil && p.abandonRequest(request) {
+		return false
+	}
+	<-conn.answerWritten
+	return gone == nil && !conn.writeFailed
+}
+
+// checkClass gives the answer to a message that can't be served as a request of a class (negative: there is no such class),
+// or an empty one.
+func checkClass(config *configstate.Version, class int, message *message) answer {
+	if class < 0 {
+		return newHTTPAnswer(http.StatusNotFound, "", "no route for "+message.method+" "+message.path, 0)
+	}
+	if config.Policy.Classes[class].Idempotency == policy.IdempotentWithKey && !message.hasIdempotencyKey {
+		return newHTTPAnswer(http.StatusBadRequest, "", "an op type with deduplicated commands needs "+headerIdempotencyKey, 0)
+	}
+	return answer{}
+}
+
+func wrongAnswerReply(err error) answer {
+	if err != nil {
+		return newHTTPAnswer(http.StatusBadRequest, "", err.Error(), 0)
+	}
+	return newHTTPAnswer(http.StatusOK, "", "noted", 0)
+}
+
+// rejectUnreadable answers a message that can't be read, and lets its sender see the answer. An err of the connection itself
+// gets none.
+func (http1) rejectUnreadable(conn *clientConn, err error) {
+	p := conn.proxy
+	var invalid *requestError
+	switch {
+	case errors.As(err, &invalid):
+	case isTimeout(err):
+		readTime := p.currentConfig.Load().Document.Clients.ReadTime
+		invalid = &requestError{http.StatusRequestTimeout, fmt.Sprintf("the request took longer than %g s", readTime)}
+	default:
+		return
+	}
+	p.mu.Lock()
+	p.stats.InvalidRequests++
+	p.mu.Unlock()
+	p.writeBestEffort(conn, newHTTPAnswer(invalid.status, "", invalid.reason, 0).withConnectionClose().bytes)
+	conn.linger()
+}
+
+// answerDirectly answers a message that is no request, waits until that is written, and tells whether the connection goes on.
+func (proto http1) answerDirectly(conn *clientConn, answer answer) bool {
+	conn.proxy.mu.Lock()
+	conn.proxy.stats.InvalidRequests++
+	conn.reading = false
+	conn.proxy.mu.Unlock()
+	proto.writeAnswer(conn, answer)
+	<-conn.answerWritten
+	return !conn.writeFailed
+}
+
+// writeAnswer writes an answer without waiting. What the kernel does not take at once is written by a goroutine of its own,
+// for as long as a message may take to come.
+func (proto http1) writeAnswer(conn *clientConn, answer answer) {
+	p := conn.proxy
+	// From here on the connection is idle, also for the read that watches it; or that read is to end.
+	until := time.Now()
+	if conn.closeAfterAnswer {
+		answer = answer.withConnectionClose()
+	} else {
+		until = until.Add(secondsToDuration(p.currentConfig.Load().Document.Clients.IdleTime))
+	}
+	conn.socket.SetReadDeadline(until)
+	n, err := conn.socket.writeNow(answer.bytes)
+	if err == nil && n < len(answer.bytes) {
+		p.goroutines.Add(1)
+		p.memory.add(len(answer.bytes))
+		go proto.writeRemaining(conn, answer.bytes, n)
+		return
+	}
+	proto.onAnswerWritten(conn, err)
+}
+
+// writeRemaining writes an answer from byte n on, to a client that reads slowly.
+func (proto http1) writeRemaining(conn *clientConn, buf []byte, n int) {
+	p := conn.proxy
+	defer p.goroutines.Done()
+	defer p.memory.add(-len(buf))
+	conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(p.currentConfig.Load().Document.Clients.ReadTime)))
+	_, err := conn.socket.Write(buf[n:])
+	conn.socket.SetWriteDeadline(time.Time{})
+	proto.onAnswerWritten(conn, err)
+}
+
+// onAnswerWritten lets the connection's reader go on, or end where the answer could not be written.
+func (http1) onAnswerWritten(conn *clientConn, err error) {
+	conn.writeFailed = err != nil
+	if conn.writeFailed {
+		conn.socket.Close()
+	}
+	conn.answerWritten <- struct{}{}
+}
--- /dev/null
+++ b/internal/proxy/http_message.go
@@ -0,0 +1,292 @@
+package proxy
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"flintspread/internal/configstate"
+)
+
+// The headers and paths of the HTTP protocol; docs/protocol.md describes them to users.
+const (
+	headerTime           = "Flint-Time"   // from clients: seconds until they give up; to endpoints: seconds left
+	headerWork           = "Flint-Work"   // from clients: seconds that the request is expected to take
+	headerKey            = "Flint-Key"    // from clients: what the request concerns
+	headerRepeat         = "Flint-Repeat" // from clients: it is a retry
+	headerIdempotencyKey = "Idempotency-Key"
+	headerAnswer         = "Flint-Answer"    // to clients: the kind of answer
+	headerReceipt        = "Flint-Receipt"   // to clients: names the attempt; from clients: of which a wrong answer is reported
+	headerPause          = "Flint-Pause"     // to clients: as Retry-After, with fractions
+	headerVersion        = "Flint-Version"   // to clients: the configuration version that served the request
+	headerNeverRan       = "Flint-Never-Ran" // from endpoints, with 503: they have not begun the request
+
+	ownPathPrefix   = "/.flint/"
+	wrongAnswerPath = ownPathPrefix + "wrong"
+)
+
+const (
+	maxHeaderSeconds = 1e6 // a time header from here on is no number of seconds
+
+	answerHeadBytes  = 64 << 10 // of an endpoint's response, besides its body
+	encodedHeadBytes = 512      // that most heads fit in
+)
+
+// requestError is the answer to a message that can't be a request.
+type requestError struct {
+	status int
+	reason string
+}
+
+// Error implements error.
+func (e *requestError) Error() string { return e.reason }
+
+// readHTTPMessage reads one request, and encodes it for endpoints. A *requestError says which answer its sender gets; any other
+// error is the connection's. onContinue is called where the sender waits for a 100 before it sends the body.
+func readHTTPMessage(br *bufio.Reader, reader *limitedReader, headBytes, bodyBytes int64, onContinue func()) (*message, error) {
+	reader.remaining, reader.limitReached = headBytes, false
+	request, err := http.ReadRequest(br)
+	if err != nil {
+		if reader.limitReached {
+			return nil, &requestError{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("head above %d bytes", headBytes)}
+		}
+		return nil, reader.classifyError("request", err)
+	}
+	reader.remaining = noReadLimit
+	if request.ContentLength > bodyBytes {
+		return nil, bodyTooLarge(bodyBytes)
+	}
+	if err := checkExpectation(request, br, onContinue); err != nil {
+		return nil, err
+	}
+	parsed := &message{method: request.Method, path: request.URL.Path, closeAfter: request.Close || !request.ProtoAtLeast(1, 1)}
+	if parsed.body, err = readHTTPBody(request, reader, bodyBytes); err != nil {
+		return nil, err
+	}
+	if err := parsed.setHeaders(request.Header); err != nil {
+		return nil, err
+	}
+	if request.URL.Host != "" || request.RequestURI == "*" || !strings.HasPrefix(request.RequestURI, "/") {
+		return nil, &requestError{http.StatusBadRequest, "the target must be a path"}
+	}
+	if parsed.head, err = encodeHead(request, len(parsed.body)); err != nil {
+		return nil, err
+	}
+	return parsed, nil
+}
+
+func bodyTooLarge(bodyBytes int64) error {
+	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body above %d bytes", bodyBytes)}
+}
+
+// checkExpectation calls onContinue where a sender waits for it, and refuses other expectations.
+func checkExpectation(request *http.Request, br *bufio.Reader, onContinue func()) error {
+	expectation := request.Header.Get("Expect")
+	if expectation == "" {
+		return nil
+	}
+	if !strings.EqualFold(expectation, "100-continue") {
+		return &requestError{http.StatusExpectationFailed, "unknown expectation"}
+	}
+	if request.ContentLength != 0 && br.Buffered() == 0 {
+		onContinue()
+	}
+	return nil
+}
+
+// readHTTPBody reads a body. It grows as bytes come: a length that is only claimed reserves nothing.
+func readHTTPBody(request *http.Request, reader *limitedReader, bodyBytes int64) ([]byte, error) {
+	if request.ContentLength == 0 {
+		return nil, nil
+	}
+	body, err := io.ReadAll(io.LimitReader(request.Body, bodyBytes+1))
+	if err != nil {
+		return nil, reader.classifyError("body", err)
+	}
+	if int64(len(body)) > bodyBytes {
+		return nil, bodyTooLarge(bodyBytes)
+	}
+	return body, nil
+}
+
+// setHeaders takes from the headers what concerns the proxy.
+func (m *message) setHeaders(headers http.Header) (err error) {
+	if m.timeoutSeconds, err = parseSecondsHeader(headers, headerTime); err != nil {
+		return err
+	}
+	if m.workSeconds, err = parseSecondsHeader(headers, headerWork); err != nil {
+		return err
+	}
+	if key := headers.Get(headerKey); key != "" {
+		m.keyHash = max(1, xxhash.Sum64String(key)) // 0 is none
+	}
+	m.hasIdempotencyKey = headers.Get(headerIdempotencyKey) != ""
+	m.clientRetry = headers.Get(headerRepeat) != ""
+	m.receipt = headers.Get(headerReceipt)
+	return nil
+}
+
+// parseSecondsHeader reads a time header, 0 if it is absent. An absurd value is refused, not trimmed: its sender counts in
+// other units.
+func parseSecondsHeader(headers http.Header, name string) (float64, error) {
+	text := headers.Get(name)
+	if text == "" {
+		return 0, nil
+	}
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(value > 0 && value < maxHeaderSeconds) { // also where it is no number
+		return 0, &requestError{http.StatusBadRequest, fmt.Sprintf("%s: %q is no number of seconds above 0", name, text)}
+	}
+	return value, nil
+}
+
+// encodeHead gives a request's head as endpoints get it, but for the remaining time and the blank line.
+func encodeHead(request *http.Request, bodyBytes int) ([]byte, error) {
+	var buf bytes.Buffer
+	buf.Grow(encodedHeadBytes)
+	fmt.Fprintf(&buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.RequestURI, request.Host)
+	if err := writeHeaders(&buf, request.Header); err != nil {
+		return nil, err
+	}
+	if bodyBytes > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
+		fmt.Fprintf(&buf, "Content-Length: %d\r\n", bodyBytes)
+	}
+	return buf.Bytes(), nil
+}
+
+// hopByHopHeaders are not passed on: they concern one connection only, or are written anew.
+var hopByHopHeaders = map[string]bool{
+	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
+	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Host": true,
+	headerTime: true, headerVersion: true, headerAnswer: true, headerReceipt: true, headerPause: true,
+}
+
+// writeHeaders writes the headers that are passed on: all but the hop-by-hop ones, and those that Connection names.
+func writeHeaders(buf *bytes.Buffer, headers http.Header) error {
+	skip := hopByHopHeaders
+	if connection := headers["Connection"]; connection != nil {
+		skip = map[string]bool{}
+		for name := range hopByHopHeaders {
+			skip[name] = true
+		}
+		for _, list := range connection {
+			for _, name := range strings.Split(list, ",") {
+				skip[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			}
+		}
+	}
+	if err := headers.WriteSubset(buf, skip); err != nil {
+		return fmt.Errorf("writing headers: %w", err)
+	}
+	return nil
+}
+
+// httpResponse is an endpoint's response in the form that clients get.
+type httpResponse struct {
+	answer    answer
+	status    int
+	neverRan  bool // the endpoint says that it has not begun the request
+	keepAlive bool // the connection may be used again
+}
+
+// readHTTPAnswer reads an endpoint's response to a request of a method, with a body of so many bytes at most.
+func readHTTPAnswer(br *bufio.Reader, reader *limitedReader, method, receipt string, maxBodyBytes int64) (httpResponse, error) {
+	reader.remaining = maxBodyBytes + answerHeadBytes
+	response, err := readFinalResponse(br, &http.Request{Method: method})
+	if err != nil {
+		return httpResponse{}, err
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
+	if err != nil {
+		return httpResponse{}, err
+	}
+	if int64(len(body)) > maxBodyBytes {
+		return httpResponse{}, fmt.Errorf("answer above %d bytes", maxBodyBytes)
+	}
+	encoded, err := encodeResponse(response, body, method, receipt)
+	if err != nil {
+		return httpResponse{}, err
+	}
+	return httpResponse{
+		answer:    answer{bytes: encoded, kind: kindSucceeded},
+		status:    response.StatusCode,
+		neverRan:  response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(headerNeverRan) != "",
+		keepAlive: !response.Close,
+	}, nil
+}
+
+// readFinalResponse reads a response's head, and skips informational ones before it.
+func readFinalResponse(br *bufio.Reader, request *http.Request) (*http.Response, error) {
+	for {
+		response, err := http.ReadResponse(br, request)
+		if err != nil {
+			return nil, err
+		}
+		if response.StatusCode >= http.StatusOK {
+			return response, nil
+		}
+		if response.StatusCode == http.StatusSwitchingProtocols {
+			return nil, errors.New("the endpoint switched protocols unasked")
+		}
+	}
+}
+
+// encodeResponse gives an endpoint's response as clients get it, but for the configuration version.
+func encodeResponse(response *http.Response, body []byte, method, receipt string) ([]byte, error) {
+	var buf bytes.Buffer
+	buf.Grow(encodedHeadBytes + len(body))
+	fmt.Fprintf(&buf, "HTTP/1.1 %d %s\r\n", response.StatusCode, http.StatusText(response.StatusCode))
+	if err := writeHeaders(&buf, response.Header); err != nil {
+		return nil, err
+	}
+	fmt.Fprintf(&buf, headerAnswer+": "+kindSucceeded+"\r\n"+headerReceipt+": %s\r\n", receipt)
+	switch {
+	case method == http.MethodHead && response.ContentLength >= 0:
+		fmt.Fprintf(&buf, "Content-Length: %d\r\n", response.ContentLength)
+	case response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusNotModified:
+		fmt.Fprintf(&buf, "Content-Length: %d\r\n", len(body))
+	}
+	buf.WriteString("\r\n")
+	buf.Write(body)
+	return buf.Bytes(), nil
+}
+
+// newHTTPAnswer makes an answer of the proxy's own. kind is empty for answers to what was no request; retryAfterSeconds goes
+// with rejections only.
+func newHTTPAnswer(status int, kind, text string, retryAfterSeconds float64) answer {
+	var buf bytes.Buffer
+	fmt.Fprintf(&buf, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n",
+		status, http.StatusText(status), len(text)+1)
+	if kind != "" {
+		fmt.Fprintf(&buf, headerAnswer+": %s\r\n", kind)
+	}
+	if kind == kindRejected {
+		fmt.Fprintf(&buf, "Retry-After: %d\r\n"+headerPause+": %.3f\r\n", int(math.Ceil(retryAfterSeconds)), retryAfterSeconds)
+	}
+	buf.WriteString("\r\n" + text + "\n")
+	return answer{bytes: buf.Bytes(), kind: kind}
+}
+
+// withConnectionClose adds that the connection ends with this answer.
+func (a answer) withConnectionClose() answer { return a.withHeaderLine("Connection: close\r\n") }
+
+// withConfigVersion adds the configuration version that served the request.
+func (a answer) withConfigVersion(config *configstate.Version) answer {
+	return a.withHeaderLine(headerVersion + ": " + strconv.FormatUint(config.Number, 10) + "\r\n")
+}
+
+// withHeaderLine gives a copy of an HTTP answer with a header line behind the status line.
+func (a answer) withHeaderLine(line string) answer {
+	statusEnd := bytes.Index(a.bytes, []byte("\r\n")) + len("\r\n")
+	out := make([]byte, 0, len(a.bytes)+len(line))
+	out = append(append(out, a.bytes[:statusEnd]...), line...)
+	return answer{bytes: append(out, a.bytes[statusEnd:]...), kind: a.kind}
+}
--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/http_test.go
@@ -16,13 +16,15 @@
 )
 
 const (
-	rejectedText  = "503 nacked: not done; trying again does no harm"
-	failedText  = "502 failed: failed; it may have been done"
-	timedOutText  = "504 failed: failed; it may have been done"
+	rejectedText = "503 nacked: not done; trying again does no harm"
+	failedText   = "502 failed: failed; it may have been done"
+	timedOutText = "504 failed: failed; it may have been done"
 	shortTimeout = "Flint-Time: 0.3\r\n"
 )
 
-func goneEndpoint(u *harness, id uint32) endpoints.Endpoint { return endpoints.Endpoint{ID: id, State: "gone"} }
+func goneEndpoint(u *harness, id uint32) endpoints.Endpoint {
+	return endpoints.Endpoint{ID: id, State: "gone"}
+}
 
 func TestOrdinaryPath(t *testing.T) {
 	h := newHarness(t, nil)
--- /dev/null
+++ b/internal/proxy/load.go
@@ -0,0 +1,77 @@
+package proxy
+
+import (
+	"golang.org/x/sys/unix"
+
+	"flintspread/internal/loadshed"
+)
+
+// sampleLoad measures this process, and tells the balancer (what this process is late with is no endpoint's fault) and the
+// shedder. The caller holds p.mu.
+func (p *Proxy) sampleLoad(now float64) {
+	p.timerDelaySeconds = max(0, now-p.policyTickAt)
+	p.processSample = p.sampler.Sample()
+	round := p.currentConfig.Load().Document.Rules.Round
+	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, round))
+	if p.shedder == nil {
+		return
+	}
+	sample := p.loadSample()
+	p.shedder.Observe(now, sample)
+	p.shedding.Store(p.shedder.ShedShare() > 0)
+	p.overloaded.Store(p.shedder.Overloaded(sample))
+}
+
+// loadSample puts the last measurements together for the shedder, and begins a new span for queued requests.
+func (p *Proxy) loadSample() loadshed.LoadSample {
+	process := &p.processSample
+	heapShare := 0.0
+	if process.HeapLimitBytes > 0 {
+		heapShare = float64(process.HeapBytes) / float64(process.HeapLimitBytes)
+	}
+	return loadshed.LoadSample{
+		TimerDelaySeconds:     max(p.timerDelaySeconds, float64(p.maxQueuedMillis.Swap(0))/1e3),
+		SchedulerDelaySeconds: process.SchedulerDelaySeconds,
+		GCShare:               process.GCShare,
+		CPUShare:              process.CPUShare,
+		HeapShare:             heapShare,
+		BufferShare:           p.memory.usedShare(),
+	}
+}
+
+// queuedSecondsIfOverloaded is queuedSeconds while this process is overloaded, else 0: it costs a system call a request.
+func (conn *clientConn) queuedSecondsIfOverloaded() float64 {
+	if !conn.proxy.overloaded.Load() {
+		return 0
+	}
+	return conn.queuedSeconds()
+}
+
+// queuedSeconds is how long the message that is about to be read lay in the kernel: the time since the kernel last got
+// something from the client. The client's time began then.
+func (conn *clientConn) queuedSeconds() float64 {
+	if conn.socket.raw == nil {
+		return 0
+	}
+	millis := uint32(0)
+	err := conn.socket.raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			millis = info.Last_data_recv
+		}
+	})
+	if err != nil { // the connection is closed; its next read says so
+		return 0
+	}
+	conn.proxy.noteQueuedMillis(millis)
+	return float64(millis) / 1e3
+}
+
+// noteQueuedMillis raises maxQueuedMillis to a value.
+func (p *Proxy) noteQueuedMillis(millis uint32) {
+	for {
+		longest := p.maxQueuedMillis.Load()
+		if millis <= longest || p.maxQueuedMillis.CompareAndSwap(longest, millis) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/resp.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"math"
+	"strconv"
+
+	"flintspread/internal/configstate"
+	"flintspread/internal/loadshed"
+	"flintspread/internal/platform/resp"
+	"flintspread/internal/policy"
+)
+
+// resp2 is the platform's protocol: RESP2, requests pipelined, each named by an id. Answers follow the order of a
+// connection's requests.
+type resp2 struct{}
+
+func (resp2) rejectedAnswer(_ *configstate.Version, retryAfterSeconds float64) answer {
+	if retryAfterSeconds <= 0 {
+		return answer{bytes: []byte("-BUSY\r\n"), kind: kindRejected}
+	}
+	return answer{bytes: fmt.Appendf(nil, "-BUSY %d\r\n", int(math.Ceil(retryAfterSeconds*1000))), kind: kindRejected}
+}
+
+func (resp2) failedAnswer(*configstate.Version, bool) answer {
+	return answer{bytes: []byte("-ERR " + textFailed + "\r\n"), kind: kindFailed}
+}
+
+func (resp2) tooManyConnections(float64) []byte { return []byte("-ERR too many connections\r\n") }
+
+func (resp2) deliverAnswer(request *request, answer answer) {
+	request.conn.completeAnswer(request.answer, answer.bytes)
+}
+
+func (resp2) connReuseDelaySeconds() float64 { return loadshed.ConnReuseDelaySeconds }
+
+func (resp2) startsAtLastByte() bool { return true }
+
+func (resp2) encodeAttempt(message *message, remainingSeconds float64) []byte {
+	millis := strconv.AppendInt(nil, int64(max(1, remainingSeconds*1000)), 10)
+	buf := make([]byte, 0, len(message.head)+len(message.options)+len(message.body)+64)
+	buf = append(buf, message.head...)
+	options := make([]byte, 0, len(message.options)+8)
+	options = append(options, message.options[:message.timeoutOffset]...)
+	options = append(options, millis...)
+	options = append(options, message.options[message.timeoutOffset:]...)
+	buf = resp.Bulk(buf, options)
+	return append(buf, message.body...)
+}
+
+// readAnswer takes the value from an endpoint's reply. A reply that can't be read, or is none that an endpoint gives, ends
+// the connection: the attempt may have run.
+func (resp2) readAnswer(br *bufio.Reader, reader *limitedReader, _ *attempt) (endpointAnswer, error) {
+	reader.remaining = noReadLimit // the framing has its own bounds
+	reply, err := resp.Answer(br)
+	switch {
+	case err != nil:
+		return endpointAnswer{}, err
+	case reply.Values != nil && reply.Values[0] != nil:
+		value := reply.Values[0]
+		encoded := resp.Bulk(make([]byte, 0, len(value)+16), value)
+		return endpointAnswer{answer: answer{bytes: encoded, kind: kindSucceeded}, outcome: policy.Succeeded, reusable: true}, nil
+	case hasErrorCode(reply.Error, "BUSY"):
+		return endpointAnswer{outcome: policy.Overloaded, reusable: true}, nil
+	case hasErrorCode(reply.Error, "ERR failed"):
+		return endpointAnswer{outcome: policy.ServerError, reusable: true}, nil
+	}
+	return endpointAnswer{}, fmt.Errorf("unexpected reply %.60q", reply.Error)
+}
+
+// hasErrorCode tells whether an error reply is a code, alone or with a report behind it.
+func hasErrorCode(text, code string) bool {
+	return text == code || len(text) > len(code)+1 && text[:len(code)] == code && text[len(code)] == ' '
+}
--- a/internal/proxy/platform_test.go
+++ b/internal/proxy/resp_test.go
@@ -20,7 +20,9 @@
 )
 
 // newRESPHarness is a hall whose relay speaks the platform's protocol.
-func newRESPHarness(t testing.TB, edit func(*config.Router)) *harness { return newRESPHarnessWith(t, nil, edit) }
+func newRESPHarness(t testing.TB, edit func(*config.Router)) *harness {
+	return newRESPHarnessWith(t, nil, edit)
+}
 
 // newRESPHarnessWith edits the module's terms, too.
 func newRESPHarnessWith(t testing.TB, teach func(*policy.Config), edit func(*config.Router)) *harness {
@@ -63,7 +65,9 @@
 }
 
 // valueReply is a unit's answer with a value made of the delivery's id.
-func valueReply(id string) string { return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id) }
+func valueReply(id string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id)
+}
 
 func answerID(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) { answerIDAfter(0)(u, c, br) }
 
