--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -13,7 +12,7 @@
 	"flintspread/internal/loadshed"
 )
 
-// forceOverload makes a relay take itself for far behind: everything that its module may turn away goes.
+// forceOverload makes a proxy shed as much as its shedder may.
 func (h *harness) forceOverload() {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
@@ -26,26 +25,26 @@
 		}
 		lag := 5.0
 		if look == 39 {
-			lag = 0 // else no command has time enough left
+			lag = 0 // else no request would have enough time left
 		}
 		g.Observe(at, loadshed.LoadSample{TimerDelaySeconds: lag})
 	}
 	h.proxy.shedder = g
 	h.proxy.shedding.Store(g.ShedShare() > 0)
-	h.proxy.policyTickAt = now + 1000 // no look at how this process really is
+	h.proxy.policyTickAt = now + 1000 // no load sample of the real process
 }
 
-// A relay that is behind turns commands away with a nack, each once and in order, whether they come in the plainest form or in any
-// other; nothing of them reaches a unit, and what is no command is answered as ever.
+// A proxy that sheds rejects requests, each once and in order, whether they are answered unparsed or parsed first; nothing of
+// them reaches an endpoint, and invalid requests get their usual answer.
 func TestShedding(t *testing.T) {
 	h := newHarness(t, nil)
-	u := h.addEndpoint(1, 1, answerPath)
+	endpoint := h.addEndpoint(1, 1, answerPath)
 	h.wantEqual("before", h.ask(idempotentRequest), "200 acked: /chute/7")
 	h.forceOverload()
 	if h.proxy.shedder.ShedShare() < 0.5 {
 		t.Fatal(h.proxy.shedder.ShedShare())
 	}
-	before := u.count()
+	before := endpoint.count()
 	shedAll, taken := 0, 0
 	for i := range 60 {
 		c := h.dial()
@@ -61,14 +60,14 @@
 				t.Fatalf("%s: %s", head, got)
 			}
 		}
-		io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
+		writeText(c, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
 		c.Close()
 	}
 	if shedAll < taken || taken == 0 {
 		t.Errorf("%d shed, %d taken", shedAll, taken)
 	}
 	c := h.dial()
-	io.WriteString(c, strings.Repeat("GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\n", 3)+"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
+	writeText(c, strings.Repeat("GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\n", 3)+"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 3 {
 		if got := c.readAnswer(); got != rejectedText && got != "200 acked: /chute/a" {
 			t.Error(got)
@@ -77,28 +76,28 @@
 	if got := c.readAnswer(); !strings.HasPrefix(got, "404") {
 		t.Error(got)
 	}
-	h.eventually("nothing in hand", func() bool { return h.proxy.Stats().InFlight == 0 })
+	h.eventually("nothing in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
 	n := h.proxy.Stats()
-	if n.Received != n.Succeeded+n.Rejected+n.Failed+n.Abandoned || n.Shed < uint64(shedAll) || uint64(u.count()-before) > n.Received-n.Shed {
-		t.Errorf("%+v, %d reached the unit", n, u.count()-before)
+	if n.Received != n.Succeeded+n.Rejected+n.Failed+n.Abandoned || n.Shed < uint64(shedAll) || uint64(endpoint.count()-before) > n.Received-n.Shed {
+		t.Errorf("%+v, %d reached the endpoint", n, endpoint.count()-before)
 	}
 }
 
-// Slow units under a small budget: reading pauses, commands are turned away with an answer, connections are refused with one, the
-// budget is not exceeded by more than one message a connection, and all of it comes back.
+// Slow endpoints and a small memory budget: reading pauses, requests are rejected, connections are refused with an answer, the
+// budget is not exceeded by more than one message a connection, and all of it is given back.
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
 	h := newHarness(t, func(s *config.Router) {
 		s.Overload = &config.Overload{Memory: budget}
 	})
 	release := make(chan struct{})
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
-			if _, ok := u.readRequest(br); !ok {
+			if _, ok := endpoint.readRequest(br); !ok {
 				return
 			}
 			<-release
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+			writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
 	const each = 60000
@@ -107,7 +106,7 @@
 	for range 60 {
 		c := h.dial()
 		open = append(open, c)
-		go io.WriteString(c, head)
+		go writeText(c, head)
 	}
 	h.eventually("reading pauses", func() bool { return h.proxy.Stats().ReadsPaused > 0 })
 	refused := 0
@@ -126,7 +125,7 @@
 		t.Errorf("%v, %d refused", answers, refused)
 	}
 	if peak := h.proxy.Stats().MemoryPeakBytes; peak < budget/2 || peak > budget+60*(each+connOverheadBytes) {
-		t.Errorf("at most %d bytes, of %d", peak, budget)
+		t.Errorf("peak of %d bytes, budget %d", peak, budget)
 	}
 	h.eventually("all of it is given back", func() bool {
 		return h.proxy.memory.usedBytes.Load() <= int64(len(h.proxy.endpointConns))*connOverheadBytes+connOverheadBytes
@@ -144,7 +143,7 @@
 	big := strings.Repeat("x", 12<<20)
 	h.addEndpoint(1, 1, answerHTTP(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)))
 	c := h.dial()
-	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
+	setReadBuffer(c.Conn, 4096)
 	c.send(idempotentRequest)
 	h.eventually("its answer is counted", func() bool { return h.proxy.memory.usedBytes.Load() > 8<<20 })
 	time.Sleep(500 * time.Millisecond)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -25,7 +26,7 @@
 	"flintspread/internal/policy"
 )
 
-// The benchmarks' clients and units parse as little as they can and allocate nothing, so that what is measured is what
+// The benchmarks' clients and endpoints parse as little as they can and allocate nothing, so that what is measured is what
 // lies between them.
 
 var plainAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\nchute 17")
@@ -64,7 +65,7 @@
 	}
 }
 
-// runLoad asks b.N commands over so many connections, each one after the other, and reports what came of them.
+// runLoad sends b.N requests over so many connections, each one request at a time, and reports throughput and latency.
 func runLoad(b *testing.B, addr string, conns int) {
 	hist := make([]*hdrhistogram.Histogram, conns)
 	var left atomic.Int64
@@ -101,7 +102,9 @@
 					b.Error("a connection broke")
 					return
 				}
-				hist[i].RecordValue(time.Since(from).Microseconds())
+				if err := hist[i].RecordValue(time.Since(from).Microseconds()); err != nil {
+					b.Error(err)
+				}
 			}
 		})
 	}
@@ -121,7 +124,7 @@
 	b.ReportMetric(float64(hist[0].ValueAtQuantile(99)), "p99-µs")
 }
 
-// newBenchHarness is a relay before so many quick units.
+// newBenchHarness starts a proxy in front of so many quick endpoints.
 func newBenchHarness(b *testing.B, units int) *harness {
 	h := newHarness(b, func(s *config.Router) {
 		s.Endpoints.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
@@ -134,7 +137,7 @@
 	return h
 }
 
-// BenchmarkProxies compares, with the same clients and unit: no proxy, the standard library's, the relay.
+// BenchmarkProxies compares, with the same clients and endpoint: no proxy, the standard library's, this one.
 func BenchmarkProxies(b *testing.B) {
 	const conns = 256
 	b.Run("direct", func(b *testing.B) { runLoad(b, newQuickEndpoint(b).Addr().String(), conns) })
@@ -148,14 +151,18 @@
 			b.Fatal(err)
 		}
 		srv := &http.Server{Handler: p}
-		go srv.Serve(l)
+		go func() {
+			if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+				b.Error(err)
+			}
+		}()
 		defer srv.Close()
 		runLoad(b, l.Addr().String(), conns)
 	})
 	b.Run("relay", func(b *testing.B) { runLoad(b, newBenchHarness(b, 1).listener.Addr().String(), conns) })
 }
 
-// BenchmarkFleet is the relay before 100 units with 1,000 client connections.
+// BenchmarkFleet measures the proxy in front of 100 endpoints with 1,000 client connections.
 func BenchmarkFleet(b *testing.B) {
 	h := newBenchHarness(b, 100)
 	before := h.proxy.Stats()
@@ -170,7 +177,7 @@
 	b.ReportMetric(float64(n.Rejected-before.Rejected)/float64(b.N), "nacked/op")
 }
 
-// BenchmarkLongLife is a relay whose list and keys change for ever; one operation is a day's worth: 200 units replaced,
+// BenchmarkLongLife measures a proxy whose endpoint list and keys keep changing; one operation is a day's worth: 200 endpoints replaced,
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
 	h := newHarness(b, func(s *config.Router) {
@@ -189,7 +196,9 @@
 		h.updateEndpoints(true, list...)
 		for k := range 2000 {
 			fmt.Fprintf(c, "GET /chute/1 HTTP/1.1\r\nHost: x\r\nFlint-Key: %d-%d\r\n\r\n", id, k)
-			c.br.Discard(skipHead(c.br))
+			if _, err := c.br.Discard(skipHead(c.br)); err != nil {
+				b.Fatal(err)
+			}
 		}
 	}
 	runtime.GC()
@@ -198,7 +207,7 @@
 	b.ReportMetric(float64(h.proxy.Stats().Endpoints), "units")
 }
 
-// BenchmarkOrder compares two ways to order the policy's calls, for one command's two calls from many goroutines: a
+// BenchmarkOrder compares two ways to order the balancer's calls, for the two calls of a request from many goroutines: a
 // lock that the caller takes, and an owner goroutine that it asks over a channel.
 func BenchmarkOrder(b *testing.B) {
 	set := newHarness(b, nil).proxy.settings
--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -18,7 +18,7 @@
 	return "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
 }
 
-// BenchmarkSwap is a version that is read, checked and put in force.
+// BenchmarkSwap measures reading, checking and applying a configuration version.
 func BenchmarkSwap(b *testing.B) {
 	h := newHarness(b, nil)
 	text := configVersionText(b)
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkReader is what a client's goroutine does to find its command's version and op type, while versions are swapped and
-// while they are not.
+// BenchmarkReader measures how a client's goroutine finds its request's configuration version and class, while versions are
+// swapped and while they are not.
 func BenchmarkReader(b *testing.B) {
 	for _, swaps := range []bool{false, true} {
 		b.Run(fmt.Sprint("swaps-", swaps), func(b *testing.B) {
@@ -56,13 +56,16 @@
 						b.Error(err)
 						return
 					}
-					h.proxy.OfferConfig(v)
+					if _, err := h.proxy.OfferConfig(v); err != nil {
+						b.Error(err)
+						return
+					}
 				}
 			}()
 			b.ReportAllocs()
 			for b.Loop() {
 				if h.proxy.ConfigVersion().ClassOf("GET", "/chute/4711") < 0 {
-					b.Fatal("no op type")
+					b.Fatal("no class")
 				}
 			}
 			close(stop)
@@ -71,10 +74,10 @@
 	}
 }
 
-// BenchmarkApplyList is a full list of which one unit in a hundred changed, from its arrival to the policy.
+// BenchmarkApplyList measures a full endpoint list of which one in a hundred changed, from its arrival to the balancer.
 func BenchmarkApplyList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		b.Run(fmt.Sprint("units-", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("endpoints-", n), func(b *testing.B) {
 			h := newHarness(b, nil)
 			lines := [2]*endpoints.Update{}
 			for k := range lines {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -19,7 +19,7 @@
 	"flintspread/internal/releases"
 )
 
-// harness is a relay between scripted units and clients of a test.
+// harness is a proxy between a test's clients and its scripted endpoints.
 type harness struct {
 	t         testing.TB
 	proxy     *Proxy
@@ -28,7 +28,7 @@
 	done      chan error
 }
 
-// scriptedEndpoint is a unit that does on each connection what the test says.
+// scriptedEndpoint is an endpoint that plays a script on each connection, and records the requests that it read.
 type scriptedEndpoint struct {
 	id       uint32
 	listener net.Listener
@@ -36,7 +36,7 @@
 	requests []string // request lines
 }
 
-// newHarness starts a relay; edit changes the example settings.
+// newHarness starts an HTTP proxy; edit changes the example settings.
 func newHarness(t testing.TB, edit func(*config.Router)) *harness {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Overload = nil // a busy machine is no part of most tests
+	set.Overload = nil // the test machine's load must not change results
 	if edit != nil {
 		edit(set)
 		if err := set.Check(); err != nil {
@@ -58,7 +58,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// startHarness has a relay listen until the test ends.
+// startHarness has a proxy serve a listener until the test ends.
 func startHarness(t testing.TB, r *Proxy) *harness {
 	h := &harness{t: t, proxy: r, endpoints: map[uint32]*scriptedEndpoint{}, done: make(chan error, 1)}
 	var err error
@@ -68,60 +68,60 @@
 	go func() { h.done <- h.proxy.Serve(h.listener) }()
 	t.Cleanup(func() {
 		h.listener.Close()
-		for _, u := range h.endpoints {
-			u.listener.Close()
+		for _, endpoint := range h.endpoints {
+			endpoint.listener.Close()
 		}
 		h.proxy.Close()
 	})
 	return h
 }
 
-// addEndpoint makes a unit that runs play for each connection, and lists all units there are as ready.
-func (h *harness) addEndpoint(id uint32, build int, play func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
-	u := &scriptedEndpoint{id: id}
-	l, err := fakes.Serve(func(c net.Conn) { play(u, c, bufio.NewReader(c)) })
+// addEndpoint starts an endpoint that runs play for each connection, and adds it to the endpoint list as ready.
+func (h *harness) addEndpoint(id uint32, build int, play func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
+	endpoint := &scriptedEndpoint{id: id}
+	l, err := fakes.Serve(func(c net.Conn) { play(endpoint, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	u.listener = l
-	h.endpoints[id] = u
+	endpoint.listener = l
+	h.endpoints[id] = endpoint
 	h.updateEndpoints(false, endpoints.Endpoint{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
-	return u
+	return endpoint
 }
 
 func (h *harness) updateEndpoints(full bool, units ...endpoints.Endpoint) {
 	h.proxy.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: units})
 }
 
-// readRequest takes one request and notes it.
-func (u *scriptedEndpoint) readRequest(br *bufio.Reader) (*http.Request, bool) {
+// readRequest reads one request and records it.
+func (endpoint *scriptedEndpoint) readRequest(br *bufio.Reader) (*http.Request, bool) {
 	req, err := http.ReadRequest(br)
 	if err != nil {
 		return nil, false
 	}
-	io.Copy(io.Discard, req.Body)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.requests = append(u.requests, req.Method+" "+req.RequestURI)
-	return req, true
+	_, err = io.Copy(io.Discard, req.Body) // one that is cut counts, too
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	endpoint.requests = append(endpoint.requests, req.Method+" "+req.RequestURI)
+	return req, err == nil
 }
 
-func (u *scriptedEndpoint) count() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.requests)
+func (endpoint *scriptedEndpoint) count() int {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	return len(endpoint.requests)
 }
 
-func (u *scriptedEndpoint) allRequests() string {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return strings.Join(u.requests, "\n")
+func (endpoint *scriptedEndpoint) allRequests() string {
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	return strings.Join(endpoint.requests, "\n")
 }
 
 // answerPath answers everything with the path.
-func answerPath(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+func answerPath(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 	for {
-		req, ok := u.readRequest(br)
+		req, ok := endpoint.readRequest(br)
 		if !ok {
 			return
 		}
@@ -129,26 +129,39 @@
 	}
 }
 
-// silent reads and never answers.
-func silent(u *scriptedEndpoint, _ net.Conn, br *bufio.Reader) {
-	for {
-		if _, ok := u.readRequest(br); !ok {
-			return
-		}
-	}
-}
-
+// answerHTTP answers everything with a text.
 func answerHTTP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
-			if _, ok := u.readRequest(br); !ok {
+			if _, ok := endpoint.readRequest(br); !ok {
 				return
 			}
-			io.WriteString(c, text)
+			writeText(c, text)
 		}
 	}
 }
 
+// writeText writes to a peer that may have closed: tests check what the peer got.
+func writeText(w io.Writer, text string) {
+	if _, err := io.WriteString(w, text); err != nil {
+		return
+	}
+}
+
+// resetOnClose has a connection end with a reset.
+func resetOnClose(c net.Conn) {
+	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+		panic(err)
+	}
+}
+
+// setReadBuffer bounds what the kernel takes for a connection that is not read.
+func setReadBuffer(c net.Conn, bytes int) {
+	if err := c.(*net.TCPConn).SetReadBuffer(bytes); err != nil {
+		panic(err)
+	}
+}
+
 // testClient is a client's connection.
 type testClient struct {
 	net.Conn
@@ -166,7 +179,7 @@
 	return &testClient{c, bufio.NewReader(c), h.t}
 }
 
-// Requests of each effect by the example's routes.
+// Requests of each idempotency by the example settings' routes.
 const (
 	idempotentRequest    = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
 	keyedRequest         = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
@@ -178,7 +191,7 @@
 	if strings.HasPrefix(head, "POST") {
 		body = "ok"
 	}
-	io.WriteString(c, head+"\r\n"+body)
+	writeText(c, head+"\r\n"+body)
 }
 
 // readAnswer reads one answer: status, kind and body.
--- a/internal/proxy/http_message_test.go
+++ b/internal/proxy/http_message_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// What the reader lets through is a request that a unit reads the same way: one message, same method, target and body.
-// That a proxy and a server part a stream differently is how requests are smuggled.
+// FuzzReadRequest checks that an endpoint reads what the proxy passes on as the proxy did: one message, with the same method,
+// target and body. A proxy and a server that split a stream differently allow request smuggling.
 func FuzzReadRequest(f *testing.F) {
 	for _, s := range []string{
 		idempotentRequest + "\r\n", keyedRequest + "\r\nok", nonIdempotentRequest + "\r\nok", "GET / HTTP/1.0\r\n\r\n",
@@ -41,14 +41,14 @@
 			in := bufio.NewReader(strings.NewReader(text))
 			again, err := http.ReadRequest(in)
 			if err != nil {
-				t.Fatalf("a unit would not read %q: %v", text, err)
+				t.Fatalf("an endpoint would not read %q: %v", text, err)
 			}
 			var body bytes.Buffer
 			if _, err := body.ReadFrom(again.Body); err != nil || !bytes.Equal(body.Bytes(), req.body) || in.Buffered() > 0 {
-				t.Fatalf("a unit would read body %q of %q, %d bytes left, %v", body.Bytes(), text, in.Buffered(), err)
+				t.Fatalf("an endpoint would read body %q of %q, %d bytes left, %v", body.Bytes(), text, in.Buffered(), err)
 			}
 			if again.Method != req.method || again.URL.Path != req.path {
-				t.Fatalf("a unit would read %s %s of %q", again.Method, again.URL.Path, text)
+				t.Fatalf("an endpoint would read %s %s of %q", again.Method, again.URL.Path, text)
 			}
 			for name := range hopByHopHeaders {
 				if name != headerTime && name != "Content-Length" && again.Header.Get(name) != "" {
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -22,13 +22,13 @@
 	shortTimeout = "Flint-Time: 0.3\r\n"
 )
 
-func goneEndpoint(u *harness, id uint32) endpoints.Endpoint {
+func goneEndpoint(id uint32) endpoints.Endpoint {
 	return endpoints.Endpoint{ID: id, State: "gone"}
 }
 
 func TestOrdinaryPath(t *testing.T) {
 	h := newHarness(t, nil)
-	u := h.addEndpoint(1, 1, answerPath)
+	endpoint := h.addEndpoint(1, 1, answerPath)
 	c := h.dial()
 	for _, head := range []string{idempotentRequest, keyedRequest, nonIdempotentRequest} {
 		c.send(head)
@@ -38,33 +38,33 @@
 		}
 	}
 	// Two in one write are answered in order.
-	io.WriteString(c, "GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\nGET /chute/b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+	writeText(c, "GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\nGET /chute/b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	h.wantEqual("first of two", c.readAnswer(), "200 acked: /chute/a")
 	h.wantEqual("second of two", c.readAnswer(), "200 acked: /chute/b")
 	if _, err := c.br.ReadByte(); err != io.EOF {
 		t.Error("not closed after Connection: close:", err)
 	}
-	if n := h.proxy.Stats(); n.Dials != 1 || n.Succeeded != 5 || u.count() != 5 {
+	if n := h.proxy.Stats(); n.Dials != 1 || n.Succeeded != 5 || endpoint.count() != 5 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// What may be sent again after each way a delivery can end: the first unit ends it so, the second is well. The command
-// is sent until the first unit has had one.
-func TestAfterEachEnd(t *testing.T) {
-	cut := func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) { u.readRequest(br) } // closes the connection unanswered
-	half := func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
-	}
-	reset := func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
-		c.(*net.TCPConn).SetLinger(0)
+// Which requests are retried after each way in which an attempt can end: the first endpoint ends it so, the second one answers
+// well. The request is sent until the first endpoint has got one.
+func TestRetryByOutcome(t *testing.T) {
+	cut := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) { endpoint.readRequest(br) } // closes the connection unanswered
+	half := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
+	}
+	reset := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
+		resetOnClose(c)
 	}
 	ends := []struct {
 		name               string
 		play               func(*scriptedEndpoint, net.Conn, *bufio.Reader)
-		lookup, divert, to string // to: at-most-once
+		lookup, divert, to string // to: the non-idempotent request
 	}{
 		{"error", answerHTTP("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), "acked", "acked", "failed"},
 		{"503 that may have run", answerHTTP("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "acked", "acked", "failed"},
@@ -94,11 +94,11 @@
 						t.Errorf("%s, want %s", got, want)
 					}
 					if n := bad.count() + well.count() - before; want == "failed" && n != 1 {
-						t.Errorf("%d deliveries of an at-most-once command", n)
+						t.Errorf("%d attempts of a non-idempotent request", n)
 					}
 				}
 				if bad.count() == 0 {
-					t.Error("the unit was never met")
+					t.Error("the endpoint was never met")
 				}
 			})
 		}
@@ -117,36 +117,36 @@
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: addr, State: "ready", Build: 1})
 	h.addEndpoint(2, 1, answerPath)
 	for range 20 {
-		h.wantEqual("at-most-once", h.ask(nonIdempotentRequest), "200 acked: /seal/7")
+		h.wantEqual("non-idempotent", h.ask(nonIdempotentRequest), "200 acked: /seal/7")
 	}
 	if n := h.proxy.Stats(); n.Outcomes[policy.NotConnected] == 0 {
 		t.Errorf("the closed port was never tried: %+v", n)
 	}
 }
 
-// A unit closes its idle connections. Seen before the next command, that costs nothing; on the next command's heels it
-// may have run.
+// An endpoint closes its idle connections. If that is seen before the next request, the request is not affected; a request that
+// crosses the close may have run.
 func TestIdleConnectionClosed(t *testing.T) {
 	h := newHarness(t, nil)
-	u := h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for range 5 {
 		h.wantEqual("after an idle close", h.ask(nonIdempotentRequest), "200 acked: ok")
 		h.eventually("the closed connection is dropped", func() bool { return h.proxy.Stats().EndpointConns == 0 })
 	}
-	u.listener.Close()
-	// The unit resets a pooled connection after it has read the next command's first bytes.
+	endpoint.listener.Close()
+	// The endpoint resets a pooled connection after it has read the next request's first bytes.
 	h = newHarness(t, nil)
 	first := true
-	u = h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	endpoint = h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		if first {
 			first = false
-			u.readRequest(br)
-			c.(*net.TCPConn).SetLinger(0)
+			endpoint.readRequest(br)
+			resetOnClose(c)
 		}
 	})
 	c := h.dial()
@@ -154,43 +154,43 @@
 	h.wantEqual("first", c.readAnswer(), "200 acked: ok")
 	c.send(nonIdempotentRequest)
 	h.wantEqual("reset on a reused connection", c.readAnswer(), failedText)
-	if u.count() != 2 {
-		t.Errorf("%d deliveries", u.count())
+	if endpoint.count() != 2 {
+		t.Errorf("%d attempts", endpoint.count())
 	}
 }
 
-// A delivery that was dropped before its first byte never leaves, whoever is about to write it.
-func TestDroppedDeliveryIsNotWritten(t *testing.T) {
+// An attempt that was dropped before its first byte is never written.
+func TestDroppedAttemptIsNotWritten(t *testing.T) {
 	h := newHarness(t, nil)
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
 	sock := newSocket(a)
-	uc := &endpointConn{pool: &endpointPool{}}
-	uc.socket.Store(&sock)
-	d := &attempt{request: &request{message: &message{head: []byte("GET / HTTP/1.1\r\n")}}, assignedConn: uc}
+	conn := &endpointConn{pool: &endpointPool{}}
+	conn.socket.Store(&sock)
+	d := &attempt{request: &request{message: &message{head: []byte("GET / HTTP/1.1\r\n")}}, assignedConn: conn}
 	if !d.drop() || d.claimWrite() {
-		t.Fatal("a dropped delivery began")
+		t.Fatal("a dropped attempt could be claimed for writing")
 	}
 	h.proxy.writeAttempt(d)
 	b.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, _ := b.Read(make([]byte, 1)); n != 0 {
-		t.Error("a dropped delivery was written")
+		t.Error("a dropped attempt was written")
 	}
 	d = &attempt{}
 	if !d.claimWrite() || d.drop() {
-		t.Error("a delivery that began counts as never run")
+		t.Error("an attempt that is being written could be dropped")
 	}
 }
 
-// A silent unit: one answer in time, none after it though the unit answers late, and no second delivery of what must not
-// run twice.
-func TestLateUnit(t *testing.T) {
+// An endpoint that answers too late: the client gets one answer in time and none after it, and a non-idempotent request is not
+// sent again.
+func TestAnswerAfterTimeout(t *testing.T) {
 	h := newHarness(t, nil)
-	u := h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
+	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
 		time.Sleep(600 * time.Millisecond)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for head, want := range map[string]string{nonIdempotentRequest: timedOutText, keyedRequest: rejectedText, idempotentRequest: rejectedText} {
 		c := h.dial()
@@ -205,23 +205,23 @@
 			t.Errorf("a second answer began with %q", b)
 		}
 	}
-	if n := strings.Count(u.allRequests(), "seal"); n != 1 {
-		t.Errorf("the at-most-once command was delivered %d times", n)
+	if n := strings.Count(endpoint.allRequests(), "seal"); n != 1 {
+		t.Errorf("the non-idempotent request was delivered %d times", n)
 	}
 }
 
-// Two deliveries may both answer; the client gets one answer.
-func TestTwoAnswers(t *testing.T) {
+// Where both attempts of a hedged request are answered, the client gets one answer.
+func TestHedgedRequestGetsOneAnswer(t *testing.T) {
 	h := newHarness(t, nil)
-	slow := func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	slow := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for n := 0; ; n++ {
-			if _, ok := u.readRequest(br); !ok {
+			if _, ok := endpoint.readRequest(br); !ok {
 				return
 			}
-			if u.count() > 30 {
+			if endpoint.count() > 30 {
 				time.Sleep(80 * time.Millisecond)
 			}
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", u.id)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", endpoint.id)
 		}
 	}
 	h.addEndpoint(1, 1, slow)
@@ -235,7 +235,7 @@
 	}
 	n := h.proxy.Stats()
 	if n.Attempts <= n.Received || n.Succeeded != 100 {
-		t.Errorf("no command had two deliveries: %+v", n)
+		t.Errorf("no request had two attempts: %+v", n)
 	}
 	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	if b, err := c.br.ReadByte(); err == nil {
@@ -246,26 +246,26 @@
 func TestClientLeaves(t *testing.T) {
 	h := newHarness(t, nil)
 	ended := make(chan bool, 1)
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
-		_, ok := u.readRequest(br) // until the relay closes
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
+		_, ok := endpoint.readRequest(br) // until the proxy closes
 		ended <- !ok
 	})
 	c := h.dial()
 	c.send(idempotentRequest)
-	h.eventually("the delivery is out", func() bool { return h.endpoints[1].count() == 1 })
+	h.eventually("the attempt is in flight", func() bool { return h.endpoints[1].count() == 1 })
 	c.Close()
 	if !<-ended {
-		t.Error("the delivery went on")
+		t.Error("the attempt went on")
 	}
-	h.eventually("nothing is in hand", func() bool { n := h.proxy.Stats(); return n.Abandoned == 1 && n.InFlight == 0 && n.ClientConns == 0 })
+	h.eventually("nothing is in flight", func() bool { n := h.proxy.Stats(); return n.Abandoned == 1 && n.InFlight == 0 && n.ClientConns == 0 })
 }
 
 func TestBadClients(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) {
 		s.Clients.HeadBytes, s.Clients.BodyBytes, s.Clients.ReadTime = 2048, 1000, 0.4
 	})
-	u := h.addEndpoint(1, 1, answerPath)
+	endpoint := h.addEndpoint(1, 1, answerPath)
 	for _, x := range []struct{ name, text, want string }{
 		{"no HTTP", "hello\r\n\r\n", "400"},
 		{"bad header", "GET /chute/1 HTTP/1.1\r\nHost x\r\n\r\n", "400"},
@@ -274,7 +274,7 @@
 		{"other host", "GET http://elsewhere/chute/1 HTTP/1.1\r\nHost: x\r\n\r\n", "400"},
 		{"unknown path", "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", "404"},
 		{"unknown method", "DELETE /chute/1 HTTP/1.1\r\nHost: x\r\n\r\n", "404"},
-		{"no mark", "POST /divert/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", "400"},
+		{"no idempotency key", "POST /divert/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", "400"},
 		{"bad time", "GET /chute/1 HTTP/1.1\r\nHost: x\r\nFlint-Time: soon\r\n\r\n", "400"},
 		{"no time", "GET /chute/1 HTTP/1.1\r\nHost: x\r\nFlint-Time: 0.001\r\n\r\n", "503"},
 		{"bad receipt", "POST /.flint/wrong HTTP/1.1\r\nHost: x\r\nFlint-Receipt: x\r\n\r\n", "400"},
@@ -286,76 +286,76 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := h.dial()
-			io.WriteString(c, x.text)
+			writeText(c, x.text)
 			if got := c.readAnswer(); !strings.HasPrefix(got, x.want) {
 				t.Errorf("%s, want %s", got, x.want)
 			}
 		})
 	}
-	// One that sends a byte now and then is cut off, and one that leaves in the middle costs nothing.
+	// A client that stops in the middle of a head, and one that leaves there, affect nobody else.
 	c := h.dial()
 	c.send("GET /chute/1 HTTP/1.1\r\nHost: x\r\nA: ")
 	h.dial().send(nonIdempotentRequest[:20])
-	if u.count() != 0 {
-		t.Errorf("a unit saw %s", u.allRequests())
+	if endpoint.count() != 0 {
+		t.Errorf("an endpoint saw %s", endpoint.allRequests())
 	}
 	h.wantEqual("meanwhile", h.ask(idempotentRequest), "200 acked: /chute/7")
-	h.eventually("all in hand is answered", func() bool { return h.proxy.Stats().InFlight == 0 })
+	h.eventually("all in flight is answered", func() bool { return h.proxy.Stats().InFlight == 0 })
 }
 
-func TestDrainWhileACommandWaits(t *testing.T) {
+func TestEndpointDrainsWhileRequestWaits(t *testing.T) {
 	h := newHarness(t, nil)
 	one := h.addEndpoint(1, 1, answerPath)
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: one.listener.Addr().String(), State: "draining", Build: 1})
 	got := make(chan string)
 	go func() { got <- h.ask(idempotentRequest) }()
-	h.eventually("it is in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
+	h.eventually("it is in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 	two := h.addEndpoint(2, 1, answerPath)
-	h.wantEqual("held command", <-got, "200 acked: /chute/7")
-	h.updateEndpoints(true, goneEndpoint(h, 2))
-	h.wantEqual("no unit", h.ask(idempotentRequest), rejectedText)
+	h.wantEqual("held request", <-got, "200 acked: /chute/7")
+	h.updateEndpoints(true, goneEndpoint(2))
+	h.wantEqual("no endpoint", h.ask(idempotentRequest), rejectedText)
 	if one.count() != 0 || two.count() != 1 {
-		t.Errorf("draining unit saw %v, the other %v", one.allRequests(), two.allRequests())
+		t.Errorf("draining endpoint saw %v, the other %v", one.allRequests(), two.allRequests())
 	}
-	h.eventually("the connections to units that left are closed", func() bool { n := h.proxy.Stats(); return n.EndpointConns == 0 && n.Endpoints == 0 })
+	h.eventually("the connections to endpoints that left are closed", func() bool { n := h.proxy.Stats(); return n.EndpointConns == 0 && n.Endpoints == 0 })
 }
 
-// Started anew in a first stage, before any news, the relay keeps that stage's cap.
-func TestCapBeforeNews(t *testing.T) {
+// Before any release update, the proxy keeps the canary traffic limit of the first stage.
+func TestCanaryLimitBeforeReleaseUpdate(t *testing.T) {
 	h := newHarness(t, nil)
 	h.addEndpoint(1, 1, answerPath)
-	trial := h.addEndpoint(2, 2, answerPath)
+	canary := h.addEndpoint(2, 2, answerPath)
 	c := h.dial()
 	for i := range 200 {
 		c.send(idempotentRequest)
 		if got := c.readAnswer(); got != "200 acked: /chute/7" {
 			t.Fatal(got)
 		}
-		if most := 2 + 0.15*float64(i+1); float64(trial.count()) > most {
-			t.Fatalf("%d trial deliveries of %d commands", trial.count(), i+1)
+		if most := 2 + 0.15*float64(i+1); float64(canary.count()) > most {
+			t.Fatalf("%d canary attempts of %d requests", canary.count(), i+1)
 		}
 	}
-	if trial.count() == 0 {
-		t.Error("the trial build got nothing")
+	if canary.count() == 0 {
+		t.Error("the canary build got nothing")
 	}
-	before := trial.count()
+	before := canary.count()
 	h.proxy.ApplyRelease(2, 1, policy.PhaseRollingBack, 0, 0)
 	for range 50 {
 		c.send(idempotentRequest)
 		c.readAnswer()
 	}
-	if trial.count() != before {
-		t.Errorf("%d deliveries at cap 0", trial.count()-before)
+	if canary.count() != before {
+		t.Errorf("%d attempts at cap 0", canary.count()-before)
 	}
 }
 
-// A client that does not read its answer holds up nobody else, also not on its unit connection.
+// A client that does not read its answer holds up nobody else, not even on the same endpoint connection.
 func TestSlowReader(t *testing.T) {
 	big := strings.Repeat("x", 4000000)
 	h := newHarness(t, func(s *config.Router) { s.Endpoints.Connections, s.Clients.ReadTime = 1, 0.5 })
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
-			req, ok := u.readRequest(br)
+			req, ok := endpoint.readRequest(br)
 			if !ok {
 				return
 			}
@@ -367,9 +367,9 @@
 		}
 	})
 	slow := h.dial()
-	slow.Conn.(*net.TCPConn).SetReadBuffer(4096)
+	setReadBuffer(slow.Conn, 4096)
 	for range 8 { // pipelined: more than the kernel buffers
-		io.WriteString(slow, "GET /chute/big HTTP/1.1\r\nHost: x\r\n\r\n")
+		writeText(slow, "GET /chute/big HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
 	h.eventually("its first answer is there", func() bool { return h.proxy.Stats().Succeeded >= 1 })
 	for range 10 {
@@ -378,25 +378,25 @@
 	h.eventually("the slow reader is cut off", func() bool { return h.proxy.Stats().ClientConns <= 10 && h.proxy.Stats().InFlight == 0 })
 }
 
-// A drain gives everything in hand its answer and takes nothing new.
+// Drain waits for every request in flight to be answered, and closes idle connections.
 func TestDrain(t *testing.T) {
 	h := newHarness(t, nil)
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		u.readRequest(br)
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		endpoint.readRequest(br)
 		time.Sleep(150 * time.Millisecond)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	idle := h.dial()
 	got := make(chan string)
 	go func() { got <- h.ask(idempotentRequest) }()
-	h.eventually("it is in hand", func() bool { return h.proxy.Stats().InFlight == 1 && h.proxy.Stats().ClientConns == 2 })
+	h.eventually("it is in flight", func() bool { return h.proxy.Stats().InFlight == 1 && h.proxy.Stats().ClientConns == 2 })
 	h.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := h.proxy.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	h.wantEqual("in hand", <-got, "200 acked: ok")
+	h.wantEqual("in flight", <-got, "200 acked: ok")
 	if _, err := idle.br.ReadByte(); err != io.EOF {
 		t.Error("an idle connection:", err)
 	}
@@ -418,18 +418,18 @@
 	h.wantEqual("second", b.readAnswer(), "200 acked: /chute/7")
 }
 
-// A unit that closes its receive window costs the timer and other commands nothing.
-func TestUnitThatDoesNotRead(t *testing.T) {
+// An endpoint that does not read holds up neither the timer nor other requests.
+func TestEndpointThatDoesNotRead(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) { s.Clients.BodyBytes = 16 << 20 })
 	over := make(chan struct{})
 	defer close(over)
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		c.(*net.TCPConn).SetReadBuffer(4096)
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		setReadBuffer(c, 4096)
 		<-over // it does not read as long as the test lasts
 	})
 	c := h.dial()
 	fmt.Fprintf(c, "POST /seal/1 HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", 16<<20)
-	io.WriteString(c, strings.Repeat("x", 16<<20))
+	writeText(c, strings.Repeat("x", 16<<20))
 	h.wantEqual("answer", c.readAnswer(), timedOutText)
 	h.eventually("nothing is left", func() bool { n := h.proxy.Stats(); return n.InFlight == 0 && n.EndpointConns == 0 })
 }
--- a/internal/proxy/main_test.go
+++ b/internal/proxy/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Every relay, unit and client of the tests has ended when they have.
+// TestMain checks that no goroutine of a proxy, an endpoint or a client outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -16,30 +16,30 @@
 	"flintspread/internal/policy"
 )
 
-// The instants in which something is still owed. Each is forced by the order of events: a unit or a client holds its next byte until the
-// other end is where the test wants it.
+// Events that meet outstanding answers: shutdown, leaving clients and endpoints, slow readers. Their order is forced: an
+// endpoint or a client holds its next byte until the other end is where the test wants it.
 
-// allowLongRequests gives every op type so much time that no end of a test comes from it.
+// allowLongRequests gives every class so much time that no request times out in a test.
 func allowLongRequests(t *policy.Config) {
 	for i := range t.Classes {
 		t.Classes[i].TimeoutSeconds, t.Classes[i].LatencyObjectiveSeconds, t.Classes[i].DedupWindowSeconds = 60, 60, 100
 	}
 }
 
-// newLongCommand words a command whose client waits for a minute.
+// newLongCommand makes a command whose client waits for a minute.
 func newLongCommand(c string) (text, id string) { return newCommandWithTimeout(c, 60_000) }
 
-// answerIDWhenOpen is a unit that answers a delivery only once the gate is open.
+// answerIDWhenOpen answers attempts once gate is closed.
 func answerIDWhenOpen(gate chan struct{}) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := u.readCommand(br); ok; w, ok = u.readCommand(br) {
+	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
 			<-gate
-			io.WriteString(c, valueReply(w[2]))
+			writeText(c, valueReply(w[2]))
 		}
 	}
 }
 
-// unacceptingEndpoint is a unit whose connections do not come up until the test lets them: what its kernel holds for it is full.
+// unacceptingEndpoint is an endpoint whose accept queue is full, so that connections to it are not made until the test accepts.
 type unacceptingEndpoint struct {
 	*scriptedEndpoint
 	fd   int
@@ -62,41 +62,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &unacceptingEndpoint{scriptedEndpoint: &scriptedEndpoint{}, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
-	for { // until one more does not come up
-		c, err := net.DialTimeout("tcp", u.addr, 100*time.Millisecond)
+	endpoint := &unacceptingEndpoint{scriptedEndpoint: &scriptedEndpoint{}, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
+	for { // until one more is not accepted
+		c, err := net.DialTimeout("tcp", endpoint.addr, 100*time.Millisecond)
 		if err != nil {
 			break
 		}
-		u.fill = append(u.fill, c)
+		endpoint.fill = append(endpoint.fill, c)
 	}
 	t.Cleanup(func() {
-		for _, c := range u.fill {
+		for _, c := range endpoint.fill {
 			c.Close()
 		}
-		syscall.Close(fd)
+		closeDescriptor(t, fd)
 	})
-	return u
+	return endpoint
 }
 
-// acceptAndRead accepts what has come up and gives the first connection that is not one of those that filled the place, or what ended the wait.
-func (u *unacceptingEndpoint) acceptAndRead(t *testing.T) (said string) {
+func closeDescriptor(t *testing.T, fd int) {
+	if err := syscall.Close(fd); err != nil {
+		t.Error(err)
+	}
+}
+
+// acceptAndRead accepts connections until one that is not its own filling, and gives what that one sent first, or its error.
+func (endpoint *unacceptingEndpoint) acceptAndRead(t *testing.T) (said string) {
 	own := map[int]bool{}
-	for _, c := range u.fill {
+	for _, c := range endpoint.fill {
 		own[c.LocalAddr().(*net.TCPAddr).Port] = true
 	}
 	for {
-		fd, from, err := syscall.Accept(u.fd)
+		fd, from, err := syscall.Accept(endpoint.fd)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if own[from.(*syscall.SockaddrInet4).Port] {
-			syscall.Close(fd)
+			closeDescriptor(t, fd)
 			continue
 		}
 		var buf [512]byte
 		n, err := syscall.Read(fd, buf[:])
-		syscall.Close(fd)
+		closeDescriptor(t, fd)
 		if err != nil {
 			return err.Error()
 		}
@@ -104,8 +110,8 @@
 	}
 }
 
-// A stop answers what is in hand in time, however long its client would wait: the process is about to be killed.
-func TestOwedAtStop(t *testing.T) {
+// Requests in flight are answered by the answer deadline, however long their clients would wait.
+func TestAnswerDeadlineAtShutdown(t *testing.T) {
 	for class, want := range map[string]string{"lookup": "-BUSY 1500", "order": "-BUSY 1500", "seal": "-ERR failed; it may have been done"} {
 		h := newRESPHarnessWith(t, allowLongRequests, nil)
 		gate := make(chan struct{})
@@ -113,27 +119,27 @@
 		h.addEndpoint(1, 1, answerIDWhenOpen(gate))
 		text, _ := newLongCommand(class)
 		c := h.dial()
-		io.WriteString(c, text)
-		h.eventually("in hand", func() bool { return h.proxy.Stats().Attempts == 1 })
+		writeText(c, text)
+		h.eventually("in flight", func() bool { return h.proxy.Stats().Attempts == 1 })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.2)
 		h.wantEqual(class, c.readLine(), want)
 	}
 }
 
-// What has come in part when the relay stops is answered, not cut; the rest of it may still come.
-func TestOwedPieceAtStop(t *testing.T) {
+// A command that has come in part when the shutdown begins is served if the rest comes, and answered with an error if not.
+func TestPartialCommandAtShutdown(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTime = 60 })
 		h.addEndpoint(1, 1, answerID)
 		c := h.dial()
 		c.wantServed("lookup")
 		text, id := newCommand("seal")
-		io.WriteString(c, text[:20])
-		h.eventually("it has begun", func() bool { return h.anyClient(func(cl *clientConn) bool { return cl.reading }) })
+		writeText(c, text[:20])
+		h.eventually("it has begun", func() bool { return h.anyClient(func(conn *clientConn) bool { return conn.reading }) })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.3)
 		h.proxy.StopServing()
 		if whole {
-			io.WriteString(c, text[20:])
+			writeText(c, text[20:])
 			h.wantEqual("the whole", c.readLine(), "v"+id)
 		} else {
 			h.wantEqual("the part", c.readLine(), "-ERR the command did not come whole in time")
@@ -142,70 +148,70 @@
 	}
 }
 
-// anyClient tells whether some client's connection is as said.
+// anyClient tells whether a client connection fulfils a condition.
 func (h *harness) anyClient(is func(*clientConn) bool) bool {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
-	for cl := range h.proxy.clients {
-		if is(cl) {
+	for conn := range h.proxy.clients {
+		if is(conn) {
 			return true
 		}
 	}
 	return false
 }
 
-// A connection that comes during a stop is not ended before its first command, which others could not know to send elsewhere.
-func TestOwedNewcomerAtStop(t *testing.T) {
+// A connection that is made during a shutdown is not closed before its first command: its client could not know better.
+func TestNewConnectionDuringShutdown(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
 	h.proxy.StopServing()
 	c := h.dial()
 	h.eventually("its reader waits", func() bool {
-		return h.anyClient(func(cl *clientConn) bool {
-			cl.waiter.mu.Lock()
-			defer cl.waiter.mu.Unlock()
-			return cl.waiter.waiting
+		return h.anyClient(func(conn *clientConn) bool {
+			conn.waiter.mu.Lock()
+			defer conn.waiter.mu.Unlock()
+			return conn.waiter.waiting
 		})
 	})
 	c.wantServed("seal")
 	h.wantEqual("and then", c.readLine(), "closed")
 }
 
-// A client that goes is seen to go at any time: nothing of its commands begins afterwards.
-func TestGoneClient(t *testing.T) {
+// A client's leaving is noticed in every state of its connection: no further attempt of its commands is sent afterwards.
+func TestClientClosesWhileAnswersPending(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(*config.Router)
 		play func(h *harness, c *testClient)
 	}{
-		{"while so much is owed that reading has stopped", nil, func(h *harness, c *testClient) {
+		{"while so much is outstanding that reading has stopped", nil, func(h *harness, c *testClient) {
 			for range 100 {
 				text, _ := newLongCommand("lookup")
-				io.WriteString(c, text)
+				writeText(c, text)
 			}
 			h.eventually("reading has stopped", func() bool { return h.proxy.Stats().InFlight == 64 })
 		}},
-		{"after it was idle for long behind its command", func(s *config.Router) { s.Clients.IdleTime = 0.05 }, func(h *harness, c *testClient) {
+		{"after more than the idle time behind its command", func(s *config.Router) { s.Clients.IdleTime = 0.05 }, func(h *harness, c *testClient) {
 			text, _ := newLongCommand("lookup")
-			io.WriteString(c, text)
-			h.eventually("in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
-			time.Sleep(150 * time.Millisecond) // above the idle time; a reader that waits otherwise by then is what this is about
+			writeText(c, text)
+			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
+			time.Sleep(150 * time.Millisecond) // above the idle time, which must not end the wait
 		}},
 		{"behind something that can't be read", nil, func(h *harness, c *testClient) {
 			text, _ := newLongCommand("lookup")
-			io.WriteString(c, text+"x\r\n")
+			writeText(c, text+"x\r\n")
 			h.eventually("it was read", func() bool { return h.proxy.Stats().InvalidRequests == 1 })
 		}},
-		{"while the relay stops", nil, func(h *harness, c *testClient) {
+		{"while the proxy stops", nil, func(h *harness, c *testClient) {
 			text, _ := newLongCommand("lookup")
-			io.WriteString(c, text)
-			h.eventually("in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
+			writeText(c, text)
+			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 			h.proxy.StopServing()
 		}},
 		{"with half a command behind the first", nil, func(h *harness, c *testClient) {
 			text, _ := newLongCommand("lookup")
-			io.WriteString(c, text+text[:12])
-			h.eventually("in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
+			writeText(c, text+text[:12])
+			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 		}},
 	}
 	for _, x := range cases {
@@ -216,59 +222,59 @@
 			s.Endpoints.Connections, s.Endpoints.Total = 100, 100
 		})
 		gate := make(chan struct{})
-		u := h.addEndpoint(1, 1, answerIDWhenOpen(gate))
+		endpoint := h.addEndpoint(1, 1, answerIDWhenOpen(gate))
 		c := h.dial()
 		x.play(h, c)
-		h.eventually(x.name+": one has begun", func() bool { return u.count() > 0 })
+		h.eventually(x.name+": one has begun", func() bool { return endpoint.count() > 0 })
 		c.Close()
-		h.eventually(x.name+": nothing is in hand", func() bool { return h.proxy.Stats().InFlight == 0 })
-		begun := u.count()
+		h.eventually(x.name+": nothing is in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
+		begun := endpoint.count()
 		close(gate)
-		h.eventually("the unit's answers are in", func() bool { return h.proxy.Stats().EndpointConns == 0 })
-		if u.count() != begun {
-			t.Errorf("%s: %d deliveries, then %d", x.name, begun, u.count())
+		h.eventually("the endpoint's answers are in", func() bool { return h.proxy.Stats().EndpointConns == 0 })
+		if endpoint.count() != begun {
+			t.Errorf("%s: %d attempts, then %d", x.name, begun, endpoint.count())
 		}
 	}
 }
 
-// A client that goes while its command's connection is being made: the unit hears nothing of it, also where nothing may be called off.
-func TestGoneClientAtDial(t *testing.T) {
+// A client leaves while the endpoint connection is being dialled: the endpoint gets nothing, also where cancelling is not allowed.
+func TestClientClosesDuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		u := newUnacceptingEndpoint(t)
+		endpoint := newUnacceptingEndpoint(t)
 		h := newRESPHarnessWith(t, func(t *policy.Config) { allowLongRequests(t); t.AllowCancel = cancel }, func(s *config.Router) { s.Endpoints.DialTime = 30 })
-		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, _ := newLongCommand("lookup")
 		c := h.dial()
-		io.WriteString(c, text)
+		writeText(c, text)
 		h.eventually("the dial", func() bool { return h.proxy.Stats().Dials == 1 })
 		c.Close()
-		h.eventually("nothing is in hand", func() bool { return h.proxy.Stats().InFlight == 0 })
-		if said := u.acceptAndRead(t); strings.Contains(said, "API") {
-			t.Errorf("cancel %v: the unit got %q", cancel, said)
+		h.eventually("nothing is in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
+		if said := endpoint.acceptAndRead(t); strings.Contains(said, "API") {
+			t.Errorf("cancel %v: the endpoint got %q", cancel, said)
 		}
 	}
 }
 
-// A unit that drains, is gone or comes back as another process while a connection to it is being made gets nothing on that one.
-func TestUnitLeavesAtDial(t *testing.T) {
+// An endpoint that drains, leaves the list or restarts while it is being dialled gets nothing on that connection.
+func TestEndpointLeavesDuringDial(t *testing.T) {
 	for _, how := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
-		u := newUnacceptingEndpoint(t)
+		endpoint := newUnacceptingEndpoint(t)
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTime = 30 })
-		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, id := newLongCommand("seal")
 		c := h.dial()
-		io.WriteString(c, text)
+		writeText(c, text)
 		h.eventually("the dial", func() bool { return h.proxy.Stats().Dials == 1 })
 		if how.ID = 1; how.State != "gone" {
-			how.Addr = u.addr
+			how.Addr = endpoint.addr
 		}
 		h.updateEndpoints(false, how)
 		two := h.addEndpoint(2, 1, answerID)
-		if how.State == "ready" { // it is replaced, and then leaves as well: the command has one place to go
+		if how.State == "ready" { // it leaves as well, so that the command has one endpoint left
 			h.updateEndpoints(false, endpoints.Endpoint{ID: 1, State: "gone"})
 		}
-		if said := u.acceptAndRead(t); strings.Contains(said, "API") {
-			t.Errorf("%+v: the unit got %q", how, said)
+		if said := endpoint.acceptAndRead(t); strings.Contains(said, "API") {
+			t.Errorf("%+v: the endpoint got %q", how, said)
 		}
 		h.wantEqual("served by the other", c.readLine(), "v"+id)
 		if two.count() != 1 {
@@ -277,42 +283,46 @@
 	}
 }
 
-// A delivery whose connection breaks before its last byte has left never ran: an at-most-once command is sent again.
-func TestDeliveryCutBeforeItsEnd(t *testing.T) {
+// An attempt whose connection breaks before its last byte has left never ran: a non-idempotent command is retried.
+func TestAttemptCutBeforeLastByteIsRetried(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
 	var once sync.Once
 	cutNow := make(chan struct{})
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		c.(*net.TCPConn).SetReadBuffer(1 << 10)
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		setReadBuffer(c, 1<<10)
 		cut := false
-		for w, ok := u.readCommand(br); ok; w, ok = u.readCommand(br) {
-			io.WriteString(c, valueReply(w[2]))
+		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
+			writeText(c, valueReply(w[2]))
 			once.Do(func() { cut = true })
 			if !cut {
 				continue
 			}
-			// Of the next delivery only a part is taken, and then the connection is reset.
+			// Of the next attempt only a part is taken, and then the connection is reset.
 			var part [1000]byte
-			io.ReadFull(br, part[:])
+			if _, err := io.ReadFull(br, part[:]); err != nil {
+				return
+			}
 			<-cutNow
-			c.(*net.TCPConn).SetLinger(0)
+			resetOnClose(c)
 			return
 		}
 	})
 	c := h.dial()
 	c.wantServed("seal")
 	h.proxy.mu.Lock()
-	for uc := range h.proxy.endpointConns { // so little room that a large command can't leave at once
-		uc.socket.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 10)
+	for conn := range h.proxy.endpointConns { // so small a buffer that a large command is not written at once
+		if err := conn.socket.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 10); err != nil {
+			t.Error(err)
+		}
 	}
 	h.proxy.mu.Unlock()
 	body := strings.Repeat("x", 60_000)
-	io.WriteString(c, encodeCommand("API.WRITE", "7f3a", "big", "c=seal,d=60000", body))
-	h.eventually("a part has left", func() bool {
+	writeText(c, encodeCommand("API.WRITE", "7f3a", "big", "c=seal,d=60000", body))
+	h.eventually("a part was written", func() bool {
 		h.proxy.mu.Lock()
 		defer h.proxy.mu.Unlock()
-		for uc := range h.proxy.endpointConns {
-			if uc.attempt != nil && uc.attempt.writeState.Load() == lastByteHeld {
+		for conn := range h.proxy.endpointConns {
+			if conn.attempt != nil && conn.attempt.writeState.Load() == lastByteHeld {
 				return true
 			}
 		}
@@ -322,8 +332,8 @@
 	h.wantEqual("large", c.readLine(), "vbig")
 }
 
-// Who was accepted by the kernel, but not yet by the program, is served before the listener closes.
-func TestOwedAtAccept(t *testing.T) {
+// CloseListener has connections served that the kernel has accepted, but not yet the program.
+func TestCloseListenerServesAcceptQueue(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -340,7 +350,7 @@
 		defer nc.Close()
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 		text, id := newCommand("seal")
-		io.WriteString(nc, text)
+		writeText(nc, text)
 		waiting, want = append(waiting, &testClient{nc, bufio.NewReader(nc), t}), append(want, "v"+id)
 	}
 	ended := make(chan struct{})
@@ -354,25 +364,25 @@
 	}
 }
 
-// An answer that its client takes slowly goes out whole, however long a command may take to come.
-func TestOwedToSlowReader(t *testing.T) {
+// A client that reads slowly gets its answers whole, whatever the read and idle timeouts.
+func TestSlowReaderGetsWholeAnswers(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
 	big := strings.Repeat("x", 1_000_000)
 	h.addEndpoint(1, 1, answerRESP("*3\r\n$1000000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
 	c := h.dial()
-	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
+	setReadBuffer(c.Conn, 64<<10)
 	for range 8 { // far more than the kernels hold
 		text, _ := newLongCommand("lookup")
-		io.WriteString(c, text)
+		writeText(c, text)
 	}
 	h.eventually("the kernel is full", func() bool {
-		return h.anyClient(func(cl *clientConn) bool {
-			cl.answers.mu.Lock()
-			defer cl.answers.mu.Unlock()
-			return cl.answers.writing && len(cl.answers.pending) == 0
+		return h.anyClient(func(conn *clientConn) bool {
+			conn.answers.mu.Lock()
+			defer conn.answers.mu.Unlock()
+			return conn.answers.writing && len(conn.answers.pending) == 0
 		})
 	})
-	time.Sleep(150 * time.Millisecond) // above the times that commands have to come
+	time.Sleep(150 * time.Millisecond) // above the read and idle timeouts
 	for range 8 {
 		if got := c.readLine(); got != big {
 			t.Fatalf("%.60q of %d bytes", got, len(got))
@@ -380,22 +390,22 @@
 	}
 }
 
-// A connection that comes up once its time is over is not used, and what waited for it never ran.
-func TestConnectionUpLate(t *testing.T) {
-	u := newUnacceptingEndpoint(t)
+// A connection that is made after the dial timeout is not used, and the attempt that waited for it never ran.
+func TestDialTimeoutNeverRan(t *testing.T) {
+	endpoint := newUnacceptingEndpoint(t)
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTime = 0.05 })
-	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: u.addr, State: "ready", Build: 1})
+	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 	text, _ := newLongCommand("seal")
 	h.wantEqual("never ran", h.askOnce(text), "-BUSY 1500")
 	done := make(chan string)
-	go func() { done <- u.acceptAndRead(t) }()
+	go func() { done <- endpoint.acceptAndRead(t) }()
 	select {
 	case said := <-done:
 		if said != "" {
-			t.Errorf("the unit got %q", said)
+			t.Errorf("the endpoint got %q", said)
 		}
-	case <-time.After(2 * time.Second): // nothing came up at all
-		c, err := net.Dial("tcp", u.addr)
+	case <-time.After(2 * time.Second): // no connection was made at all
+		c, err := net.Dial("tcp", endpoint.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -404,29 +414,31 @@
 	}
 }
 
-// The time that a unit is told is what is left to the client, also with a further delivery.
-func TestTimeTold(t *testing.T) {
+// Endpoints are sent the time that the client has left, also with a retry.
+func TestRemainingTimeSentToEndpoints(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
-	u := h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		w, ok := u.readCommand(br)
+	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		w, ok := endpoint.readCommand(br)
 		if !ok {
 			return
 		}
-		if u.count() == 1 {
+		if endpoint.count() == 1 {
 			time.Sleep(120 * time.Millisecond)
 			return // the connection ends
 		}
-		io.WriteString(c, valueReply(w[2]))
+		writeText(c, valueReply(w[2]))
 	})
 	text, id := newLongCommand("lookup")
 	h.wantEqual("served", h.askOnce(text), "v"+id)
 	var told []int
-	for _, l := range strings.Split(u.allRequests(), "\n") {
+	for _, l := range strings.Split(endpoint.allRequests(), "\n") {
 		var ms int
-		fmt.Sscanf(l[strings.Index(l, "d=")+2:], "%d", &ms)
+		if _, err := fmt.Sscanf(l[strings.Index(l, "d=")+2:], "%d", &ms); err != nil {
+			t.Errorf("%q: %v", l, err)
+		}
 		told = append(told, ms)
 	}
 	if len(told) != 2 || told[0] > 60_000 || told[1] > told[0]-120 {
-		t.Errorf("told %v", told)
+		t.Errorf("sent %v ms", told)
 	}
 }
--- /dev/null
+++ b/internal/proxy/resp_harness_test.go
@@ -0,0 +1,160 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"flintspread/internal/config"
+	"flintspread/internal/platform/resp"
+	"flintspread/internal/policy"
+	"flintspread/internal/releases"
+)
+
+// newRESPHarness starts a RESP2 proxy; edit changes its settings.
+func newRESPHarness(t testing.TB, edit func(*config.Router)) *harness {
+	return newRESPHarnessWith(t, nil, edit)
+}
+
+// newRESPHarnessWith is as newRESPHarness; editPolicy changes the policy, too.
+func newRESPHarnessWith(t testing.TB, editPolicy func(*policy.Config), edit func(*config.Router)) *harness {
+	policyConfig := policy.Config{Routers: 1, RollbackVotes: 1, MinTickSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
+		MaxAttempts: 4, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.5, 1},
+		StageShares: []float64{0.5, 1}, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 10, WrongAnswerPrice: 1, StaleBuildPrice: 1, ForgetEndpointSeconds: 60,
+		Classes: []policy.RequestClass{{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1},
+			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.IdempotentWithKey, DedupWindowSeconds: 5},
+			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.NonIdempotent}}}
+	if editPolicy != nil {
+		editPolicy(&policyConfig)
+	}
+	settings := config.ForPlatform("r1", policyConfig, []string{"lookup", "order", "seal"},
+		config.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
+		config.Endpoints{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
+	if edit != nil {
+		edit(settings)
+	}
+	settings.Clients.Keep = settings.Clients.Connections
+	p := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
+	p.connReuseDelaySeconds = 0 // most tests count connections
+	p.SetReady()
+	return startHarness(t, p)
+}
+
+// readCommand reads one attempt and records it.
+func (endpoint *scriptedEndpoint) readCommand(br *bufio.Reader) ([]string, bool) {
+	args, err := resp.Command(br)
+	if err != nil {
+		return nil, false
+	}
+	var list []string
+	for _, a := range args {
+		list = append(list, string(a))
+	}
+	endpoint.mu.Lock()
+	defer endpoint.mu.Unlock()
+	endpoint.requests = append(endpoint.requests, strings.Join(list, " "))
+	return list, true
+}
+
+// valueReply is an endpoint's reply with a value made of the command's id.
+func valueReply(id string) string {
+	return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id)
+}
+
+// answerID answers every attempt with its id.
+func answerID(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	answerIDAfter(0)(endpoint, c, br)
+}
+
+// answerIDAfter answers every attempt with its id, after a delay.
+func answerIDAfter(delay time.Duration) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
+	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
+			time.Sleep(delay)
+			writeText(c, valueReply(w[2]))
+		}
+	}
+}
+
+// answerRESP answers everything with a text.
+func answerRESP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
+	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		for _, ok := endpoint.readCommand(br); ok; _, ok = endpoint.readCommand(br) {
+			writeText(c, text)
+		}
+	}
+}
+
+var lastID int
+
+// newCommand makes a command of class c with an id of its own. Its client waits for half a second.
+func newCommand(c string) (text, id string) { return newCommandWithTimeout(c, 500) }
+
+func newCommandWithTimeout(c string, ms int) (text, id string) {
+	lastID++
+	id = fmt.Sprintf("%016x", lastID)
+	extras := fmt.Sprintf("c=%s,d=%d", c, ms)
+	switch c {
+	case "lookup":
+		return encodeCommand("API.READ", "7f3a", id, extras), id
+	case "order":
+		return encodeCommand("API.WRITE", "7f3a", id, extras+",k=5c0f", "BODY"), id
+	}
+	return encodeCommand("API.WRITE", "7f3a", id, extras, "BODY"), id
+}
+
+func encodeCommand(list ...string) string {
+	buf := resp.Array(nil, len(list))
+	for _, w := range list {
+		buf = resp.Bulk(buf, w)
+	}
+	return string(buf)
+}
+
+// readLine reads one answer: a bulk string's value, any other reply's line, or "closed".
+func (c *testClient) readLine() string {
+	text, err := c.br.ReadString('\n')
+	if err != nil {
+		return "closed"
+	}
+	text = strings.TrimSpace(text)
+	if n, err := strconv.Atoi(strings.TrimPrefix(text, "$")); err == nil && text[0] == '$' {
+		buf := make([]byte, n+2)
+		if _, err := io.ReadFull(c.br, buf); err != nil {
+			return "closed"
+		}
+		return string(buf[:n])
+	}
+	return text
+}
+
+func (h *harness) askOnce(text string) string {
+	c := h.dial()
+	defer c.Close()
+	writeText(c, text)
+	return c.readLine()
+}
+
+// wantServed sends a command of a class and checks that it is served.
+func (c *testClient) wantServed(class string) {
+	c.t.Helper()
+	text, id := newCommand(class)
+	writeText(c, text)
+	if got := c.readLine(); got != "v"+id {
+		c.t.Errorf("%s: %q, want %q", class, got, "v"+id)
+	}
+}
+
+// dialBusy gives a connection with a command in flight.
+func (h *harness) dialBusy() (c *testClient, id string) {
+	text, id := newCommand("seal")
+	c = h.dial()
+	writeText(c, text)
+	h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
+	return c, id
+}
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"strconv"
 	"strings"
@@ -14,163 +13,20 @@
 
 	"flintspread/internal/config"
 	"flintspread/internal/endpoints"
-	"flintspread/internal/platform/resp"
-	"flintspread/internal/policy"
-	"flintspread/internal/releases"
 )
 
-// newRESPHarness is a hall whose relay speaks the platform's protocol.
-func newRESPHarness(t testing.TB, edit func(*config.Router)) *harness {
-	return newRESPHarnessWith(t, nil, edit)
-}
-
-// newRESPHarnessWith edits the module's terms, too.
-func newRESPHarnessWith(t testing.TB, teach func(*policy.Config), edit func(*config.Router)) *harness {
-	terms := policy.Config{Routers: 1, RollbackVotes: 1, MinTickSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
-		MaxAttempts: 4, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.5, 1},
-		StageShares: []float64{0.5, 1}, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 10, WrongAnswerPrice: 1, StaleBuildPrice: 1, ForgetEndpointSeconds: 60,
-		Classes: []policy.RequestClass{{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1},
-			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.IdempotentWithKey, DedupWindowSeconds: 5},
-			{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1, Idempotency: policy.NonIdempotent}}}
-	if teach != nil {
-		teach(&terms)
-	}
-	set := config.ForPlatform("r1", terms, []string{"lookup", "order", "seal"},
-		config.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
-		config.Endpoints{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
-	if edit != nil {
-		edit(set)
-	}
-	set.Clients.Keep = set.Clients.Connections
-	r := NewRESP(set, 1, discardLogger(), func(releases.Vote) {})
-	r.connReuseDelaySeconds = 0 // most tests count connections
-	r.SetReady()
-	return startHarness(t, r)
-}
-
-// readCommand takes one delivery and notes it.
-func (u *scriptedEndpoint) readCommand(br *bufio.Reader) ([]string, bool) {
-	args, err := resp.Command(br)
-	if err != nil {
-		return nil, false
-	}
-	var list []string
-	for _, a := range args {
-		list = append(list, string(a))
-	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.requests = append(u.requests, strings.Join(list, " "))
-	return list, true
-}
-
-// valueReply is a unit's answer with a value made of the delivery's id.
-func valueReply(id string) string {
-	return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id)
-}
-
-func answerID(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) { answerIDAfter(0)(u, c, br) }
-
-// answerIDAfter answers every delivery well, so late.
-func answerIDAfter(late time.Duration) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := u.readCommand(br); ok; w, ok = u.readCommand(br) {
-			time.Sleep(late)
-			io.WriteString(c, valueReply(w[2]))
-		}
-	}
-}
-
-// answerRESP answers every delivery with a text.
-func answerRESP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for _, ok := u.readCommand(br); ok; _, ok = u.readCommand(br) {
-			io.WriteString(c, text)
-		}
-	}
-}
-
-var lastID int
-
-// newCommand words a client's command: c is its class. Its client waits for half a second.
-func newCommand(c string) (text, id string) { return newCommandWithTimeout(c, 500) }
-
-func newCommandWithTimeout(c string, ms int) (text, id string) {
-	lastID++
-	id = fmt.Sprintf("%016x", lastID)
-	extras := fmt.Sprintf("c=%s,d=%d", c, ms)
-	switch c {
-	case "lookup":
-		return encodeCommand("API.READ", "7f3a", id, extras), id
-	case "order":
-		return encodeCommand("API.WRITE", "7f3a", id, extras+",k=5c0f", "BODY"), id
-	}
-	return encodeCommand("API.WRITE", "7f3a", id, extras, "BODY"), id
-}
-
-func encodeCommand(list ...string) string {
-	buf := resp.Array(nil, len(list))
-	for _, w := range list {
-		buf = resp.Bulk(buf, w)
-	}
-	return string(buf)
-}
-
-// readLine reads one answer: a value, or the line that stands for it.
-func (c *testClient) readLine() string {
-	text, err := c.br.ReadString('\n')
-	if err != nil {
-		return "closed"
-	}
-	text = strings.TrimSpace(text)
-	if n, err := strconv.Atoi(strings.TrimPrefix(text, "$")); err == nil && text[0] == '$' {
-		buf := make([]byte, n+2)
-		if _, err := io.ReadFull(c.br, buf); err != nil {
-			return "closed"
-		}
-		return string(buf[:n])
-	}
-	return text
-}
-
-func (h *harness) askOnce(text string) string {
-	c := h.dial()
-	defer c.Close()
-	io.WriteString(c, text)
-	return c.readLine()
-}
-
-// wantServed sends a command of a class and wants its value.
-func (c *testClient) wantServed(class string) {
-	c.t.Helper()
-	text, id := newCommand(class)
-	io.WriteString(c, text)
-	if got := c.readLine(); got != "v"+id {
-		c.t.Errorf("%s: %q, want %q", class, got, "v"+id)
-	}
-}
-
-// dialBusy is a connection with a command in hand.
-func (h *harness) dialBusy() (c *testClient, id string) {
-	text, id := newCommand("seal")
-	c = h.dial()
-	io.WriteString(c, text)
-	h.eventually("in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
-	return c, id
-}
-
-// What units get of a command is what its client sent, but for d.
-func TestPlatformOrdinaryPath(t *testing.T) {
+// Endpoints get a command as its client sent it, but for the remaining time.
+func TestRESPOrdinaryPath(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	u := h.addEndpoint(1, 1, answerID)
+	endpoint := h.addEndpoint(1, 1, answerID)
 	c := h.dial()
-	io.WriteString(c, encodeCommand("PING"))
+	writeText(c, encodeCommand("PING"))
 	h.wantEqual("ping", c.readLine(), "+PONG")
 	for _, class := range []string{"lookup", "order", "seal"} {
 		text, id := newCommand(class)
-		io.WriteString(c, text)
+		writeText(c, text)
 		h.wantEqual(class, c.readLine(), "v"+id)
-		got := strings.Fields(u.allRequests()[strings.LastIndex(u.allRequests(), "\n")+1:])
+		got := strings.Fields(endpoint.allRequests()[strings.LastIndex(endpoint.allRequests(), "\n")+1:])
 		var d int
 		for i, w := range got {
 			if at := strings.Index(w, "d="); at >= 0 {
@@ -190,18 +46,18 @@
 	}
 }
 
-// The protocol's table of outcomes: a unit ends each delivery so; none says anything of what may run twice that it must not.
-func TestPlatformOutcomes(t *testing.T) {
-	cut := func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) { u.readCommand(br) }
+// Which commands are retried after each reply, by the protocol's table of outcomes.
+func TestRESPRetryByOutcome(t *testing.T) {
+	cut := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) { endpoint.readCommand(br) }
 	ends := []struct {
 		name                string
 		play                func(*scriptedEndpoint, net.Conn, *bufio.Reader)
-		lookup, order, seal string // v: served by the unit that is well
+		lookup, order, seal string // v: served by the endpoint that is well
 	}{
 		{"error", answerRESP("-ERR failed\r\n"), "v", "v", "-ERR"},
 		{"error with a report", answerRESP("-ERR failed inflight=7,util=0.61\r\n"), "v", "v", "-ERR"},
-		{"turned away", answerRESP("-BUSY\r\n"), "v", "v", "v"},
-		{"turned away with a report", answerRESP("-BUSY inflight=7\r\n"), "v", "v", "v"},
+		{"overloaded", answerRESP("-BUSY\r\n"), "v", "v", "v"},
+		{"overloaded with a report", answerRESP("-BUSY inflight=7\r\n"), "v", "v", "v"},
 		{"closed", cut, "v", "v", "-ERR"},
 		{"noise", answerRESP("x?#\r\n"), "v", "v", "-ERR"},
 		{"another error", answerRESP("-SYNTAX\r\n"), "v", "v", "-ERR"},
@@ -231,55 +87,55 @@
 					t.Errorf("%s, %s: %q, want %q", e.name, class, got, want)
 				}
 				if n := bad.count() + well.count() - all; want != "v" && n != 1 {
-					t.Errorf("%s, %s: %d deliveries", e.name, class, n)
+					t.Errorf("%s, %s: %d attempts", e.name, class, n)
 				}
 			}
 			if !met {
-				t.Errorf("%s, %s: the unit was never met", e.name, class)
+				t.Errorf("%s, %s: the endpoint was never met", e.name, class)
 			}
 		}
 	}
 }
 
-// Units give values far above those that they take.
-func TestPlatformLargeValue(t *testing.T) {
+// An endpoint's value may be far larger than a command.
+func TestRESPLargeValue(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	big := strings.Repeat("x", 400_000)
-	u := h.addEndpoint(1, 1, answerRESP("*3\r\n$400000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
+	endpoint := h.addEndpoint(1, 1, answerRESP("*3\r\n$400000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
 	c := h.dial()
 	for range 5 {
 		text, _ := newCommand("seal")
-		io.WriteString(c, text)
+		writeText(c, text)
 		if got := c.readLine(); got != big {
 			t.Fatalf("%.60q", got)
 		}
 	}
-	if n := h.proxy.Stats(); n.Dials != 1 || u.count() != 5 {
+	if n := h.proxy.Stats(); n.Dials != 1 || endpoint.count() != 5 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// A value that has room for more is served, what comes behind it is nobody's: neither where it lies there when the connection would be
-// used again, nor where it comes when the next command's answer is due, for the connection rests.
-func TestPlatformBytesTooMany(t *testing.T) {
+// An endpoint sends a second reply behind an answer. It is taken for no other command's answer: neither where it lies there when
+// the connection would be used again, nor where it comes later, within the reuse delay.
+func TestRESPSurplusBytes(t *testing.T) {
 	for _, rest := range []float64{0, 1000} {
 		h := newRESPHarness(t, nil)
 		h.proxy.connReuseDelaySeconds = rest
 		copied, next := make(chan bool, 100), make(chan bool, 100)
-		u := h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-			for w, ok := u.readCommand(br); ok; w, ok = u.readCommand(br) {
-				io.WriteString(c, valueReply(w[2]))
+		endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+			for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
+				writeText(c, valueReply(w[2]))
 				if rest > 0 {
 					<-next // the next command is on its way
 				}
-				io.WriteString(c, valueReply(w[2]))
+				writeText(c, valueReply(w[2]))
 				copied <- true
 			}
 		})
 		c := h.dial()
 		for i := range 15 {
 			text, id := newCommand("seal")
-			io.WriteString(c, text)
+			writeText(c, text)
 			if rest > 0 && i > 0 {
 				next <- true
 			}
@@ -291,16 +147,16 @@
 			}
 		}
 		close(next)
-		if u.count() != 15 {
-			t.Errorf("rest %g: %d deliveries", rest, u.count())
+		if endpoint.count() != 15 {
+			t.Errorf("rest %g: %d attempts", rest, endpoint.count())
 		}
 	}
 }
 
-// What is no command gets an error or a close, and never reaches a unit; usual clients are served meanwhile.
-func TestPlatformBadClients(t *testing.T) {
+// Invalid commands get an error or a close, and never reach an endpoint; other clients are served meanwhile.
+func TestRESPBadClients(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	u := h.addEndpoint(1, 1, answerID)
+	endpoint := h.addEndpoint(1, 1, answerID)
 	read := func(extras string) string { return encodeCommand("API.READ", "k1", "1d", extras) }
 	for _, text := range []string{
 		"x\r\n", "*\r\n", "*-1\r\n", "*0\r\n", "*99999999999\r\n", "*1\r\n$-1\r\n", "*1\r\n$60000000\r\n", "*2\r\n$4\r\nPINGx\r\n", "*1\r\n:4\r\n",
@@ -317,10 +173,10 @@
 		}
 	}
 	var silent []*testClient
-	for i := range 200 { // far above what there is room for
+	for i := range 200 { // far above the limit on connections
 		c := h.dial()
 		if i%2 == 0 {
-			io.WriteString(c, "*4\r\n$8\r\nAPI.")
+			writeText(c, "*4\r\n$8\r\nAPI.")
 		}
 		silent = append(silent, c)
 	}
@@ -332,26 +188,26 @@
 			t.Fatalf("connection %d is still open", i)
 		}
 	}
-	if u.count() != 1 {
-		t.Errorf("units met %q", u.allRequests())
+	if endpoint.count() != 1 {
+		t.Errorf("endpoints met %q", endpoint.allRequests())
 	}
 }
 
-// Commands behind one another are each taken as they come; answers follow their order. An id that is in hand is no other's.
-func TestPlatformAskAhead(t *testing.T) {
+// Pipelined commands are each sent as they come; answers follow their order. An id in flight can't be used again.
+func TestRESPPipelining(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	h.addEndpoint(1, 1, func(u *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := u.readCommand(br); ok; w, ok = u.readCommand(br) {
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
 			if w[1] == "slow" {
 				time.Sleep(60 * time.Millisecond)
 			}
-			io.WriteString(c, valueReply(w[2]))
+			writeText(c, valueReply(w[2]))
 		}
 	})
 	c := h.dial()
 	var all strings.Builder
 	var want []string
-	for i := range 200 { // above what is read ahead
+	for i := range 200 { // above what may be pipelined
 		key := "quick"
 		if i%10 == 0 {
 			key = "slow"
@@ -360,34 +216,34 @@
 		all.WriteString(encodeCommand("API.READ", key, id, "c=lookup,d=30000"))
 		want = append(want, "v"+id)
 	}
-	go io.WriteString(c, all.String())
+	go writeText(c, all.String())
 	for _, w := range want {
 		if got := c.readLine(); got != w && !strings.HasPrefix(got, "-BUSY") {
 			t.Fatalf("%q, want %q", got, w)
 		}
 	}
 	held := encodeCommand("API.READ", "slow", "same", "c=lookup,d=500")
-	io.WriteString(c, held)
-	h.eventually("in hand", func() bool { return h.proxy.Stats().InFlight == 1 })
+	writeText(c, held)
+	h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 	h.wantEqual("the same id", h.askOnce(held), "-ERR a command with this id is in hand")
 	h.wantEqual("the first", c.readLine(), "vsame")
 	h.wantEqual("the id again", h.askOnce(held), "vsame")
 }
 
-// A nack names a time to come back and is given at once where there is no unit to wait for.
-func TestPlatformNack(t *testing.T) {
+// A rejection names a retry-after time, and comes at once where no endpoint is worth waiting for.
+func TestRESPRejectedAtOnce(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.Total, s.Endpoints.Connections = 1, 1 })
 	h.addEndpoint(1, 1, answerRESP("-BUSY\r\n"))
 	text, _ := newCommand("seal")
 	from := time.Now()
-	h.wantEqual("nack", h.askOnce(text), "-BUSY 1500")
+	h.wantEqual("rejection", h.askOnce(text), "-BUSY 1500")
 	if took := time.Since(from); took > 400*time.Millisecond {
 		t.Errorf("after %v", took)
 	}
 }
 
-// A relay that leaves still takes who comes, answers all that it has taken, and ends each connection behind its answer.
-func TestPlatformLeaves(t *testing.T) {
+// During a graceful shutdown, new connections are still served, and each connection ends behind its last answer.
+func TestRESPGracefulShutdown(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerIDAfter(50*time.Millisecond))
 	idle := h.dial()
@@ -398,7 +254,7 @@
 		late.wantServed("order")
 		h.wantEqual("and then", late.readLine(), "closed")
 	}
-	h.wantEqual("what was in hand", busy.readLine(), "v"+id)
+	h.wantEqual("what was in flight", busy.readLine(), "v"+id)
 	h.wantEqual("and then", busy.readLine(), "closed")
 	h.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -409,8 +265,8 @@
 	h.wantEqual("an idle one", idle.readLine(), "closed")
 }
 
-// A full house has room for whoever comes to be served: the longest idle goes, one with a command in hand never.
-func TestPlatformMakesRoom(t *testing.T) {
+// At the limit of connections, the longest idle one is evicted for a new one; one with a command in flight never is.
+func TestRESPEvictsLongestIdle(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Clients.Connections = 5 })
 	h.addEndpoint(1, 1, answerIDAfter(150*time.Millisecond))
 	busy, id := h.dialBusy()
@@ -426,9 +282,9 @@
 	}
 }
 
-// Who has just come is about to speak: in a house full of others that were served and are idle, those go, also when several come
-// at once; and however many come, no more are held than there is room for.
-func TestPlatformNewcomersSpeak(t *testing.T) {
+// New connections, about to send their first command, are not evicted for each other while older ones are idle, also when
+// several come at once; and however many come, their number stays bounded.
+func TestRESPNewConnectionsSurviveEviction(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Clients.Connections = 8 })
 	h.addEndpoint(1, 1, answerID)
 	var kept []*testClient
@@ -457,31 +313,31 @@
 	}
 }
 
-// A command that crosses the relay's wish to make room is served, and then the connection ends.
-func TestPlatformCommandCrossesGoing(t *testing.T) {
+// A command that crosses the eviction of its connection is served, and then the connection ends.
+func TestRESPCommandCrossesEviction(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerIDAfter(100*time.Millisecond))
 	c, id := h.dialBusy()
 	h.proxy.mu.Lock()
-	for cl := range h.proxy.clients {
-		cl.evicted = true
-		cl.wakeReader()
+	for conn := range h.proxy.clients {
+		conn.evicted = true
+		conn.wakeReader()
 	}
 	h.proxy.mu.Unlock()
 	time.Sleep(20 * time.Millisecond) // its reader waits for the answer by now
 	second, id2 := newCommand("lookup")
-	io.WriteString(c, second)
+	writeText(c, second)
 	h.wantEqual("the first", c.readLine(), "v"+id)
 	h.wantEqual("the second", c.readLine(), "v"+id2)
 	h.wantEqual("and then", c.readLine(), "closed")
 }
 
-// A unit's number that comes back as another process gets connections of its own.
-func TestPlatformUnitComesBack(t *testing.T) {
+// An endpoint that restarts gets new connections.
+func TestRESPEndpointRestarts(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	u := h.addEndpoint(1, 1, answerID)
+	endpoint := h.addEndpoint(1, 1, answerID)
 	for start := range 3 {
-		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: u.listener.Addr().String(), State: "ready", Build: 1, StartedAt: float64(start)})
+		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.listener.Addr().String(), State: "ready", Build: 1, StartedAt: float64(start)})
 		for range 3 {
 			text, id := newCommand("seal")
 			h.wantEqual("served", h.askOnce(text), "v"+id)
@@ -492,9 +348,9 @@
 	}
 }
 
-// A connection that has been idle for too long is not used, also where the sweep has not come to it yet: its unit closes it, and
-// what is written to it may have run.
-func TestPlatformIdleTooLong(t *testing.T) {
+// A connection that has been idle for too long is not used, also where the periodic sweep has not closed it yet: its endpoint
+// closes it, and an attempt written to it may have run.
+func TestRESPIdleConnectionNotReused(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.IdleTime = 0.2 })
 	h.addEndpoint(1, 1, answerID)
 	h.proxy.mu.Lock()
@@ -510,18 +366,18 @@
 	}
 }
 
-// Ids, keys, units and connections are ever new; nothing of them is kept.
-func TestPlatformKeepsNothing(t *testing.T) {
+// Nothing is kept of ids, keys, endpoints and connections that are gone.
+func TestRESPKeepsNothing(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	for i := range 30 {
-		u := h.addEndpoint(uint32(i+1), i, answerID)
+		endpoint := h.addEndpoint(uint32(i+1), i, answerID)
 		for range 10 {
 			text, id := newCommand("lookup")
 			if got := h.askOnce(text); got != "v"+id && !strings.HasPrefix(got, "-BUSY") {
 				t.Fatal(got)
 			}
 		}
-		h.updateEndpoints(true, endpoints.Endpoint{ID: uint32(i + 1), Addr: u.listener.Addr().String(), State: "ready", Build: i})
+		h.updateEndpoints(true, endpoints.Endpoint{ID: uint32(i + 1), Addr: endpoint.listener.Addr().String(), State: "ready", Build: i})
 	}
 	h.eventually("nothing is kept", func() bool {
 		h.proxy.mu.Lock()
