--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -61,7 +61,7 @@
 		message:   message,
 		config:    config,
 		heapIndex: -1,
-		answer:    pending,
+		pending:   pending,
 	}
 }
 
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,12 +10,13 @@
 // minSentTimeoutSeconds is the least remaining time that an endpoint is told: 0 would mean that none is told.
 const minSentTimeoutSeconds = 0.001
 
-// attempt is one sending of a request to an endpoint. Its fields are guarded by Proxy.mu, but for writeState and for
-// those that are set before it is handed out and never changed: request, index, endpoint, startedAt, assignedConn.
+// attempt is one sending of a request to an endpoint. Its fields are guarded by Proxy.mu, but for writeState and for those
+// that are set before it is handed out and never changed: request, index, endpointID, startedAt, assignedConn. The deadline
+// is also read, without the lock, to tell the endpoint how much time is left.
 type attempt struct {
 	request      *request
 	index        int // its place in request.Attempts
-	endpoint     uint32
+	endpointID   uint32
 	startedAt    float64
 	deadline     float64
 	conn         *endpointConn // nil once it ended
@@ -49,11 +50,11 @@
 func (p *Proxy) startAttempt(now float64, request *request, decision policy.Decision) *attempt {
 	p.stats.Attempts++
 	attempt := &attempt{
-		request:   request,
-		index:     len(request.Attempts),
-		endpoint:  decision.Endpoint,
-		startedAt: now,
-		deadline:  decision.AttemptDeadline,
+		request:    request,
+		index:      len(request.Attempts),
+		endpointID: decision.Endpoint,
+		startedAt:  now,
+		deadline:   decision.AttemptDeadline,
 	}
 	request.Attempts = append(request.Attempts, policy.Attempt{Endpoint: decision.Endpoint, StartedAt: now, InFlight: true})
 	request.attempts = append(request.attempts, attempt)
@@ -97,7 +98,7 @@
 // onAttemptDone tells the balancer of an attempt's outcome. The caller holds p.mu.
 func (p *Proxy) onAttemptDone(now float64, attempt *attempt) policy.Decision {
 	from := time.Now()
-	decision := p.balancer.OnAttemptDone(now, &attempt.request.Request, attempt.endpoint, attempt.outcome, now-attempt.startedAt)
+	decision := p.balancer.OnAttemptDone(now, &attempt.request.Request, attempt.endpointID, attempt.outcome, now-attempt.startedAt)
 	p.countPolicyCall(from)
 	return decision
 }
@@ -183,7 +184,7 @@
 	p.mu.Lock()
 	var effects effects
 	if attempt.inFlight() {
-		p.log.Debug("attempt not written", "endpoint", attempt.endpoint, "written_bytes", writtenBytes, "error", err)
+		p.log.Debug("attempt not written", "endpoint", attempt.endpointID, "written_bytes", writtenBytes, "error", err)
 		attempt.writeState.Store(notWritten)
 		p.endAttempt(p.Now(), attempt, outcome, &effects)
 	}
--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -78,11 +78,11 @@
 }
 
 // ReportWrongAnswer enters that an endpoint answered wrongly to an attempt of ageSeconds ago.
-func (p *Proxy) ReportWrongAnswer(endpoint uint32, ageSeconds float64) {
+func (p *Proxy) ReportWrongAnswer(endpointID uint32, ageSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.WrongAnswers++
-	p.balancer.ReportWrongAnswer(p.Now(), endpoint, ageSeconds)
+	p.balancer.ReportWrongAnswer(p.Now(), endpointID, ageSeconds)
 }
 
 // OnVoteReply enters what became of the vote last cast.
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -21,8 +21,8 @@
 //
 // Proxy.mu orders all calls into the balancer, and guards all that depends on them: requests, attempts, pools, counters.
 // Nothing that may wait is done under it: closing and writing are collected as effects and run once the lock is given back.
-// An answerQueue and a readWaiter have locks of their own; none of them is held while another is taken, but for a
-// readWaiter's, which may be taken under Proxy.mu.
+// An answerQueue, a readWaiter and the memory budget have locks of their own. None of these is held while another lock is
+// taken; only a readWaiter's may be taken under Proxy.mu.
 //
 // # Time
 //
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -128,7 +128,7 @@
 	}
 	reply, err := p.protocol.readAnswer(br, reader, attempt)
 	if err != nil {
-		p.log.Debug("answer not read", "endpoint", attempt.endpoint, "addr", conn.pool.addr, "error", err)
+		p.log.Debug("answer not read", "endpoint", attempt.endpointID, "addr", conn.pool.addr, "error", err)
 		p.onConnLost(conn, attempt)
 		return false
 	}
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -97,7 +97,7 @@
 // assignConn gives an attempt a connection: an idle one or, within the limits, a new one. It returns false if there is
 // none, or the endpoint is not usable any more. The caller holds p.mu.
 func (p *Proxy) assignConn(attempt *attempt, effects *effects) bool {
-	pool := p.pools[attempt.endpoint]
+	pool := p.pools[attempt.endpointID]
 	if pool == nil || !pool.usable {
 		return false
 	}
--- a/internal/proxy/http_receipt.go
+++ b/internal/proxy/http_receipt.go
@@ -4,15 +4,15 @@
 
 // receiptOf names an attempt to the client that gets its answer, for a report of a wrong answer.
 func receiptOf(attempt *attempt) string {
-	return fmt.Sprintf("%d-%.3f", attempt.endpoint, attempt.startedAt)
+	return fmt.Sprintf("%d-%.3f", attempt.endpointID, attempt.startedAt)
 }
 
 // reportWrongAnswerByReceipt enters a client's report of a wrong answer by the receipt that came with it. The error is for
 // the client: it says what is wrong with the receipt.
 func (p *Proxy) reportWrongAnswerByReceipt(receipt string) error {
-	var endpoint uint32
+	var endpointID uint32
 	var startedAt float64
-	if _, err := fmt.Sscanf(receipt, "%d-%f", &endpoint, &startedAt); err != nil {
+	if _, err := fmt.Sscanf(receipt, "%d-%f", &endpointID, &startedAt); err != nil {
 		return fmt.Errorf("%s: %q is no receipt", headerReceipt, receipt)
 	}
 	p.mu.Lock()
@@ -23,6 +23,6 @@
 		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, longest)
 	}
 	p.stats.WrongAnswers++
-	p.balancer.ReportWrongAnswer(p.Now(), endpoint, age)
+	p.balancer.ReportWrongAnswer(p.Now(), endpointID, age)
 	return nil
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -97,7 +97,7 @@
 	return limits.Keep > 0 && loadshed.OverCapacity(len(p.clients), limits.Connections)
 }
 
-// findPlace tells whether there is room for one more connection: below the limit, or because another one could be evicted.
+// findPlace tells whether one more connection may be admitted: below the limit, or because another one could be evicted.
 // From limits.Keep on, one is evicted for each that comes. The caller holds p.mu.
 func (p *Proxy) findPlace(limits *config.Clients) bool {
 	evicts := limits.Keep > 0 && len(p.clients) >= limits.Keep
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -17,7 +17,7 @@
 	pickAgainAt float64              // when the balancer is to be asked again, 0: not
 	nextCheckAt float64              // the earliest of pickAgainAt and the attempts' deadlines
 	heapIndex   int                  // in the deadline queue, -1: not in it
-	answer      *pendingAnswer       // its place among its client's answers; nil where the protocol keeps no queue of them
+	pending     *pendingAnswer       // its place among its client's answers; nil where the protocol keeps no queue of them
 }
 
 // message is a request as a protocol read it.
--- a/internal/proxy/resp.go
+++ b/internal/proxy/resp.go
@@ -30,7 +30,7 @@
 func (resp2) tooManyConnections(float64) []byte { return []byte("-ERR too many connections\r\n") }
 
 func (resp2) deliverAnswer(request *request, answer answer) {
-	request.conn.completeAnswer(request.answer, answer.bytes)
+	request.conn.completeAnswer(request.pending, answer.bytes)
 }
 
 func (resp2) connReuseDelaySeconds() float64 { return loadshed.ConnReuseDelaySeconds }
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -100,7 +100,7 @@
 // seen at any time, also while answers are outstanding and while nothing more is read.
 func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, first bool) bool {
 	p := conn.proxy
-	peek := func() error { _, err := br.Peek(1); return err }
+	peekByte := func() error { _, err := br.Peek(1); return err }
 	idleSince, pauseSeconds := time.Now(), 0.0
 	for {
 		state := conn.answers.state()
@@ -116,7 +116,7 @@
 		default:
 			until = idleSince.Add(secondsToDuration(timeout))
 		}
-		wait := peek
+		wait := peekByte
 		onlyHangUp := !state.mayPipeline || pauseSeconds > 0 // nothing is to be read now
 		if onlyHangUp {
 			wait = conn.socket.waitHangUp
