--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -25,13 +26,13 @@
 	"flintspread/internal/policy"
 )
 
-// The benchmarks' clients and units parse as little as they can and allocate nothing, so that what is measured is what
+// The benchmarks' clients and endpoints parse as little as they can and allocate nothing, so that what is measured is what
 // lies between them.
 
 var plainAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\nchute 17")
 
-// quickUnit answers each request without a body at once.
-func quickUnit(b *testing.B) net.Listener {
+// newQuickEndpoint answers each request without a body at once.
+func newQuickEndpoint(b *testing.B) net.Listener {
 	l, err := fakes.Serve(func(c net.Conn) {
 		br := bufio.NewReaderSize(c, 4096)
 		for skipHead(br) >= 0 {
@@ -64,8 +65,8 @@
 	}
 }
 
-// load asks b.N commands over so many connections, each one after the other, and reports what came of them.
-func load(b *testing.B, addr string, conns int) {
+// runLoad sends b.N requests over so many connections, each one request at a time, and reports throughput and latency.
+func runLoad(b *testing.B, addr string, conns int) {
 	hist := make([]*hdrhistogram.Histogram, conns)
 	var left atomic.Int64
 	var started, done sync.WaitGroup
@@ -101,7 +102,9 @@
 					b.Error("a connection broke")
 					return
 				}
-				hist[i].RecordValue(time.Since(from).Microseconds())
+				if err := hist[i].RecordValue(time.Since(from).Microseconds()); err != nil {
+					b.Error(err)
+				}
 			}
 		})
 	}
@@ -121,25 +124,25 @@
 	b.ReportMetric(float64(hist[0].ValueAtQuantile(99)), "p99-µs")
 }
 
-// benchHall is a relay before so many quick units.
-func benchHall(b *testing.B, units int) *hall {
-	h := newHall(b, func(s *config.Router) {
+// newBenchHarness starts a proxy in front of so many quick endpoints.
+func newBenchHarness(b *testing.B, units int) *harness {
+	h := newHarness(b, func(s *config.Router) {
 		s.Endpoints.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
 	})
 	var list []endpoints.Endpoint
 	for i := range units {
-		list = append(list, endpoints.Endpoint{ID: uint32(i + 1), Addr: quickUnit(b).Addr().String(), State: "ready", Build: 1})
+		list = append(list, endpoints.Endpoint{ID: uint32(i + 1), Addr: newQuickEndpoint(b).Addr().String(), State: "ready", Build: 1})
 	}
-	h.list(true, list...)
+	h.updateEndpoints(true, list...)
 	return h
 }
 
-// BenchmarkProxies compares, with the same clients and unit: no proxy, the standard library's, the relay.
+// BenchmarkProxies compares, with the same clients and endpoint: no proxy, the standard library's, this one.
 func BenchmarkProxies(b *testing.B) {
 	const conns = 256
-	b.Run("direct", func(b *testing.B) { load(b, quickUnit(b).Addr().String(), conns) })
+	b.Run("direct", func(b *testing.B) { runLoad(b, newQuickEndpoint(b).Addr().String(), conns) })
 	b.Run("ReverseProxy", func(b *testing.B) {
-		to, _ := url.Parse("http://" + quickUnit(b).Addr().String())
+		to, _ := url.Parse("http://" + newQuickEndpoint(b).Addr().String())
 		p := httputil.NewSingleHostReverseProxy(to)
 		p.Transport = &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}
 		p.ErrorLog = log.New(io.Discard, "", 0)
@@ -148,19 +151,23 @@
 			b.Fatal(err)
 		}
 		srv := &http.Server{Handler: p}
-		go srv.Serve(l)
+		go func() {
+			if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+				b.Error(err)
+			}
+		}()
 		defer srv.Close()
-		load(b, l.Addr().String(), conns)
+		runLoad(b, l.Addr().String(), conns)
 	})
-	b.Run("relay", func(b *testing.B) { load(b, benchHall(b, 1).l.Addr().String(), conns) })
+	b.Run("relay", func(b *testing.B) { runLoad(b, newBenchHarness(b, 1).listener.Addr().String(), conns) })
 }
 
-// BenchmarkFleet is the relay before 100 units with 1,000 client connections.
+// BenchmarkFleet measures the proxy in front of 100 endpoints with 1,000 client connections.
 func BenchmarkFleet(b *testing.B) {
-	h := benchHall(b, 100)
-	before := h.r.Stats()
-	load(b, h.l.Addr().String(), 1000)
-	n := h.r.Stats()
+	h := newBenchHarness(b, 100)
+	before := h.proxy.Stats()
+	runLoad(b, h.listener.Addr().String(), 1000)
+	n := h.proxy.Stats()
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -170,13 +177,13 @@
 	b.ReportMetric(float64(n.Rejected-before.Rejected)/float64(b.N), "nacked/op")
 }
 
-// BenchmarkLongLife is a relay whose list and keys change for ever; one operation is a day's worth: 200 units replaced,
+// BenchmarkLongLife measures a proxy whose endpoint list and keys keep changing; one operation is a day's worth: 200 endpoints replaced,
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
-	h := newHall(b, func(s *config.Router) {
+	h := newHarness(b, func(s *config.Router) {
 		s.Rules.OneWayKeys, s.Rules.KeysKept, s.Rules.UnitsForget = true, 10000, 1.6
 	})
-	unit := quickUnit(b).Addr().String()
+	unit := newQuickEndpoint(b).Addr().String()
 	id := uint32(0)
 	var m runtime.MemStats
 	c := h.dial()
@@ -186,22 +193,24 @@
 			id++
 			list = append(list, endpoints.Endpoint{ID: id, Addr: unit, State: "ready", Build: 1 + int(id)%2})
 		}
-		h.list(true, list...)
+		h.updateEndpoints(true, list...)
 		for k := range 2000 {
 			fmt.Fprintf(c, "GET /chute/1 HTTP/1.1\r\nHost: x\r\nFlint-Key: %d-%d\r\n\r\n", id, k)
-			c.br.Discard(skipHead(c.br))
+			if _, err := c.br.Discard(skipHead(c.br)); err != nil {
+				b.Fatal(err)
+			}
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.HeapInuse)/(1<<20), "heap-MiB")
-	b.ReportMetric(float64(h.r.Stats().Endpoints), "units")
+	b.ReportMetric(float64(h.proxy.Stats().Endpoints), "units")
 }
 
-// BenchmarkOrder compares two ways to order the policy's calls, for one command's two calls from many goroutines: a
+// BenchmarkOrder compares two ways to order the balancer's calls, for the two calls of a request from many goroutines: a
 // lock that the caller takes, and an owner goroutine that it asks over a channel.
 func BenchmarkOrder(b *testing.B) {
-	set := newHall(b, nil).r.set
+	set := newHarness(b, nil).proxy.settings
 	fresh := func() *policy.Balancer {
 		p := policy.New(set.Policy(), 1, 100)
 		p.BeginEndpointList(true)
