--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -13,6 +13,7 @@
 	"flintspread/internal/config"
 	"flintspread/internal/endpoints"
 	"flintspread/internal/policy"
+	"flintspread/internal/releases"
 )
 
 const (
@@ -433,3 +434,34 @@
 	h.wantEqual("answer", c.readAnswer(), timedOutText)
 	h.eventually("nothing is left", func() bool { n := h.proxy.Stats(); return n.InFlight == 0 && n.EndpointConns == 0 })
 }
+
+// TestCloseDuringAdmission guards against a connection that is admitted after Close: nobody would end it.
+func TestCloseDuringAdmission(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	client, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := newHarness(t, nil)
+	closed := NewHTTP(h.proxy.settings, 1, discardLogger(), func(releases.Vote) {})
+	closed.Close()
+	closed.startClient(accepted) // as Serve does that was in admission meanwhile
+	if err := client.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, client); err != nil {
+		t.Error("the connection is still open:", err)
+	}
+	if stats := closed.Stats(); stats.ClientConns != 0 || stats.ClientsRefused != 1 {
+		t.Errorf("%d connections, %d refused", stats.ClientConns, stats.ClientsRefused)
+	}
+}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -77,7 +77,8 @@
 		time.Sleep(evictionPollInterval)
 		p.mu.Lock()
 	}
-	if outOfMemory || p.overCapacity(limits) || !p.findPlace(limits) {
+	// After Close nobody would end the connection, nor wait for its goroutine.
+	if p.closed || outOfMemory || p.overCapacity(limits) || !p.findPlace(limits) {
 		p.stats.ClientsRefused++
 		if outOfMemory {
 			p.stats.MemoryRefused++
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -68,6 +68,7 @@
 
 	clients       map[*clientConn]struct{}
 	draining      bool
+	closed        bool // by Close: no client is admitted any more
 	ready         bool
 	awaitingReady []func() // answers to clients that asked whether it is ready, before it was
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -101,11 +101,12 @@
 	return p.inFlight, len(p.clients)
 }
 
-// Close ends every connection and the timer, and waits for their goroutines. It may be called once.
+// Close ends every connection and the timer, and waits for their goroutines. It may be called once, also while Serve still has a
+// connection in admission: that one is refused.
 func (p *Proxy) Close() {
 	close(p.stop)
 	p.mu.Lock()
-	p.draining = true
+	p.draining, p.closed = true, true
 	for conn := range p.clients {
 		conn.socket.Close()
 	}
