--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -1,4 +1,4 @@
-// Package settings reads what an edge is told at its start: one EDN file, checked whole before anything listens.
+// Package config reads what an edge is told at its start: one EDN file, checked whole before anything listens.
 package config
 
 import (
@@ -160,7 +160,7 @@
 		e.Name = e.Relay
 	}
 	at := place{e.file, e.places}
-	if err := e.Document.check(at); err != nil {
+	if err := e.check(at); err != nil {
 		return err
 	}
 	switch {
--- a/internal/config/place.go
+++ b/internal/config/place.go
@@ -38,13 +38,13 @@
 // skip passes over white space, commas, comments and discarded forms' marks.
 func (p *places) skip() {
 	for p.at < len(p.text) {
-		switch c := p.text[p.at]; {
-		case c == '\n':
+		switch p.text[p.at] {
+		case '\n':
 			p.line++
 			p.at++
-		case c == ' ' || c == '\t' || c == '\r' || c == ',':
+		case ' ', '\t', '\r', ',':
 			p.at++
-		case c == ';':
+		case ';':
 			for p.at < len(p.text) && p.text[p.at] != '\n' {
 				p.at++
 			}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -83,10 +83,6 @@
 	return where, nil
 }
 
-func (e *Router) fault(path, what string) error {
-	return &FieldError{e.file, e.places.line1(path), path, what}
-}
-
 // line1 is the line of a path, or of the nearest thing around it that stands in the text.
 func (p *places) line1(path string) int {
 	for path != "" {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -87,7 +88,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer b.Stop()
+	defer b.stopOrWarn()
 	low, high := 0.0, 0.0
 	try := func(rate float64) error {
 		o, err := loadgen.Run(ctx, x.plan(b, rate, 3), nil)
@@ -140,9 +141,11 @@
 		if err := json.Unmarshal(text, &was); err != nil {
 			return fmt.Errorf("%s: %w", inputs, err)
 		}
-		a, _ := json.Marshal(was.Plan)
-		b, _ := json.Marshal(x)
-		if string(normal(a)) != string(normal(b)) {
+		same, err := sameJSON(was.Plan, x)
+		if err != nil {
+			return fmt.Errorf("%s: %w", inputs, err)
+		}
+		if !same {
 			return fmt.Errorf("%s: another experiment's runs lie there", dir)
 		}
 	} else if err := loadgen.SaveJSON(inputs, now); err != nil {
@@ -193,11 +196,30 @@
 	return x.report(dir, unit)
 }
 
-func normal(text []byte) []byte {
-	var any any
-	json.Unmarshal(text, &any)
-	out, _ := json.Marshal(any)
-	return out
+// sameJSON reports whether two values have the same JSON, whatever the order of their keys.
+func sameJSON(a, b any) (bool, error) {
+	canonicalA, err := canonicalJSON(a)
+	if err != nil {
+		return false, err
+	}
+	canonicalB, err := canonicalJSON(b)
+	if err != nil {
+		return false, err
+	}
+	return bytes.Equal(canonicalA, canonicalB), nil
+}
+
+// canonicalJSON marshals a value by way of maps, which are written in the order of their keys.
+func canonicalJSON(value any) ([]byte, error) {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return nil, err
+	}
+	var generic any
+	if err := json.Unmarshal(text, &generic); err != nil {
+		return nil, err
+	}
+	return json.Marshal(generic)
 }
 
 func (x *Experiment) one(ctx context.Context, bin string, v Variant, rate, unit float64, repeat int) (*Result, error) {
@@ -205,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer b.Stop()
+	defer b.stopOrWarn()
 	p := x.plan(b, rate*unit, x.Length)
 	p.Seed += uint64(repeat)
 	if x.After > 0 {
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -1,4 +1,4 @@
-// Package lab runs loads against a real edge process between quick stand-ins, as a grid of runs that is played in turn, kept on
+// Package experiment runs loads against a real edge process between quick stand-ins, as a grid of runs that is played in turn, kept on
 // disk run by run, and told as one report.
 package experiment
 
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"os"
 	"os/exec"
@@ -74,7 +75,7 @@
 	b = &Bench{stop: func() {}}
 	defer func() {
 		if err != nil {
-			b.Stop()
+			b.stopOrWarn()
 		}
 	}()
 	if b.dir, err = os.MkdirTemp("", "flintspread-lab-bench-"); err != nil {
@@ -132,8 +133,8 @@
 func (b *Bench) Stop() error {
 	var err error
 	if b.cmd != nil {
-		b.cmd.Process.Signal(syscall.SIGCONT)
-		b.cmd.Process.Signal(syscall.SIGTERM)
+		b.signal(syscall.SIGCONT)
+		b.signal(syscall.SIGTERM)
 		err = b.cmd.Wait()
 		b.cmd = nil
 	}
@@ -147,6 +148,24 @@
 	return err
 }
 
+// stopOrWarn is Stop where a run's own result matters more than how its router ended.
+func (b *Bench) stopOrWarn() {
+	if err := b.Stop(); err != nil {
+		slog.Warn("router did not stop cleanly", "error", err)
+	}
+}
+
+// signal sends a signal to the router. One that has ended already is no error here: Stop reports how it ended.
+func (b *Bench) signal(sig syscall.Signal) {
+	signalProcess(b.cmd.Process, sig)
+}
+
+func signalProcess(process *os.Process, sig syscall.Signal) {
+	if err := process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		slog.Warn("cannot signal the router", "signal", sig.String(), "error", err)
+	}
+}
+
 // Number reads one of the edge's numbers.
 func (b *Bench) Number(name string) (float64, error) {
 	c := http.Client{Timeout: 2 * time.Second}
@@ -198,7 +217,7 @@
 			return true
 		}
 	}
-	pid := b.cmd.Process
+	process := b.cmd.Process
 	for _, f := range faults {
 		go func() {
 			if !wait(f.At) {
@@ -206,14 +225,14 @@
 			}
 			switch f.Kind {
 			case "stop":
-				pid.Signal(syscall.SIGSTOP)
+				signalProcess(process, syscall.SIGSTOP)
 				wait(f.For)
-				pid.Signal(syscall.SIGCONT)
+				signalProcess(process, syscall.SIGCONT)
 			case "starve":
 				for end := time.Now().Add(time.Duration(f.For * float64(time.Second))); time.Now().Before(end) && ctx.Err() == nil; {
-					pid.Signal(syscall.SIGSTOP)
+					signalProcess(process, syscall.SIGSTOP)
 					time.Sleep(time.Duration(f.By * float64(time.Millisecond)))
-					pid.Signal(syscall.SIGCONT)
+					signalProcess(process, syscall.SIGCONT)
 					time.Sleep(time.Duration((20 - f.By) * float64(time.Millisecond)))
 				}
 			case "pause":
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -79,7 +79,9 @@
 func TestCompare(t *testing.T) {
 	folder := func(goodput ...float64) string {
 		dir := t.TempDir()
-		os.Mkdir(filepath.Join(dir, "runs"), 0o755)
+		if err := os.Mkdir(filepath.Join(dir, "runs"), 0o755); err != nil {
+			t.Fatal(err)
+		}
 		for i, g := range goodput {
 			r := &Result{Variant: "shed", Rate: 1, Repeat: i, Load: &loadgen.Outcome{Goodput: g, Valid: true}}
 			if err := loadgen.SaveJSON(filepath.Join(dir, "runs", string(rune('a'+i))+".json"), r); err != nil {
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -61,6 +61,7 @@
 	all    sync.WaitGroup
 }
 
+// NewClients makes clients of the named relays. Nothing is sent before Run.
 func NewClients(ops []OpShape, relays map[string]string, names []string, seed uint64, rec *invariants.Record, clock func() float64) *Clients {
 	return &Clients{rec: rec, clock: clock, ops: ops, relays: relays, names: names, rand: rand.New(rand.NewPCG(seed, 1)),
 		idle: map[string][]*clientConn{}}
--- a/internal/fakes/control.go
+++ b/internal/fakes/control.go
@@ -1,8 +1,10 @@
 package fakes
 
 import (
+	"errors"
 	"fmt"
 	"net"
+	"strconv"
 	"strings"
 	"sync"
 
@@ -43,7 +45,11 @@
 func StartControl(l net.Listener, creds credentials.TransportCredentials) *Control {
 	c := &Control{srv: grpc.NewServer(grpc.Creds(creds)), streams: map[*controlStream]struct{}{}, current: map[string]*discovery.DiscoveryResponse{}}
 	discovery.RegisterAggregatedDiscoveryServiceServer(c.srv, c)
-	go c.srv.Serve(l)
+	go func() {
+		if err := c.srv.Serve(l); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+			panic(fmt.Errorf("fake control service: %w", err))
+		}
+	}()
 	return c
 }
 
@@ -178,8 +184,10 @@
 	a := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{{}}}
 	for _, u := range units {
 		host, port, _ := net.SplitHostPort(u.Addr)
-		var n uint32
-		fmt.Sscan(port, &n)
+		n, err := strconv.ParseUint(port, 10, 16)
+		if err != nil {
+			n = 0 // an address without a port is sent as it is: the receiver is to refuse it
+		}
 		fields, _ := structpb.NewStruct(map[string]any{"id": float64(u.ID), "build": float64(u.Build), "start": u.StartedAt, "zone": float64(u.Zone), "cell": float64(u.Cell)})
 		health := core.HealthStatus_HEALTHY
 		if u.State == "draining" {
@@ -188,7 +196,7 @@
 		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, &endpoint.LbEndpoint{HealthStatus: health,
 			Metadata: &core.Metadata{FilterMetadata: map[string]*structpb.Struct{"flintspread": fields}},
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: &core.Address{Address: &core.Address_SocketAddress{
-				SocketAddress: &core.SocketAddress{Address: host, PortSpecifier: &core.SocketAddress_PortValue{PortValue: n}}}}}}})
+				SocketAddress: &core.SocketAddress{Address: host, PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(n)}}}}}}})
 	}
 	return &discovery.DiscoveryResponse{VersionInfo: fmt.Sprint(version), TypeUrl: xds.TypeUnits, Resources: []*anypb.Any{pack(a, xds.TypeUnits)}}
 }
--- a/internal/fakes/installer.go
+++ b/internal/fakes/installer.go
@@ -257,9 +257,10 @@
 
 func (in *Installer) line() releases.Update {
 	limit := in.plan.Caps[in.stage]
-	if in.phase == "going-back" || in.phase == "withdrawn" {
+	switch in.phase {
+	case "going-back", "withdrawn":
 		limit = 0
-	} else if in.phase == "released" {
+	case "released":
 		limit = 1
 	}
 	return releases.Update{Version: in.version, Build: in.build, Stage: in.stage, Phase: in.phase, Cap: limit, Age: in.clock() - in.since}
@@ -344,5 +345,5 @@
 		in.told(relay, line)
 	}
 	text, _ := json.Marshal(line)
-	w.Write(append(text, '\n'))
+	writeResponse(w, append(text, '\n'))
 }
--- a/internal/fakes/list.go
+++ b/internal/fakes/list.go
@@ -34,6 +34,7 @@
 
 type sub struct{ lines chan endpoints.Update }
 
+// NewList makes an empty list that tells each change lag seconds after it was put in.
 func NewList(lag float64, rec *invariants.Record, clock func() float64) *List {
 	return &List{rec: rec, clock: clock, lag: lag, shown: map[uint32]endpoints.Endpoint{}, known: map[string]map[uint32]bool{},
 		subs: map[*sub]struct{}{}}
--- a/internal/fakes/queries.go
+++ b/internal/fakes/queries.go
@@ -77,7 +77,7 @@
 	mux.HandleFunc("/api/v1/query", q.serve(false))
 	mux.HandleFunc("/api/v1/query_range", q.serve(true))
 	q.srv = &http.Server{Handler: mux}
-	go q.srv.Serve(l)
+	go serveUntilClosed(q.srv, l)
 	return q, nil
 }
 
@@ -171,7 +171,11 @@
 
 func (q *QueryServer) serve(ranged bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		req.ParseForm() // a server sees that its client left only once it has read what came
+		// The server notices that its client left only once it has read the request.
+		if err := req.ParseForm(); err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
 		q.mu.Lock()
 		fault := q.fault
 		q.asked++
@@ -203,7 +207,7 @@
 			return
 		}
 		if fault == Exploded {
-			w.Write(explosion())
+			writeResponse(w, explosion())
 			return
 		}
 		a, code := q.answer(req, ranged, fault)
@@ -218,7 +222,7 @@
 			text = text[:len(text)*2/3]
 		}
 		w.WriteHeader(code)
-		w.Write(text)
+		writeResponse(w, text)
 	}
 }
 
--- a/internal/fakes/quick.go
+++ b/internal/fakes/quick.go
@@ -146,13 +146,15 @@
 	mux.HandleFunc("GET /list", again(line))
 	mux.HandleFunc("GET /stage", again(news))
 	mux.HandleFunc("POST /vote", func(w http.ResponseWriter, req *http.Request) {
-		io.Copy(io.Discard, req.Body)
+		if _, err := io.Copy(io.Discard, req.Body); err != nil {
+			return
+		}
 		news := news
 		news.Vote = "moot"
 		text, _ := json.Marshal(news)
-		w.Write(append(text, '\n'))
+		writeResponse(w, append(text, '\n'))
 	})
 	srv := &http.Server{Handler: mux}
-	go srv.Serve(l)
+	go serveUntilClosed(srv, l)
 	return l.Addr().String(), func() { srv.Close() }, nil
 }
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -2,7 +2,11 @@
 
 import (
 	"bufio"
+	"errors"
+	"fmt"
+	"log/slog"
 	"net"
+	"net/http"
 	"os"
 	"strings"
 	"time"
@@ -49,3 +53,25 @@
 		}
 	})
 }
+
+// serveUntilClosed runs an HTTP server until it is closed. Any other end would leave a test waiting for answers that never
+// come: it panics.
+func serveUntilClosed(server *http.Server, l net.Listener) {
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		panic(fmt.Errorf("fake HTTP server: %w", err))
+	}
+}
+
+// writeResponse writes the rest of a response. That fails only once the client has gone: the handler is aborted then.
+func writeResponse(w http.ResponseWriter, body []byte) {
+	if _, err := w.Write(body); err != nil {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// resetOnClose makes the close of a TCP connection send a reset instead of an end of stream.
+func resetOnClose(c net.Conn) {
+	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+		slog.Warn("fake: connection will not be reset", "error", err)
+	}
+}
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -20,6 +21,7 @@
 // PlatformSiteCanary is the build that is on trial at a site; what its settings say of the rules stands in SiteBounds.
 const PlatformSiteCanary = 2
 
+// PlatformSiteBounds are the numbers behind the rules that the site's settings give.
 var PlatformSiteBounds = invariants.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
 
 // PlatformSite plays what is around one relay in the platform's protocol, and enters what it sees on its sockets.
@@ -37,7 +39,7 @@
 	phase string
 	votes int
 	stop  chan struct{}
-	open  []interface{ Close() error }
+	open  []io.Closer
 }
 
 // NewPlatformSite begins with no units and a build on trial in its first stage.
@@ -60,13 +62,14 @@
 // Clock is the one that all watch by, s since 1970 as units' starts are.
 func (s *PlatformSite) Clock() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
-// Votes and Released tell how far the release has come.
+// Votes counts the votes that the control service has received.
 func (s *PlatformSite) Votes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes
 }
 
+// Released reports whether the canary has been released.
 func (s *PlatformSite) Released() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,13 +132,15 @@
 				text = good + good
 			case 6:
 				s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
-				c.(*net.TCPConn).SetLinger(0)
+				resetOnClose(c)
 				return
 			}
 		}
 		s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
 		time.Sleep(2 * time.Millisecond)
-		io.WriteString(c, text)
+		if _, err := io.WriteString(c, text); err != nil {
+			return
+		}
 	}
 }
 
@@ -174,12 +179,12 @@
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if spoil != nil && spoil() {
-			io.WriteString(w, `{"seq":9,"whole":true,"hosts":[{"host":"u1","health":"SERVING","dial":"nowhere"}]}`+"\n")
+			writeResponse(w, []byte(`{"seq":9,"whole":true,"hosts":[{"host":"u1","health":"SERVING","dial":"nowhere"}]}`+"\n"))
 			return
 		}
 		s.stream(w, req)
 	})}
-	go srv.Serve(l)
+	go serveUntilClosed(srv, l)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open = append(s.open, srv)
@@ -245,7 +250,7 @@
 // Desk starts a control service and gives its address, and a way to end its taking new connections. Each PROCEED moves the build on;
 // every third answer to a vote is spoilt.
 func (s *PlatformSite) Desk() (at string, end func() error, err error) {
-	l, err := Desk(s.answer, func(c net.Conn) { io.WriteString(c, "*\r\n") })
+	l, err := Desk(s.answer, func(c net.Conn) { fmt.Fprint(c, "*\r\n") })
 	if at, err = s.kept(l, err); err != nil {
 		return "", nil, err
 	}
@@ -263,7 +268,7 @@
 		return
 	}
 	if s.votes++; s.votes%3 == 1 {
-		io.WriteString(c, "OK 2 0 tr\x00al\r\n")
+		fmt.Fprint(c, "OK 2 0 tr\x00al\r\n")
 		return
 	}
 	if f[3] == "PROCEED" && f[2] == strconv.Itoa(s.stage) && s.phase == "trial" {
@@ -301,6 +306,17 @@
  "gate_mode":"first_voice","replace_mode":"parallel","noes_needed":1,"harm_fee":3.0,"stale_build_price":0.3,"reported_share":0.3,"vote_life":5000.0,
  "api_timeout":300.0,"votes_per_s":20.0}}`
 
+// exchange sends a request and reads the first line of its answer. An answer counts even if the write failed: the relay may
+// have answered before it had read everything.
+func exchange(c net.Conn, br *bufio.Reader, request []byte) (line string, err error) {
+	_, writeErr := c.Write(request)
+	c.SetReadDeadline(time.Now().Add(2 * time.Second))
+	if line, err = br.ReadString('\n'); err != nil {
+		return line, errors.Join(writeErr, err)
+	}
+	return line, nil
+}
+
 // Client asks until it is told to stop, one command after the other, each on the connection before it while that lasts.
 func (s *PlatformSite) Client(n int, address string, until <-chan struct{}) {
 	var c net.Conn
@@ -343,9 +359,7 @@
 		cmd.Asked = s.Clock()
 		cmd.First, cmd.Due = cmd.Asked, cmd.Asked+given
 		s.Rec.Enter(func(r *invariants.Record) { r.Commands[cmd.ID] = cmd })
-		c.Write(buf)
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		line, err := br.ReadString('\n')
+		line, err := exchange(c, br, buf)
 		kind := ""
 		switch {
 		case strings.HasPrefix(line, "-BUSY"):
--- a/internal/fakes/testca/office.go
+++ b/internal/fakes/testca/office.go
@@ -1,4 +1,4 @@
-// Package office makes certificates for tests: an authority of its own, and whom it vouches for.
+// Package testca makes certificates for tests: a certificate authority of its own and leaf certificates that it signs.
 package testca
 
 import (
--- a/internal/fakes/unit.go
+++ b/internal/fakes/unit.go
@@ -1,4 +1,4 @@
-// Package standin plays what is around the relays: units, the list service, the installer and clients. They speak the
+// Package fakes plays what is around the relays: units, the list service, the installer and clients. They speak the
 // published forms on loopback sockets and enter what they see there into an audit.Record.
 package fakes
 
@@ -120,7 +120,7 @@
 	rec.Enter(func(r *invariants.Record) {
 		r.Units[id] = &invariants.Unit{ID: id, Build: build, Start: u.Start, Capacity: float64(shape.Cores)}
 	})
-	go u.srv.Serve(door{l, u})
+	go serveUntilClosed(u.srv, door{l, u})
 	return u, nil
 }
 
@@ -147,7 +147,7 @@
 		}
 		t := d.u.ails.Load()
 		if t.Conns > 0 && d.u.conns.Load() >= int64(t.Conns) {
-			c.(*net.TCPConn).SetLinger(0)
+			resetOnClose(c)
 			c.Close()
 			continue
 		}
@@ -205,7 +205,7 @@
 // Answer is what the right answer to a key says.
 func Answer(key string) string {
 	h := fnv.New32a()
-	io.WriteString(h, key)
+	h.Write([]byte(key))
 	return fmt.Sprintf("chute %d", h.Sum32()%97)
 }
 
@@ -285,7 +285,7 @@
 	if wrong {
 		text = "chute 99"
 	}
-	io.WriteString(w, text)
+	writeResponse(w, []byte(text))
 }
 
 func (u *Endpoint) lies() bool {
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -277,10 +277,11 @@
 	told := map[pair][]Told{}
 	for _, t := range c.Told {
 		r.Checked += one(!t.Ready)
-		sure := true
-		if t.At, sure = c.learned(t.Relay, t.At); !sure && !t.Ready {
+		learnedAt, sure := c.learned(t.Relay, t.At)
+		if !sure && !t.Ready {
 			continue
 		}
+		t.At = learnedAt
 		told[pair{t.Relay, t.Unit}] = append(told[pair{t.Relay, t.Unit}], t)
 	}
 	for _, d := range c.Deliveries {
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -1,4 +1,4 @@
-// Package audit checks the five rules from what clients, units and the services around a relay saw on their sockets. It
+// Package invariants checks the five rules from what clients, units and the services around a relay saw on their sockets. It
 // takes no relay's word for anything.
 package invariants
 
@@ -7,6 +7,7 @@
 // Effect says whether a command may run again, as in policy.
 type Effect string
 
+// The effects that a command may have.
 const (
 	Redeliverable Effect = "redeliverable"
 	Deduplicated  Effect = "deduplicated"
@@ -97,6 +98,7 @@
 	Stray      []string // bytes on a connection that nobody waited for
 }
 
+// NewRecord makes an empty record.
 func NewRecord() *Record {
 	return &Record{Commands: map[uint64]*Command{}, Units: map[uint32]*Unit{}}
 }
--- a/internal/loadgen/arrive.go
+++ b/internal/loadgen/arrive.go
@@ -1,4 +1,4 @@
-// Package load offers commands to an address at times that do not wait for answers, and measures each from the time at which it
+// Package loadgen offers commands to an address at times that do not wait for answers, and measures each from the time at which it
 // was meant to be sent. A relay that stands still so shows as long latencies, not as fewer commands.
 package loadgen
 
@@ -53,7 +53,8 @@
 	case "rush":
 		// The evening's trucks: the rate rises to its top over the first three fifths, with a truck's burst each twentieth, and falls.
 		x := t / s.Length
-		slow := 0.25 + 0.75*math.Exp(-math.Pow((x-0.6)/0.22, 2))
+		fromPeak := (x - 0.6) / 0.22
+		slow := 0.25 + 0.75*math.Exp(-(fromPeak*fromPeak))
 		if math.Mod(x*20, 1) < 0.3 {
 			return s.Rate * slow
 		}
@@ -156,7 +157,7 @@
 	}
 	for {
 		row, err := r.Read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return list, nil
 		}
 		if err != nil {
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -101,7 +101,14 @@
 
 func micros(s float64) int64 { return max(1, min(longest, int64(math.Round(s*1e6)))) }
 
-func (o *Outcome) lag(s float64) { o.own.RecordValue(micros(s)) }
+func (o *Outcome) lag(s float64) { record(o.own, s) }
+
+// record enters a time into a histogram.
+func record(h *hdrhistogram.Histogram, seconds float64) {
+	if err := h.RecordValue(micros(seconds)); err != nil {
+		panic(err) // micros keeps the value within the histogram's range
+	}
+}
 
 func (o *Outcome) second(at float64) *Second {
 	for len(o.Seconds) <= int(at) {
@@ -123,9 +130,9 @@
 	switch kind {
 	case acked:
 		took := now - s.first
-		o.all.RecordValue(micros(took))
-		o.ops[s.op].RecordValue(micros(took))
-		sec.hist.RecordValue(micros(took))
+		record(o.all, took)
+		record(o.ops[s.op], took)
+		record(sec.hist, took)
 		if took <= o.targets[s.op] {
 			op.InTarget++
 			sec.InTarget++
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -68,14 +68,13 @@
 	begin time.Time
 	work  sync.WaitGroup
 
-	mu     sync.Mutex
-	idle   []*conn
-	conns  int
-	queue  []*sending // no connection is free, and no more may be opened
-	later  later
-	out    *Outcome
-	unsent int
-	wake   chan struct{}
+	mu    sync.Mutex
+	idle  []*conn
+	conns int
+	queue []*sending // no connection is free, and no more may be opened
+	later later
+	out   *Outcome
+	wake  chan struct{}
 }
 
 // conn is one connection; its goroutine sends and reads.
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -234,7 +234,11 @@
 	mux.HandleFunc("GET /{relay}/stage", r.installer.Stage)
 	mux.HandleFunc("POST /{relay}/vote", r.installer.Vote)
 	srv := &http.Server{Handler: mux}
-	go srv.Serve(l)
+	go func() {
+		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			r.note(err)
+		}
+	}()
 	r.timers.Go(func() {
 		tick := time.NewTicker(10 * time.Millisecond)
 		defer tick.Stop()
@@ -361,7 +365,7 @@
 			p.life.Stopping = p.r.clock()
 		}
 	})
-	p.cmd.Process.Signal(sig)
+	p.signal(sig)
 	err := p.cmd.Wait()
 	p.r.rec.Enter(func(*invariants.Record) { p.life.To = p.r.clock() })
 	if err != nil && sig != syscall.SIGKILL {
@@ -370,6 +374,13 @@
 	p.cmd = nil
 }
 
+// signal sends a signal to the process. One that has ended already is no error here: end reports how it ended.
+func (p *process) signal(sig syscall.Signal) {
+	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		p.r.note(fmt.Errorf("%s: %w", p.file, err))
+	}
+}
+
 // stall stops the process and lets it go on.
 func (p *process) stall(d time.Duration) {
 	p.mu.Lock()
@@ -378,9 +389,9 @@
 		return
 	}
 	from := p.r.clock()
-	p.cmd.Process.Signal(syscall.SIGSTOP)
+	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	p.cmd.Process.Signal(syscall.SIGCONT)
+	p.signal(syscall.SIGCONT)
 	p.r.rec.Enter(func(*invariants.Record) { p.life.Stalls = append(p.life.Stalls, [2]float64{from, p.r.clock()}) })
 }
 
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -1,4 +1,4 @@
-// Package day plays a scripted day: real edge processes between the stand-ins of package standin, with the troubles that a
+// Package scenario plays a scripted day: real edge processes between the stand-ins of package standin, with the troubles that a
 // script names, and the rules checked from what was seen on the sockets.
 package scenario
 
