--- /dev/null
+++ b/internal/config/decode.go
@@ -0,0 +1,192 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+
+	"github.com/go-playground/validator/v10"
+	"olympos.io/encoding/edn"
+)
+
+// maxFileBytes is the size above which a file is refused unread.
+const maxFileBytes = 4 << 20
+
+func tooLarge(file string, size int64) error {
+	return &FieldError{File: file, Line: 1, What: fmt.Sprintf("%d bytes; %d at most", size, maxFileBytes)}
+}
+
+func readFile(file string) ([]byte, error) {
+	info, err := os.Stat(file)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > maxFileBytes {
+		return nil, tooLarge(file, info.Size())
+	}
+	return os.ReadFile(file)
+}
+
+// ednValidator checks validate tags; its errors name fields by their EDN keys.
+var ednValidator = func() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("edn") })
+	return v
+}()
+
+// Decode reads one EDN text into a struct with edn and validate tags. A missing, unknown, doubled, mistyped or invalid key is a
+// *FieldError.
+func Decode(file string, text []byte, into any) error {
+	_, err := decode(file, text, into)
+	return err
+}
+
+// decode is Decode that gives the positions of the keys too, for errors that are found later.
+func decode(file string, text []byte, into any) (*positions, error) {
+	positions, err := findPositions(string(text))
+	if err != nil {
+		return nil, &FieldError{File: file, Line: positions.line, What: err.Error()}
+	}
+	if err := edn.Unmarshal(text, into); err != nil {
+		return nil, mistypedError(file, text, positions, into, err)
+	}
+	src, target := source{file, positions}, reflect.TypeOf(into).Elem()
+	for _, key := range positions.keys {
+		discarded := strings.Contains(key, "#_")
+		if !discarded && !isKnownPath(target, strings.Fields(key)) {
+			return nil, src.fieldError(key, "unknown key")
+		}
+	}
+	if path := missingKey(positions, target, ""); path != "" {
+		return nil, src.fieldError(path, "missing")
+	}
+	if err := ednValidator.Struct(into); err != nil {
+		var failures validator.ValidationErrors
+		if !errors.As(err, &failures) {
+			return nil, &FieldError{File: file, Line: 1, What: err.Error()}
+		}
+		return nil, src.fieldError(namespacePath(failures[0].Namespace()), describe(failures[0]))
+	}
+	return positions, nil
+}
+
+// fieldByKey finds the field of an EDN key such as ":target", those of embedded structs included.
+func fieldByKey(t reflect.Type, key string) (reflect.StructField, bool) {
+	for _, f := range reflect.VisibleFields(t) {
+		if name, _, _ := strings.Cut(f.Tag.Get("edn"), ","); name != "" && ":"+name == key {
+			return f, true
+		}
+	}
+	return reflect.StructField{}, false
+}
+
+// isKnownPath reports whether a path leads to a field. Below a plain value the decoder itself refuses what does not belong there.
+func isKnownPath(t reflect.Type, path []string) bool {
+	for _, part := range path {
+		if t.Kind() == reflect.Pointer {
+			t = t.Elem()
+		}
+		switch t.Kind() {
+		case reflect.Struct:
+			f, ok := fieldByKey(t, part)
+			if !ok {
+				return false
+			}
+			t = f.Type
+		case reflect.Slice, reflect.Map:
+			t = t.Elem()
+		default:
+			return true
+		}
+	}
+	return true
+}
+
+// isRequired reports whether the key of a field must stand in the text: that of a struct, and of a field with a validate tag that
+// does not begin with omitempty. 0 is a value like any other, so a key that is left out is not taken for 0.
+func isRequired(f reflect.StructField) bool {
+	checks := f.Tag.Get("validate")
+	return f.Type.Kind() == reflect.Struct || checks != "" && !strings.HasPrefix(checks, "omitempty")
+}
+
+// missingKey gives the path of the first required key that the text leaves out, empty if there is none.
+func missingKey(positions *positions, t reflect.Type, path string) string {
+	for _, f := range reflect.VisibleFields(t) {
+		name := f.Tag.Get("edn")
+		if name == "" || !f.IsExported() {
+			continue
+		}
+		fieldPath := strings.TrimSpace(path + " :" + name)
+		_, present := positions.lineOf[fieldPath]
+		if !present && isRequired(f) {
+			return fieldPath
+		}
+		inner := f.Type
+		if inner.Kind() == reflect.Pointer && present {
+			inner = inner.Elem() // optional as a whole, but not in part
+		}
+		if inner.Kind() == reflect.Struct {
+			if missing := missingKey(positions, inner, fieldPath); missing != "" {
+				return missing
+			}
+		}
+		if f.Type.Kind() == reflect.Slice && f.Type.Elem().Kind() == reflect.Struct {
+			if missing := missingInElements(positions, f.Type.Elem(), fieldPath); missing != "" {
+				return missing
+			}
+		}
+	}
+	return ""
+}
+
+// missingInElements is missingKey for each element of a list of structs.
+func missingInElements(positions *positions, element reflect.Type, path string) string {
+	for i := 0; ; i++ {
+		elementPath := fmt.Sprintf("%s %d", path, i)
+		if positions.lineOf[elementPath] == 0 {
+			return ""
+		}
+		if missing := missingKey(positions, element, elementPath); missing != "" {
+			return missing
+		}
+	}
+}
+
+// mistypedError finds the value that the decoder refused, whose errors have no position: it decodes the parts of each refused value
+// by themselves.
+func mistypedError(file string, text []byte, positions *positions, into any, err error) error {
+	path, t, cause := "", reflect.TypeOf(into).Elem(), err
+	for deeper := true; deeper; {
+		deeper = false
+		for _, childPath := range positions.children(path, t) {
+			child := childType(t, childPath[len(path):])
+			at := positions.rangeOf[childPath]
+			if child == nil || at.to <= at.from {
+				continue
+			}
+			if err := edn.Unmarshal(text[at.from:at.to], reflect.New(child).Interface()); err != nil {
+				path, t, cause, deeper = childPath, child, err, true
+				break
+			}
+		}
+	}
+	return source{file, positions}.fieldError(path, strings.TrimPrefix(cause.Error(), "edn: "))
+}
+
+// childType is the type of one key or element of a type, nil if it has none such.
+func childType(t reflect.Type, key string) reflect.Type {
+	for t.Kind() == reflect.Pointer {
+		t = t.Elem()
+	}
+	switch t.Kind() {
+	case reflect.Slice, reflect.Array, reflect.Map:
+		return t.Elem()
+	case reflect.Struct:
+		if f, ok := fieldByKey(t, strings.TrimSpace(key)); ok {
+			return f.Type
+		}
+	}
+	return nil
+}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Whatever a control service sends, reading it ends with a document whose every route leads somewhere, or with a fault that
+// Whatever a control service sends, reading it ends with a document whose every route leads somewhere, or with a FieldError that
 // lies within the text.
 func FuzzParseDocument(f *testing.F) {
 	text := "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(example())
@@ -15,12 +15,12 @@
 	f.Add(strings.Replace(text, "[0.1 0.4 1.0]", "[1 2N 0.5M ##Inf]", 1))
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := ParseDocument("f", []byte(text))
-		var fault *FieldError
-		if err != nil && !errors.As(err, &fault) {
-			t.Fatalf("no fault: %v", err)
+		var fieldError *FieldError
+		if err != nil && !errors.As(err, &fieldError) {
+			t.Fatalf("no FieldError: %v", err)
 		}
-		if fault != nil && (fault.Line < 1 || fault.Line > 1+strings.Count(text, "\n")) {
-			t.Fatalf("%v", fault)
+		if fieldError != nil && (fieldError.Line < 1 || fieldError.Line > 1+strings.Count(text, "\n")) {
+			t.Fatalf("%v", fieldError)
 		}
 		if err != nil {
 			return
@@ -30,9 +30,9 @@
 				t.Fatalf("%s %s leads nowhere", r.Method, r.Path)
 			}
 		}
-		for i, c := range d.Release.Caps {
+		for i, c := range d.Release.CanaryLimits {
 			if c < d.Release.Stages[i] || c > 1 {
-				t.Fatal("caps", d.Release.Caps)
+				t.Fatal("caps", d.Release.CanaryLimits)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,103 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"strings"
+
+	"github.com/go-playground/validator/v10"
+)
+
+// FieldError is an error that lies in the text of a file or document.
+type FieldError struct {
+	File string // or the name of the document
+	Line int    // from 1 on
+	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text can't be read at all
+	What string
+}
+
+// Error gives file, line, key and what is wrong.
+func (e *FieldError) Error() string {
+	if e.Key == "" {
+		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
+	}
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.What)
+}
+
+// IsFieldError reports whether an error lies in the text of a file or document.
+func IsFieldError(err error) bool {
+	var fieldError *FieldError
+	return errors.As(err, &fieldError)
+}
+
+// source makes the errors of one text.
+type source struct {
+	file      string
+	positions *positions
+}
+
+func (s source) fieldError(path, what string) error {
+	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, What: what}
+}
+
+// comparisons are the validator's tags whose parameter completes a sentence.
+var comparisons = map[string]string{
+	"gt":         "must be above",
+	"gte":        "must be at least",
+	"lte":        "must be at most",
+	"oneof":      "must be one of",
+	"min":        "must number at least",
+	"max":        "must number at most",
+	"startswith": "must begin with",
+}
+
+// fieldComparisons are the validator's tags whose parameter is the Go name of another field.
+var fieldComparisons = map[string]string{
+	"gtefield": "must be at least that of",
+	"gtfield":  "must be above that of",
+}
+
+// describe words a failed check of the validator.
+func describe(failure validator.FieldError) string {
+	switch failure.Tag() {
+	case "required":
+		return "must not be empty"
+	case "hostname_port":
+		return fmt.Sprintf("%q is no HOST:PORT", failure.Value())
+	case "http_url":
+		return fmt.Sprintf("%q is no http:// address", failure.Value())
+	}
+	if words := fieldComparisons[failure.Tag()]; words != "" {
+		return fmt.Sprintf("%v %s :%s", failure.Value(), words, keyOfField(failure.Param()))
+	}
+	if words := comparisons[failure.Tag()]; words != "" {
+		return fmt.Sprintf("%v %s %s", failure.Value(), words, failure.Param())
+	}
+	return fmt.Sprintf("%v does not do (%s %s)", failure.Value(), failure.Tag(), failure.Param())
+}
+
+var wordBoundary = regexp.MustCompile(`([a-z])([A-Z])`)
+
+// keyOfField turns BackLeast into back-least. A field that a gtefield or gtfield tag names must be called as its key.
+func keyOfField(name string) string {
+	return strings.ToLower(wordBoundary.ReplaceAllString(name, "$1-$2"))
+}
+
+var indexSuffix = regexp.MustCompile(`\[(\d+)\]`)
+
+// namespacePath turns the validator's Router.op-types[0].target into :op-types 0 :target.
+func namespacePath(namespace string) string {
+	_, namespace, _ = strings.Cut(namespace, ".")
+	var path []string
+	for _, part := range strings.Split(namespace, ".") {
+		if part[0] >= 'A' && part[0] <= 'Z' {
+			continue // an embedded struct, which no key names
+		}
+		path = append(path, ":"+indexSuffix.ReplaceAllString(part, ""))
+		if index := indexSuffix.FindStringSubmatch(part); index != nil {
+			path = append(path, index[1])
+		}
+	}
+	return strings.Join(path, " ")
+}
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -11,116 +11,182 @@
 	"flintspread/internal/policy"
 )
 
-// Health says which query servers a planner asks, and what.
+// Health says which Prometheus servers a controller queries, what for, and at which cost.
 type Health struct {
-	Servers     []QueryServer `edn:"servers" validate:"required,min=1,max=16,dive"`
-	Queries     []Query       `edn:"queries" validate:"required,min=1,max=64,dive"`
-	ASecond     float64       `edn:"queries-a-second" validate:"gt=0,lte=1000"` // all servers together
-	AtOnce      int           `edn:"at-once" validate:"gt=0,lte=64"`
-	Timeout     float64       `edn:"timeout" validate:"gt=0"`
-	BackMost    float64       `edn:"back-most" validate:"gt=0"` // s, the longest that a failing server is left alone
-	AnswerBytes int64         `edn:"answer-bytes" validate:"gte=1024"`
-	Series      int           `edn:"series" validate:"gt=0,lte=1000000"` // in an answer
-	Skew        float64       `edn:"skew" validate:"gte=0"`              // s that a server's clock may be ahead
+	Servers []QueryServer `edn:"servers" validate:"required,min=1,max=16,dive"`
+	// Queries are all sent to each server.
+	Queries []Query `edn:"queries" validate:"required,min=1,max=64,dive"`
+	// QueriesPerSecond bounds the queries to all servers together.
+	QueriesPerSecond float64 `edn:"queries-a-second" validate:"gt=0,lte=1000"`
+	// MaxConcurrentQueries bounds the queries that are open at once.
+	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
+	// Timeout is the number of seconds after which a query is given up.
+	Timeout float64 `edn:"timeout" validate:"gt=0"`
+	// MaxBackoffSeconds is the longest that a failing server is left alone.
+	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
+	// AnswerBytes and Series bound one answer.
+	AnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
+	Series      int   `edn:"series" validate:"gt=0,lte=1000000"`
+	// MaxClockSkewSeconds is how far ahead a server's clock may be.
+	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
 }
 
-// QueryServer is one server that speaks the HTTP API.
+// QueryServer is one server that speaks the HTTP API of Prometheus.
 type QueryServer struct {
+	// Name labels the server in metrics and logs.
 	Name string `edn:"name" validate:"required,printascii,excludesall= "`
 	URL  string `edn:"url" validate:"required,http_url"`
 }
 
-// Query is one question to all of them.
+// Query is one query and what its answers mean.
 type Query struct {
-	Name       string      `edn:"name" validate:"required,printascii,excludesall= "`
-	Meaning    edn.Keyword `edn:"meaning" validate:"oneof=counts quantile saturation probe"`
-	Kind       edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"` // of :counts
-	Form       edn.Keyword `edn:"form" validate:"oneof=samples instant range"`
-	Query      string      `edn:"query" validate:"required"`           // of :counts: the failures
-	Total      string      `edn:"total" validate:"omitempty"`          // of :counts: all outcomes
-	Span       float64     `edn:"span" validate:"omitempty,gt=0"`      // s, of :range
-	Step       float64     `edn:"step" validate:"omitempty,gt=0"`      // s, of :range
-	Period     float64     `edn:"period" validate:"gte=0.05"`          // s between askings
-	Stale      float64     `edn:"stale" validate:"gtfield=Period"`     // s after which an answer says nothing
-	Weight     float64     `edn:"weight" validate:"gt=0,lte=1"`        //
-	Limit      float64     `edn:"limit" validate:"omitempty,gt=0"`     // of :quantile, s, and :saturation, a share
-	Apart      bool        `edn:"apart"`                               // of :counts: no delivery of this relay is in it
-	UnitLabel  string      `edn:"unit-label" validate:"required"`      //
-	UnitBy     edn.Keyword `edn:"unit-by" validate:"oneof=id address"` // what the label holds
-	BuildLabel string      `edn:"build-label" validate:"omitempty"`    // optional; else the list says which build a unit is of
-	asked      *promquery.Template
-	total      *promquery.Template
+	// Name labels the query in metrics and logs.
+	Name string `edn:"name" validate:"required,printascii,excludesall= "`
+	// Meaning is what a value says of its endpoint: counts of failures, a quantile of the answer time in seconds, a saturation from 0
+	// to 1, or whether a probe succeeded.
+	Meaning edn.Keyword `edn:"meaning" validate:"oneof=counts quantile saturation probe"`
+	// Kind is the failure kind that is counted. Needed for counts, not allowed otherwise.
+	Kind edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"`
+	// Form is how values come: as the samples of a range vector, as of an instant, or by a range query. Counts come as samples.
+	Form edn.Keyword `edn:"form" validate:"oneof=samples instant range"`
+	// Query is a template of PromQL. For counts it selects the counters of failures.
+	Query string `edn:"query" validate:"required"`
+	// Total selects the counters of all outcomes. Needed for counts, not allowed otherwise.
+	Total string `edn:"total" validate:"omitempty"`
+	// Span and Step are the length and the resolution of a range query in seconds. Needed for that form.
+	Span float64 `edn:"span" validate:"omitempty,gt=0"`
+	Step float64 `edn:"step" validate:"omitempty,gt=0"`
+	// Period is the number of seconds between two queries.
+	Period float64 `edn:"period" validate:"gte=0.05"`
+	// Stale is the number of seconds after which an answer is no evidence any more.
+	Stale float64 `edn:"stale" validate:"gtfield=Period"`
+	// Weight, up to 1, is what the evidence counts for.
+	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
+	// Limit marks an endpoint whose value is above it: seconds of a quantile, a share of a saturation. Needed for these.
+	Limit float64 `edn:"limit" validate:"omitempty,gt=0"`
+	// IndependentOfRouters says that no attempt of this relay's routers is among the counts. Else those are taken out, so that no
+	// outcome counts twice. Optional.
+	IndependentOfRouters bool `edn:"apart"`
+	// UnitLabel is the label that tells endpoints apart; UnitBy says whether it holds their id or their address.
+	UnitLabel string      `edn:"unit-label" validate:"required"`
+	UnitBy    edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
+	// BuildLabel is the label with the endpoint's build. Optional; without it the endpoint list tells the build.
+	BuildLabel string `edn:"build-label" validate:"omitempty"`
+
+	queryTemplate *promquery.Template
+	totalTemplate *promquery.Template // nil but for counts
 }
 
-var forms = map[edn.Keyword]promquery.Form{"samples": promquery.Samples, "instant": promquery.Instant, "range": promquery.Range}
+var answerForms = map[edn.Keyword]promquery.Form{
+	"samples": promquery.Samples,
+	"instant": promquery.Instant,
+	"range":   promquery.Range,
+}
 
-// FormOf is how the answers come.
-func (q *Query) FormOf() promquery.Form { return forms[q.Form] }
+// FormOf is the form in which the answers come.
+func (q *Query) FormOf() promquery.Form { return answerForms[q.Form] }
 
-// Templates gives the query's templates; total is nil but for counts.
-func (q *Query) Templates() (query, total *promquery.Template) { return q.asked, q.total }
+// Templates gives the templates of Query and Total. The latter is nil but for counts.
+func (q *Query) Templates() (query, total *promquery.Template) {
+	return q.queryTemplate, q.totalTemplate
+}
 
-var meanings = map[edn.Keyword]metricsanalysis.Meaning{"counts": metricsanalysis.Counts, "quantile": metricsanalysis.Quantile, "saturation": metricsanalysis.Saturation, "probe": metricsanalysis.Probe}
+var meanings = map[edn.Keyword]metricsanalysis.Meaning{
+	"counts":     metricsanalysis.Counts,
+	"quantile":   metricsanalysis.Quantile,
+	"saturation": metricsanalysis.Saturation,
+	"probe":      metricsanalysis.Probe,
+}
 
-// Questions gives the queries as the module of package health takes them.
-func (h *Health) Questions() (list []metricsanalysis.Question) {
+// Questions gives the queries as the analysis of metrics takes them.
+func (h *Health) Questions() (questions []metricsanalysis.Question) {
 	for _, q := range h.Queries {
-		list = append(list, metricsanalysis.Question{Name: q.Name, Meaning: meanings[q.Meaning], Kind: slices.Index(policy.FailureKinds[:], string(q.Kind)),
-			Stale: q.Stale, Skew: h.Skew, Weight: q.Weight, Limit: q.Limit, Apart: q.Apart})
+		questions = append(questions, metricsanalysis.Question{
+			Name:    q.Name,
+			Meaning: meanings[q.Meaning],
+			Kind:    slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			Stale:   q.Stale,
+			Skew:    h.MaxClockSkewSeconds,
+			Weight:  q.Weight,
+			Limit:   q.Limit,
+			Apart:   q.IndependentOfRouters,
+		})
 	}
-	return list
+	return questions
 }
 
-// Bounds gives what asking may cost.
+// Bounds gives what the queries may cost the servers.
 func (h *Health) Bounds() metricsanalysis.Bounds {
-	return metricsanalysis.Bounds{ASecond: h.ASecond, AtOnce: h.AtOnce, BackMost: h.BackMost}
+	return metricsanalysis.Bounds{ASecond: h.QueriesPerSecond, AtOnce: h.MaxConcurrentQueries, BackMost: h.MaxBackoffSeconds}
 }
 
-// check finds what the fields alone do not show, and reads the templates.
-func (h *Health) check(at place) error {
-	names, kinds := map[string]bool{}, map[edn.Keyword]string{}
-	for i, s := range h.Servers {
-		if names[s.Name] {
-			return at.fault(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q stands twice", s.Name))
+// validate checks what concerns several fields, and parses the templates.
+func (h *Health) validate(src source) error {
+	serverNames := map[string]bool{}
+	for i, server := range h.Servers {
+		if serverNames[server.Name] {
+			return src.fieldError(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q stands twice", server.Name))
 		}
-		names[s.Name] = true
+		serverNames[server.Name] = true
 	}
-	clear(names)
+	queryNames := map[string]bool{}
+	countedBy := map[edn.Keyword]string{} // name of the query by failure kind
 	for i := range h.Queries {
 		q := &h.Queries[i]
-		fault := func(key, what string) error { return at.fault(fmt.Sprintf(":health :queries %d :%s", i, key), what) }
-		if names[q.Name] {
-			return fault("name", fmt.Sprintf("%q stands twice", q.Name))
+		fieldError := func(key, what string) error {
+			return src.fieldError(fmt.Sprintf(":health :queries %d :%s", i, key), what)
 		}
-		names[q.Name] = true
-		counts := q.Meaning == "counts"
-		switch {
-		case counts && q.Kind == "":
-			return fault("kind", "missing; of :counts it says which failures are counted")
-		case counts && q.Form != "samples":
-			return fault("form", "counters are followed by their samples: what is reckoned from them hides resets, gaps and ages")
-		case counts && q.Total == "":
-			return fault("total", "missing; failures say nothing without the outcomes that they are among")
-		case !counts && (q.Kind != "" || q.Total != "" || q.Apart):
-			return fault("meaning", "only :counts have :kind, :total and :apart")
-		case (q.Meaning == "quantile" || q.Meaning == "saturation") && q.Limit == 0:
-			return fault("limit", "missing; above it a unit is marked")
-		case q.Form == "range" && (q.Span == 0 || q.Step == 0 || q.Step > q.Span):
-			return fault("span", "a :range needs a :span, and a :step not above it")
+		if queryNames[q.Name] {
+			return fieldError("name", fmt.Sprintf("%q stands twice", q.Name))
 		}
-		if other, ok := kinds[q.Kind]; ok && counts {
-			return fault("kind", fmt.Sprintf("%q counts this kind too: the same outcomes would count twice", other))
+		queryNames[q.Name] = true
+		if key, problem := q.validate(); key != "" {
+			return fieldError(key, problem)
 		}
-		kinds[q.Kind] = q.Name
-		var err error
-		if q.asked, err = promquery.Read(q.Query, q.FormOf()); err != nil {
-			return fault("query", err.Error())
+		if other, ok := countedBy[q.Kind]; ok && q.isCounts() {
+			return fieldError("kind", fmt.Sprintf("%q counts this kind too: the same outcomes would count twice", other))
 		}
-		if counts {
-			if q.total, err = promquery.Read(q.Total, q.FormOf()); err != nil {
-				return fault("total", err.Error())
-			}
+		countedBy[q.Kind] = q.Name
+		if key, err := q.parseTemplates(); err != nil {
+			return fieldError(key, err.Error())
 		}
 	}
 	return nil
 }
+
+func (q *Query) isCounts() bool { return q.Meaning == "counts" }
+
+// validate checks the fields of one query against each other. The key is empty if nothing is wrong.
+func (q *Query) validate() (key, problem string) {
+	needsLimit := q.Meaning == "quantile" || q.Meaning == "saturation"
+	hasCountsFields := q.Kind != "" || q.Total != "" || q.IndependentOfRouters
+	switch {
+	case q.isCounts() && q.Kind == "":
+		return "kind", "missing; of :counts it says which failures are counted"
+	case q.isCounts() && q.Form != "samples":
+		return "form", "counters are followed by their samples: what is reckoned from them hides resets, gaps and ages"
+	case q.isCounts() && q.Total == "":
+		return "total", "missing; failures say nothing without the outcomes that they are among"
+	case !q.isCounts() && hasCountsFields:
+		return "meaning", "only :counts have :kind, :total and :apart"
+	case needsLimit && q.Limit == 0:
+		return "limit", "missing; above it a unit is marked"
+	case q.Form == "range" && (q.Span == 0 || q.Step == 0 || q.Step > q.Span):
+		return "span", "a :range needs a :span, and a :step not above it"
+	}
+	return "", ""
+}
+
+// parseTemplates fills the templates. With an error it gives the key of the one that is wrong.
+func (q *Query) parseTemplates() (key string, err error) {
+	if q.queryTemplate, err = promquery.Read(q.Query, q.FormOf()); err != nil {
+		return "query", err
+	}
+	if !q.isCounts() {
+		return "", nil
+	}
+	if q.totalTemplate, err = promquery.Read(q.Total, q.FormOf()); err != nil {
+		return "total", err
+	}
+	return "", nil
+}
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -55,9 +55,9 @@
 			panic(change[0])
 		}
 		_, err := ParseController("plan.edn", []byte(strings.Replace(whole, change[0], change[1], 1)))
-		var f *FieldError
-		if !errors.As(err, &f) {
-			fmt.Print("not a fault: ")
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) {
+			fmt.Print("not a field error: ")
 		}
 		fmt.Println(err)
 	}
--- /dev/null
+++ b/internal/config/policy.go
@@ -0,0 +1,134 @@
+package config
+
+import (
+	"fmt"
+
+	"olympos.io/encoding/edn"
+
+	"flintspread/internal/policy"
+)
+
+var idempotencies = map[edn.Keyword]policy.Idempotency{
+	"redeliverable": policy.Idempotent,
+	"deduplicated":  policy.IdempotentWithKey,
+	"at-most-once":  policy.NonIdempotent,
+}
+
+var dedupScopes = map[edn.Keyword]policy.DedupScope{
+	"":     policy.DedupAll,
+	"all":  policy.DedupAll,
+	"zone": policy.DedupZone,
+	"cell": policy.DedupCell,
+}
+
+// minTimeoutTicks is the number of ticks that a request timeout must be above: deadlines are met by margins of two to three.
+const minTimeoutTicks = 3
+
+// policyConfig makes the decision core's configuration. It refuses values that are valid each by itself but can't be kept together.
+func policyConfig(src source, rules Rules, release Release, classes []RequestClass) (policy.Config, error) {
+	if err := validateStages(src, rules, release); err != nil {
+		return policy.Config{}, err
+	}
+	if rules.OneWayKeys && rules.KeysKept == 0 {
+		return policy.Config{}, src.fieldError(":rules :keys-kept", "one-way keys need room for some")
+	}
+	c := policy.Config{
+		Routers:                  rules.Relays,
+		RollbackVotes:            release.RollbackVotes,
+		MinTickSeconds:           rules.Round,
+		AllowHedging:             rules.AllowHedging,
+		AllowCancel:              true,
+		MaxRetryAfterSeconds:     rules.MaxPause,
+		RequestsPerConn:          1,
+		MaxAttempts:              rules.MaxAttempts,
+		SlowStartInitialShare:    rules.SlowStartInitialShare,
+		SlowStartSeconds:         rules.SlowStartSeconds,
+		SlowStartOverloadFactor:  rules.SlowStartOverloadFactor,
+		SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds,
+		CanaryWindowSeconds:      rules.Window,
+		CanaryFreeAttempts:       rules.CanaryFreeAttempts,
+		CanaryLimits:             release.CanaryLimits,
+		StageShares:              release.Stages,
+		CanaryLimitPerClass:      rules.CountPerOp,
+		IdempotentOnlyStages:     rules.IdempotentOnlyStages,
+		OneWayKeys:               rules.OneWayKeys,
+		MaxRememberedKeys:        rules.KeysKept,
+		ForgetEndpointSeconds:    rules.UnitsForget,
+		AutomaticStages:          release.AutomaticStages,
+		ReplaceInPlace:           release.ReplaceInPlace,
+		WrongAnswerPrice:         release.WrongAnswerPrice,
+		StaleBuildPrice:          release.StaleBuildPrice,
+		WrongAnswerReportShare:   release.WrongAnswerReportShare,
+		VoteLifetimeSeconds:      release.VoteLifetimeSeconds,
+		VoteTimeoutSeconds:       release.VoteTimeout,
+		VotesPerSecond:           release.VotesPerSecond,
+	}
+	names := map[string]bool{}
+	for i, class := range classes {
+		key := fmt.Sprintf(":op-types %d", i)
+		if names[class.Name] {
+			return policy.Config{}, src.fieldError(key+" :name", fmt.Sprintf("%q stands twice", class.Name))
+		}
+		names[class.Name] = true
+		if err := validateClass(src, key, class, rules); err != nil {
+			return policy.Config{}, err
+		}
+		c.Classes = append(c.Classes, policy.RequestClass{
+			LatencyObjectiveSeconds: class.Target,
+			TimeoutSeconds:          class.Timeout,
+			PriorityWeight:          class.PriorityWeight,
+			DedupWindowSeconds:      class.DedupWindowSeconds,
+			Idempotency:             idempotencies[class.Idempotency],
+			DedupScope:              dedupScopes[class.Group],
+		})
+	}
+	return c, nil
+}
+
+// validateStages checks the rollout stages against their canary limits, and the windows in which those are counted.
+func validateStages(src source, rules Rules, release Release) error {
+	stages, limits := release.Stages, release.CanaryLimits
+	if len(limits) != len(stages) {
+		return src.fieldError(":release :caps", fmt.Sprintf("%d caps for %d stages", len(limits), len(stages)))
+	}
+	for i := 1; i < len(stages); i++ {
+		if stages[i] < stages[i-1] {
+			return src.fieldError(fmt.Sprintf(":release :stages %d", i), "a stage below the one before it")
+		}
+	}
+	if rules.Window < rules.GraceSeconds {
+		return src.fieldError(":rules :window",
+			fmt.Sprintf("below the grace (%g s): a lower cap would bind after the window it is for", rules.GraceSeconds))
+	}
+	for i, limit := range limits {
+		key := fmt.Sprintf(":release :caps %d", i)
+		if limit < stages[i] {
+			return src.fieldError(key,
+				fmt.Sprintf("%g of a relay's commands for %g of the fleet: the stage's units could not be used", limit, stages[i]))
+		}
+		if i > 0 && limit < limits[i-1] {
+			return src.fieldError(key, "a cap below that of the stage before it")
+		}
+	}
+	if rules.IdempotentOnlyStages > len(stages) {
+		return src.fieldError(":rules :guarded-stages", fmt.Sprintf("%d of %d stages", rules.IdempotentOnlyStages, len(stages)))
+	}
+	return nil
+}
+
+// validateClass checks one request class, which stands at a key, against the rules.
+func validateClass(src source, key string, class RequestClass, rules Rules) error {
+	switch {
+	case class.Timeout <= minTimeoutTicks*rules.Round:
+		return src.fieldError(key+" :timeout", "not above three rounds (:rules :round): no answer could be in time")
+	case class.Target > class.Timeout:
+		return src.fieldError(key+" :target", "above the timeout")
+	case class.Timeout >= rules.UnitsForget:
+		return src.fieldError(":rules :forget-units", fmt.Sprintf("not above the timeout of %q", class.Name))
+	}
+	needsKey := idempotencies[class.Idempotency] == policy.IdempotentWithKey
+	if needsKey && (class.DedupWindowSeconds <= 0 || class.Group == "") {
+		return src.fieldError(key, "a deduplicated op type needs :group and a :window above 0")
+	}
+	return nil
+}
--- a/internal/config/read_test.go
+++ b/internal/config/router_test.go
@@ -17,7 +17,7 @@
 }
 
 // Each error names file, line and key.
-func Example_faults() {
+func Example_fieldErrors() {
 	text := example()
 	for _, change := range [][2]string{
 		{":relay     \"r1\" ", ""},
@@ -52,9 +52,9 @@
 			panic(change[0])
 		}
 		_, err := ParseRouter("edge.edn", []byte(strings.Replace(text, change[0], change[1], 1)))
-		var f *FieldError
-		if !errors.As(err, &f) {
-			fmt.Print("not a fault: ")
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) {
+			fmt.Print("not a field error: ")
 		}
 		fmt.Println(err)
 	}
@@ -88,14 +88,14 @@
 	// edge.edn:73: chute-lookup: stands twice
 }
 
-// Comments, discarded forms and strings that look like keys don't move the places.
-func Example_places() {
-	p, err := findPlaces("; {:a\n{:a #_ {:x 1} [1 #_2\n\"}:b\" \\} {:c 2}]\n :b #inst \"2026\" #_ :d}")
+// Comments, discarded forms and strings that look like keys don't move the positions.
+func Example_positions() {
+	p, err := findPositions("; {:a\n{:a #_ {:x 1} [1 #_2\n\"}:b\" \\} {:c 2}]\n :b #inst \"2026\" #_ :d}")
 	for _, k := range p.keys {
-		fmt.Println(k, "line", p.of[k])
+		fmt.Println(k, "line", p.lineOf[k])
 	}
-	fmt.Println(p.of[":a 3"], err)
-	_, err = findPlaces(strings.Repeat("[", 1000))
+	fmt.Println(p.lineOf[":a 3"], err)
+	_, err = findPositions(strings.Repeat("[", 1000))
 	fmt.Println(err)
 	// Output:
 	// :a line 2
@@ -107,17 +107,17 @@
 }
 
 func Example_routes() {
-	e, err := ParseRouter("edge.edn", []byte(strings.Replace(example(), "{:method \"GET\"  :path \"/chute/\"",
+	router, err := ParseRouter("edge.edn", []byte(strings.Replace(example(), "{:method \"GET\"  :path \"/chute/\"",
 		"{:method \"GET\" :path \"/chute/b\" :op-type \"batch-table\"} {:method \"GET\" :path \"/chute/\"", 1)))
 	fmt.Println(err)
 	for _, x := range []string{"GET /chute/7", "GET /chute/b7", "POST /chute/7", "GET /", "POST /divert/1"} {
 		method, path, _ := strings.Cut(x, " ")
-		op := e.ClassOf(method, path)
-		if op < 0 {
+		class := router.ClassOf(method, path)
+		if class < 0 {
 			fmt.Println(x, "none")
 			continue
 		}
-		fmt.Println(x, e.Classes[op].Name)
+		fmt.Println(x, router.Classes[class].Name)
 	}
 	// Output:
 	// <nil>
@@ -128,21 +128,21 @@
 	// POST /divert/1 divert-record
 }
 
-// Whatever the text, reading ends with settings or a fault that lies within the text.
+// Whatever the text, reading ends with settings or a FieldError that lies within the text.
 func FuzzParseEdge(f *testing.F) {
 	f.Add(example())
 	f.Add("{:a [1 #_ 2 \\} \"\\\"\" #{:b} (c)] ;\n}")
 	f.Fuzz(func(t *testing.T, text string) {
-		e, err := ParseRouter("f", []byte(text))
-		var fault *FieldError
-		if err != nil && !errors.As(err, &fault) {
-			t.Fatalf("no fault: %v", err)
+		router, err := ParseRouter("f", []byte(text))
+		var fieldError *FieldError
+		if err != nil && !errors.As(err, &fieldError) {
+			t.Fatalf("no FieldError: %v", err)
 		}
-		if fault != nil && (fault.Line < 1 || fault.Line > 1+strings.Count(text, "\n")) {
-			t.Fatalf("%v", fault)
+		if fieldError != nil && (fieldError.Line < 1 || fieldError.Line > 1+strings.Count(text, "\n")) {
+			t.Fatalf("%v", fieldError)
 		}
-		if err == nil && len(e.Policy().Classes) == 0 {
-			t.Fatal("settings without op types")
+		if err == nil && len(router.Policy().Classes) == 0 {
+			t.Fatal("settings without request classes")
 		}
 	})
 }
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		script.Length, script.Platform.Slack, script.Release.ReportShare = 6, 0.15, 0.01
+		script.Length, script.Platform.Slack, script.Release.WrongAnswerReportShare = 6, 0.15, 0.01
 		script.Events = []Event{{At: 0.5, Do: "answers-wrong", Part: 0.08, By: 0.6, For: 6}}
 		if !with {
 			script.Queries = nil
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -85,8 +85,8 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	s, rules := r.script.Units, r.script.Rules
-	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.ColdFrom,
-		WarmUp: rules.WarmUp, FallFactor: rules.FallFactor, FallTime: rules.FallTime}, r.rec, r.clock)
+	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.SlowStartInitialShare,
+		WarmUp: rules.SlowStartSeconds, FallFactor: rules.SlowStartOverloadFactor, FallTime: rules.SlowStartOverloadSeconds}, r.rec, r.clock)
 	if err == nil {
 		r.mu.Lock()
 		r.units[id] = u
@@ -117,9 +117,9 @@
 		first = min(first, b)
 	}
 	var err error
-	r.installer, err = fakes.NewInstaller(fakes.Plan{Stages: rel.Stages, Caps: rel.Caps, Places: script.Units.Places,
+	r.installer, err = fakes.NewInstaller(fakes.Plan{Stages: rel.Stages, Caps: rel.CanaryLimits, Places: script.Units.Places,
 		StartTime: script.Units.StartTime, DrainTime: script.Units.DrainTime, Bake: p.Bake, OnVotes: p.OnVotes,
-		BackVotes: rel.BackVotes, VoteLife: rel.VoteLife, Delay: p.Delay, Push: p.Push}, first, r, r.list, r.rec, r.clock)
+		BackVotes: rel.RollbackVotes, VoteLife: rel.VoteLifetimeSeconds, Delay: p.Delay, Push: p.Push}, first, r, r.list, r.rec, r.clock)
 	if err != nil {
 		return nil, err
 	}
@@ -158,17 +158,17 @@
 	var ops []fakes.OpShape
 	for _, op := range script.OpTypes {
 		method := http.MethodPost
-		if op.Effect == "redeliverable" {
+		if op.Idempotency == "redeliverable" {
 			method = http.MethodGet
 		}
 		ops = append(ops, fakes.OpShape{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, Work: op.Work,
-			Target: op.Target, Timeout: op.Timeout, Importance: op.Importance, Effect: invariants.Effect(op.Effect), Group: string(op.Group),
-			Window: op.Window})
+			Target: op.Target, Timeout: op.Timeout, Importance: op.PriorityWeight, Effect: invariants.Effect(op.Idempotency), Group: string(op.Group),
+			Window: op.DedupWindowSeconds})
 	}
 	r.clients = fakes.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
 	r.clients.Change(func(h *fakes.Habits) {
 		*h = fakes.Habits{Rate: script.Rate, Retries: script.Clients.Retries, AtOnce: script.Clients.AtOnce, Short: script.Clients.Short,
-			Report: rel.ReportShare}
+			Report: rel.WrongAnswerReportShare}
 	})
 	r.from = r.clock()
 	for _, e := range script.Events {
@@ -202,8 +202,8 @@
 // bounds gives the checker the numbers that the relays were given.
 func (s *Script) bounds() invariants.Bounds {
 	p, r := s.Platform, s.Rules
-	return invariants.Bounds{Slack: p.Slack, Grace: r.Grace, ColdFrom: r.ColdFrom, WarmUp: r.WarmUp, FallFactor: r.FallFactor,
-		FallTime: r.FallTime, Window: r.Window, Free: r.Free, Caps: s.Release.Caps, PerOp: r.CountPerOp, Guarded: r.Guarded,
+	return invariants.Bounds{Slack: p.Slack, Grace: r.GraceSeconds, ColdFrom: r.SlowStartInitialShare, WarmUp: r.SlowStartSeconds, FallFactor: r.SlowStartOverloadFactor,
+		FallTime: r.SlowStartOverloadSeconds, Window: r.Window, Free: r.CanaryFreeAttempts, Caps: s.Release.CanaryLimits, PerOp: r.CountPerOp, Guarded: r.IdempotentOnlyStages,
 		OneWay: r.OneWayKeys}
 }
 
@@ -430,7 +430,7 @@
 	b.WriteString(" :routes [")
 	for _, op := range s.OpTypes {
 		method := "POST"
-		if op.Effect == "redeliverable" {
+		if op.Idempotency == "redeliverable" {
 			method = "GET"
 		}
 		fmt.Fprintf(&b, "{:method %q :path \"/%s/\" :op-type %q}\n", method, op.Name, op.Name)
@@ -467,15 +467,15 @@
 	r, rel := s.Rules, s.Release
 	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
 		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		r.Relays, r.Round, r.Deliveries, r.Parallel, r.MaxPause, r.ColdFrom, r.WarmUp, r.FallFactor, r.FallTime, r.Window, r.Grace, r.Free,
-		r.CountPerOp, r.Guarded, r.OneWayKeys, r.KeysKept, r.UnitsForget)
+		r.Relays, r.Round, r.MaxAttempts, r.AllowHedging, r.MaxPause, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor, r.SlowStartOverloadSeconds, r.Window, r.GraceSeconds, r.CanaryFreeAttempts,
+		r.CountPerOp, r.IdempotentOnlyStages, r.OneWayKeys, r.KeysKept, r.UnitsForget)
 	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
-		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.Stages, rel.Caps, rel.BackVotes, rel.ByClock, rel.Replace,
-		rel.HarmPrice, rel.StalePrice, rel.ReportShare, rel.VoteLife, rel.VoteTimeout, rel.VotesASecond)
+		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.Stages, rel.CanaryLimits, rel.RollbackVotes, rel.AutomaticStages, rel.ReplaceInPlace,
+		rel.WrongAnswerPrice, rel.StaleBuildPrice, rel.WrongAnswerReportShare, rel.VoteLifetimeSeconds, rel.VoteTimeout, rel.VotesPerSecond)
 	b.WriteString(" :op-types [")
 	for _, op := range s.OpTypes {
 		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", op.Name, op.Target, op.Timeout,
-			op.Importance, string(op.Effect), op.Window)
+			op.PriorityWeight, string(op.Idempotency), op.DedupWindowSeconds)
 		if op.Group != "" {
 			fmt.Fprintf(&b, " :group :%s", string(op.Group))
 		}
