--- a/cmd/flintspread-lab/main.go
+++ b/cmd/flintspread-lab/main.go
@@ -115,10 +115,10 @@
 
 // alone tells how long answers took while planners were away, against the rest.
 func alone(out *scenario.Outcome) string {
-	if out.Alone.N == 0 || out.Alive.P99 == 0 {
+	if out.SucceededWithoutController.N == 0 || out.SucceededWithController.P99 == 0 {
 		return ""
 	}
-	return fmt.Sprintf(" (%d without a planner: p99 %.3f s, %.2f times)", out.Alone.N, out.Alone.P99, out.Alone.P99/out.Alive.P99)
+	return fmt.Sprintf(" (%d without a planner: p99 %.3f s, %.2f times)", out.SucceededWithoutController.N, out.SucceededWithoutController.P99, out.SucceededWithoutController.P99/out.SucceededWithController.P99)
 }
 
 // many plays a day with one seed after the other, some at once, and prints a line for each.
@@ -147,7 +147,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			services = append(services, out.Service)
-			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", s.Seed, out.Service, out.Asked, out.Alive.P99,
+			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", s.Seed, out.Service, out.Asked, out.SucceededWithController.P99,
 				alone(out), out.History[len(out.History)-1].What)
 			if err := verdict(w, out); err != nil {
 				worst = err
@@ -178,11 +178,11 @@
 	for _, k := range sorted(out.Answers) {
 		fmt.Fprintf(w, ", %d %s", out.Answers[k], k)
 	}
-	fmt.Fprintf(w, "; %d wrong answers\nservice: %.3f", out.Wrong, out.Service)
-	for _, k := range sorted(out.ByOp) {
-		fmt.Fprintf(w, ", %s %.3f", k, out.ByOp[k])
+	fmt.Fprintf(w, "; %d wrong answers\nservice: %.3f", out.WrongAnswers, out.Service)
+	for _, k := range sorted(out.ServiceByClass) {
+		fmt.Fprintf(w, ", %s %.3f", k, out.ServiceByClass[k])
 	}
-	fmt.Fprintf(w, "\nacked in: p50 %.3f s, p99 %.3f s%s\n", out.Alive.P50, out.Alive.P99, alone(out))
+	fmt.Fprintf(w, "\nacked in: p50 %.3f s, p99 %.3f s%s\n", out.SucceededWithController.P50, out.SucceededWithController.P99, alone(out))
 	if out.Versions != nil {
 		fmt.Fprintln(w, "settings:", out.Versions)
 	}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -27,7 +27,7 @@
 	Target     float64
 	Timeout    float64
 	Importance float64
-	Effect     invariants.Effect
+	Effect     invariants.Idempotency
 	Group      string
 	Window     float64
 }
@@ -120,8 +120,8 @@
 		if h.Short > 0 {
 			given = min(given, op.Timeout*(h.Short+(1-h.Short)*rnd.Float64()))
 		}
-		cmd := &invariants.Command{ID: cs.ids.Add(1), Relay: relay, Op: op.Name, Effect: op.Effect, Group: op.Group, Window: op.Window,
-			Key: key, Importance: op.Importance, Target: op.Target, First: first, Asked: cs.clock(), Due: cs.clock() + given}
+		cmd := &invariants.Request{ID: cs.ids.Add(1), Relay: relay, Class: op.Name, Idempotency: op.Effect, DedupScope: op.Group, DedupWindowSeconds: op.Window,
+			Key: key, PriorityWeight: op.Importance, LatencyObjectiveSeconds: op.Target, FirstSentAt: first, Asked: cs.clock(), Deadline: cs.clock() + given}
 		cs.rec.Enter(func(r *invariants.Record) { r.Commands[cmd.ID] = cmd })
 		leave := math.Inf(1)
 		if rnd.Float64() < h.Leave {
@@ -132,8 +132,8 @@
 			cs.down.Store(relay, cs.clock()+0.5)
 		}
 		again := kind == "nacked" || kind == "unreached" ||
-			(kind == "failed" || kind == "none") && (op.Effect == invariants.Redeliverable ||
-				op.Effect == invariants.Deduplicated && op.Group == "all" && cs.clock()-first < op.Window/2)
+			(kind == "failed" || kind == "none") && (op.Effect == invariants.Idempotent ||
+				op.Effect == invariants.IdempotentWithKey && op.Group == "all" && cs.clock()-first < op.Window/2)
 		if h.AtOnce {
 			pause = 0
 		}
@@ -146,11 +146,11 @@
 }
 
 // try is one sending of a command to a relay.
-func (cs *Clients) try(cmd *invariants.Command, op *OpShape, key, mark string, work, given float64, try int, leave float64, h Habits,
+func (cs *Clients) try(cmd *invariants.Request, op *OpShape, key, mark string, work, given float64, try int, leave float64, h Habits,
 	rnd *rand.Rand) (kind string, pause float64) {
 	c, err := cs.conn(cmd.Relay)
 	if err != nil {
-		cs.rec.Enter(func(*invariants.Record) { cmd.Unreached = true })
+		cs.rec.Enter(func(*invariants.Record) { cmd.NotConnected = true })
 		return "unreached", 0
 	}
 	var buf bytes.Buffer
@@ -174,12 +174,12 @@
 	if n, err := c.Write(buf.Bytes()); err != nil {
 		c.Close()
 		if n == 0 {
-			cs.rec.Enter(func(*invariants.Record) { cmd.Unreached = true })
+			cs.rec.Enter(func(*invariants.Record) { cmd.NotConnected = true })
 			return "unreached", 0
 		}
 	}
 	// A late answer is waited for too, to be seen.
-	timer := time.NewTimer(time.Duration((min(cmd.Due+1, leave) - cs.clock()) * float64(time.Second)))
+	timer := time.NewTimer(time.Duration((min(cmd.Deadline+1, leave) - cs.clock()) * float64(time.Second)))
 	defer timer.Stop()
 	select {
 	case got := <-c.got:
@@ -192,7 +192,7 @@
 		if kind == "acked" {
 			want := Answer(body + path)
 			wrong := got.StatusCode == 200 && string(text) != want
-			cs.rec.Enter(func(*invariants.Record) { cmd.Wrong = wrong })
+			cs.rec.Enter(func(*invariants.Record) { cmd.WrongAnswer = wrong })
 			if wrong && rnd.Float64() < h.Report {
 				time.AfterFunc(time.Duration((0.2+rnd.Float64())*float64(time.Second)), func() { cs.report(cmd.Relay, got.Header.Get("Flint-Receipt")) })
 			}
@@ -208,8 +208,8 @@
 		return kind, pause
 	case <-timer.C:
 		c.Close()
-		if cs.clock() < cmd.Due {
-			cs.rec.Enter(func(*invariants.Record) { cmd.Left = cs.clock() })
+		if cs.clock() < cmd.Deadline {
+			cs.rec.Enter(func(*invariants.Record) { cmd.AbandonedAt = cs.clock() })
 			return "left", 0
 		}
 		return "none", 0
@@ -232,7 +232,7 @@
 type clientConn struct {
 	net.Conn
 	mu   sync.Mutex
-	cur  *invariants.Command
+	cur  *invariants.Request
 	last uint64 // the command before
 	dead atomic.Bool
 	got  chan *http.Response
@@ -278,7 +278,7 @@
 			c.cur = nil
 			c.mu.Unlock()
 			if cmd != nil {
-				cs.rec.Enter(func(*invariants.Record) { cmd.Broken = now })
+				cs.rec.Enter(func(*invariants.Record) { cmd.ClosedAt = now })
 				c.got <- nil
 			}
 			c.Close()
@@ -293,10 +293,10 @@
 		unit, _ := strconv.ParseUint(resp.Header.Get(headUnit), 10, 32)
 		cs.rec.Enter(func(r *invariants.Record) {
 			if cmd == nil {
-				r.Stray = append(r.Stray, fmt.Sprintf("an answer nobody waited for, after that of command %d", last))
+				r.StrayAnswers = append(r.StrayAnswers, fmt.Sprintf("an answer nobody waited for, after that of command %d", last))
 				return
 			}
-			cmd.Answers = append(cmd.Answers, invariants.Answer{At: now, Kind: resp.Header.Get("Flint-Answer"), Unit: uint32(unit)})
+			cmd.Answers = append(cmd.Answers, invariants.Answer{At: now, Kind: resp.Header.Get("Flint-Answer"), Endpoint: uint32(unit)})
 		})
 		if cmd != nil {
 			c.got <- resp
--- a/internal/fakes/installer.go
+++ b/internal/fakes/installer.go
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 		u.Start -= 1000
-		rec.Enter(func(r *invariants.Record) { r.Units[u.ID].Start = u.Start })
+		rec.Enter(func(r *invariants.Record) { r.Endpoints[u.ID].StartedAt = u.Start })
 		in.places, in.pending[place].build = append(in.places, u), first
 		list.Put(entry(u, "ready"))
 	}
@@ -276,7 +276,7 @@
 		return
 	}
 	in.rec.Enter(func(r *invariants.Record) {
-		r.News = append(r.News, invariants.News{At: now, Relay: relay, Build: l.Build, Stage: l.Stage, Phase: l.Phase, Cap: l.Cap})
+		r.ReleaseUpdates = append(r.ReleaseUpdates, invariants.ReleaseUpdate{At: now, Relay: relay, Build: l.Build, Stage: l.Stage, Phase: l.Phase, CanaryLimit: l.Cap})
 	})
 }
 
--- a/internal/fakes/list.go
+++ b/internal/fakes/list.go
@@ -140,20 +140,20 @@
 		l.known[relay] = known
 	}
 	now := l.clock()
-	var news []invariants.Told
+	var news []invariants.EndpointUpdate
 	named := map[uint32]bool{}
 	for _, u := range line.Endpoints {
 		named[u.ID] = true
 		known[u.ID] = u.State == "ready"
-		news = append(news, invariants.Told{At: now, Relay: relay, Unit: u.ID, Ready: u.State == "ready"})
+		news = append(news, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: u.ID, Ready: u.State == "ready"})
 	}
 	for id := range known {
 		if line.Full && !named[id] {
 			known[id] = false
-			news = append(news, invariants.Told{At: now, Relay: relay, Unit: id})
+			news = append(news, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: id})
 		}
 	}
-	l.rec.Enter(func(r *invariants.Record) { r.Told = append(r.Told, news...) })
+	l.rec.Enter(func(r *invariants.Record) { r.EndpointUpdates = append(r.EndpointUpdates, news...) })
 }
 
 // ServeHTTP streams the list to a relay, named by the path's first part.
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -22,7 +22,7 @@
 const PlatformSiteCanary = 2
 
 // PlatformSiteBounds are the numbers behind the rules that the site's settings give.
-var PlatformSiteBounds = invariants.Bounds{Slack: 0.25, Grace: 0.3, ColdFrom: 0.3, WarmUp: 1, FallFactor: 4, FallTime: 1, Window: 1, Free: 2, Caps: []float64{0.2, 0.5}}
+var PlatformSiteBounds = invariants.Bounds{SlackSeconds: 0.25, GraceSeconds: 0.3, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 4, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 1, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.2, 0.5}}
 
 // PlatformSite plays what is around one relay in the platform's protocol, and enters what it sees on its sockets.
 type PlatformSite struct {
@@ -99,7 +99,7 @@
 		return err
 	}
 	s.Rec.Enter(func(r *invariants.Record) {
-		r.Units[uint32(n)] = &invariants.Unit{ID: uint32(n), Build: build, Capacity: 1e9}
+		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: 1e9}
 	})
 	s.List(fmt.Sprintf("u%d", n), at, build, "SERVING")
 	return nil
@@ -113,7 +113,7 @@
 			return
 		}
 		id, _ := strconv.ParseUint(string(args[2]), 16, 64)
-		d := &invariants.Delivery{Command: id, Unit: unit, At: s.Clock()}
+		d := &invariants.Attempt{RequestID: id, Endpoint: unit, At: s.Clock()}
 		good := fmt.Sprintf("*3\r\n$17\r\nv%016x\r\n$-1\r\n$-1\r\n", id)
 		text := good
 		if rand.Float64() < bad {
@@ -121,7 +121,7 @@
 			case 0:
 				text = "-ERR failed\r\n"
 			case 1:
-				text, d.Never = "-BUSY\r\n", d.At
+				text, d.RejectedAt = "-BUSY\r\n", d.At
 			case 2:
 				text = "" // silent
 			case 3:
@@ -131,12 +131,12 @@
 			case 5:
 				text = good + good
 			case 6:
-				s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
+				s.Rec.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, d) })
 				resetOnClose(c)
 				return
 			}
 		}
-		s.Rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
+		s.Rec.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, d) })
 		time.Sleep(2 * time.Millisecond)
 		if _, err := io.WriteString(c, text); err != nil {
 			return
@@ -167,7 +167,7 @@
 func (s *PlatformSite) told(e map[string]any) {
 	at := s.Clock()
 	s.Rec.Enter(func(r *invariants.Record) {
-		r.Told = append(r.Told, invariants.Told{At: at, Relay: s.Relay, Unit: unitID(e["host"].(string)), Ready: e["health"] == "SERVING"})
+		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{At: at, Relay: s.Relay, Endpoint: unitID(e["host"].(string)), Ready: e["health"] == "SERVING"})
 	})
 }
 
@@ -235,16 +235,16 @@
 	if s.phase == "released" {
 		return 1
 	}
-	return PlatformSiteBounds.Caps[s.stage]
+	return PlatformSiteBounds.CanaryLimits[s.stage]
 }
 
 // tell enters what the relay hears of the release; released and trial are the audit's words as well, but for the latter.
 func (s *PlatformSite) tell() {
-	n := invariants.News{At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], Cap: s.cap()}
+	n := invariants.ReleaseUpdate{At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: map[string]string{"trial": "on-trial"}[s.phase], CanaryLimit: s.cap()}
 	if n.Phase == "" {
 		n.Phase = s.phase
 	}
-	s.Rec.Enter(func(r *invariants.Record) { r.News = append(r.News, n) })
+	s.Rec.Enter(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, n) })
 }
 
 // Desk starts a control service and gives its address, and a way to end its taking new connections. Each PROCEED moves the build on;
@@ -273,8 +273,8 @@
 	}
 	if f[3] == "PROCEED" && f[2] == strconv.Itoa(s.stage) && s.phase == "trial" {
 		s.base = time.Now()
-		if s.stage++; s.stage == len(PlatformSiteBounds.Caps) {
-			s.stage, s.phase = len(PlatformSiteBounds.Caps)-1, "released"
+		if s.stage++; s.stage == len(PlatformSiteBounds.CanaryLimits) {
+			s.stage, s.phase = len(PlatformSiteBounds.CanaryLimits)-1, "released"
 		}
 	}
 	s.tell()
@@ -293,7 +293,7 @@
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "platform":{"address":%q,"news":{"build":%d,"stage":0,"phase":"trial","cap":%v,"age_ms":0}},
-"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.Caps[0], s.whole(), siteSettings)
+"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0], s.whole(), siteSettings)
 }
 
 const siteSettings = `{"balancers":1,"round":5.0,"discovery":"push",
@@ -338,17 +338,17 @@
 			br = bufio.NewReader(c)
 		}
 		const given = 0.4
-		cmd := &invariants.Command{ID: uint64(n)<<32 | uint64(i+1), Relay: s.Relay, Group: "all", Window: 5, Importance: 1, Target: 0.3}
+		cmd := &invariants.Request{ID: uint64(n)<<32 | uint64(i+1), Relay: s.Relay, DedupScope: "all", DedupWindowSeconds: 5, PriorityWeight: 1, LatencyObjectiveSeconds: 0.3}
 		list := []string{"API.READ", fmt.Sprintf("key%d", i%7), fmt.Sprintf("%016x", cmd.ID), "c=lookup,d=400"}
 		switch i % 3 {
 		case 0:
-			cmd.Op, cmd.Effect = "lookup", invariants.Redeliverable
+			cmd.Class, cmd.Idempotency = "lookup", invariants.Idempotent
 		case 1:
-			cmd.Op, cmd.Effect = "order", invariants.Deduplicated
+			cmd.Class, cmd.Idempotency = "order", invariants.IdempotentWithKey
 			list = append(list, "BODY")
 			list[0], list[3] = "API.WRITE", fmt.Sprintf("c=order,d=400,k=%x", cmd.ID)
 		default:
-			cmd.Op, cmd.Effect = "seal", invariants.AtMostOnce
+			cmd.Class, cmd.Idempotency = "seal", invariants.NonIdempotent
 			list = append(list, "BODY")
 			list[0], list[3] = "API.WRITE", "c=seal,d=400"
 		}
@@ -357,7 +357,7 @@
 			buf = resp.Bulk(buf, w)
 		}
 		cmd.Asked = s.Clock()
-		cmd.First, cmd.Due = cmd.Asked, cmd.Asked+given
+		cmd.FirstSentAt, cmd.Deadline = cmd.Asked, cmd.Asked+given
 		s.Rec.Enter(func(r *invariants.Record) { r.Commands[cmd.ID] = cmd })
 		line, err := exchange(c, br, buf)
 		kind := ""
@@ -374,7 +374,7 @@
 		}
 		s.Rec.Enter(func(*invariants.Record) {
 			if err != nil {
-				cmd.Broken = s.Clock()
+				cmd.ClosedAt = s.Clock()
 			} else {
 				cmd.Answers = append(cmd.Answers, invariants.Answer{At: s.Clock(), Kind: kind})
 			}
--- a/internal/fakes/unit.go
+++ b/internal/fakes/unit.go
@@ -118,7 +118,7 @@
 		}
 	}}
 	rec.Enter(func(r *invariants.Record) {
-		r.Units[id] = &invariants.Unit{ID: id, Build: build, Start: u.Start, Capacity: float64(shape.Cores)}
+		r.Endpoints[id] = &invariants.Endpoint{ID: id, Build: build, StartedAt: u.Start, Capacity: float64(shape.Cores)}
 	})
 	go serveUntilClosed(u.srv, door{l, u})
 	return u, nil
@@ -185,7 +185,7 @@
 	u.recent = u.recent[:n]
 	if n > 1 && sum > u.shape.FallFactor*float64(u.shape.Cores)*u.ramp(now)*u.shape.FallTime {
 		u.fell = true
-		u.rec.Enter(func(r *invariants.Record) { r.Units[u.ID].Fell = now })
+		u.rec.Enter(func(r *invariants.Record) { r.Endpoints[u.ID].FailedAt = now })
 	}
 	return u.fell
 }
@@ -219,8 +219,8 @@
 	}
 	id, _ := strconv.ParseUint(req.Header.Get(headCommand), 10, 64)
 	work, _ := strconv.ParseFloat(req.Header.Get(headWork), 64)
-	d := &invariants.Delivery{Command: id, Unit: u.ID, At: now, Work: work}
-	u.rec.Enter(func(r *invariants.Record) { r.Deliveries = append(r.Deliveries, d) })
+	d := &invariants.Attempt{RequestID: id, Endpoint: u.ID, At: now, WorkSeconds: work}
+	u.rec.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, d) })
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
@@ -239,7 +239,7 @@
 	w.Header().Set(headUnit, strconv.Itoa(int(u.ID)))
 	if u.inHand.Add(1) > int64(u.shape.Cores+u.shape.Queue) {
 		u.inHand.Add(-1)
-		u.rec.Enter(func(*invariants.Record) { d.Never = u.clock() })
+		u.rec.Enter(func(*invariants.Record) { d.RejectedAt = u.clock() })
 		w.Header().Set("Flint-Never-Ran", "queue full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-var bounds = Bounds{Slack: 0.02, Grace: 1, ColdFrom: 0.25, WarmUp: 4, FallFactor: 2, FallTime: 1, Window: 4, Free: 1, Caps: []float64{0.1, 0.5}}
+var bounds = Bounds{SlackSeconds: 0.02, GraceSeconds: 1, SlowStartInitialShare: 0.25, SlowStartSeconds: 4, SlowStartOverloadFactor: 2, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 1, CanaryLimits: []float64{0.1, 0.5}}
 
-// scene is a record without fault: a relay, a unit of build 1 and one of build 2, a command for each effect.
-func scene() *Record {
+// cleanRecord breaks no rule: a relay, an endpoint of build 1 and one of build 2, a request of each idempotency.
+func cleanRecord() *Record {
 	r := NewRecord()
 	r.Lives = []*Life{{Relay: "r1", From: 0}}
-	r.Units[1] = &Unit{ID: 1, Build: 1, Start: -100, Capacity: 2}
-	r.Units[2] = &Unit{ID: 2, Build: 2, Start: -100, Capacity: 2, Cell: 1}
-	for i, e := range []Effect{Redeliverable, Deduplicated, AtMostOnce} {
+	r.Endpoints[1] = &Endpoint{ID: 1, Build: 1, StartedAt: -100, Capacity: 2}
+	r.Endpoints[2] = &Endpoint{ID: 2, Build: 2, StartedAt: -100, Capacity: 2, Cell: 1}
+	for i, e := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		id := uint64(i + 1)
-		r.Commands[id] = &Command{ID: id, Relay: "r1", Op: string(e), Effect: e, Group: "cell", Window: 0.5, Key: "k", Importance: 1, Target: 1,
-			First: 10, Asked: 10, Due: 11, Answers: []Answer{{10.1, "acked", 1}}, FinalTry: true}
-		r.Deliveries = append(r.Deliveries, &Delivery{Command: id, Unit: 1, At: 10.01, Work: 0.1})
+		r.Commands[id] = &Request{ID: id, Relay: "r1", Class: string(e), Idempotency: e, DedupScope: "cell", DedupWindowSeconds: 0.5, Key: "k", PriorityWeight: 1, LatencyObjectiveSeconds: 1,
+			FirstSentAt: 10, Asked: 10, Deadline: 11, Answers: []Answer{{10.1, "acked", 1}}, FinalTry: true}
+		r.Attempts = append(r.Attempts, &Attempt{RequestID: id, Endpoint: 1, At: 10.01, WorkSeconds: 0.1})
 	}
 	return r
 }
 
+// show prints the first breach of each rule in a clean record that was changed, under bounds that were edited.
 func show(name string, change func(*Record), edit func(*Bounds)) {
-	r, b := scene(), bounds
+	r, b := cleanRecord(), bounds
 	change(r)
 	if edit != nil {
 		edit(&b)
@@ -42,124 +43,124 @@
 	show("clean", func(*Record) {}, nil)
 	show("no answer", func(r *Record) { r.Commands[1].Answers = nil }, nil)
 	show("no answer, relay killed", func(r *Record) {
-		r.Commands[1].Answers, r.Commands[1].Broken = nil, 10.5
+		r.Commands[1].Answers, r.Commands[1].ClosedAt = nil, 10.5
 		r.Lives[0].To, r.Lives[0].Killed = 10.5, true
 	}, nil)
-	show("no answer, client left", func(r *Record) { r.Commands[1].Answers, r.Commands[1].Left = nil, 10.2 }, nil)
-	stopped := func(broken float64, met bool) func(*Record) {
+	show("no answer, client left", func(r *Record) { r.Commands[1].Answers, r.Commands[1].AbandonedAt = nil, 10.2 }, nil)
+	stopping := func(broken float64, met bool) func(*Record) {
 		return func(r *Record) {
 			r.Lives[0].Stopping, r.Lives[0].To = 9.99, 10.6
-			r.Commands[1].Answers, r.Commands[1].Broken = nil, broken
+			r.Commands[1].Answers, r.Commands[1].ClosedAt = nil, broken
 			if !met {
-				r.Deliveries = r.Deliveries[1:]
+				r.Attempts = r.Attempts[1:]
 			}
 		}
 	}
-	show("written as a draining relay closed", stopped(10.005, false), nil)
-	show("the same, but a unit met it", stopped(10.005, true), nil)
-	show("accepted by a draining relay, then dropped", stopped(10.3, false), nil)
+	show("written as a draining relay closed", stopping(10.005, false), nil)
+	show("the same, but a unit met it", stopping(10.005, true), nil)
+	show("accepted by a draining relay, then dropped", stopping(10.3, false), nil)
 	show("two answers", func(r *Record) { r.Commands[1].Answers = []Answer{{10.1, "acked", 1}, {10.2, "failed", 0}} }, nil)
 	show("late answer", func(r *Record) { r.Commands[1].Answers[0].At = 11.1 }, nil)
 	show("late answer, relay stood still", func(r *Record) {
 		r.Commands[1].Answers[0].At = 11.1
-		r.Lives[0].Stalls = [][2]float64{{10.5, 11}}
+		r.Lives[0].Pauses = [][2]float64{{10.5, 11}}
 	}, nil)
-	show("stray bytes", func(r *Record) { r.Stray = []string{"an answer nobody waited for"} }, nil)
-	show("sent after the answer", func(r *Record) { deliver(r, 1, 1, 10.3) }, nil)
-	show("at-most-once twice", func(r *Record) { r.Commands[3].Answers[0].At = 10.5; deliver(r, 3, 1, 10.3) }, nil)
+	show("stray bytes", func(r *Record) { r.StrayAnswers = []string{"an answer nobody waited for"} }, nil)
+	show("sent after the answer", func(r *Record) { addAttempt(r, 1, 1, 10.3) }, nil)
+	show("at-most-once twice", func(r *Record) { r.Commands[3].Answers[0].At = 10.5; addAttempt(r, 3, 1, 10.3) }, nil)
 	show("at-most-once twice, first never ran", func(r *Record) {
 		r.Commands[3].Answers[0].At = 10.5
-		r.Deliveries[2].Never = 10.02
-		deliver(r, 3, 1, 10.3)
+		r.Attempts[2].RejectedAt = 10.02
+		addAttempt(r, 3, 1, 10.3)
 	}, nil)
 	show("at-most-once nacked", func(r *Record) { r.Commands[3].Answers[0].Kind = "nacked" }, nil)
-	show("deduplicated past its window", func(r *Record) { r.Commands[2].Answers[0].At = 10.9; deliver(r, 2, 1, 10.6) }, nil)
+	show("deduplicated past its window", func(r *Record) { r.Commands[2].Answers[0].At = 10.9; addAttempt(r, 2, 1, 10.6) }, nil)
 	show("deduplicated outside its cell", func(r *Record) {
-		r.News = []News{{9, "r1", 2, 1, "released", 1}}
+		r.ReleaseUpdates = []ReleaseUpdate{{9, "r1", 2, 1, "released", 1}}
 		r.Commands[2].Answers[0].At = 10.9
-		deliver(r, 2, 2, 10.2)
+		addAttempt(r, 2, 2, 10.2)
 	}, nil)
-	drained := func(ready bool) func(*Record) {
+	draining := func(ready bool) func(*Record) {
 		return func(r *Record) {
-			r.Told = []Told{{8, "r1", 1, false}}
+			r.EndpointUpdates = []EndpointUpdate{{8, "r1", 1, false}}
 			if ready {
-				r.Told = append(r.Told, Told{9.5, "r1", 1, true})
+				r.EndpointUpdates = append(r.EndpointUpdates, EndpointUpdate{9.5, "r1", 1, true})
 			}
 		}
 	}
-	show("sent to a drained unit", drained(false), nil)
-	show("sent to a unit that came back", drained(true), nil)
+	show("sent to a drained unit", draining(false), nil)
+	show("sent to a unit that came back", draining(true), nil)
 	show("drain told to an earlier life", func(r *Record) {
-		drained(false)(r)
+		draining(false)(r)
 		r.Lives = []*Life{{Relay: "r1", From: 0, To: 8.5, Killed: true}, {Relay: "r1", From: 9}}
 	}, nil)
 	show("cold unit flooded", func(r *Record) {
-		r.Units[1].Start = 10
+		r.Endpoints[1].StartedAt = 10
 		for i := range 12 {
-			deliver(r, 1, 1, 10.02+float64(i)/1000)
+			addAttempt(r, 1, 1, 10.02+float64(i)/1000)
 		}
 		r.Commands[1].Answers[0].At = 10.9
 	}, nil)
-	trial := func(n int, at float64) func(*Record) {
+	canaryAttempts := func(n int, at float64) func(*Record) {
 		return func(r *Record) {
-			r.News = append([]News{{5, "r1", 2, 0, "on-trial", 0.1}}, r.News...)
+			r.ReleaseUpdates = append([]ReleaseUpdate{{5, "r1", 2, 0, "on-trial", 0.1}}, r.ReleaseUpdates...)
 			for i := range n {
-				deliver(r, 1, 2, at+float64(i)/100)
+				addAttempt(r, 1, 2, at+float64(i)/100)
 			}
 			r.Commands[1].Answers[0].At = 10.9
 		}
 	}
-	show("one trial delivery", trial(1, 10.1), nil)
-	show("over the cap", trial(2, 10.1), nil)
+	show("one trial delivery", canaryAttempts(1, 10.1), nil)
+	show("over the cap", canaryAttempts(2, 10.1), nil)
 	show("over a cap that was lowered within the grace", func(r *Record) {
-		trial(2, 10.1)(r)
-		r.News = []News{{5, "r1", 2, 1, "on-trial", 0.5}, {9.6, "r1", 2, 1, "going-back", 0}}
+		canaryAttempts(2, 10.1)(r)
+		r.ReleaseUpdates = []ReleaseUpdate{{5, "r1", 2, 1, "on-trial", 0.5}, {9.6, "r1", 2, 1, "going-back", 0}}
 	}, nil)
 	show("at cap 0 after the grace", func(r *Record) {
-		trial(1, 10.1)(r)
-		r.News = []News{{5, "r1", 2, 1, "on-trial", 0.5}, {8, "r1", 2, 1, "going-back", 0}}
+		canaryAttempts(1, 10.1)(r)
+		r.ReleaseUpdates = []ReleaseUpdate{{5, "r1", 2, 1, "on-trial", 0.5}, {8, "r1", 2, 1, "going-back", 0}}
 	}, nil)
-	show("unannounced", func(r *Record) { trial(2, 10.1)(r); r.News = nil }, nil)
-	show("released", func(r *Record) { trial(5, 10.1)(r); r.News[0].Phase = "released" }, nil)
+	show("unannounced", func(r *Record) { canaryAttempts(2, 10.1)(r); r.ReleaseUpdates = nil }, nil)
+	show("released", func(r *Record) { canaryAttempts(5, 10.1)(r); r.ReleaseUpdates[0].Phase = "released" }, nil)
 	show("guarded stage", func(r *Record) {
-		trial(0, 0)(r)
-		deliver(r, 3, 2, 10.005)
-		r.Deliveries[2].Never = 10.006
-		r.Deliveries[3].Never = 10.006
-	}, func(b *Bounds) { b.Guarded = 1 })
+		canaryAttempts(0, 0)(r)
+		addAttempt(r, 3, 2, 10.005)
+		r.Attempts[2].RejectedAt = 10.006
+		r.Attempts[3].RejectedAt = 10.006
+	}, func(b *Bounds) { b.IdempotentOnlyStages = 1 })
 	show("one-way key", func(r *Record) {
-		trial(1, 10.005)(r)
+		canaryAttempts(1, 10.005)(r)
 		r.Commands[1].Answers[0] = Answer{10.006, "acked", 2}
-		r.Deliveries[1].At = 10.2
+		r.Attempts[1].At = 10.2
 		r.Commands[2].Answers[0].At = 10.3
-	}, func(b *Bounds) { b.OneWay = true })
+	}, func(b *Bounds) { b.OneWayKeys = true })
 	show("one-way key, the relay was killed in between", func(r *Record) {
-		trial(1, 10.005)(r)
+		canaryAttempts(1, 10.005)(r)
 		r.Commands[1].Answers[0] = Answer{10.006, "acked", 2}
-		r.Deliveries[1].At, r.Commands[2].Asked = 10.2, 10.15
+		r.Attempts[1].At, r.Commands[2].Asked = 10.2, 10.15
 		r.Commands[2].Answers[0].At = 10.3
 		r.Commands[3].Answers[0] = Answer{10.003, "acked", 1}
-		r.Deliveries[2].At = 10.002
+		r.Attempts[2].At = 10.002
 		r.Lives = []*Life{{Relay: "r1", From: 0, To: 10.1, Killed: true}, {Relay: "r1", From: 10.12}}
-		r.News = append(r.News, News{10.13, "r1", 2, 0, "on-trial", 0.1})
-	}, func(b *Bounds) { b.OneWay = true })
-	led := func(n int, lives ...*Life) func(*Record) {
+		r.ReleaseUpdates = append(r.ReleaseUpdates, ReleaseUpdate{10.13, "r1", 2, 0, "on-trial", 0.1})
+	}, func(b *Bounds) { b.OneWayKeys = true })
+	withController := func(n int, lives ...*Life) func(*Record) {
 		return func(r *Record) {
-			trial(n, 10.1)(r)
+			canaryAttempts(n, 10.1)(r)
 			r.Lives = append(lives, &Life{Relay: "r1", From: 0, To: 10.12, Killed: true}, &Life{Relay: "r1", From: 10.12})
 		}
 	}
-	show("two edges that are led, over the sum", led(2, &Life{Relay: "r1", Planner: true}), nil)
-	show("two edges that are led, within", led(1, &Life{Relay: "r1", Planner: true}), nil)
-	paused := &Life{Relay: "r1", Planner: true, Stalls: [][2]float64{{7.9, 9.9}}}
-	show("drain told to a planner that stood still", func(r *Record) { drained(false)(r); r.Lives = append(r.Lives, paused) }, nil)
+	show("two edges that are led, over the sum", withController(2, &Life{Relay: "r1", Controller: true}), nil)
+	show("two edges that are led, within", withController(1, &Life{Relay: "r1", Controller: true}), nil)
+	paused := &Life{Relay: "r1", Controller: true, Pauses: [][2]float64{{7.9, 9.9}}}
+	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Lives = append(r.Lives, paused) }, nil)
 	show("drain told to a planner that was killed at once", func(r *Record) {
-		drained(false)(r)
-		r.Lives = append(r.Lives, &Life{Relay: "r1", Planner: true, To: 8.1, Killed: true}, &Life{Relay: "r1", Planner: true, From: 8.2})
+		draining(false)(r)
+		r.Lives = append(r.Lives, &Life{Relay: "r1", Controller: true, To: 8.1, Killed: true}, &Life{Relay: "r1", Controller: true, From: 8.2})
 	}, nil)
 	show("drain told to a planner that lived", func(r *Record) {
-		drained(false)(r)
-		r.Lives = append(r.Lives, &Life{Relay: "r1", Planner: true, To: 8.9, Killed: true})
+		draining(false)(r)
+		r.Lives = append(r.Lives, &Life{Relay: "r1", Controller: true, To: 8.9, Killed: true})
 	}, nil)
 	// Output:
 	// clean:
@@ -199,6 +200,6 @@
 	// drain told to a planner that lived: rule 3 drains: r1 delivered to unit 1 2.010 s after it was told that the unit drains or is gone
 }
 
-func deliver(r *Record, cmd uint64, unit uint32, at float64) {
-	r.Deliveries = append(r.Deliveries, &Delivery{Command: cmd, Unit: unit, At: at, Work: 0.1})
+func addAttempt(r *Record, cmd uint64, unit uint32, at float64) {
+	r.Attempts = append(r.Attempts, &Attempt{RequestID: cmd, Endpoint: unit, At: at, WorkSeconds: 0.1})
 }
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -1,109 +1,136 @@
-// Package invariants checks the five rules from what clients, units and the services around a relay saw on their sockets. It
-// takes no relay's word for anything.
 package invariants
 
 import "sync"
 
-// Effect says whether a command may run again, as in policy.
-type Effect string
+// Idempotency says whether a request may run again. The values are the operators' words, as in the settings files.
+type Idempotency string
 
-// The effects that a command may have.
+// What a request may be: idempotent, idempotent with a key within a scope and window, or non-idempotent.
 const (
-	Redeliverable Effect = "redeliverable"
-	Deduplicated  Effect = "deduplicated"
-	AtMostOnce    Effect = "at-most-once"
+	Idempotent        Idempotency = "redeliverable"
+	IdempotentWithKey Idempotency = "deduplicated"
+	NonIdempotent     Idempotency = "at-most-once"
 )
 
-// Command is one try of a client. Times are seconds on one clock, that of the process which watches all sockets.
-type Command struct {
-	ID                 uint64
-	Relay, Op          string
-	Effect             Effect
-	Group              string  // of deduplicated ones: all, zone or cell
-	Window             float64 // and how long repeats are recognised
-	Key                string
-	Importance, Target float64
-	First              float64 // when its client first asked
-	Asked, Due         float64 // written; when the client gives up
-	Left               float64 // the client closed the connection, 0: it did not
-	Unreached          bool    // no byte of it could be sent
-	Broken             float64 // the relay closed the connection instead of an answer
-	Answers            []Answer
-	Wrong              bool // the answer acked was wrong
-	FinalTry           bool // its client asks no more after it
+// The kinds of an Answer, by the wire's words. What a client got instead of an answer has a kind too in Report.Answers.
+const (
+	kindSucceeded = "acked"
+	kindRejected  = "nacked"
+
+	kindNone         = "none"
+	kindNotConnected = "unreached"
+	kindAbandoned    = "left"
+)
+
+// The phases of a release, by the wire's words.
+const (
+	phaseCanary      = "on-trial"
+	phaseRollingBack = "going-back"
+	phaseReleased    = "released"
+	phaseWithdrawn   = "withdrawn"
+)
+
+// Request is one try of a client: a client that tries again makes another Request. Instants are seconds on the clock of the process
+// that watches all sockets; 0 where the thing did not happen.
+type Request struct {
+	ID                      uint64
+	Relay                   string
+	Class                   string
+	Idempotency             Idempotency
+	DedupScope              string  // of IdempotentWithKey: all, zone or cell
+	DedupWindowSeconds      float64 // of IdempotentWithKey: how long endpoints recognise the key
+	Key                     string
+	PriorityWeight          float64
+	LatencyObjectiveSeconds float64
+
+	FirstSentAt  float64 // when its client sent its first try
+	Asked        float64 // when this try was written
+	Deadline     float64 // when the client gives up
+	AbandonedAt  float64 // when the client closed the connection
+	NotConnected bool    // no byte of it could be sent
+	ClosedAt     float64 // when the relay closed the connection instead of an answer
+	Answers      []Answer
+	WrongAnswer  bool // an answer that it succeeded was wrong
+	FinalTry     bool // the client does not try again
 }
 
 // Answer is one that a client read.
 type Answer struct {
-	At   float64
-	Kind string // acked, nacked, failed; empty where none of these
-	Unit uint32 // that gave it, by the unit's own mark
+	At       float64
+	Kind     string // acked, nacked or failed; empty if it was none of these
+	Endpoint uint32 // the endpoint that gave it, by the endpoint's own header
 }
 
-// Delivery is one that a unit read.
-type Delivery struct {
-	Command uint64
-	Unit    uint32
-	At      float64
-	Never   float64 // when it was answered that it never ran, 0: it may have run
-	Work    float64 // s of one core at full speed
+// Attempt is a request that an endpoint read.
+type Attempt struct {
+	RequestID   uint64
+	Endpoint    uint32
+	At          float64
+	RejectedAt  float64 // when the endpoint answered that it did not run it; 0: it may have run
+	WorkSeconds float64 // of one core at full speed
 }
 
-// Unit is one process that takes deliveries.
-type Unit struct {
+// mayHaveRun reports whether the attempt may have had an effect.
+func (a *Attempt) mayHaveRun() bool { return a.RejectedAt == 0 }
+
+// Endpoint is one process of an endpoint, from its start to its end.
+type Endpoint struct {
 	ID         uint32
 	Build      int
 	Zone, Cell uint16
-	Start      float64
-	Capacity   float64 // s of work a second when warm
-	Fell       float64 // when it was pushed over
+	StartedAt  float64
+	Capacity   float64 // seconds of work a second after slow start
+	FailedAt   float64 // when it was overloaded in slow start; 0: it was not
 }
 
-// Told is what a relay was sent of a unit.
-type Told struct {
-	At    float64
-	Relay string
-	Unit  uint32
-	Ready bool
+// EndpointUpdate is what a relay was sent about an endpoint.
+type EndpointUpdate struct {
+	At       float64
+	Relay    string
+	Endpoint uint32
+	Ready    bool // false: it drains or is gone
 }
 
-// News is what a relay was sent of a release.
-type News struct {
+// ReleaseUpdate is what a relay was sent about a release.
+type ReleaseUpdate struct {
 	At           float64
 	Relay        string
 	Build, Stage int
 	Phase        string
-	Cap          float64
+	CanaryLimit  float64
 }
 
-// Life is one process of a relay, from its start until it was killed or had stopped (0: still there).
+// Life is one process of a relay's router or controller, from its start until it was killed or had stopped.
 type Life struct {
-	Relay    string
-	Planner  bool // it judges for the relay's edges, which have processes of their own
-	From, To float64
-	Killed   bool
-	Stopping float64      // when it was told to drain and stop, 0: not
-	Stalls   [][2]float64 // when it was stopped from outside and let go on
+	Relay      string
+	Controller bool // it directs the relay's routers, which have processes of their own
+	From, To   float64
+	Killed     bool
+	Stopping   float64      // when it was told to shut down gracefully; 0: it was not
+	Pauses     [][2]float64 // when it was stopped from outside and continued
 }
 
-// Record is all that was seen. Its methods may be called from any goroutine.
+// covers reports whether the process existed at an instant.
+func (l *Life) covers(at float64) bool { return l.From <= at && (l.To == 0 || at <= l.To) }
+
+// Record is all that was seen on sockets. Only Enter may be used while others write.
 type Record struct {
-	mu         sync.Mutex
-	Commands   map[uint64]*Command
-	Deliveries []*Delivery
-	Units      map[uint32]*Unit
-	Told       []Told
-	News       []News
-	Lives      []*Life
-	Stray      []string // bytes on a connection that nobody waited for
+	mu              sync.Mutex
+	Commands        map[uint64]*Request // by ID
+	Attempts        []*Attempt
+	Endpoints       map[uint32]*Endpoint // by ID
+	EndpointUpdates []EndpointUpdate
+	ReleaseUpdates  []ReleaseUpdate
+	Lives           []*Life
+	StrayAnswers    []string // what came on a connection when nothing was waited for
 }
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Commands: map[uint64]*Command{}, Units: map[uint32]*Unit{}}
+	return &Record{Commands: map[uint64]*Request{}, Endpoints: map[uint32]*Endpoint{}}
 }
 
-// Enter changes the record under its lock.
+// Enter changes the record under its lock. It may be called from any goroutine.
 func (r *Record) Enter(change func(*Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -74,8 +74,8 @@
 			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
 		}
 	}
-	if kills < 2 || out.Alone.N == 0 {
-		t.Errorf("%d kills and pauses, %d commands without a planner", kills, out.Alone.N)
+	if kills < 2 || out.SucceededWithoutController.N == 0 {
+		t.Errorf("%d kills and pauses, %d commands without a planner", kills, out.SucceededWithoutController.N)
 	}
 	if out.Answers["acked"] < out.Asked*9/10 {
 		t.Errorf("%v of %d tries", out.Answers, out.Asked)
@@ -119,11 +119,11 @@
 	if _, err := Play(script, file, t.TempDir(), io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range rec.Deliveries {
-		if c := rec.Commands[d.Command]; c.Effect == invariants.AtMostOnce {
+	for _, d := range rec.Attempts {
+		if c := rec.Commands[d.RequestID]; c.Idempotency == invariants.NonIdempotent {
 			again := *d
 			again.At += 0.001
-			rec.Deliveries = append(rec.Deliveries, &again)
+			rec.Attempts = append(rec.Attempts, &again)
 			break
 		}
 	}
@@ -168,20 +168,20 @@
 	// One parcel, followed by what the sockets saw alone: its command reached one box of the earlier build once, and the box's
 	// answer, the right one, reached the client in time.
 	followed := 0
-	of := map[uint64][]*invariants.Delivery{}
+	of := map[uint64][]*invariants.Attempt{}
 	perUnit := map[uint32]int{}
-	for _, d := range rec.Deliveries {
-		of[d.Command] = append(of[d.Command], d)
-		perUnit[d.Unit]++
+	for _, d := range rec.Attempts {
+		of[d.RequestID] = append(of[d.RequestID], d)
+		perUnit[d.Endpoint]++
 	}
 	for id, c := range rec.Commands {
 		list := of[id]
-		if c.Op != "seal-gate" || len(c.Answers) != 1 || c.Answers[0].Kind != "acked" || len(list) != 1 {
+		if c.Class != "seal-gate" || len(c.Answers) != 1 || c.Answers[0].Kind != "acked" || len(list) != 1 {
 			continue
 		}
 		d, a := list[0], c.Answers[0]
-		if d.Unit != a.Unit || d.At < c.Asked || a.At < d.At || a.At > c.Due || rec.Units[d.Unit] == nil {
-			t.Errorf("command %d: asked %.3f, delivered %.3f to %d, answered %.3f by %d, due %.3f", id, c.Asked, d.At, d.Unit, a.At, a.Unit, c.Due)
+		if d.Endpoint != a.Endpoint || d.At < c.Asked || a.At < d.At || a.At > c.Deadline || rec.Endpoints[d.Endpoint] == nil {
+			t.Errorf("command %d: asked %.3f, delivered %.3f to %d, answered %.3f by %d, due %.3f", id, c.Asked, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
 		}
 		followed++
 	}
@@ -218,13 +218,13 @@
 		if err != nil || !out.Kept() {
 			t.Fatal(err, out)
 		}
-		all, its, first := 0, 0, rec.Deliveries[0].At
-		for _, d := range rec.Deliveries {
+		all, its, first := 0, 0, rec.Attempts[0].At
+		for _, d := range rec.Attempts {
 			if d.At < first+2.5 {
 				continue
 			}
 			all++
-			if d.Unit == uint32(script.Units.Places) {
+			if d.Endpoint == uint32(script.Units.Places) {
 				its++
 			}
 		}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -162,7 +162,7 @@
 			method = http.MethodGet
 		}
 		ops = append(ops, fakes.OpShape{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, Work: op.Work,
-			Target: op.Target, Timeout: op.Timeout, Importance: op.PriorityWeight, Effect: invariants.Effect(op.Idempotency), Group: string(op.Group),
+			Target: op.Target, Timeout: op.Timeout, Importance: op.PriorityWeight, Effect: invariants.Idempotency(op.Idempotency), Group: string(op.Group),
 			Window: op.DedupWindowSeconds})
 	}
 	r.clients = fakes.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
@@ -202,9 +202,9 @@
 // bounds gives the checker the numbers that the relays were given.
 func (s *Script) bounds() invariants.Bounds {
 	p, r := s.Platform, s.Rules
-	return invariants.Bounds{Slack: p.Slack, Grace: r.GraceSeconds, ColdFrom: r.SlowStartInitialShare, WarmUp: r.SlowStartSeconds, FallFactor: r.SlowStartOverloadFactor,
-		FallTime: r.SlowStartOverloadSeconds, Window: r.Window, Free: r.CanaryFreeAttempts, Caps: s.Release.CanaryLimits, PerOp: r.CountPerOp, Guarded: r.IdempotentOnlyStages,
-		OneWay: r.OneWayKeys}
+	return invariants.Bounds{SlackSeconds: p.Slack, GraceSeconds: r.GraceSeconds, SlowStartInitialShare: r.SlowStartInitialShare, SlowStartSeconds: r.SlowStartSeconds, SlowStartOverloadFactor: r.SlowStartOverloadFactor,
+		SlowStartOverloadSeconds: r.SlowStartOverloadSeconds, CanaryWindowSeconds: r.Window, CanaryFreeAttempts: r.CanaryFreeAttempts, CanaryLimits: s.Release.CanaryLimits, CanaryLimitPerClass: r.CountPerOp, IdempotentOnlyStages: r.IdempotentOnlyStages,
+		OneWayKeys: r.OneWayKeys}
 }
 
 // tell writes a line every few seconds.
@@ -339,7 +339,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.life = &invariants.Life{Relay: p.relay, Planner: p.planner, From: p.r.clock()}
+	p.life = &invariants.Life{Relay: p.relay, Controller: p.planner, From: p.r.clock()}
 	p.r.rec.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, p.life) })
 	p.cmd = cmd
 	for range 300 {
@@ -392,7 +392,7 @@
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.signal(syscall.SIGCONT)
-	p.r.rec.Enter(func(*invariants.Record) { p.life.Stalls = append(p.life.Stalls, [2]float64{from, p.r.clock()}) })
+	p.r.rec.Enter(func(*invariants.Record) { p.life.Pauses = append(p.life.Pauses, [2]float64{from, p.r.clock()}) })
 }
 
 // edgeFile writes an edge's settings.
