--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -88,7 +88,7 @@
 		}
 		b.units = append(b.units, u)
 	}
-	control, stop, err := fakes.Still(b.units)
+	control, stop, err := fakes.ServeFixedEndpoints(b.units)
 	if err != nil {
 		return b, err
 	}
@@ -241,11 +241,11 @@
 				}
 			case "large":
 				for _, u := range b.units {
-					u.Answers(int(f.By), 50*time.Millisecond)
+					u.SetAnswers(int(f.By), 50*time.Millisecond)
 				}
 				wait(f.For)
 				for _, u := range b.units {
-					u.Answers(7, 0)
+					u.ResetAnswers()
 				}
 			}
 		}()
--- /dev/null
+++ b/internal/fakes/controlservice.go
@@ -0,0 +1,238 @@
+package fakes
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+	"google.golang.org/protobuf/types/known/structpb"
+
+	"flintspread/internal/endpoints"
+	"flintspread/internal/xds"
+	"flintspread/internal/xds/xdspb"
+)
+
+// Control is a control service that speaks xDS v3, aggregated discovery, state of the world. It sends what it is told to, right or
+// wrong, and logs what clients answer.
+type Control struct {
+	discovery.UnimplementedAggregatedDiscoveryServiceServer
+
+	// Relay is the relay that it serves. Only its owner uses it.
+	Relay  string
+	server *grpc.Server
+
+	mu      sync.Mutex
+	streams map[*controlStream]struct{}
+	initial map[string]*discovery.DiscoveryResponse // by type URL, for streams that begin
+	nonces  int                                     // that were given out
+	log     []string
+}
+
+// streamBuffer is the number of responses that a stream may be behind before Set and Send block.
+const streamBuffer = 1024
+
+type controlStream struct {
+	responses chan *discovery.DiscoveryResponse
+	dropped   chan struct{}
+}
+
+// StartControl starts a service on a listener, which it owns from then on.
+func StartControl(l net.Listener, creds credentials.TransportCredentials) *Control {
+	c := &Control{
+		server:  grpc.NewServer(grpc.Creds(creds)),
+		streams: map[*controlStream]struct{}{},
+		initial: map[string]*discovery.DiscoveryResponse{},
+	}
+	discovery.RegisterAggregatedDiscoveryServiceServer(c.server, c)
+	go func() {
+		if err := c.server.Serve(l); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+			panic(fmt.Errorf("fake control service: %w", err))
+		}
+	}()
+	return c
+}
+
+// Stop ends the service and all streams.
+func (c *Control) Stop() { c.server.Stop() }
+
+// Drop ends all streams. The service goes on.
+func (c *Control) Drop() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for stream := range c.streams {
+		close(stream.dropped)
+		delete(c.streams, stream)
+	}
+}
+
+// Set makes a response the one of its type that streams begin with, and sends it on the open ones.
+func (c *Control) Set(r *discovery.DiscoveryResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.initial[r.TypeUrl] = r
+	c.sendLocked(r)
+}
+
+// Send sends a response on the open streams, with a nonce of its own unless it has one.
+func (c *Control) Send(r *discovery.DiscoveryResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sendLocked(r)
+}
+
+func (c *Control) sendLocked(r *discovery.DiscoveryResponse) {
+	r = c.withNonce(r)
+	for stream := range c.streams {
+		stream.responses <- r
+	}
+}
+
+// withNonce gives a response with a nonce of its own, or the response itself if it has one. Under the lock.
+func (c *Control) withNonce(r *discovery.DiscoveryResponse) *discovery.DiscoveryResponse {
+	if r.Nonce != "" {
+		return r
+	}
+	c.nonces++
+	r = proto.Clone(r).(*discovery.DiscoveryResponse)
+	r.Nonce = fmt.Sprint("n", c.nonces)
+	return r
+}
+
+// Streams counts the open streams.
+func (c *Control) Streams() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.streams)
+}
+
+// Log gives a line for each request of a client: type, whether it begins, acknowledges or rejects, version in force, reason.
+func (c *Control) Log() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.log)
+}
+
+// StreamAggregatedResources serves one stream until the client or Drop ends it.
+func (c *Control) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+	stream := &controlStream{responses: make(chan *discovery.DiscoveryResponse, streamBuffer), dropped: make(chan struct{})}
+	c.mu.Lock()
+	c.streams[stream] = struct{}{}
+	c.mu.Unlock()
+	defer func() {
+		c.mu.Lock()
+		delete(c.streams, stream)
+		c.mu.Unlock()
+	}()
+	failed := make(chan error, 1)
+	go func() {
+		for {
+			request, err := s.Recv()
+			if err != nil {
+				failed <- err
+				return
+			}
+			c.onRequest(stream, request)
+		}
+	}()
+	for {
+		select {
+		case err := <-failed:
+			return err
+		case <-stream.dropped:
+			return errors.New("dropped")
+		case r := <-stream.responses:
+			if err := s.Send(r); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// onRequest logs a request. The first one of a type is answered with the initial response, unless the client has its version.
+func (c *Control) onRequest(stream *controlStream, request *discovery.DiscoveryRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	kind := request.TypeUrl[strings.LastIndexByte(request.TypeUrl, '.')+1:]
+	switch {
+	case request.ResponseNonce == "":
+		c.log = append(c.log, fmt.Sprintf("%s begins at %q", kind, request.VersionInfo))
+		if r := c.initial[request.TypeUrl]; r != nil && r.VersionInfo != request.VersionInfo {
+			stream.responses <- c.withNonce(r)
+		}
+	case request.ErrorDetail != nil:
+		c.log = append(c.log, fmt.Sprintf("%s NACK %s, at %q: %s", kind, request.ResponseNonce, request.VersionInfo, request.ErrorDetail.Message))
+	default:
+		c.log = append(c.log, fmt.Sprintf("%s ACK %s, at %q", kind, request.ResponseNonce, request.VersionInfo))
+	}
+}
+
+func pack(m proto.Message, typeURL string) *anypb.Any {
+	text, err := proto.Marshal(m)
+	if err != nil {
+		panic(err) // of a message made here
+	}
+	return &anypb.Any{TypeUrl: typeURL, Value: text}
+}
+
+// DocumentResponse makes a response with one document.
+func DocumentResponse(relay string, number, needsList uint64, text string) *discovery.DiscoveryResponse {
+	document := &xdspb.Document{Name: relay, Schema: 1, Number: number, Text: text, NeedsList: needsList}
+	return &discovery.DiscoveryResponse{
+		VersionInfo: fmt.Sprint("v", number),
+		TypeUrl:     xds.TypeDocument,
+		Resources:   []*anypb.Any{pack(document, xds.TypeDocument)},
+	}
+}
+
+// UnitsResponse makes a response with an endpoint list.
+func UnitsResponse(relay string, version uint64, list []endpoints.Endpoint) *discovery.DiscoveryResponse {
+	locality := &endpoint.LocalityLbEndpoints{}
+	for _, e := range list {
+		locality.LbEndpoints = append(locality.LbEndpoints, lbEndpoint(e))
+	}
+	assignment := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{locality}}
+	return &discovery.DiscoveryResponse{
+		VersionInfo: fmt.Sprint(version),
+		TypeUrl:     xds.TypeUnits,
+		Resources:   []*anypb.Any{pack(assignment, xds.TypeUnits)},
+	}
+}
+
+// lbEndpoint is one endpoint of an assignment. An address without a port is sent with port 0: the receiver must refuse it.
+func lbEndpoint(e endpoints.Endpoint) *endpoint.LbEndpoint {
+	health := core.HealthStatus_HEALTHY
+	if e.State == stateDraining {
+		health = core.HealthStatus_DRAINING
+	}
+	metadata, err := structpb.NewStruct(map[string]any{
+		"id": float64(e.ID), "build": float64(e.Build), "start": e.StartedAt, "zone": float64(e.Zone), "cell": float64(e.Cell),
+	})
+	if err != nil {
+		panic(err) // of numbers
+	}
+	address := &core.SocketAddress{PortSpecifier: &core.SocketAddress_PortValue{}}
+	if host, port, err := net.SplitHostPort(e.Addr); err == nil {
+		address.Address = host
+		if number, err := strconv.ParseUint(port, 10, 16); err == nil {
+			address.PortSpecifier = &core.SocketAddress_PortValue{PortValue: uint32(number)}
+		}
+	}
+	return &endpoint.LbEndpoint{
+		HealthStatus: health,
+		Metadata:     &core.Metadata{FilterMetadata: map[string]*structpb.Struct{"flintspread": metadata}},
+		HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{
+			Address: &core.Address{Address: &core.Address_SocketAddress{SocketAddress: address}},
+		}},
+	}
+}
--- /dev/null
+++ b/internal/fakes/endpoint.go
@@ -0,0 +1,378 @@
+package fakes
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"flintspread/internal/invariants"
+)
+
+// Headers between fake clients and endpoints. By them attempts are matched with requests, not by anything that a router says.
+const (
+	headerRequestID = "X-Command"
+	headerClass     = "X-Op"
+	headerRelay     = "X-Relay"
+	headerWork      = "Flint-Work"
+	headerEndpoint  = "X-Unit"
+)
+
+const (
+	// slowTailFactor is how much more work the requests of EndpointFault.SlowTailShare need.
+	slowTailFactor = 10
+	// typicalLatencyGain is the weight of a new latency in the moving average that is shown to scrapes.
+	typicalLatencyGain = 0.05
+	// recheckInterval is how often an unresponsive endpoint looks whether it still is.
+	recheckInterval = 20 * time.Millisecond
+	wrongAnswer     = "chute 99"
+)
+
+// Build is how the endpoints of one build behave. The zero value does all work right and as fast as is usual.
+type Build struct {
+	WorkFactor       float64 `edn:"work"`       // times the usual work; 0: 1
+	ErrorShare       float64 `edn:"errors"`     // share of requests that fail
+	ErrorClass       string  `edn:"error-op"`   // only requests of this class fail
+	WrongAnswerShare float64 `edn:"wrong"`      // share of answers that are wrong
+	LateAfterSeconds float64 `edn:"after"`      // age of the process from which on the next two hold
+	LateWorkFactor   float64 `edn:"late-work"`  // times the work
+	LateErrorShare   float64 `edn:"late-error"` // share of requests that fail, if it is more than ErrorShare
+}
+
+// EndpointFault is what is wrong with an endpoint. Several things may be. The zero value is nothing.
+type EndpointFault struct {
+	SlowFactor         float64 // times slower; 0: not slower
+	ErrorShare         float64 // share of requests that fail at once
+	Unresponsive       bool    // requests get no answer
+	ResetShare         float64 // share of requests at which the connection is reset
+	MaxConns           int     // connections above it are reset; 0: none is
+	AcceptDelaySeconds float64 // time that a new connection waits
+	SlowTailShare      float64 // share of requests that need slowTailFactor times the work
+	OnlyFromRelay      string  // if set, the fault holds for requests of this relay only
+	FailProbes         bool    // health probes fail; requests do not
+	WrongAnswerShare   float64 // share of answers that are wrong, and come at once
+}
+
+// EndpointShape is what all endpoints of a fleet have in common.
+type EndpointShape struct {
+	Cores                    int // requests that are worked on at once
+	QueueLength              int // requests that wait for a core; more are rejected
+	SlowStartInitialShare    float64
+	SlowStartSeconds         float64
+	SlowStartOverloadFactor  float64
+	SlowStartOverloadSeconds float64
+}
+
+// Endpoint is one process of an endpoint, from its start to its end; another process is another Endpoint.
+type Endpoint struct {
+	ID        uint32
+	Addr      string
+	Build     int
+	StartedAt float64
+
+	shape    EndpointShape
+	behavior Build
+	record   *invariants.Record
+	clock    func() float64
+	server   *http.Server
+	cores    chan struct{} // semaphore
+	inFlight atomic.Int64
+	conns    atomic.Int64
+	fault    atomic.Pointer[EndpointFault]
+	stopped  context.Context
+	cancel   context.CancelFunc
+
+	mu          sync.Mutex
+	recentWork  []workItem // of the last SlowStartOverloadSeconds, in slow start
+	failed      bool       // by overload in slow start, for good
+	counts      outcomeCounts
+	firstSeenAt map[string]float64 // by idempotency key
+}
+
+// workItem is the work of one request, in seconds of a core, and when it came.
+type workItem struct{ at, work float64 }
+
+// outcomeCounts is what an endpoint shows to scrapes.
+type outcomeCounts struct{ all, failed, wrong, typicalLatency float64 }
+
+func (e *Endpoint) count(failed, wrong bool, latency float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts.all++
+	if failed {
+		e.counts.failed++
+	}
+	if wrong {
+		e.counts.wrong++
+	}
+	e.counts.typicalLatency += typicalLatencyGain * (latency - e.counts.typicalLatency)
+}
+
+// StartEndpoint starts an endpoint on a loopback port of its own.
+func StartEndpoint(id uint32, build int, behavior Build, shape EndpointShape, record *invariants.Record, clock func() float64) (*Endpoint, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	e := &Endpoint{
+		ID: id, Addr: l.Addr().String(), Build: build, StartedAt: clock(),
+		shape: shape, behavior: behavior, record: record, clock: clock,
+		cores: make(chan struct{}, shape.Cores), firstSeenAt: map[string]float64{},
+	}
+	e.fault.Store(&EndpointFault{})
+	e.stopped, e.cancel = context.WithCancel(context.Background())
+	e.server = &http.Server{Handler: http.HandlerFunc(e.serve), ConnState: func(_ net.Conn, state http.ConnState) {
+		if state == http.StateClosed || state == http.StateHijacked {
+			e.conns.Add(-1)
+		}
+	}}
+	record.Enter(func(r *invariants.Record) {
+		r.Endpoints[id] = &invariants.Endpoint{ID: id, Build: build, StartedAt: e.StartedAt, Capacity: float64(shape.Cores)}
+	})
+	go serveUntilClosed(e.server, faultyListener{l, e})
+	return e, nil
+}
+
+// InjectFault replaces the endpoint's fault.
+func (e *Endpoint) InjectFault(fault EndpointFault) { e.fault.Store(&fault) }
+
+// Stop ends the process at once; requests in flight get no answer.
+func (e *Endpoint) Stop() {
+	e.cancel()
+	e.server.Close()
+}
+
+// faultyListener accepts connections as the endpoint's fault lets it.
+type faultyListener struct {
+	net.Listener
+	endpoint *Endpoint
+}
+
+// Accept delays connections, and resets those above the fault's bound.
+func (l faultyListener) Accept() (net.Conn, error) {
+	for {
+		c, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		fault := l.endpoint.fault.Load()
+		if fault.MaxConns > 0 && l.endpoint.conns.Load() >= int64(fault.MaxConns) {
+			resetOnClose(c)
+			c.Close()
+			continue
+		}
+		if fault.AcceptDelaySeconds > 0 {
+			time.Sleep(seconds(fault.AcceptDelaySeconds))
+		}
+		l.endpoint.conns.Add(1)
+		return c, nil
+	}
+}
+
+// capacityShare is the share of its capacity that the endpoint has at an instant. It grows linearly from SlowStartInitialShare.
+func (e *Endpoint) capacityShare(now float64) float64 {
+	if e.shape.SlowStartSeconds <= 0 || now-e.StartedAt >= e.shape.SlowStartSeconds {
+		return 1
+	}
+	return e.shape.SlowStartInitialShare + (1-e.shape.SlowStartInitialShare)*(now-e.StartedAt)/e.shape.SlowStartSeconds
+}
+
+// overloadedBy adds the work of a request and reports whether the endpoint has failed. It fails when it gets more work in slow start
+// than SlowStartOverloadFactor times its present capacity; one request by itself does not make it fail.
+func (e *Endpoint) overloadedBy(now, work float64) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.failed || now-e.StartedAt > e.shape.SlowStartSeconds {
+		return e.failed
+	}
+	e.recentWork = append(e.recentWork, workItem{now, work})
+	sum, kept := 0.0, 0
+	for _, item := range e.recentWork {
+		if item.at >= now-e.shape.SlowStartOverloadSeconds {
+			e.recentWork[kept] = item
+			kept++
+			sum += item.work
+		}
+	}
+	e.recentWork = e.recentWork[:kept]
+	limit := e.shape.SlowStartOverloadFactor * float64(e.shape.Cores) * e.capacityShare(now) * e.shape.SlowStartOverloadSeconds
+	if kept > 1 && sum > limit {
+		e.failed = true
+		e.record.Enter(func(r *invariants.Record) { r.Endpoints[e.ID].FailedAt = now })
+	}
+	return e.failed
+}
+
+// isRepeat reports whether an idempotency key was seen before, and remembers it.
+func (e *Endpoint) isRepeat(key string, now float64) bool {
+	if key == "" {
+		return false
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	_, seen := e.firstSeenAt[key]
+	e.firstSeenAt[key] = now
+	return seen
+}
+
+// RightAnswer is the right answer to a body followed by a path.
+func RightAnswer(bodyAndPath string) string {
+	h := fnv.New32a()
+	h.Write([]byte(bodyAndPath))
+	return fmt.Sprintf("chute %d", h.Sum32()%97)
+}
+
+// serve answers a health probe or a request.
+func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
+	now := e.clock()
+	if r.URL.Path == "/health" {
+		if e.fault.Load().FailProbes {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+		return
+	}
+	attempt := e.recordAttempt(r, now)
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	fault := e.fault.Load()
+	if fault.OnlyFromRelay != "" && r.Header.Get(headerRelay) != fault.OnlyFromRelay {
+		fault = &EndpointFault{}
+	}
+	if e.overloadedBy(now, attempt.WorkSeconds) || fault.Unresponsive {
+		e.waitUntilResponsive(r.Context())
+		panic(http.ErrAbortHandler)
+	}
+	if rand.Float64() < fault.ResetShare {
+		panic(http.ErrAbortHandler)
+	}
+	w.Header().Set(headerEndpoint, strconv.Itoa(int(e.ID)))
+	if e.inFlight.Add(1) > int64(e.shape.Cores+e.shape.QueueLength) {
+		e.inFlight.Add(-1)
+		e.reject(w, attempt)
+		return
+	}
+	defer e.inFlight.Add(-1)
+	e.process(w, r, fault, attempt.WorkSeconds, now, string(body)+r.URL.Path)
+}
+
+// recordAttempt enters a request that came. Headers that can't be read count as 0, as if they had not been sent.
+func (e *Endpoint) recordAttempt(r *http.Request, now float64) *invariants.Attempt {
+	id, _ := strconv.ParseUint(r.Header.Get(headerRequestID), 10, 64)
+	work, _ := strconv.ParseFloat(r.Header.Get(headerWork), 64)
+	attempt := &invariants.Attempt{RequestID: id, Endpoint: e.ID, At: now, WorkSeconds: work}
+	e.record.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
+	return attempt
+}
+
+// reject answers that a request did not run.
+func (e *Endpoint) reject(w http.ResponseWriter, attempt *invariants.Attempt) {
+	e.record.Enter(func(*invariants.Record) { attempt.RejectedAt = e.clock() })
+	w.Header().Set("Flint-Never-Ran", "queue full")
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// process does the work of a request and answers it. It waits for a core.
+func (e *Endpoint) process(w http.ResponseWriter, r *http.Request, fault *EndpointFault, work, now float64, bodyAndPath string) {
+	slowFactor, errorShare := e.slowdown(r.Header.Get(headerClass), fault, now)
+	repeat := e.isRepeat(r.Header.Get("Idempotency-Key"), now)
+	if fault.ErrorShare > 0 && rand.Float64() < fault.ErrorShare {
+		e.count(true, false, 0)
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	select {
+	case e.cores <- struct{}{}:
+	case <-e.stopped.Done():
+		panic(http.ErrAbortHandler)
+	}
+	wrong := rand.Float64() < max(e.behavior.WrongAnswerShare, fault.WrongAnswerShare)
+	atOnce := repeat || fault.WrongAnswerShare != 0 && wrong
+	if !atOnce {
+		time.Sleep(seconds(work * slowFactor / e.capacityShare(e.clock())))
+	}
+	<-e.cores
+	if e.stopped.Err() != nil {
+		panic(http.ErrAbortHandler)
+	}
+	failed := rand.Float64() < errorShare
+	e.count(failed, wrong && !failed, e.clock()-now)
+	switch {
+	case failed:
+		w.WriteHeader(http.StatusInternalServerError)
+	case wrong:
+		writeResponse(w, []byte(wrongAnswer))
+	default:
+		writeResponse(w, []byte(RightAnswer(bodyAndPath)))
+	}
+}
+
+// slowdown gives how many times the usual time a request takes, and with which probability it fails after it.
+func (e *Endpoint) slowdown(class string, fault *EndpointFault, now float64) (slowFactor, errorShare float64) {
+	slowFactor, errorShare = max(1, fault.SlowFactor)*max(1, e.behavior.WorkFactor), e.behavior.ErrorShare
+	age := now - e.StartedAt
+	if e.behavior.LateAfterSeconds > 0 && age > e.behavior.LateAfterSeconds {
+		slowFactor *= max(1, e.behavior.LateWorkFactor)
+		errorShare = max(errorShare, e.behavior.LateErrorShare)
+	}
+	if only := e.behavior.ErrorClass; only != "" && only != class {
+		errorShare = 0
+	}
+	if rand.Float64() < fault.SlowTailShare {
+		slowFactor *= slowTailFactor
+	}
+	return slowFactor, errorShare
+}
+
+func (e *Endpoint) hasFailed() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.failed
+}
+
+// waitUntilResponsive returns once the client or the endpoint is gone, or the endpoint is responsive again.
+func (e *Endpoint) waitUntilResponsive(client context.Context) {
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
+	for e.hasFailed() || e.fault.Load().Unresponsive {
+		select {
+		case <-client.Done():
+			return
+		case <-e.stopped.Done():
+			return
+		case <-recheck.C:
+		}
+	}
+}
+
+// Metrics gives what the endpoint shows to a scrape: nothing if it is unresponsive or stopped.
+func (e *Endpoint) Metrics() []Scrape {
+	fault := e.fault.Load()
+	if fault.Unresponsive || e.stopped.Err() != nil {
+		return nil
+	}
+	probeSuccess := 1.0
+	if fault.FailProbes {
+		probeSuccess = 0
+	}
+	e.mu.Lock()
+	counts := e.counts
+	e.mu.Unlock()
+	labels := map[string]string{"unit": strconv.Itoa(int(e.ID)), "build": strconv.Itoa(e.Build), "instance": e.Addr}
+	return []Scrape{
+		{metricAnswers, labels, counts.all},
+		{metricErrors, labels, counts.failed},
+		{metricWrongAnswers, labels, counts.wrong},
+		{"unit_probe_success", labels, probeSuccess},
+		{"unit_busy", labels, float64(e.inFlight.Load()) / float64(e.shape.Cores+e.shape.QueueLength)},
+		{"unit_answer_seconds", labels, counts.typicalLatency},
+	}
+}
--- /dev/null
+++ b/internal/fakes/fastendpoint.go
@@ -0,0 +1,188 @@
+package fakes
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"flintspread/internal/endpoints"
+	"flintspread/internal/releases"
+)
+
+const (
+	defaultAnswerBytes = 7
+	fixedListInterval  = time.Second // between two lines of a stream of ServeFixedEndpoints
+)
+
+// FastEndpoint answers at once, for loads that an Endpoint could not take. It can pause.
+type FastEndpoint struct {
+	Addr        string
+	Served      atomic.Int64 // requests
+	listener    net.Listener
+	pausedUntil atomic.Int64 // Unix nanoseconds
+	answerBytes atomic.Int64
+	workNanos   atomic.Int64 // time before an answer
+
+	mu    sync.Mutex
+	conns map[net.Conn]struct{}
+}
+
+// StartFastEndpoint starts an endpoint on a loopback port of its own.
+func StartFastEndpoint() (*FastEndpoint, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	e := &FastEndpoint{Addr: l.Addr().String(), listener: l, conns: map[net.Conn]struct{}{}}
+	e.answerBytes.Store(defaultAnswerBytes)
+	go e.accept()
+	return e, nil
+}
+
+func (e *FastEndpoint) accept() {
+	for {
+		c, err := e.listener.Accept()
+		if err != nil {
+			return
+		}
+		e.mu.Lock()
+		e.conns[c] = struct{}{}
+		e.mu.Unlock()
+		go e.serve(c)
+	}
+}
+
+// Pause makes the endpoint answer nothing for a while. Requests wait.
+func (e *FastEndpoint) Pause(d time.Duration) { e.pausedUntil.Store(time.Now().Add(d).UnixNano()) }
+
+// SetAnswers sets how many bytes an answer has and how long the work for it takes.
+func (e *FastEndpoint) SetAnswers(bytes int, work time.Duration) {
+	e.answerBytes.Store(int64(bytes))
+	e.workNanos.Store(int64(work))
+}
+
+// ResetAnswers undoes SetAnswers.
+func (e *FastEndpoint) ResetAnswers() { e.SetAnswers(defaultAnswerBytes, 0) }
+
+// Stop closes the listener and all connections.
+func (e *FastEndpoint) Stop() {
+	e.listener.Close()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for c := range e.conns {
+		c.Close()
+	}
+}
+
+// serve answers the requests of one connection until it ends.
+func (e *FastEndpoint) serve(c net.Conn) {
+	defer func() {
+		c.Close()
+		e.mu.Lock()
+		delete(e.conns, c)
+		e.mu.Unlock()
+	}()
+	br := bufio.NewReaderSize(c, 4096)
+	var answer []byte
+	for {
+		if err := discardRequest(br); err != nil {
+			return
+		}
+		if work := e.workNanos.Load(); work > 0 {
+			time.Sleep(time.Duration(work))
+		}
+		e.waitForPause()
+		answer = appendAnswer(answer[:0], int(e.answerBytes.Load()))
+		if _, err := c.Write(answer); err != nil {
+			return
+		}
+		e.Served.Add(1)
+	}
+}
+
+// waitForPause returns once the endpoint is not paused.
+func (e *FastEndpoint) waitForPause() {
+	for {
+		wait := e.pausedUntil.Load() - time.Now().UnixNano()
+		if wait <= 0 {
+			return
+		}
+		time.Sleep(time.Duration(wait))
+	}
+}
+
+// discardRequest reads one request. A length that can't be read counts as 0.
+func discardRequest(br *bufio.Reader) error {
+	length := 0
+	for first := true; ; first = false {
+		line, err := br.ReadSlice('\n')
+		if err != nil {
+			return err
+		}
+		if line = bytes.TrimRight(line, "\r\n"); len(line) == 0 && !first {
+			break
+		}
+		if value, ok := bytes.CutPrefix(line, []byte("Content-Length: ")); ok {
+			length, _ = strconv.Atoi(string(value))
+		}
+	}
+	_, err := br.Discard(length)
+	return err
+}
+
+func appendAnswer(buf []byte, size int) []byte {
+	buf = append(buf, "HTTP/1.1 200 OK\r\nContent-Length: "...)
+	buf = strconv.AppendInt(buf, int64(size), 10)
+	buf = append(buf, "\r\n\r\n"...)
+	for range size {
+		buf = append(buf, 'x')
+	}
+	return buf
+}
+
+// ServeFixedEndpoints serves a list of endpoints that does not change, and a release service that offers nothing, at a loopback port
+// of their own.
+func ServeFixedEndpoints(list []*FastEndpoint) (address string, stop func(), err error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", nil, err
+	}
+	full := endpoints.Update{Version: 1, Full: true}
+	for i, e := range list {
+		full.Endpoints = append(full.Endpoints, endpoints.Endpoint{ID: uint32(i + 1), Addr: e.Addr, State: stateReady, Build: 1})
+	}
+	release := releases.Update{Version: 1, Build: 1, Phase: phaseReleased, Cap: 1, Age: 1000}
+	moot := release
+	moot.Vote = voteMoot
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /list", repeatLine(full))
+	mux.HandleFunc("GET /stage", repeatLine(release))
+	mux.HandleFunc("POST /vote", func(w http.ResponseWriter, r *http.Request) {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return
+		}
+		writeResponse(w, jsonLine(moot))
+	})
+	server := &http.Server{Handler: mux}
+	go serveUntilClosed(server, l)
+	return l.Addr().String(), func() { server.Close() }, nil
+}
+
+// repeatLine streams one value again and again.
+func repeatLine(value any) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		for writeLine(w, value) {
+			select {
+			case <-r.Context().Done():
+				return
+			case <-time.After(fixedListInterval):
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/fakes/platformsite.go
@@ -0,0 +1,500 @@
+package fakes
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"flintspread/internal/invariants"
+	"flintspread/internal/platform/resp"
+)
+
+// PlatformSiteCanary is the build that is the canary at a site.
+const PlatformSiteCanary = 2
+
+// PlatformSiteBounds are the numbers behind the rules that the site's settings give.
+var PlatformSiteBounds = invariants.Bounds{
+	SlackSeconds:             0.25,
+	GraceSeconds:             0.3,
+	SlowStartInitialShare:    0.3,
+	SlowStartSeconds:         1,
+	SlowStartOverloadFactor:  4,
+	SlowStartOverloadSeconds: 1,
+	CanaryWindowSeconds:      1,
+	CanaryFreeAttempts:       2,
+	CanaryLimits:             []float64{0.2, 0.5},
+}
+
+// The platform's words for a canary's phase and for an endpoint that is ready.
+const (
+	platformPhaseCanary = "trial"
+	platformReady       = "SERVING"
+)
+
+const (
+	siteEndpointLatency  = 2 * time.Millisecond
+	siteEndpointCapacity = 1e9 // none of them is ever overloaded
+	siteWatchBuffer      = 100
+	siteWatchInterval    = 500 * time.Millisecond // between two lines of a stream without changes
+	siteTimeoutSeconds   = 0.4                    // of a client's requests, as their options say
+	siteAnswerTimeout    = 2 * time.Second        // after which a client gives up on a connection
+)
+
+// PlatformSite plays what is around one relay in the platform's protocol, and records what it sees on its sockets.
+type PlatformSite struct {
+	Rec   *invariants.Record
+	Relay string
+
+	stopped chan struct{}
+
+	mu         sync.Mutex
+	stageSince time.Time
+	sequence   int            // of the endpoint list
+	hosts      []platformHost // the endpoint list
+	watchers   map[chan []byte]bool
+	followers  map[net.Conn]bool // of the release
+	stage      int
+	phase      string
+	votes      int
+	closers    []io.Closer
+}
+
+// platformHost is an entry of the platform's endpoint list. The fields of its JSON are the platform's.
+type platformHost struct {
+	Block  int     `json:"block"`
+	BornMS int     `json:"born_ms"`
+	Class  string  `json:"class"`
+	Dial   string  `json:"dial"`
+	Health string  `json:"health"`
+	Host   string  `json:"host"`
+	Build  int     `json:"image_id"`
+	Share  float64 `json:"share"`
+	Site   string  `json:"site"`
+}
+
+// platformList is a line of the platform's endpoint list.
+type platformList struct {
+	Hosts    []platformHost `json:"hosts"`
+	Sequence int            `json:"seq"`
+	Whole    bool           `json:"whole"`
+}
+
+// NewPlatformSite makes a site without endpoints, with a canary in its first stage.
+func NewPlatformSite(relay string) *PlatformSite {
+	return &PlatformSite{
+		Rec:        invariants.NewRecord(),
+		Relay:      relay,
+		stopped:    make(chan struct{}),
+		stageSince: time.Now(),
+		watchers:   map[chan []byte]bool{},
+		followers:  map[net.Conn]bool{},
+		phase:      platformPhaseCanary,
+	}
+}
+
+// Close ends all that the site serves.
+func (s *PlatformSite) Close() {
+	close(s.stopped)
+	s.mu.Lock()
+	closers := s.closers
+	s.mu.Unlock()
+	for _, closer := range closers {
+		closer.Close()
+	}
+}
+
+// Clock is the site's clock: Unix seconds.
+func (s *PlatformSite) Clock() float64 { return float64(time.Now().UnixNano()) / 1e9 }
+
+// Votes counts the votes that the control service has received.
+func (s *PlatformSite) Votes() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.votes
+}
+
+// Released reports whether the canary has been released.
+func (s *PlatformSite) Released() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.phase == phaseReleased
+}
+
+// track makes Close close a listener, and gives its address.
+func (s *PlatformSite) track(l net.Listener, err error) (address string, _ error) {
+	if err != nil {
+		return "", err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closers = append(s.closers, l)
+	return l.Addr().String(), nil
+}
+
+func hostName(endpoint int) string { return fmt.Sprintf("u%d", endpoint) }
+
+// endpointID is the number in a host's name, 0 for a name that hostName does not make.
+func endpointID(host string) uint32 {
+	id, err := strconv.ParseUint(strings.TrimPrefix(host, "u"), 10, 32)
+	if err != nil {
+		return 0
+	}
+	return uint32(id)
+}
+
+// Unit starts an endpoint that treats a share of its requests badly, in every way there is, and lists it.
+func (s *PlatformSite) Unit(n, build int, bad float64) error {
+	address, err := s.track(Serve(func(c net.Conn) { s.serveEndpoint(c, uint32(n), bad) }))
+	if err != nil {
+		return err
+	}
+	s.Rec.Enter(func(r *invariants.Record) {
+		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: siteEndpointCapacity}
+	})
+	s.List(hostName(n), address, build, platformReady)
+	return nil
+}
+
+// serveEndpoint answers the RESP2 commands of one connection.
+func (s *PlatformSite) serveEndpoint(c net.Conn, endpoint uint32, bad float64) {
+	br := bufio.NewReader(c)
+	for {
+		args, err := resp.Command(br)
+		if err != nil {
+			return
+		}
+		id, err := strconv.ParseUint(string(args[2]), 16, 64)
+		if err != nil {
+			id = 0 // no request has it: the checker shows it
+		}
+		attempt := &invariants.Attempt{RequestID: id, Endpoint: endpoint, At: s.Clock()}
+		answer, reset := goodAnswer(id), false
+		if rand.Float64() < bad {
+			answer, reset = badAnswer(attempt)
+		}
+		s.Rec.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
+		if reset {
+			resetOnClose(c)
+			return
+		}
+		time.Sleep(siteEndpointLatency)
+		if _, err := io.WriteString(c, answer); err != nil {
+			return
+		}
+	}
+}
+
+func goodAnswer(request uint64) string {
+	return fmt.Sprintf("*3\r\n$17\r\nv%016x\r\n$-1\r\n$-1\r\n", request)
+}
+
+// badAnswer draws one of the ways in which an endpoint may treat an attempt badly.
+func badAnswer(attempt *invariants.Attempt) (answer string, reset bool) {
+	switch rand.IntN(7) {
+	case 0:
+		return "-ERR failed\r\n", false
+	case 1:
+		attempt.RejectedAt = attempt.At
+		return "-BUSY\r\n", false
+	case 2: // no answer
+		return "", false
+	case 3:
+		return "*3\r\n$3000000000\r\nxx", false
+	case 4:
+		return "?noise\r\n", false
+	case 5:
+		return goodAnswer(attempt.RequestID) + goodAnswer(attempt.RequestID), false
+	default:
+		return "", true
+	}
+}
+
+// List changes one entry of the endpoint list, and sends it to all who watch.
+func (s *PlatformSite) List(host, dial string, build int, health string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	entry := platformHost{Host: host, Dial: dial, Site: "a", Class: "m", Health: health, Share: 1, Build: build}
+	kept := s.hosts[:0]
+	for _, old := range s.hosts {
+		if old.Host != host {
+			kept = append(kept, old)
+		}
+	}
+	s.hosts = append(kept, entry)
+	s.sequence++
+	s.recordEndpoint(entry)
+	line := jsonLine(platformList{Hosts: []platformHost{entry}, Sequence: s.sequence})
+	for watcher := range s.watchers {
+		watcher <- line
+	}
+}
+
+// recordEndpoint records that the relay is sent an entry.
+func (s *PlatformSite) recordEndpoint(entry platformHost) {
+	at := s.Clock()
+	s.Rec.Enter(func(r *invariants.Record) {
+		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{
+			At: at, Relay: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
+		})
+	})
+}
+
+// Discovery starts the platform's discovery and gives its address, and a way to end it. While spoil, if it is not nil, returns true,
+// its answers are wrong.
+func (s *PlatformSite) Discovery(spoil func() bool) (address string, end func() error, err error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", nil, err
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if spoil != nil && spoil() {
+			writeResponse(w, []byte(`{"seq":9,"whole":true,"hosts":[{"host":"u1","health":"SERVING","dial":"nowhere"}]}`+"\n"))
+			return
+		}
+		s.streamList(w, r)
+	})}
+	go serveUntilClosed(server, l)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closers = append(s.closers, server)
+	return l.Addr().String(), server.Close, nil
+}
+
+// streamList streams the endpoint list: all of it, then its changes, and empty lines in between.
+func (s *PlatformSite) streamList(w http.ResponseWriter, r *http.Request) {
+	changes := make(chan []byte, siteWatchBuffer)
+	s.mu.Lock()
+	s.watchers[changes] = true
+	for _, entry := range s.hosts {
+		s.recordEndpoint(entry)
+	}
+	line := jsonLine(s.fullList())
+	s.mu.Unlock()
+	defer func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.watchers, changes)
+	}()
+	for {
+		writeResponse(w, line)
+		if http.NewResponseController(w).Flush() != nil {
+			return
+		}
+		select {
+		case <-s.stopped:
+			return
+		case <-r.Context().Done():
+			return
+		case line = <-changes:
+		case <-time.After(siteWatchInterval):
+			line = []byte("\n")
+		}
+	}
+}
+
+// fullList is the whole endpoint list. Under the lock.
+func (s *PlatformSite) fullList() platformList {
+	return platformList{Hosts: s.hosts, Sequence: s.sequence, Whole: true}
+}
+
+// releaseState words how the canary stands. Under the lock.
+func (s *PlatformSite) releaseState() string {
+	return fmt.Sprintf("%d %d %s %v %d", PlatformSiteCanary, s.stage, s.phase, s.canaryLimit(), time.Since(s.stageSince).Milliseconds())
+}
+
+// canaryLimit is the canary traffic limit. Under the lock.
+func (s *PlatformSite) canaryLimit() float64 {
+	if s.phase == phaseReleased {
+		return 1
+	}
+	return PlatformSiteBounds.CanaryLimits[s.stage]
+}
+
+// recordRelease records that the relay is sent how the canary stands. Under the lock.
+func (s *PlatformSite) recordRelease() {
+	phase := s.phase
+	if phase == platformPhaseCanary {
+		phase = phaseCanary
+	}
+	update := invariants.ReleaseUpdate{
+		At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
+	}
+	s.Rec.Enter(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
+}
+
+// Desk starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
+// the canary on; every third answer to a vote is spoilt.
+func (s *PlatformSite) Desk() (address string, end func() error, err error) {
+	l, err := Desk(s.answerControlLine, func(c net.Conn) { send(c, "*\r\n") })
+	if address, err = s.track(l, err); err != nil {
+		return "", nil, err
+	}
+	return address, l.Close, nil
+}
+
+// answerControlLine answers a line of the control protocol: "follow", or a vote as "WORD BUILD STAGE VERDICT".
+func (s *PlatformSite) answerControlLine(c net.Conn, line string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if line == "follow" {
+		s.followers[c] = true
+		s.recordRelease()
+		send(c, fmt.Sprintf("OK\r\n* progress %s\r\n* metrics %d lookup 5 0 1.5 100\r\n*\r\n", s.releaseState(), PlatformSiteCanary))
+		return
+	}
+	if s.votes++; s.votes%3 == 1 {
+		send(c, "OK 2 0 tr\x00al\r\n")
+		return
+	}
+	words := strings.Fields(line)
+	stage, verdict := words[2], words[3]
+	if verdict == "PROCEED" && stage == strconv.Itoa(s.stage) && s.phase == platformPhaseCanary {
+		s.promote()
+	}
+	s.recordRelease()
+	send(c, fmt.Sprintf("OK %s\r\n", s.releaseState()))
+	for follower := range s.followers {
+		if follower != c {
+			send(follower, fmt.Sprintf("* progress %s\r\n", s.releaseState()))
+		}
+	}
+}
+
+// promote enters the next stage, or releases the canary after the last. Under the lock.
+func (s *PlatformSite) promote() {
+	s.stageSince = time.Now()
+	if s.stage+1 == len(PlatformSiteBounds.CanaryLimits) {
+		s.phase = phaseReleased
+		return
+	}
+	s.stage++
+}
+
+// Config words the platform's file for a relay that listens at an address.
+func (s *PlatformSite) Config(address, discovery, desk string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":64,"sockets":256},
+"platform":{"address":%q,"news":{"build":%d,"stage":0,"phase":"trial","cap":%v,"age_ms":0}},
+"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0],
+		jsonLine(s.fullList()), siteSettings)
+}
+
+const siteSettings = `{"balancers":1,"round":5.0,"discovery":"push",
+"classes":[{"name":"lookup","aim":300.0,"deadline":600.0,"value":1.0,"semantics":"safe","group":"all","key_ttl":0.0},
+ {"name":"order","aim":300.0,"deadline":600.0,"value":1.0,"semantics":"keyed","group":"all","key_ttl":5000.0},
+ {"name":"seal","aim":300.0,"deadline":600.0,"value":1.0,"semantics":"unsafe","group":"all","key_ttl":0.0}],
+"policy_limits":{"parallel_tries":true,"may_cancel":true,"retry_after":true,"max_retry_after":100.0,"send_cap":4,"conn_idle":5000.0,"max_streams":1,"dial_timeout":250.0},
+"rules":{"cold_from":0.3,"warm_up":1000.0,"fall_multiple":4.0,"fall":1000.0,"stop_sending_within":300.0},
+"family_info":{"window":1000.0,"spare_tries":1.0,"exposure_caps":[0.2,0.5],"waves":[0.5,1.0],"counts":"all","shielded":0,"forward_only":false,
+ "gate_mode":"first_voice","replace_mode":"parallel","noes_needed":1,"harm_fee":3.0,"stale_build_price":0.3,"reported_share":0.3,"vote_life":5000.0,
+ "api_timeout":300.0,"votes_per_s":20.0}}`
+
+// Client sends one request after the other until it is told to stop, on one connection while that lasts. Clients of one site have
+// different numbers.
+func (s *PlatformSite) Client(n int, address string, until <-chan struct{}) {
+	var c net.Conn
+	defer func() {
+		if c != nil {
+			c.Close()
+		}
+	}()
+	var br *bufio.Reader
+	for i := 0; ; i++ {
+		select {
+		case <-until:
+			return
+		default:
+		}
+		if c == nil {
+			var err error
+			if c, err = net.Dial("tcp", address); err != nil {
+				return // the relay has gone
+			}
+			br = bufio.NewReader(c)
+		}
+		if err := s.sendRequest(c, br, n, i); err != nil {
+			c.Close()
+			c = nil
+		}
+	}
+}
+
+// sendRequest sends the i-th request of a client and records what becomes of it.
+func (s *PlatformSite) sendRequest(c net.Conn, br *bufio.Reader, client, i int) error {
+	request := &invariants.Request{
+		ID: uint64(client)<<32 | uint64(i+1), Relay: s.Relay, DedupScope: "all", DedupWindowSeconds: 5, PriorityWeight: 1,
+		LatencyObjectiveSeconds: 0.3,
+	}
+	encoded := encodeSiteRequest(request, i)
+	request.Asked = s.Clock()
+	request.FirstSentAt, request.Deadline = request.Asked, request.Asked+siteTimeoutSeconds
+	s.Rec.Enter(func(r *invariants.Record) { r.Commands[request.ID] = request })
+	kind, err := exchange(c, br, encoded, request.ID)
+	s.Rec.Enter(func(*invariants.Record) {
+		if err != nil {
+			request.ClosedAt = s.Clock()
+		} else {
+			request.Answers = append(request.Answers, invariants.Answer{At: s.Clock(), Kind: kind})
+		}
+	})
+	return err
+}
+
+// encodeSiteRequest fills the class of the i-th request and writes the request as a RESP2 command.
+func encodeSiteRequest(request *invariants.Request, i int) []byte {
+	command, options, body := "API.WRITE", "", true
+	switch i % 3 {
+	case 0:
+		request.Class, request.Idempotency = "lookup", invariants.Idempotent
+		command, options, body = "API.READ", "c=lookup,d=400", false
+	case 1:
+		request.Class, request.Idempotency = "order", invariants.IdempotentWithKey
+		options = fmt.Sprintf("c=order,d=400,k=%x", request.ID)
+	default:
+		request.Class, request.Idempotency = "seal", invariants.NonIdempotent
+		options = "c=seal,d=400"
+	}
+	words := []string{command, fmt.Sprintf("key%d", i%7), fmt.Sprintf("%016x", request.ID), options}
+	if body {
+		words = append(words, "BODY")
+	}
+	encoded := resp.Array(nil, len(words))
+	for _, word := range words {
+		encoded = resp.Bulk(encoded, word)
+	}
+	return encoded
+}
+
+// exchange sends a request and reads its answer, whose kind is empty if it is none that is known. An answer counts even if the write
+// failed: the relay may have answered before it had read everything.
+func exchange(c net.Conn, br *bufio.Reader, encoded []byte, id uint64) (kind string, err error) {
+	_, writeErr := c.Write(encoded)
+	c.SetReadDeadline(time.Now().Add(siteAnswerTimeout))
+	line, err := br.ReadString('\n')
+	switch {
+	case err != nil:
+	case strings.HasPrefix(line, "-BUSY"):
+		return outcomeRejected, nil
+	case strings.HasPrefix(line, "-ERR"):
+		return outcomeFailed, nil
+	case line == "$17\r\n":
+		var value string
+		if value, err = br.ReadString('\n'); err == nil && value == fmt.Sprintf("v%016x\r\n", id) {
+			return outcomeSucceeded, nil
+		}
+	}
+	if err != nil {
+		return "", errors.Join(writeErr, err)
+	}
+	return "", nil
+}
--- a/internal/fakes/port.go
+++ b/internal/fakes/port.go
@@ -1,21 +1,27 @@
 package fakes
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 )
 
-// FreePort finds a loopback port below those that the system hands out by itself: nobody who asks for any port takes it
-// meanwhile.
+// The ports that FreePort draws from lie below those that the system hands out by itself, so that no one who asks for any port takes
+// one meanwhile.
+const (
+	firstPort    = 15000
+	portCount    = 17000
+	portAttempts = 200
+)
+
+// FreePort gives a loopback address, HOST:PORT, on which nothing listens.
 func FreePort() (string, error) {
-	for range 200 {
-		at := fmt.Sprintf("127.0.0.1:%d", 15000+rand.IntN(17000))
-		if l, err := net.Listen("tcp", at); err == nil {
+	for range portAttempts {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		if l, err := net.Listen("tcp", address); err == nil {
 			l.Close()
-			return at, nil
+			return address, nil
 		}
 	}
-	return "", errors.New("no free port from 15000 to 32000")
+	return "", fmt.Errorf("no free port from %d to %d", firstPort, firstPort+portCount)
 }
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -12,7 +13,11 @@
 	"time"
 )
 
-// Serve plays on each connection to a loopback port of its own, and closes it behind that, until the listener is closed.
+// idleInterval is how long a line protocol waits for a line before it calls idle.
+const idleInterval = 500 * time.Millisecond
+
+// Serve calls play with each connection to a loopback port of its own, and closes the connection after it, until the listener is
+// closed.
 func Serve(play func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,13 +38,13 @@
 	return l, nil
 }
 
-// Desk serves a line protocol: take gets each line, idle, where it is not nil, is called when none came for half a second.
+// Desk serves a line protocol: take is called with each line, idle, if it is not nil, when none came for half a second.
 func Desk(take func(c net.Conn, line string), idle func(c net.Conn)) (net.Listener, error) {
 	return Serve(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
 			if idle != nil {
-				c.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
+				c.SetReadDeadline(time.Now().Add(idleInterval))
 			}
 			line, err := br.ReadString('\n')
 			switch {
@@ -54,8 +59,8 @@
 	})
 }
 
-// serveUntilClosed runs an HTTP server until it is closed. Any other end would leave a test waiting for answers that never
-// come: it panics.
+// serveUntilClosed runs an HTTP server until it is closed. Any other end would leave a test waiting for answers that never come: it
+// panics.
 func serveUntilClosed(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		panic(fmt.Errorf("fake HTTP server: %w", err))
@@ -69,9 +74,37 @@
 	}
 }
 
+// jsonLine marshals a value as one line.
+func jsonLine(value any) []byte {
+	text, err := json.Marshal(value)
+	if err != nil {
+		panic(err) // of a value made here
+	}
+	return append(text, '\n')
+}
+
+// writeLine writes and flushes a value as one line of a streamed response. It reports whether the client is still there.
+func writeLine(w http.ResponseWriter, value any) bool {
+	if _, err := w.Write(jsonLine(value)); err != nil {
+		return false
+	}
+	return http.NewResponseController(w).Flush() == nil
+}
+
+// send writes text to a connection. That fails only once the other end has gone: the connection is closed then, so that whoever reads
+// from it ends.
+func send(c net.Conn, text string) {
+	if _, err := c.Write([]byte(text)); err != nil {
+		c.Close()
+	}
+}
+
 // resetOnClose makes the close of a TCP connection send a reset instead of an end of stream.
 func resetOnClose(c net.Conn) {
 	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 		slog.Warn("fake: connection will not be reset", "error", err)
 	}
 }
+
+// seconds turns a number of seconds into a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scenario/health.go
+++ b/internal/scenario/health.go
@@ -59,7 +59,7 @@
 	var list []fakes.Scrape
 	r.mu.Lock()
 	for _, u := range r.units {
-		list = append(list, u.Shows()...)
+		list = append(list, u.Metrics()...)
 	}
 	r.mu.Unlock()
 	at := r.clock()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -23,8 +23,8 @@
 // Outcome is what a day showed.
 type Outcome struct {
 	*invariants.Report
-	History  []fakes.Moment `json:"history"`
-	Versions *Versions      `json:"versions,omitempty"` // of the settings
+	History  []fakes.ReleaseEvent `json:"history"`
+	Versions *Versions            `json:"versions,omitempty"` // of the settings
 }
 
 // run is a day in play.
@@ -36,8 +36,8 @@
 	base      time.Time
 	wall      float64
 	from      float64
-	list      *fakes.List
-	installer *fakes.Installer
+	list      *fakes.EndpointList
+	installer *fakes.ReleaseService
 	clients   *fakes.Clients
 	edges     processes
 	planners  processes
@@ -74,8 +74,8 @@
 	}
 }
 
-// StartUnit and StopUnit are the installer's hands.
-func (r *run) StartUnit(_, build int) (*fakes.Endpoint, error) {
+// StartEndpoint and StopUnit are the installer's hands.
+func (r *run) StartEndpoint(_, build int) (*fakes.Endpoint, error) {
 	r.mu.Lock()
 	r.nextID++
 	id := r.nextID
@@ -85,8 +85,8 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	s, rules := r.script.Units, r.script.Rules
-	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, Queue: s.Queue, ColdFrom: rules.SlowStartInitialShare,
-		WarmUp: rules.SlowStartSeconds, FallFactor: rules.SlowStartOverloadFactor, FallTime: rules.SlowStartOverloadSeconds}, r.rec, r.clock)
+	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, QueueLength: s.Queue, SlowStartInitialShare: rules.SlowStartInitialShare,
+		SlowStartSeconds: rules.SlowStartSeconds, SlowStartOverloadFactor: rules.SlowStartOverloadFactor, SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds}, r.rec, r.clock)
 	if err == nil {
 		r.mu.Lock()
 		r.units[id] = u
@@ -95,7 +95,7 @@
 	return u, err
 }
 
-func (r *run) StopUnit(u *fakes.Endpoint) {
+func (r *run) StopEndpoint(u *fakes.Endpoint) {
 	u.Stop()
 	r.mu.Lock()
 	delete(r.units, u.ID)
@@ -111,15 +111,15 @@
 	r := &run{script: script, dir: dir, bin: bin, rec: invariants.NewRecord(), base: now, wall: float64(now.UnixNano()) / 1e9,
 		ctx: ctx, units: map[uint32]*fakes.Endpoint{}}
 	p, rel := script.Platform, script.Release
-	r.list = fakes.NewList(p.ListLag, r.rec, r.clock)
+	r.list = fakes.NewEndpointList(p.ListLag, r.rec, r.clock)
 	first := 1 << 30
 	for b := range script.Builds {
 		first = min(first, b)
 	}
 	var err error
-	r.installer, err = fakes.NewInstaller(fakes.Plan{Stages: rel.Stages, Caps: rel.CanaryLimits, Places: script.Units.Places,
-		StartTime: script.Units.StartTime, DrainTime: script.Units.DrainTime, Bake: p.Bake, OnVotes: p.OnVotes,
-		BackVotes: rel.RollbackVotes, VoteLife: rel.VoteLifetimeSeconds, Delay: p.Delay, Push: p.Push}, first, r, r.list, r.rec, r.clock)
+	r.installer, err = fakes.NewReleaseService(fakes.ReleasePlan{StageShares: rel.Stages, CanaryLimits: rel.CanaryLimits, Slots: script.Units.Places,
+		StartSeconds: script.Units.StartTime, DrainSeconds: script.Units.DrainTime, BakeSeconds: p.Bake, PromoteVotes: p.OnVotes,
+		RollbackVotes: rel.RollbackVotes, VoteLifetimeSeconds: rel.VoteLifetimeSeconds, PropagationSeconds: p.Delay, PushSeconds: p.Push}, first, r, r.list, r.rec, r.clock)
 	if err != nil {
 		return nil, err
 	}
@@ -155,20 +155,20 @@
 		}
 		names = append(names, name)
 	}
-	var ops []fakes.OpShape
+	var ops []fakes.RequestClass
 	for _, op := range script.OpTypes {
 		method := http.MethodPost
 		if op.Idempotency == "redeliverable" {
 			method = http.MethodGet
 		}
-		ops = append(ops, fakes.OpShape{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, Work: op.Work,
-			Target: op.Target, Timeout: op.Timeout, Importance: op.PriorityWeight, Effect: invariants.Idempotency(op.Idempotency), Group: string(op.Group),
-			Window: op.DedupWindowSeconds})
+		ops = append(ops, fakes.RequestClass{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, WorkSeconds: op.Work,
+			LatencyObjectiveSeconds: op.Target, TimeoutSeconds: op.Timeout, PriorityWeight: op.PriorityWeight, Idempotency: invariants.Idempotency(op.Idempotency), DedupScope: string(op.Group),
+			DedupWindowSeconds: op.DedupWindowSeconds})
 	}
 	r.clients = fakes.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
-	r.clients.Change(func(h *fakes.Habits) {
-		*h = fakes.Habits{Rate: script.Rate, Retries: script.Clients.Retries, AtOnce: script.Clients.AtOnce, Short: script.Clients.Short,
-			Report: rel.WrongAnswerReportShare}
+	r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) {
+		*h = fakes.ClientBehavior{RequestsPerSecond: script.Rate, MaxRetries: script.Clients.Retries, IgnoreRetryAfter: script.Clients.AtOnce, MinTimeoutShare: script.Clients.Short,
+			WrongAnswerReportShare: rel.WrongAnswerReportShare}
 	})
 	r.from = r.clock()
 	for _, e := range script.Events {
@@ -231,8 +231,8 @@
 	r.control = l.Addr().String()
 	mux := http.NewServeMux()
 	mux.Handle("GET /{relay}/list", r.list)
-	mux.HandleFunc("GET /{relay}/stage", r.installer.Stage)
-	mux.HandleFunc("POST /{relay}/vote", r.installer.Vote)
+	mux.HandleFunc("GET /{relay}/stage", r.installer.ServeReleases)
+	mux.HandleFunc("POST /{relay}/vote", r.installer.ServeVote)
 	srv := &http.Server{Handler: mux}
 	go func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -13,26 +13,26 @@
 // kinds holds what each trouble does. It begins when called and ends by itself.
 var kinds = map[edn.Keyword]func(*run, Event){
 	"offer":           func(r *run, e Event) { r.installer.Offer(e.Build) },
-	"fast-errors":     ail(func(e Event, t *fakes.EndpointFault) { t.Errors = e.By }),
-	"slow":            ail(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By }),
-	"all-slow":        whole(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By }),
-	"closes":          ail(func(e Event, t *fakes.EndpointFault) { t.Closes = e.By }),
-	"few-connections": ail(func(e Event, t *fakes.EndpointFault) { t.Conns = int(e.By) }),
-	"slow-handshake":  ail(func(e Event, t *fakes.EndpointFault) { t.Handshake = e.By }),
-	"heavy-tail":      whole(func(e Event, t *fakes.EndpointFault) { t.Tail = e.By }),
-	"one-sided":       ail(func(e Event, t *fakes.EndpointFault) { t.Silent, t.From = true, e.Relay }),
-	"probes-fail":     ail(func(_ Event, t *fakes.EndpointFault) { t.Probes = true }),
-	"answers-wrong":   ail(func(e Event, t *fakes.EndpointFault) { t.Wrong = e.By }),
+	"fast-errors":     ail(func(e Event, t *fakes.EndpointFault) { t.ErrorShare = e.By }),
+	"slow":            ail(func(e Event, t *fakes.EndpointFault) { t.SlowFactor = e.By }),
+	"all-slow":        whole(func(e Event, t *fakes.EndpointFault) { t.SlowFactor = e.By }),
+	"closes":          ail(func(e Event, t *fakes.EndpointFault) { t.ResetShare = e.By }),
+	"few-connections": ail(func(e Event, t *fakes.EndpointFault) { t.MaxConns = int(e.By) }),
+	"slow-handshake":  ail(func(e Event, t *fakes.EndpointFault) { t.AcceptDelaySeconds = e.By }),
+	"heavy-tail":      whole(func(e Event, t *fakes.EndpointFault) { t.SlowTailShare = e.By }),
+	"one-sided":       ail(func(e Event, t *fakes.EndpointFault) { t.Unresponsive, t.OnlyFromRelay = true, e.Relay }),
+	"probes-fail":     ail(func(_ Event, t *fakes.EndpointFault) { t.FailProbes = true }),
+	"answers-wrong":   ail(func(e Event, t *fakes.EndpointFault) { t.WrongAnswerShare = e.By }),
 	"query-server":    (*run).queryServer,
 	"neighbour": func(r *run, e Event) { // a second on, a second off
 		for at := 0.0; at < e.For; at += 2 {
 			r.after(at, func() {
-				ail(func(e Event, t *fakes.EndpointFault) { t.Slow = e.By })(r, Event{Part: e.Part, By: e.By, For: min(1, e.For-at)})
+				ail(func(e Event, t *fakes.EndpointFault) { t.SlowFactor = e.By })(r, Event{Part: e.Part, By: e.By, For: min(1, e.For-at)})
 			})
 		}
 	},
 	"silent": func(r *run, e Event) { // and come back as new processes
-		ail(func(_ Event, t *fakes.EndpointFault) { t.Silent = true })(r, e)
+		ail(func(_ Event, t *fakes.EndpointFault) { t.Unresponsive = true })(r, e)
 		places := r.some(e.Part)
 		r.after(e.For, func() {
 			for _, p := range places {
@@ -46,16 +46,16 @@
 		}
 	},
 	"list-stale": func(r *run, e Event) {
-		r.list.Lag(e.By)
-		r.after(e.For, func() { r.list.Lag(r.script.Platform.ListLag) })
+		r.list.SetLag(e.By)
+		r.after(e.For, func() { r.list.SetLag(r.script.Platform.ListLag) })
 	},
 	"list-down": func(r *run, e Event) {
-		r.list.Down(true)
-		r.after(e.For, func() { r.list.Down(false) })
+		r.list.SetDown(true)
+		r.after(e.For, func() { r.list.SetDown(false) })
 	},
 	"installer-still": func(r *run, e Event) {
-		r.installer.Still(true)
-		r.after(e.For, func() { r.installer.Still(false) })
+		r.installer.SetPaused(true)
+		r.after(e.For, func() { r.installer.SetPaused(false) })
 	},
 	"relay-killed": func(r *run, e Event) { // all of it
 		for _, p := range append(r.planners.of(e), r.edges.of(e)...) {
@@ -93,16 +93,16 @@
 		}
 	},
 	"burst": func(r *run, e Event) {
-		r.clients.Change(func(h *fakes.Habits) { h.Rate *= e.By })
-		r.after(e.For, func() { r.clients.Change(func(h *fakes.Habits) { h.Rate /= e.By }) })
+		r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.RequestsPerSecond *= e.By })
+		r.after(e.For, func() { r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.RequestsPerSecond /= e.By }) })
 	},
 	"hot-caller": func(r *run, e Event) {
-		r.clients.Change(func(h *fakes.Habits) { h.Hot, h.HotPart = e.Relay, e.By })
-		r.after(e.For, func() { r.clients.Change(func(h *fakes.Habits) { h.Hot = "" }) })
+		r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.HotRelay, h.HotRelayShare = e.Relay, e.By })
+		r.after(e.For, func() { r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.HotRelay = "" }) })
 	},
 	"give-up": func(r *run, e Event) {
-		r.clients.Change(func(h *fakes.Habits) { h.Leave = e.By })
-		r.after(e.For, func() { r.clients.Change(func(h *fakes.Habits) { h.Leave = 0 }) })
+		r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.AbandonShare = e.By })
+		r.after(e.For, func() { r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) { h.AbandonShare = 0 }) })
 	},
 }
 
@@ -111,7 +111,7 @@
 	return func(r *run, e Event) {
 		var t fakes.EndpointFault
 		what(e, &t)
-		units := r.installer.Units()
+		units := r.installer.Endpoints()
 		for _, p := range r.some(e.Part) {
 			u := units[p]
 			u.InjectFault(t)
