--- a/cmd/flintspread-lab/main.go
+++ b/cmd/flintspread-lab/main.go
@@ -65,7 +65,7 @@
 			script.Seed = seed
 		}
 		if storm {
-			script.Storm = &scenario.Storm{Every: 1}
+			script.ConfigStorm = &scenario.ConfigStorm{IntervalSeconds: 1}
 		}
 		if bin, err = binFolder(bin); err != nil {
 			return err
@@ -81,12 +81,12 @@
 			return many(cmd.OutOrStdout(), *script, bin, dir, kills, runs, jobs)
 		}
 		if kills {
-			script.Disturb(script.Seed)
+			script.AddProcessFaults(script.Seed)
 		}
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		out, err := scenario.Play(script, bin, dir, cmd.ErrOrStderr())
+		out, err := scenario.Run(script, bin, dir, cmd.ErrOrStderr())
 		if err != nil {
 			return err
 		}
@@ -134,13 +134,13 @@
 			s.Seed += uint64(i)
 			s.Events = slices.Clone(script.Events)
 			if kills {
-				s.Disturb(s.Seed)
+				s.AddProcessFaults(s.Seed)
 			}
 			into := filepath.Join(dir, fmt.Sprint(s.Seed))
 			if err := os.MkdirAll(into, 0o755); err != nil {
 				return err
 			}
-			out, err := scenario.Play(&s, bin, into, io.Discard)
+			out, err := scenario.Run(&s, bin, into, io.Discard)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", s.Seed, err)
 			}
--- a/cmd/flintspread-lab/witness.go
+++ b/cmd/flintspread-lab/witness.go
@@ -32,13 +32,13 @@
 		}
 		defer os.RemoveAll(dir)
 		var mu sync.Mutex
-		var all []scenario.Witness
+		var all []scenario.HealthComparison
 		var g errgroup.Group
 		g.SetLimit(jobs)
 		w := cmd.OutOrStdout()
 		for i := range runs {
 			g.Go(func() error {
-				one, err := scenario.PlayWitness(seed+uint64(i), bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
+				one, err := scenario.CompareHealth(seed+uint64(i), bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
 				if err != nil {
 					return err
 				}
--- /dev/null
+++ b/internal/scenario/queryservers.go
@@ -0,0 +1,86 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"flintspread/internal/fakes"
+)
+
+// QueryServers are a scenario's Prometheus servers.
+type QueryServers struct {
+	Count         int     `edn:"servers" validate:"gt=0,lte=8"`
+	ScrapeSeconds float64 `edn:"scrape" validate:"gt=0"` // between two scrapes of the endpoints
+}
+
+// queryServerFaults are the faults that an event may name.
+var queryServerFaults = []fakes.Fault{
+	fakes.Blind, fakes.Lies, fakes.Flatters, fakes.Late, fakes.Hangs, fakes.Truncated, fakes.TooManyNow, fakes.Overloaded,
+	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
+}
+
+// startQueryServers starts the query servers, if the script has any. They scrape the endpoints until the scenario ends.
+func (r *runner) startQueryServers() error {
+	r.script.queryServerURLs = nil
+	if r.script.QueryServers == nil {
+		return nil
+	}
+	for range r.script.QueryServers.Count {
+		server, err := fakes.StartQueryServer(r.clock)
+		if err != nil {
+			return err
+		}
+		r.queryServers = append(r.queryServers, server)
+		r.script.queryServerURLs = append(r.script.queryServerURLs, server.URL)
+		r.goroutines.Go(func() {
+			<-r.ctx.Done()
+			server.Stop()
+		})
+	}
+	r.goroutines.Go(func() {
+		ticker := time.NewTicker(duration(r.script.QueryServers.ScrapeSeconds))
+		defer ticker.Stop()
+		for {
+			r.scrape()
+			select {
+			case <-r.ctx.Done():
+				return
+			case <-ticker.C:
+			}
+		}
+	})
+	return nil
+}
+
+// scrape gives each query server what the endpoints show.
+func (r *runner) scrape() {
+	var samples []fakes.Scrape
+	r.mu.Lock()
+	for _, e := range r.endpoints {
+		samples = append(samples, e.Metrics()...)
+	}
+	r.mu.Unlock()
+	at := r.clock()
+	for _, server := range r.queryServers {
+		server.Enter(at, samples)
+	}
+}
+
+// injectQueryServerFault gives one query server a fault, all of them if the event names none. With no duration it lasts.
+func (r *runner) injectQueryServerFault(e Event) {
+	fault := fakes.Fault(e.Fault)
+	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
+		r.addError(fmt.Errorf("event at %g s: query server %d, fault %q: no such", e.At, e.Server, e.Fault))
+		return
+	}
+	for i, server := range r.queryServers {
+		if e.Server != 0 && e.Server != i+1 {
+			continue
+		}
+		server.Ail(fault)
+		if e.Seconds > 0 {
+			r.after(e.Seconds, func() { server.Heal(fault) })
+		}
+	}
+}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -1,17 +1,12 @@
 package scenario
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -20,53 +15,65 @@
 	"flintspread/internal/invariants"
 )
 
-// Outcome is what a day showed.
+const (
+	tickInterval     = 10 * time.Millisecond // of endpoint list and release service
+	progressInterval = 200 * time.Millisecond
+)
+
+// Outcome is what a scenario showed.
 type Outcome struct {
 	*invariants.Report
-	History  []fakes.ReleaseEvent `json:"history"`
-	Versions *Versions            `json:"versions,omitempty"` // of the settings
+	History  []fakes.ReleaseEvent `json:"history"`            // instants are seconds from the start
+	Versions *ConfigVersions      `json:"versions,omitempty"` // of a config storm
 }
 
-// run is a day in play.
-type run struct {
-	script    *Script
-	dir       string
-	bin       string // the folder of the programs
-	rec       *invariants.Record
-	base      time.Time
-	wall      float64
-	from      float64
-	list      *fakes.EndpointList
-	installer *fakes.ReleaseService
-	clients   *fakes.Clients
-	edges     processes
-	planners  processes
-	storm     *storm
-	queries   []*fakes.QueryServer
-	control   string // address of list and installer
-	ctx       context.Context
-
-	mu     sync.Mutex
-	nextID uint32
-	units  map[uint32]*fakes.Endpoint
-	errs   []error
-	timers sync.WaitGroup
+// runner is a scenario that is being played.
+type runner struct {
+	script        *Script
+	dir           string // of settings, logs and states
+	bin           string // folder of the programs
+	record        *invariants.Record
+	startedAt     time.Time
+	startedAtUnix float64
+	clientsFrom   float64 // when the clients began, on the runner's clock
+
+	list            *fakes.EndpointList
+	releaseService  *fakes.ReleaseService
+	servicesAddress string // of both
+	clients         *fakes.Clients
+	routers         processes
+	controllers     processes
+	configStorm     *configStorm // nil: none
+	queryServers    []*fakes.QueryServer
+
+	ctx        context.Context // ends with the clients
+	goroutines sync.WaitGroup  // that end with ctx
+
+	mu             sync.Mutex
+	lastEndpointID uint32
+	endpoints      map[uint32]*fakes.Endpoint
+	errs           []error
 }
 
-func (r *run) clock() float64 { return r.wall + time.Since(r.base).Seconds() }
+// clock is the clock of all fakes: Unix seconds by a monotonic clock.
+func (r *runner) clock() float64 { return r.startedAtUnix + time.Since(r.startedAt).Seconds() }
 
-// after does something some seconds from now, unless the day ends before.
-func (r *run) after(secs float64, what func()) {
-	r.timers.Go(func() {
+// after calls do some seconds from now, unless the scenario ends before.
+func (r *runner) after(secs float64, do func()) {
+	r.goroutines.Go(func() {
 		select {
 		case <-r.ctx.Done():
-		case <-time.After(time.Duration(secs * float64(time.Second))):
-			what()
+		case <-time.After(duration(secs)):
+			do()
 		}
 	})
 }
 
-func (r *run) note(err error) {
+// duration turns a number of seconds into a duration.
+func duration(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
+
+// addError keeps an error for the end of the scenario. No error is none.
+func (r *runner) addError(err error) {
 	if err != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -74,413 +81,248 @@
 	}
 }
 
-// StartEndpoint and StopUnit are the installer's hands.
-func (r *run) StartEndpoint(_, build int) (*fakes.Endpoint, error) {
+// StartEndpoint starts an endpoint of a build for the release service.
+func (r *runner) StartEndpoint(_, build int) (*fakes.Endpoint, error) {
 	r.mu.Lock()
-	r.nextID++
-	id := r.nextID
+	r.lastEndpointID++
+	id := r.lastEndpointID
 	r.mu.Unlock()
-	does, ok := r.script.Builds[build]
+	behavior, ok := r.script.Builds[build]
 	if !ok {
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
-	s, rules := r.script.Units, r.script.Rules
-	u, err := fakes.StartEndpoint(id, build, does, fakes.EndpointShape{Cores: s.Cores, QueueLength: s.Queue, SlowStartInitialShare: rules.SlowStartInitialShare,
-		SlowStartSeconds: rules.SlowStartSeconds, SlowStartOverloadFactor: rules.SlowStartOverloadFactor, SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds}, r.rec, r.clock)
-	if err == nil {
-		r.mu.Lock()
-		r.units[id] = u
-		r.mu.Unlock()
+	fleet, rules := r.script.Fleet, r.script.Rules
+	shape := fakes.EndpointShape{
+		Cores:                    fleet.Cores,
+		QueueLength:              fleet.QueueLength,
+		SlowStartInitialShare:    rules.SlowStartInitialShare,
+		SlowStartSeconds:         rules.SlowStartSeconds,
+		SlowStartOverloadFactor:  rules.SlowStartOverloadFactor,
+		SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds,
+	}
+	e, err := fakes.StartEndpoint(id, build, behavior, shape, r.record, r.clock)
+	if err != nil {
+		return nil, err
 	}
-	return u, err
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endpoints[id] = e
+	return e, nil
 }
 
-func (r *run) StopEndpoint(u *fakes.Endpoint) {
-	u.Stop()
+// StopEndpoint stops an endpoint for the release service.
+func (r *runner) StopEndpoint(e *fakes.Endpoint) {
+	e.Stop()
 	r.mu.Lock()
-	delete(r.units, u.ID)
-	r.mu.Unlock()
+	defer r.mu.Unlock()
+	delete(r.endpoints, e.ID)
+}
+
+func (r *runner) stopEndpoints() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, e := range r.endpoints {
+		e.Stop()
+	}
 }
 
-// Play plays a script with the programs in a folder; files go into dir, which must exist. progress gets a line now and
-// then.
-func Play(script *Script, bin, dir string, progress io.Writer) (*Outcome, error) {
+// Run plays a script with the programs of the folder bin. Settings, logs and states go into the folder dir, which must exist. progress
+// gets a line for each thing that happens to a build. Errors of processes come with an outcome.
+func Run(script *Script, bin, dir string, progress io.Writer) (*Outcome, error) {
 	now := time.Now()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	r := &run{script: script, dir: dir, bin: bin, rec: invariants.NewRecord(), base: now, wall: float64(now.UnixNano()) / 1e9,
-		ctx: ctx, units: map[uint32]*fakes.Endpoint{}}
-	p, rel := script.Platform, script.Release
-	r.list = fakes.NewEndpointList(p.ListLag, r.rec, r.clock)
-	first := 1 << 30
-	for b := range script.Builds {
-		first = min(first, b)
+	r := &runner{
+		script: script, dir: dir, bin: bin, record: invariants.NewRecord(),
+		startedAt: now, startedAtUnix: float64(now.UnixNano()) / 1e9,
+		ctx: ctx, endpoints: map[uint32]*fakes.Endpoint{},
 	}
-	var err error
-	r.installer, err = fakes.NewReleaseService(fakes.ReleasePlan{StageShares: rel.Stages, CanaryLimits: rel.CanaryLimits, Slots: script.Units.Places,
-		StartSeconds: script.Units.StartTime, DrainSeconds: script.Units.DrainTime, BakeSeconds: p.Bake, PromoteVotes: p.OnVotes,
-		RollbackVotes: rel.RollbackVotes, VoteLifetimeSeconds: rel.VoteLifetimeSeconds, PropagationSeconds: p.Delay, PushSeconds: p.Push}, first, r, r.list, r.rec, r.clock)
-	if err != nil {
+	defer r.stopEndpoints()
+	if err := r.startFakes(); err != nil {
 		return nil, err
 	}
-	defer func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for _, u := range r.units {
-			u.Stop()
-		}
-	}()
-	if err := r.serveControl(); err != nil {
+	defer r.stopProcesses()
+	if err := r.startRelays(); err != nil {
 		return nil, err
 	}
-	if script.Storm != nil {
-		if r.storm, err = r.newStorm(); err != nil {
-			return nil, err
-		}
-		script.controls = r.storm.address
+	r.clientsFrom = r.clock()
+	for _, event := range script.Events {
+		r.after(event.At, func() { events[event.Kind](r, event) })
 	}
-	if err := r.startQueries(); err != nil {
-		return nil, err
+	r.after(0, func() { r.printProgress(progress) })
+	if r.configStorm != nil {
+		r.after(0, r.configStorm.send)
+	}
+	r.clients.Run(r.clientsFrom + script.LengthSeconds)
+	end()
+	r.goroutines.Wait()
+	r.stopProcesses()
+	r.clients.Close()
+	return r.outcome()
+}
+
+// startFakes starts all that is around the relays, but for the clients.
+func (r *runner) startFakes() (err error) {
+	platform, release, fleet := r.script.Platform, r.script.Release, r.script.Fleet
+	r.list = fakes.NewEndpointList(platform.ListLagSeconds, r.record, r.clock)
+	plan := fakes.ReleasePlan{
+		StageShares:         release.Stages,
+		CanaryLimits:        release.CanaryLimits,
+		Slots:               fleet.Slots,
+		StartSeconds:        fleet.StartSeconds,
+		DrainSeconds:        fleet.DrainSeconds,
+		BakeSeconds:         platform.BakeSeconds,
+		PromoteVotes:        platform.PromoteVotes,
+		RollbackVotes:       release.RollbackVotes,
+		VoteLifetimeSeconds: release.VoteLifetimeSeconds,
+		PropagationSeconds:  platform.PropagationSeconds,
+		PushSeconds:         platform.PushSeconds,
+	}
+	if r.releaseService, err = fakes.NewReleaseService(plan, r.script.firstBuild(), r, r.list, r.record, r.clock); err != nil {
+		return err
 	}
-	script.servers = nil
-	for _, q := range r.queries {
-		script.servers = append(script.servers, q.URL)
+	if err := r.startServices(); err != nil {
+		return err
 	}
-	addrs, names := map[string]string{}, []string{}
-	defer r.stopAll()
-	for i := range script.Relays {
-		name := fmt.Sprintf("r%d", i+1)
-		if addrs[name], err = r.startRelay(name); err != nil {
-			return nil, err
+	if r.script.ConfigStorm != nil {
+		if r.configStorm, err = r.newConfigStorm(); err != nil {
+			return err
 		}
-		names = append(names, name)
+		r.script.controlAddresses = r.configStorm.addresses
 	}
-	var ops []fakes.RequestClass
-	for _, op := range script.OpTypes {
-		method := http.MethodPost
-		if op.Idempotency == "redeliverable" {
-			method = http.MethodGet
+	return r.startQueryServers()
+}
+
+// startRelays starts the relays and makes their clients.
+func (r *runner) startRelays() (err error) {
+	addresses, names := map[string]string{}, r.script.relayNames()
+	for _, name := range names {
+		if addresses[name], err = r.startRelay(name); err != nil {
+			return err
 		}
-		ops = append(ops, fakes.RequestClass{Name: op.Name, Method: method, Path: "/" + op.Name + "/", Share: op.Share, WorkSeconds: op.Work,
-			LatencyObjectiveSeconds: op.Target, TimeoutSeconds: op.Timeout, PriorityWeight: op.PriorityWeight, Idempotency: invariants.Idempotency(op.Idempotency), DedupScope: string(op.Group),
-			DedupWindowSeconds: op.DedupWindowSeconds})
 	}
-	r.clients = fakes.NewClients(ops, addrs, names, script.Seed, r.rec, r.clock)
-	r.clients.ChangeBehavior(func(h *fakes.ClientBehavior) {
-		*h = fakes.ClientBehavior{RequestsPerSecond: script.Rate, MaxRetries: script.Clients.Retries, IgnoreRetryAfter: script.Clients.AtOnce, MinTimeoutShare: script.Clients.Short,
-			WrongAnswerReportShare: rel.WrongAnswerReportShare}
+	r.clients = fakes.NewClients(r.script.clientClasses(), addresses, names, r.script.Seed, r.record, r.clock)
+	r.clients.ChangeBehavior(func(behavior *fakes.ClientBehavior) {
+		*behavior = fakes.ClientBehavior{
+			RequestsPerSecond:      r.script.RequestsPerSecond,
+			MaxRetries:             r.script.Clients.MaxRetries,
+			IgnoreRetryAfter:       r.script.Clients.IgnoreRetryAfter,
+			MinTimeoutShare:        r.script.Clients.MinTimeoutShare,
+			WrongAnswerReportShare: r.script.Release.WrongAnswerReportShare,
+		}
 	})
-	r.from = r.clock()
-	for _, e := range script.Events {
-		r.after(e.At, func() { kinds[e.Do](r, e) })
-	}
-	r.after(0, func() { r.tell(progress) })
-	if r.storm != nil {
-		r.after(0, r.storm.blow)
-	}
-	r.clients.Run(r.from + script.Length)
-	end()
-	r.timers.Wait()
-	r.stopAll()
-	r.clients.Close()
-	history, err := r.installer.History()
-	r.note(err)
+	return nil
+}
+
+// clientClasses gives the request classes as clients send them.
+func (s *Script) clientClasses() (classes []fakes.RequestClass) {
+	for _, class := range s.Classes {
+		classes = append(classes, fakes.RequestClass{
+			Name:                    class.Name,
+			Method:                  class.method(),
+			Path:                    "/" + class.Name + "/",
+			Share:                   class.Share,
+			WorkSeconds:             class.WorkSeconds,
+			LatencyObjectiveSeconds: class.Target,
+			TimeoutSeconds:          class.Timeout,
+			PriorityWeight:          class.PriorityWeight,
+			Idempotency:             invariants.Idempotency(class.Idempotency),
+			DedupScope:              string(class.Group),
+			DedupWindowSeconds:      class.DedupWindowSeconds,
+		})
+	}
+	return classes
+}
+
+// inspectRecord is called with the record of each scenario before it is checked. Tests replace it.
+var inspectRecord = func(*invariants.Record) {}
+
+// outcome checks the record, once nothing runs any more.
+func (r *runner) outcome() (*Outcome, error) {
+	history, err := r.releaseService.History()
+	r.addError(err)
 	for i := range history {
-		history[i].At -= r.from
+		history[i].At -= r.clientsFrom
 	}
-	watch(r.rec)
-	out := &Outcome{Report: invariants.Check(r.rec, script.bounds()), History: history}
-	if r.storm != nil {
-		out.Versions = r.storm.outcome()
+	inspectRecord(r.record)
+	out := &Outcome{Report: invariants.Check(r.record, r.script.bounds()), History: history}
+	if r.configStorm != nil {
+		out.Versions = r.configStorm.outcome()
 	}
 	return out, errors.Join(r.errs...)
 }
 
-// watch is shown a day's record before it is checked; tests look at it.
-var watch = func(*invariants.Record) {}
-
-// bounds gives the checker the numbers that the relays were given.
+// bounds gives the checker the numbers that the relays' settings have.
 func (s *Script) bounds() invariants.Bounds {
-	p, r := s.Platform, s.Rules
-	return invariants.Bounds{SlackSeconds: p.Slack, GraceSeconds: r.GraceSeconds, SlowStartInitialShare: r.SlowStartInitialShare, SlowStartSeconds: r.SlowStartSeconds, SlowStartOverloadFactor: r.SlowStartOverloadFactor,
-		SlowStartOverloadSeconds: r.SlowStartOverloadSeconds, CanaryWindowSeconds: r.Window, CanaryFreeAttempts: r.CanaryFreeAttempts, CanaryLimits: s.Release.CanaryLimits, CanaryLimitPerClass: r.CountPerOp, IdempotentOnlyStages: r.IdempotentOnlyStages,
-		OneWayKeys: r.OneWayKeys}
+	rules := s.Rules
+	return invariants.Bounds{
+		SlackSeconds:             s.Platform.SlackSeconds,
+		GraceSeconds:             rules.GraceSeconds,
+		SlowStartInitialShare:    rules.SlowStartInitialShare,
+		SlowStartSeconds:         rules.SlowStartSeconds,
+		SlowStartOverloadFactor:  rules.SlowStartOverloadFactor,
+		SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds,
+		CanaryWindowSeconds:      rules.Window,
+		CanaryFreeAttempts:       rules.CanaryFreeAttempts,
+		CanaryLimits:             s.Release.CanaryLimits,
+		CanaryLimitPerClass:      rules.CountPerOp,
+		IdempotentOnlyStages:     rules.IdempotentOnlyStages,
+		OneWayKeys:               rules.OneWayKeys,
+	}
 }
 
-// tell writes a line every few seconds.
-func (r *run) tell(w io.Writer) {
-	told := 0
+// printProgress prints what happens to builds until the scenario ends.
+func (r *runner) printProgress(w io.Writer) {
+	printed := 0
 	for r.ctx.Err() == nil {
-		h, _ := r.installer.History()
-		for ; told < len(h); told++ {
-			fmt.Fprintf(w, "%5.1f s  %s\n", h[told].At-r.from, h[told].What)
+		history, _ := r.releaseService.History() // outcome gives the error
+		for ; printed < len(history); printed++ {
+			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].What)
 		}
 		select {
 		case <-r.ctx.Done():
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(progressInterval):
 		}
 	}
 }
 
-// serveControl serves the list and the installer, each relay under a path of its own, and keeps them going.
-func (r *run) serveControl() error {
+// startServices serves endpoint list and release service, to each relay under a path of its own, and ticks them until the scenario
+// ends.
+func (r *runner) startServices() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	r.control = l.Addr().String()
+	r.servicesAddress = l.Addr().String()
 	mux := http.NewServeMux()
 	mux.Handle("GET /{relay}/list", r.list)
-	mux.HandleFunc("GET /{relay}/stage", r.installer.ServeReleases)
-	mux.HandleFunc("POST /{relay}/vote", r.installer.ServeVote)
-	srv := &http.Server{Handler: mux}
+	mux.HandleFunc("GET /{relay}/stage", r.releaseService.ServeReleases)
+	mux.HandleFunc("POST /{relay}/vote", r.releaseService.ServeVote)
+	server := &http.Server{Handler: mux}
 	go func() {
-		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			r.note(err)
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			r.addError(err)
 		}
 	}()
-	r.timers.Go(func() {
-		tick := time.NewTicker(10 * time.Millisecond)
-		defer tick.Stop()
-		for r.ctx.Err() == nil {
+	r.goroutines.Go(func() {
+		defer server.Close()
+		ticker := time.NewTicker(tickInterval)
+		defer ticker.Stop()
+		for {
 			select {
 			case <-r.ctx.Done():
-			case <-tick.C:
+				return
+			case <-ticker.C:
 				r.list.Tick()
-				r.installer.Tick()
+				r.releaseService.Tick()
 			}
 		}
-		srv.Close()
 	})
 	return nil
 }
 
-func (r *run) stopAll() {
-	for _, p := range append(r.edges, r.planners...) {
-		p.end(syscall.SIGTERM)
-	}
-}
-
-// process is one program with its settings: what outlives its processes.
-type process struct {
-	r       *run
-	relay   string
-	planner bool
-	program string
-	listen  string // an address that accepts once it runs
-	file    string
-	logFile string
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	life *invariants.Life
-}
-
-type processes []*process
-
-// startRelay starts a relay's processes and gives the address that its clients use.
-func (r *run) startRelay(relay string) (string, error) {
-	listen, err := fakes.FreePort()
-	if err != nil {
-		return "", err
-	}
-	add := func(name string, planner bool) error {
-		admin, err := fakes.FreePort()
-		if err != nil {
-			return err
-		}
-		path := filepath.Join(r.dir, name)
-		p := &process{r: r, relay: relay, planner: planner, program: "flintspread-router", listen: admin, file: path + ".edn", logFile: path + ".log"}
-		var text []byte
-		if planner {
-			p.program = "flintspread-controller"
-			text = r.script.planFile(relay, admin, path, r.link(relay), r.control)
-			r.planners = append(r.planners, p)
-		} else {
-			text = r.script.edgeFile(relay, name, listen, admin, path, r.link(relay), r.control)
-			r.edges = append(r.edges, p)
-		}
-		if err := os.WriteFile(p.file, text, 0o644); err != nil {
-			return err
-		}
-		return p.start()
-	}
-	if r.script.Edges == 0 {
-		return listen, add(relay, false)
-	}
-	if err := add(relay+"-plan", true); err != nil {
-		return "", err
-	}
-	for i := range r.script.Edges {
-		if err := add(fmt.Sprintf("%s-edge%d", relay, i+1), false); err != nil {
-			return "", err
-		}
-	}
-	return listen, nil
-}
-
-// link is where a relay's edges and planner meet.
-func (r *run) link(relay string) string { return "unix:" + filepath.Join(r.dir, relay+".sock") }
-
-// start starts a process and waits until it accepts.
-func (p *process) start() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd != nil || p.r.ctx.Err() != nil {
-		return nil
-	}
-	log, err := os.OpenFile(p.logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
-	if err != nil {
-		return err
-	}
-	defer log.Close()
-	cmd := exec.Command(filepath.Join(p.r.bin, p.program), "run", p.file)
-	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	p.life = &invariants.Life{Relay: p.relay, Controller: p.planner, From: p.r.clock()}
-	p.r.rec.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, p.life) })
-	p.cmd = cmd
-	for range 300 {
-		if c, err := net.DialTimeout("tcp", p.listen, 100*time.Millisecond); err == nil {
-			c.Close()
-			return nil
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	text, _ := os.ReadFile(p.logFile)
-	return fmt.Errorf("%s does not accept; its log: %s", p.file, bytes.TrimSpace(text))
-}
-
-// end ends the process by a signal and waits for it.
-func (p *process) end(sig syscall.Signal) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return
-	}
-	p.r.rec.Enter(func(*invariants.Record) {
-		if p.life.Killed = sig == syscall.SIGKILL; !p.life.Killed {
-			p.life.Stopping = p.r.clock()
-		}
-	})
-	p.signal(sig)
-	err := p.cmd.Wait()
-	p.r.rec.Enter(func(*invariants.Record) { p.life.To = p.r.clock() })
-	if err != nil && sig != syscall.SIGKILL {
-		p.r.note(fmt.Errorf("%s, stopped: %w (log: %s)", p.file, err, p.logFile))
-	}
-	p.cmd = nil
-}
-
-// signal sends a signal to the process. One that has ended already is no error here: end reports how it ended.
-func (p *process) signal(sig syscall.Signal) {
-	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.r.note(fmt.Errorf("%s: %w", p.file, err))
-	}
-}
-
-// stall stops the process and lets it go on.
-func (p *process) stall(d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return
-	}
-	from := p.r.clock()
-	p.signal(syscall.SIGSTOP)
-	time.Sleep(d)
-	p.signal(syscall.SIGCONT)
-	p.r.rec.Enter(func(*invariants.Record) { p.life.Pauses = append(p.life.Pauses, [2]float64{from, p.r.clock()}) })
-}
-
-// edgeFile writes an edge's settings.
-func (s *Script) edgeFile(relay, name, listen, admin, state, link, control string) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "{:relay %q :edge %q :listen %q :admin %q :state-dir %q :log {:format :text :level :info}\n", relay, name, listen, admin, state)
-	if s.Edges > 0 {
-		fmt.Fprintf(&b, " :share-port true :planner {:address %q %s}\n", link, linkTimes)
-	} else {
-		b.WriteString(s.sources(relay, control))
-	}
-	if s.Edges == 0 {
-		b.WriteString(s.control(relay))
-	}
-	b.WriteString(" :schema 1" + limits)
-	b.Write(s.shared())
-	b.WriteString(s.routes() + "}\n")
-	return b.Bytes()
-}
-
-// control names a relay's control service where the day has one.
-func (s *Script) control(relay string) string {
-	if s.controls[relay] == "" {
-		return ""
-	}
-	return fmt.Sprintf(" :control {:addresses [%q] :silence 2.0 :back-least 0.05 :back-most 0.5 :patience 1.0 :most-bytes 4000000}\n", s.controls[relay])
-}
-
-const limits = " :clients {:connections 4096 :head-bytes 16384 :body-bytes 1048576 :read-time 5.0 :idle-time 60.0 :drain-time 10.0}\n" +
-	" :units {:connections 64 :dial-time 0.25 :idle-time 15.0 :answer-bytes 1048576}\n"
-
-// routes writes a path for each op type.
-func (s *Script) routes() string {
-	var b strings.Builder
-	b.WriteString(" :routes [")
-	for _, op := range s.OpTypes {
-		method := "POST"
-		if op.Idempotency == "redeliverable" {
-			method = "GET"
-		}
-		fmt.Fprintf(&b, "{:method %q :path \"/%s/\" :op-type %q}\n", method, op.Name, op.Name)
-	}
-	b.WriteString("]")
-	return b.String()
-}
-
-const linkTimes = ":beat 0.1 :silence 1.0 :lease 1.0"
-
-// planFile writes a planner's settings.
-func (s *Script) planFile(relay, admin, state, link, control string) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "{:relay %q :admin %q :state-dir %q :log {:format :text :level :info}\n%s :link {:address %q %s}\n",
-		relay, admin, state, s.sources(relay, control), link, linkTimes)
-	b.WriteString(s.control(relay))
-	b.WriteString(s.health())
-	b.Write(s.shared())
-	b.WriteString("}\n")
-	return b.Bytes()
-}
-
-func (s *Script) sources(relay, control string) string {
-	list := ""
-	if s.controls[relay] == "" {
-		list = fmt.Sprintf(":list \"http://%s/%s/list\"", control, relay)
-	}
-	return fmt.Sprintf(" :sources {%s :installer \"http://%s/%s\" :silence 5.0 :back-least 0.05 :back-most 1.0}\n", list, control, relay)
-}
-
-// shared writes what an edge and its planner are both told.
-func (s *Script) shared() []byte {
-	var b bytes.Buffer
-	r, rel := s.Rules, s.Release
-	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
-		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		r.Relays, r.Round, r.MaxAttempts, r.AllowHedging, r.MaxPause, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor, r.SlowStartOverloadSeconds, r.Window, r.GraceSeconds, r.CanaryFreeAttempts,
-		r.CountPerOp, r.IdempotentOnlyStages, r.OneWayKeys, r.KeysKept, r.UnitsForget)
-	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
-		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.Stages, rel.CanaryLimits, rel.RollbackVotes, rel.AutomaticStages, rel.ReplaceInPlace,
-		rel.WrongAnswerPrice, rel.StaleBuildPrice, rel.WrongAnswerReportShare, rel.VoteLifetimeSeconds, rel.VoteTimeout, rel.VotesPerSecond)
-	b.WriteString(" :op-types [")
-	for _, op := range s.OpTypes {
-		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", op.Name, op.Target, op.Timeout,
-			op.PriorityWeight, string(op.Idempotency), op.DedupWindowSeconds)
-		if op.Group != "" {
-			fmt.Fprintf(&b, " :group :%s", string(op.Group))
-		}
-		b.WriteString("}\n")
+func (r *runner) stopProcesses() {
+	for _, p := range append(r.routers, r.controllers...) {
+		p.stop(syscall.SIGTERM)
 	}
-	b.WriteString("]\n")
-	return b.Bytes()
 }
