--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -125,8 +125,8 @@
 	if kind == "" {
 		kind = "poisson"
 	}
-	return &loadgen.Plan{Address: b.Address, Shape: loadgen.Shape{Kind: kind, Rate: rate, Length: length}, Ops: Ops(), Keys: 100000, Zipf: 1.1,
-		Conns: x.Conns, Clients: x.Clients, Retries: x.Retries, AtOnce: x.AtOnce, Seed: x.Seed, Lag: x.Lag}
+	return &loadgen.Plan{Address: b.Address, Shape: loadgen.Shape{Kind: kind, RequestsPerSecond: rate, LengthSeconds: length}, Classes: Ops(), KeyCount: 100000, ZipfExponent: 1.1,
+		MaxConns: x.Conns, ClientAddresses: x.Clients, MaxRetries: x.Retries, IgnoreRetryAfter: x.AtOnce, Seed: x.Seed, MaxLagSeconds: x.Lag}
 }
 
 // Run plays what of the grid is not in the folder yet, variants in turn within each rate and repeat, and writes the report.
@@ -182,7 +182,7 @@
 					return err
 				}
 				fmt.Fprintf(say, "%s at %g, run %d: goodput %.0f a second, service %.4f, batch-table %.4f, p99 %.1f ms, valid %t\n", v.Name, rate, repeat+1,
-					r.Load.Goodput, r.Load.Service, r.Load.Ops[1].Service, 1e3*r.Load.Latency.P99, r.Load.Valid)
+					r.Load.Goodput, r.Load.Service, r.Load.Classes[1].Service, 1e3*r.Load.Latency.P99, r.Load.Valid)
 				// Whole or not at all: a killed experiment goes on from here.
 				if err := loadgen.SaveJSON(file+".part", r); err != nil {
 					return err
@@ -231,9 +231,9 @@
 	p := x.plan(b, rate*unit, x.Length)
 	p.Seed += uint64(repeat)
 	if x.After > 0 {
-		p.Shape = loadgen.Shape{Kind: "step", Rate: rate * unit, To: 0.5 * unit, On: x.Length / (x.Length + x.After), Length: x.Length + x.After}
+		p.Shape = loadgen.Shape{Kind: "step", RequestsPerSecond: rate * unit, EndRequestsPerSecond: 0.5 * unit, OnShare: x.Length / (x.Length + x.After), LengthSeconds: x.Length + x.After}
 		if !x.Relative {
-			p.Shape.To = 0.5 * x.Rates[0]
+			p.Shape.EndRequestsPerSecond = 0.5 * x.Rates[0]
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -264,7 +264,7 @@
 	if x.After > 0 {
 		r.Recovered = -1
 		for i := int(x.Length); i < len(o.Seconds); i++ {
-			if s := o.Seconds[i]; s.Offered > 0 && s.P99 < Ops()[0].Target/3 && s.Nacked+s.GaveUp == 0 {
+			if s := o.Seconds[i]; s.Offered > 0 && s.P99 < Ops()[0].LatencyObjectiveSeconds/3 && s.Rejected+s.Unanswered == 0 {
 				r.Recovered = float64(i) - x.Length
 				break
 			}
@@ -358,10 +358,10 @@
 			runs := of[cell{v.Name, rate}]
 			get := func(f func(*Result) float64) []float64 { return values(runs, f) }
 			g := get(func(r *Result) float64 { return r.Load.Goodput })
-			s := get(func(r *Result) float64 { return r.Load.Ops[1].Service })
+			s := get(func(r *Result) float64 { return r.Load.Classes[1].Service })
 			late := get(func(r *Result) float64 {
 				n := 0
-				for _, op := range r.Load.Ops {
+				for _, op := range r.Load.Classes {
 					n += op.Ends["gave up"] + op.Ends["broken"] + op.Ends["unreached"]
 				}
 				return float64(n)
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -43,12 +43,12 @@
 }
 
 // Ops are those of the example settings.
-func Ops() []loadgen.Op {
-	return []loadgen.Op{
-		{Name: "chute-lookup", Method: "GET", Path: "/chute/", Share: 0.4, Target: 0.3, Timeout: 0.75},
-		{Name: "batch-table", Method: "POST", Path: "/batch/", Share: 0.2, Target: 0.6, Timeout: 1.5, Body: 100},
-		{Name: "divert-record", Method: "POST", Path: "/divert/", Share: 0.3, Target: 0.3, Timeout: 0.75, Body: 20},
-		{Name: "seal-gate", Method: "POST", Path: "/seal/", Share: 0.1, Target: 0.3, Timeout: 0.75},
+func Ops() []loadgen.RequestClass {
+	return []loadgen.RequestClass{
+		{Name: "chute-lookup", Method: "GET", Path: "/chute/", Share: 0.4, LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.75},
+		{Name: "batch-table", Method: "POST", Path: "/batch/", Share: 0.2, LatencyObjectiveSeconds: 0.6, TimeoutSeconds: 1.5, BodyBytes: 100},
+		{Name: "divert-record", Method: "POST", Path: "/divert/", Share: 0.3, LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.75, BodyBytes: 20},
+		{Name: "seal-gate", Method: "POST", Path: "/seal/", Share: 0.1, LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.75},
 	}
 }
 
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -28,11 +28,11 @@
 		s    Shape
 		want float64
 	}{
-		{Shape{Kind: "constant", Rate: 100, Length: 50}, 5000},
-		{Shape{Kind: "poisson", Rate: 100, Length: 50}, 5000},
-		{Shape{Kind: "on-off", Rate: 100, Length: 50, Period: 5, On: 0.2}, 1000},
-		{Shape{Kind: "ramp", Rate: 20, To: 180, Length: 50}, 5000},
-		{Shape{Kind: "step", Rate: 200, To: 50, On: 0.4, Length: 50}, 5500},
+		{Shape{Kind: "constant", RequestsPerSecond: 100, LengthSeconds: 50}, 5000},
+		{Shape{Kind: "poisson", RequestsPerSecond: 100, LengthSeconds: 50}, 5000},
+		{Shape{Kind: "on-off", RequestsPerSecond: 100, LengthSeconds: 50, PeriodSeconds: 5, OnShare: 0.2}, 1000},
+		{Shape{Kind: "ramp", RequestsPerSecond: 20, EndRequestsPerSecond: 180, LengthSeconds: 50}, 5000},
+		{Shape{Kind: "step", RequestsPerSecond: 200, EndRequestsPerSecond: 50, OnShare: 0.4, LengthSeconds: 50}, 5500},
 	} {
 		if err := c.s.Check(); err != nil {
 			t.Fatal(err)
@@ -42,12 +42,12 @@
 			t.Errorf("%s: %g arrivals, %g expected", c.s.Kind, n, c.want)
 		}
 		for i := 1; i < len(at); i++ {
-			if at[i] < at[i-1] || at[i] > c.s.Length {
+			if at[i] < at[i-1] || at[i] > c.s.LengthSeconds {
 				t.Fatalf("%s: %g after %g", c.s.Kind, at[i], at[i-1])
 			}
 		}
 	}
-	rush := times(Shape{Kind: "rush", Rate: 100, Length: 100})
+	rush := times(Shape{Kind: "rush", RequestsPerSecond: 100, LengthSeconds: 100})
 	early, top := 0, 0
 	for _, x := range rush {
 		if x < 20 {
@@ -59,7 +59,7 @@
 	if top < 2*early {
 		t.Errorf("rush: %d in the first fifth, %d at the top", early, top)
 	}
-	for _, s := range []Shape{{Kind: "sine", Rate: 1, Length: 1}, {Kind: "poisson", Length: 1}, {Kind: "on-off", Rate: 1, Length: 1}, {Kind: "trace"}, {Kind: "ramp", Rate: 1, Length: 1}} {
+	for _, s := range []Shape{{Kind: "sine", RequestsPerSecond: 1, LengthSeconds: 1}, {Kind: "poisson", LengthSeconds: 1}, {Kind: "on-off", RequestsPerSecond: 1, LengthSeconds: 1}, {Kind: "trace"}, {Kind: "ramp", RequestsPerSecond: 1, LengthSeconds: 1}} {
 		if s.Check() == nil {
 			t.Errorf("%+v was taken", s)
 		}
@@ -76,7 +76,7 @@
 		return file
 	}
 	got, err := ReadTrace(write("a.csv", "at,op,key\n0.5,seal-gate,7\n0.75,,\n"))
-	if err != nil || len(got) != 2 || got[0] != (Arrival{At: 0.5, Op: "seal-gate", Key: 7}) || got[1].At != 0.75 {
+	if err != nil || len(got) != 2 || got[0] != (Arrival{At: 0.5, Class: "seal-gate", Key: 7}) || got[1].At != 0.75 {
 		t.Error(got, err)
 	}
 	file := filepath.Join(dir, "a.parquet")
@@ -93,7 +93,7 @@
 	}
 }
 
-// A stand-in that pauses: what was due in the pause shows its wait, each command by itself, where a closed loop sees one or two.
+// While an endpoint pauses, each request that is due shows its wait by itself, where a closed loop sees one or two.
 func TestPauseIsSeen(t *testing.T) {
 	q, err := fakes.StartFastEndpoint()
 	if err != nil {
@@ -101,61 +101,61 @@
 	}
 	defer q.Stop()
 	const rate, pause = 400.0, 1.0
-	p := &Plan{Address: q.Addr, Shape: Shape{Kind: "constant", Rate: rate, Length: 3}, Conns: 800, Keys: 100, Seed: 1, Lag: 0.05,
-		Ops: []Op{{Name: "any", Method: "GET", Path: "/", Share: 1, Target: 0.3, Timeout: 10}}}
+	p := &Plan{Address: q.Addr, Shape: Shape{Kind: "constant", RequestsPerSecond: rate, LengthSeconds: 3}, MaxConns: 800, KeyCount: 100, Seed: 1, MaxLagSeconds: 0.05,
+		Classes: []RequestClass{{Name: "any", Method: "GET", Path: "/", Share: 1, LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 10}}}
 	time.AfterFunc(time.Second, func() { q.Pause(time.Duration(pause * float64(time.Second))) })
 	o, err := Run(context.Background(), p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !o.Valid {
-		t.Skip("this machine is too busy to tell: ", o.Why)
+		t.Skip("this machine is too busy to tell: ", o.InvalidBecause)
 	}
-	if o.Offered != int(rate*3) || o.Ops[0].Ends["acked"] != o.Offered {
-		t.Fatalf("%d offered, %v", o.Offered, o.Ops[0].Ends)
+	if o.Offered != int(rate*3) || o.Classes[0].Ends["acked"] != o.Offered {
+		t.Fatalf("%d offered, %v", o.Offered, o.Classes[0].Ends)
 	}
-	// Due in the pause and waiting longer than w: rate x (pause - w). Timers end a pause late by some milliseconds.
+	// Due in the pause and waiting longer than w: rate x (pause - w). Timers end a pause some milliseconds late.
 	const w = 0.2
 	late := 0
-	for _, bar := range o.all.Distribution() {
+	for _, bar := range o.latencies.Distribution() {
 		if bar.From >= int64(w*1e6) {
 			late += int(bar.Count)
 		}
 	}
-	t.Logf("%d waited longer than %g s, arithmetic says %g; p50 %.3f, most %.3f s", late, w, rate*(pause-w), o.Latency.P50, o.Latency.Most)
+	t.Logf("%d waited longer than %g s, arithmetic says %g; p50 %.3f, most %.3f s", late, w, rate*(pause-w), o.Latency.P50, o.Latency.Max)
 	if want := rate * (pause - w); math.Abs(float64(late)-want) > 0.06*want {
-		t.Errorf("%d commands waited longer than %g s, arithmetic says %g", late, w, want)
+		t.Errorf("%d requests waited longer than %g s, arithmetic says %g", late, w, want)
 	}
-	// The same pause met by one that waits for each answer before it asks again.
-	seen, asked := 0, 0
-	r := &run{plan: p, begin: time.Now()}
+	// The same pause, met by a client that waits for each answer before it sends the next request.
+	seen, sent := 0, 0
+	r := &runner{plan: p, startedAt: time.Now()}
 	c := &conn{}
 	time.AfterFunc(500*time.Millisecond, func() { q.Pause(time.Duration(pause * float64(time.Second))) })
 	for r.now() < 2 {
 		from := r.now()
-		r.try(c, &sending{first: from, key: 1}, &p.Ops[0], from+10)
-		if asked++; r.now()-from > w {
+		r.try(c, &request{first: from, key: 1})
+		if sent++; r.now()-from > w {
 			seen++
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c.nc.Close()
-	t.Logf("the closed loop saw %d of %d", seen, asked)
-	if seen > 2 || asked < 50 {
-		t.Errorf("the closed loop saw %d of %d", seen, asked)
+	c.close()
+	t.Logf("the closed loop saw %d of %d", seen, sent)
+	if seen > 2 || sent < 50 {
+		t.Errorf("the closed loop saw %d of %d", seen, sent)
 	}
 }
 
-// Clients whose time is over get no answer counted, and a run with a dead address ends.
+// A run with a dead address ends, and no answer is counted.
 func TestNobodyThere(t *testing.T) {
 	q, err := fakes.StartFastEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
 	q.Stop()
-	o, err := Run(context.Background(), &Plan{Address: q.Addr, Shape: Shape{Kind: "poisson", Rate: 200, Length: 0.5}, Conns: 10, Keys: 10, Seed: 1, Retries: 2,
-		Ops: []Op{{Name: "any", Method: "GET", Path: "/", Share: 1, Target: 0.1, Timeout: 0.2}}}, nil)
-	if err != nil || o.Ops[0].Ends["acked"] != 0 || o.open() != 0 || o.Offered < 50 {
+	o, err := Run(context.Background(), &Plan{Address: q.Addr, Shape: Shape{Kind: "poisson", RequestsPerSecond: 200, LengthSeconds: 0.5}, MaxConns: 10, KeyCount: 10, Seed: 1, MaxRetries: 2,
+		Classes: []RequestClass{{Name: "any", Method: "GET", Path: "/", Share: 1, LatencyObjectiveSeconds: 0.1, TimeoutSeconds: 0.2}}}, nil)
+	if err != nil || o.Classes[0].Ends["acked"] != 0 || o.open() != 0 || o.Offered < 50 {
 		t.Errorf("%+v %v", o, err)
 	}
 }
--- /dev/null
+++ b/internal/loadgen/trace.go
@@ -0,0 +1,108 @@
+package loadgen
+
+import (
+	"encoding/csv"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"strconv"
+	"strings"
+
+	"github.com/parquet-go/parquet-go"
+)
+
+// Arrival is one request that is to be sent. Its JSON is part of the inputs that runs keep.
+type Arrival struct {
+	At     float64 `parquet:"at" json:"At"`
+	Class  string  `parquet:"op" json:"Op"`         // empty: drawn
+	Key    uint64  `parquet:"key" json:"Key"`       // 0: drawn
+	Client uint64  `parquet:"client" json:"Client"` // number of the client; 0: drawn
+}
+
+// ReadTrace reads arrivals, in order of time, from a CSV file with a head (at, and if known op, key and client) or from a Parquet file
+// with such columns.
+func ReadTrace(file string) ([]Arrival, error) {
+	if strings.HasSuffix(file, ".parquet") {
+		trace, err := parquet.ReadFile[Arrival](file)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+		return trace, checkOrder(file, trace)
+	}
+	f, err := os.Open(file)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	trace, err := readCSV(file, f)
+	if err != nil {
+		return nil, err
+	}
+	return trace, checkOrder(file, trace)
+}
+
+func readCSV(file string, from io.Reader) (trace []Arrival, err error) {
+	r := csv.NewReader(from)
+	head, err := r.Read()
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	columns := map[string]int{}
+	for i, name := range head {
+		columns[strings.TrimSpace(name)] = i
+	}
+	if _, ok := columns["at"]; !ok {
+		return nil, fmt.Errorf("%s:1: no column \"at\"", file)
+	}
+	for {
+		row, err := r.Read()
+		if errors.Is(err, io.EOF) {
+			return trace, nil
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", file, err)
+		}
+		arrival, err := parseArrival(row, columns)
+		if err != nil {
+			line, _ := r.FieldPos(0)
+			return nil, fmt.Errorf("%s:%d: %w", file, line, err)
+		}
+		trace = append(trace, arrival)
+	}
+}
+
+// parseArrival reads one row, whose columns are given by name.
+func parseArrival(row []string, columns map[string]int) (a Arrival, err error) {
+	at := row[columns["at"]]
+	if a.At, err = strconv.ParseFloat(at, 64); err != nil || a.At < 0 || math.IsInf(a.At, 0) || math.IsNaN(a.At) {
+		return a, fmt.Errorf("at: %q is no time in s", at)
+	}
+	if i, ok := columns["op"]; ok {
+		a.Class = row[i]
+	}
+	numbers := []struct {
+		name string
+		to   *uint64
+	}{{"key", &a.Key}, {"client", &a.Client}}
+	for _, number := range numbers {
+		i, ok := columns[number.name]
+		if !ok || row[i] == "" {
+			continue
+		}
+		if *number.to, err = strconv.ParseUint(row[i], 10, 64); err != nil {
+			return a, fmt.Errorf("%s: %q is no number", number.name, row[i])
+		}
+	}
+	return a, nil
+}
+
+func checkOrder(file string, trace []Arrival) error {
+	for i := 1; i < len(trace); i++ {
+		if trace[i].At < trace[i-1].At {
+			return fmt.Errorf("%s: arrival %d, at %g s, is before the one ahead of it", file, i+1, trace[i].At)
+		}
+	}
+	return nil
+}
