--- a/cmd/flintspread-lab/load.go
+++ b/cmd/flintspread-lab/load.go
@@ -14,7 +14,7 @@
 
 // loadCommand offers a load to an address.
 func loadCommand() *cobra.Command {
-	p := loadgen.Plan{Classes: experiment.Ops()}
+	p := loadgen.Plan{Classes: experiment.Classes()}
 	var trace, out string
 	cmd := &cobra.Command{Use: "load HOST:PORT", Short: "Offer commands at times that do not wait for answers", Args: cobra.ExactArgs(1)}
 	f := cmd.Flags()
@@ -69,7 +69,7 @@
 		if bin, err = binFolder(bin); err != nil {
 			return err
 		}
-		x, err := experiment.ReadExperiment(args[0])
+		x, err := experiment.Read(args[0])
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -26,7 +26,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	x, err := ReadExperiment(file)
+	x, err := Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,15 +61,15 @@
 	}
 }
 
-// stopAfter ends a context with the nth line that it is told.
+// stopAfter ends a context with the nth line that is written to it.
 type stopAfter struct {
 	cancel context.CancelFunc
 	n      int
-	told   *int
+	lines   *int
 }
 
 func (s stopAfter) Write(p []byte) (int, error) {
-	if *s.told++; *s.told == s.n {
+	if *s.lines++; *s.lines == s.n {
 		s.cancel()
 	}
 	return len(p), nil
