--- /dev/null
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -0,0 +1,123 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"sort"
+	"sync"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/sync/errgroup"
+
+	"flintspread/internal/scenario"
+)
+
+// comparisonOptions are the flags of the command witness.
+type comparisonOptions struct {
+	bin  string // folder of the programs
+	seed uint64 // the first
+	runs int
+	jobs int
+}
+
+// healthComparisonCommand compares the time to a rollback with and without query servers, seed by seed.
+func healthComparisonCommand() *cobra.Command {
+	var o comparisonOptions
+	cmd := &cobra.Command{
+		Use:   "witness",
+		Short: "Time to a back vote with and without query servers, and good builds that they lie about",
+		Args:  cobra.NoArgs,
+	}
+	cmd.Flags().StringVar(&o.bin, "bin", "", "the folder of flintspread-router and flintspread-controller (default: this program's)")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "the first seed")
+	cmd.Flags().IntVar(&o.runs, "runs", 20, "seeds")
+	cmd.Flags().IntVar(&o.jobs, "jobs", 1, "so many at once")
+	cmd.RunE = func(cmd *cobra.Command, _ []string) (err error) {
+		if o.bin, err = programFolder(o.bin); err != nil {
+			return err
+		}
+		comparisons, err := o.play(cmd.OutOrStdout())
+		if err != nil {
+			return err
+		}
+		return printComparisons(cmd.OutOrStdout(), comparisons)
+	}
+	return cmd
+}
+
+// play plays all seeds, some at once, and prints a line for each.
+func (o *comparisonOptions) play(w io.Writer) ([]scenario.HealthComparison, error) {
+	dir, err := os.MkdirTemp("", "flintspread-lab-witness-")
+	if err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(dir)
+	var mu sync.Mutex
+	var comparisons []scenario.HealthComparison
+	var group errgroup.Group
+	group.SetLimit(o.jobs)
+	for i := range o.runs {
+		group.Go(func() error {
+			c, err := scenario.CompareHealth(o.seed+uint64(i), o.bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
+			if err != nil {
+				return err
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			comparisons = append(comparisons, c)
+			fmt.Fprintf(w, "seed %d: back after %.2f s with the source, %.2f s without; lied about: back %t, released %t; rules kept %t; service %.3f\n",
+				c.Seed, c.With, c.Without, c.LiedAbout, c.Released, c.Kept, c.Service)
+			return nil
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return nil, err
+	}
+	return comparisons, nil
+}
+
+// printComparisons sums up all seeds. Its last line is the verdict; the error is errRuleBroken or nil.
+func printComparisons(w io.Writer, comparisons []scenario.HealthComparison) error {
+	liedAbout, released, broken := 0, 0, 0
+	var with, without, ratios []float64
+	for _, c := range comparisons {
+		if c.With > 0 {
+			with = append(with, c.With)
+		}
+		if c.Without > 0 {
+			without = append(without, c.Without)
+		}
+		if c.With > 0 && c.Without > 0 {
+			ratios = append(ratios, c.With/c.Without)
+		}
+		if c.LiedAbout {
+			liedAbout++
+		}
+		if c.Released {
+			released++
+		}
+		if !c.Kept {
+			broken++
+		}
+	}
+	fmt.Fprintf(w, "the wrong build went back in %d of %d runs with the source, after %s s; in %d without, after %s s; with over without %s\n",
+		len(with), len(comparisons), spread(with), len(without), spread(without), spread(ratios))
+	fmt.Fprintf(w, "good builds lied about: %d of %d sent back, %d released\n", liedAbout, len(comparisons), released)
+	if broken > 0 {
+		fmt.Fprintf(w, "rules: BROKEN in %d runs\n", broken)
+		return errRuleBroken
+	}
+	fmt.Fprintln(w, "rules: all kept")
+	return nil
+}
+
+// spread words the ends, quartiles and median of values. It sorts them.
+func spread(values []float64) string {
+	if len(values) == 0 {
+		return "none"
+	}
+	sort.Float64s(values)
+	at := func(q float64) float64 { return values[int(q*float64(len(values)-1)+0.5)] }
+	return fmt.Sprintf("%.2f to %.2f, quartiles %.2f and %.2f, median %.2f", values[0], values[len(values)-1], at(0.25), at(0.75), at(0.5))
+}
