--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -59,7 +59,7 @@
 	group.SetLimit(o.jobs)
 	for i := range o.runs {
 		group.Go(func() error {
-			c, err := scenario.CompareHealth(o.seed+uint64(i), o.bin, dir, func(d string) error { return os.MkdirAll(d, 0o755) })
+			c, err := scenario.CompareHealth(o.seed+uint64(i), o.bin, dir)
 			if err != nil {
 				return err
 			}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -102,6 +102,23 @@
 	}
 }
 
+// measuredPlan is the load of a run, with its recovery time.
+func (x *Experiment) measuredPlan(b *Bench, g gridRun) *loadgen.Plan {
+	plan := x.plan(b, g.offeredPerSecond, x.LengthSeconds)
+	plan.Seed += uint64(g.repeat)
+	if x.RecoverySeconds > 0 {
+		length := x.LengthSeconds + x.RecoverySeconds
+		plan.Shape = loadgen.Shape{
+			Kind:                 "step",
+			RequestsPerSecond:    g.offeredPerSecond,
+			EndRequestsPerSecond: g.idlePerSecond,
+			OnShare:              x.LengthSeconds / length,
+			LengthSeconds:        length,
+		}
+	}
+	return plan
+}
+
 // idleRate is the rate before and after a run: half the capacity, or half the first rate.
 func (x *Experiment) idleRate(rateScale float64) float64 {
 	if x.RatesAreRelative {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -65,7 +65,7 @@
 type stopAfter struct {
 	cancel context.CancelFunc
 	n      int
-	lines   *int
+	lines  *int
 }
 
 func (s stopAfter) Write(p []byte) (int, error) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -31,7 +31,8 @@
 		for _, rate := range x.Rates {
 			for i := range x.Variants {
 				variant := x.Variants[(i+repeat)%len(x.Variants)] // each comes first in its turn
-				if err := x.playUnlessKept(ctx, bin, dir, cell{variant.Name, rate}, variant, rateScale, repeat, progress); err != nil {
+				g := gridRun{variant, rate, rate * rateScale, x.idleRate(rateScale), repeat}
+				if err := x.playUnlessKept(ctx, bin, dir, g, progress); err != nil {
 					return err
 				}
 			}
@@ -40,6 +41,20 @@
 	return x.writeReport(dir, rateScale)
 }
 
+// gridRun is one run of the grid.
+type gridRun struct {
+	variant          Variant
+	rate             float64 // as the experiment names it
+	offeredPerSecond float64
+	idlePerSecond    float64 // before and after the run
+	repeat           int     // from 0 on
+}
+
+// file is where a folder keeps the run's result.
+func (g gridRun) file(dir string) string {
+	return filepath.Join(dir, "runs", fmt.Sprintf("%s-%g-%d.json", g.variant.Name, g.rate, g.repeat))
+}
+
 // claim writes the experiment's inputs into its folder. A folder with another experiment's inputs is refused.
 func (x *Experiment) claim(dir string) error {
 	file := filepath.Join(dir, "inputs.json")
@@ -87,17 +102,17 @@
 }
 
 // playUnlessKept plays one run and keeps its result, unless the folder holds it.
-func (x *Experiment) playUnlessKept(ctx context.Context, bin, dir string, at cell, variant Variant, rateScale float64, repeat int, progress io.Writer) error {
-	file := filepath.Join(dir, "runs", fmt.Sprintf("%s-%g-%d.json", at.variant, at.rate, repeat))
+func (x *Experiment) playUnlessKept(ctx context.Context, bin, dir string, g gridRun, progress io.Writer) error {
+	file := g.file(dir)
 	if _, err := os.Stat(file); err == nil {
 		return nil
 	}
-	r, err := x.play(ctx, bin, variant, at.rate, rateScale, repeat)
+	r, err := x.play(ctx, bin, g)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(progress, "%s at %g, run %d: goodput %.0f a second, service %.4f, batch-table %.4f, p99 %.1f ms, valid %t\n",
-		at.variant, at.rate, repeat+1, r.Load.Goodput, r.Load.Service, r.batchService(), 1e3*r.Load.Latency.P99, r.Load.Valid)
+		g.variant.Name, g.rate, g.repeat+1, r.Load.Goodput, r.Load.Service, r.batchService(), 1e3*r.Load.Latency.P99, r.Load.Valid)
 	// Whole or not at all: an experiment that is killed here goes on with this run.
 	if err := loadgen.SaveJSON(file+".part", r); err != nil {
 		return err
@@ -106,34 +121,27 @@
 }
 
 // play plays one run on a bench of its own.
-func (x *Experiment) play(ctx context.Context, bin string, variant Variant, rate, rateScale float64, repeat int) (*Result, error) {
-	b, err := Start(RouterOptions{Bin: bin, MaxProcs: x.MaxProcs, Shed: variant.Shed, MemoryBytes: variant.MemoryBytes, Endpoints: x.Endpoints})
+func (x *Experiment) play(ctx context.Context, bin string, g gridRun) (*Result, error) {
+	b, err := Start(RouterOptions{
+		Bin: bin, MaxProcs: x.MaxProcs, Shed: g.variant.Shed, MemoryBytes: g.variant.MemoryBytes, Endpoints: x.Endpoints,
+	})
 	if err != nil {
 		return nil, err
 	}
 	defer b.stopOrWarn()
-	idleRate := x.idleRate(rateScale)
-	plan := x.plan(b, rate*rateScale, x.LengthSeconds)
-	plan.Seed += uint64(repeat)
-	if x.RecoverySeconds > 0 {
-		length := x.LengthSeconds + x.RecoverySeconds
-		plan.Shape = loadgen.Shape{
-			Kind: "step", RequestsPerSecond: rate * rateScale, EndRequestsPerSecond: idleRate, OnShare: x.LengthSeconds / length, LengthSeconds: length,
-		}
-	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if x.LeadInSeconds > 0 {
-		if _, err := loadgen.Run(ctx, x.plan(b, idleRate, x.LeadInSeconds), nil); err != nil {
+		if _, err := loadgen.Run(ctx, x.plan(b, g.idlePerSecond, x.LeadInSeconds), nil); err != nil {
 			return nil, err
 		}
 	}
 	b.InjectFaults(ctx, x.Faults)
-	load, err := loadgen.Run(ctx, plan, nil)
+	load, err := loadgen.Run(ctx, x.measuredPlan(b, g), nil)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Variant: variant.Name, Rate: rate, Repeat: repeat, OfferedPerSecond: rate * rateScale, Load: load}
+	r := &Result{Variant: g.variant.Name, Rate: g.rate, Repeat: g.repeat, OfferedPerSecond: g.offeredPerSecond, Load: load}
 	if r.Shed, err = b.Metric("flintedge_shed_total"); err != nil {
 		return nil, err
 	}
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -74,8 +74,9 @@
 	idle     map[string][]*clientConn // by relay
 }
 
-// NewClients makes clients of the named relays. Nothing is sent before Run.
-func NewClients(classes []RequestClass, addresses map[string]string, relays []string, seed uint64, record *invariants.Record, clock func() float64) *Clients {
+// NewClients makes clients of relays, whose addresses are given by name. Nothing is sent before Run.
+func NewClients(classes []RequestClass, addresses map[string]string, relays []string, seed uint64, record *invariants.Record,
+	clock func() float64) *Clients {
 	return &Clients{
 		record:    record,
 		clock:     clock,
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -102,7 +102,8 @@
 }
 
 // NewReleaseService starts a fleet of the first build, whose slow start is over, and puts it on the list.
-func NewReleaseService(plan ReleasePlan, first int, fleet Fleet, list *EndpointList, record *invariants.Record, clock func() float64) (*ReleaseService, error) {
+func NewReleaseService(plan ReleasePlan, first int, fleet Fleet, list *EndpointList, record *invariants.Record,
+	clock func() float64) (*ReleaseService, error) {
 	s := &ReleaseService{
 		plan:        plan,
 		fleet:       fleet,
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"os"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -28,8 +29,8 @@
 }
 
 // CompareHealth plays HealthComparisonDay three times with one seed: a wrong build with query servers and without, and a good build
-// that all query servers lie about. mkdir makes a folder for each run.
-func CompareHealth(seed uint64, bin, dir string, mkdir func(string) error) (HealthComparison, error) {
+// that all query servers lie about. Each run gets a folder in dir.
+func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
 	c := HealthComparison{Seed: seed, Kept: true}
 	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
 		script, err := comparisonScript(seed, build)
@@ -38,7 +39,7 @@
 		}
 		edit(script)
 		runDir := filepath.Join(dir, fmt.Sprintf("%d-%s", seed, name))
-		if err := mkdir(runDir); err != nil {
+		if err := os.MkdirAll(runDir, 0o755); err != nil {
 			return nil, err
 		}
 		out, err := Run(script, bin, runDir, io.Discard)
