--- /dev/null
+++ b/internal/fakes/fakes_test.go
@@ -0,0 +1,132 @@
+package fakes
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// readLines reads some lines, without their ends.
+func readLines(t *testing.T, br *bufio.Reader, count int) (lines []string) {
+	t.Helper()
+	for range count {
+		line, err := br.ReadString('\n')
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, strings.TrimRight(line, "\r\n"))
+	}
+	return lines
+}
+
+// The platform's endpoint list is streamed byte for byte as the platform does: all of it, then changes, then empty lines.
+func TestPlatformSiteStreamsEndpoints(t *testing.T) {
+	site := NewPlatformSite("n1")
+	defer site.Close()
+	site.List("u1", "127.0.0.1:1", 1, "SERVING")
+	address, _, err := site.Discovery(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.Get("http://" + address + "/")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	const entry = `{"hosts":[{"block":0,"born_ms":0,"class":"m","dial":"127.0.0.1:1","health":"%s","host":"u1","image_id":1,"share":1,"site":"a"}],"seq":%d,"whole":%t}`
+	site.List("u1", "127.0.0.1:1", 1, "DRAINING")
+	got := readLines(t, bufio.NewReader(response.Body), 3)
+	want := []string{fmt.Sprintf(entry, "SERVING", 1, true), fmt.Sprintf(entry, "DRAINING", 2, false), ""}
+	for i := range want {
+		if got[i] != want[i] {
+			t.Errorf("line %d: %s\nwant %s", i, got[i], want[i])
+		}
+	}
+}
+
+// Votes move the canary on stage by stage; every third answer is spoilt, and followers are told.
+func TestPlatformSiteVotes(t *testing.T) {
+	site := NewPlatformSite("n1")
+	defer site.Close()
+	address, _, err := site.Desk()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	answers := bufio.NewReader(c)
+	age := regexp.MustCompile(` \d+$`)
+	for _, step := range []struct{ vote, want string }{
+		{"vote 2 0 PROCEED", "OK 2 0 tr\x00al"},
+		{"vote 2 0 PROCEED", "OK 2 1 trial 0.5 MS"},
+		{"vote 2 1 HOLD", "OK 2 1 trial 0.5 MS"},
+		{"vote 2 1 PROCEED", "OK 2 0 tr\x00al"},
+		{"vote 2 1 PROCEED", "OK 2 1 released 1 MS"},
+	} {
+		fmt.Fprintf(c, "%s\r\n", step.vote)
+		line := "*"
+		for line == "*" { // the line of an idle connection
+			line = readLines(t, answers, 1)[0]
+		}
+		if got := age.ReplaceAllString(line, " MS"); got != step.want {
+			t.Errorf("%s: %q, want %q", step.vote, got, step.want)
+		}
+	}
+	if !site.Released() || site.Votes() != 5 {
+		t.Errorf("released %t after %d votes", site.Released(), site.Votes())
+	}
+}
+
+// A query server evaluates selectors, and answers as its fault has it.
+func TestQueryServer(t *testing.T) {
+	q, err := StartQueryServer(func() float64 { return 100 })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer q.Stop()
+	for i := range 10 {
+		q.Enter(90+float64(i), []Scrape{{"up", map[string]string{"unit": "7"}, float64(i)}})
+	}
+	const metric = `"metric":{"__name__":"up","unit":"7"}`
+	for _, test := range []struct {
+		fault      Fault
+		path       string
+		wantStatus int
+		want       string
+	}{
+		{NoFault, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[100,"9"]}]}}`},
+		{NoFault, "query?time=92&query=" + url.QueryEscape("up[1s]"), 200,
+			`{"status":"success","data":{"resultType":"matrix","result":[{` + metric + `,"values":[[92,"2"]]}]}}`},
+		{NoFault, "query_range?start=90&end=94&step=2&query=up", 200,
+			`{"status":"success","data":{"resultType":"matrix","result":[{` + metric + `,"values":[[90,"0"],[92,"2"],[94,"4"]]}]}}`},
+		{NoFault, "query?query=" + url.QueryEscape("rate(up[1s])"), 422,
+			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
+		{Yesterday, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
+		{TooManyNow, "query?query=up", 429, "too many requests\n"},
+		{Overloaded, "query?query=up", 503, "overloaded\n"},
+		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
+	} {
+		q.Ail(test.fault)
+		response, err := http.Get(q.URL + "/api/v1/" + test.path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(response.Body)
+		response.Body.Close()
+		if err != nil || response.StatusCode != test.wantStatus || string(body) != test.want {
+			t.Errorf("%q %s: %d %s %v\nwant %d %s", test.fault, test.path, response.StatusCode, body, err, test.wantStatus, test.want)
+		}
+	}
+	if q.Asked() != 8 {
+		t.Errorf("%d queries", q.Asked())
+	}
+}
