--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -26,7 +26,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	x, err := ReadExperiment(file)
+	x, err := Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,15 +61,15 @@
 	}
 }
 
-// stopAfter ends a context with the nth line that it is told.
+// stopAfter ends a context with the nth line that is written to it.
 type stopAfter struct {
 	cancel context.CancelFunc
 	n      int
-	told   *int
+	lines  *int
 }
 
 func (s stopAfter) Write(p []byte) (int, error) {
-	if *s.told++; *s.told == s.n {
+	if *s.lines++; *s.lines == s.n {
 		s.cancel()
 	}
 	return len(p), nil
@@ -79,7 +79,9 @@
 func TestCompare(t *testing.T) {
 	folder := func(goodput ...float64) string {
 		dir := t.TempDir()
-		os.Mkdir(filepath.Join(dir, "runs"), 0o755)
+		if err := os.Mkdir(filepath.Join(dir, "runs"), 0o755); err != nil {
+			t.Fatal(err)
+		}
 		for i, g := range goodput {
 			r := &Result{Variant: "shed", Rate: 1, Repeat: i, Load: &loadgen.Outcome{Goodput: g, Valid: true}}
 			if err := loadgen.SaveJSON(filepath.Join(dir, "runs", string(rune('a'+i))+".json"), r); err != nil {
