--- a/cmd/flintspread-controller/config.go
+++ b/cmd/flintspread-controller/config.go
@@ -30,7 +30,7 @@
 				entries, err := history.All()
 				for _, entry := range entries {
 					fmt.Fprintf(cmd.OutOrStdout(), "%d after %d, in force since %s, %d bytes\n",
-						entry.No, entry.Parent, formatTime(entry.Since), len(entry.Text))
+						entry.Number, entry.Previous, formatTime(entry.InForceSince), len(entry.Text))
 				}
 				return err
 			})
@@ -97,7 +97,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: schema %d, %d request classes, %d routes, %d stages\n",
-				file, document.Schema, len(document.Classes), len(document.Routes), len(document.Release.Stages))
+				file, document.Schema, len(document.Classes), len(document.Routes), len(document.Release.StageShares))
 			return nil
 		},
 	}
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -22,7 +22,7 @@
 	Health  *Health        `edn:"health"`
 	Rules   Rules          `edn:"rules"`
 	Release Release        `edn:"release"`
-	OpTypes []RequestClass `edn:"op-types" validate:"required,min=1,max=256,dive"`
+	Classes []RequestClass `edn:"op-types" validate:"required,min=1,max=256,dive"`
 
 	policy policy.Config
 }
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 	}
-	c.policy, err = policyConfig(src, c.Rules, c.Release, c.OpTypes)
+	c.policy, err = policyConfig(src, c.Rules, c.Release, c.Classes)
 	return c, err
 }
 
@@ -64,5 +64,5 @@
 
 // Document is the controller's part of the configuration in the form of a version.
 func (c *Controller) Document() *Document {
-	return &Document{Schema: DocumentSchema, Rules: c.Rules, Release: c.Release, Classes: c.OpTypes, policy: c.policy}
+	return &Document{Schema: DocumentSchema, Rules: c.Rules, Release: c.Release, Classes: c.Classes, policy: c.policy}
 }
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -31,7 +31,7 @@
 			}
 		}
 		for i, c := range d.Release.CanaryLimits {
-			if c < d.Release.Stages[i] || c > 1 {
+			if c < d.Release.StageShares[i] || c > 1 {
 				t.Fatal("caps", d.Release.CanaryLimits)
 			}
 		}
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -21,12 +21,12 @@
 	// MaxConcurrentQueries bounds the queries that are open at once.
 	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
 	// Timeout is the number of seconds after which a query is given up.
-	Timeout float64 `edn:"timeout" validate:"gt=0"`
+	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// MaxBackoffSeconds is the longest that a failing server is left alone.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
 	// AnswerBytes and Series bound one answer.
-	AnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
-	Series      int   `edn:"series" validate:"gt=0,lte=1000000"`
+	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
+	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
 	// MaxClockSkewSeconds is how far ahead a server's clock may be.
 	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
 }
@@ -54,12 +54,12 @@
 	// Total selects the counters of all outcomes. Needed for counts, not allowed otherwise.
 	Total string `edn:"total" validate:"omitempty"`
 	// Span and Step are the length and the resolution of a range query in seconds. Needed for that form.
-	Span float64 `edn:"span" validate:"omitempty,gt=0"`
-	Step float64 `edn:"step" validate:"omitempty,gt=0"`
+	RangeSeconds float64 `edn:"span" validate:"omitempty,gt=0"`
+	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
 	// Period is the number of seconds between two queries.
 	Period float64 `edn:"period" validate:"gte=0.05"`
 	// Stale is the number of seconds after which an answer is no evidence any more.
-	Stale float64 `edn:"stale" validate:"gtfield=Period"`
+	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=Period"`
 	// Weight, up to 1, is what the evidence counts for.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
 	// Limit marks an endpoint whose value is above it: seconds of a quantile, a share of a saturation. Needed for these.
@@ -68,8 +68,8 @@
 	// outcome counts twice. Optional.
 	IndependentOfRouters bool `edn:"apart"`
 	// UnitLabel is the label that tells endpoints apart; UnitBy says whether it holds their id or their address.
-	UnitLabel string      `edn:"unit-label" validate:"required"`
-	UnitBy    edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
+	EndpointLabel      string      `edn:"unit-label" validate:"required"`
+	EndpointLabelHolds edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
 	// BuildLabel is the label with the endpoint's build. Optional; without it the endpoint list tells the build.
 	BuildLabel string `edn:"build-label" validate:"omitempty"`
 
@@ -83,8 +83,8 @@
 	"range":   promquery.Range,
 }
 
-// FormOf is the form in which the answers come.
-func (q *Query) FormOf() promquery.Form { return answerForms[q.Form] }
+// AnswerForm is the form in which the answers come.
+func (q *Query) AnswerForm() promquery.Form { return answerForms[q.Form] }
 
 // Templates gives the templates of Query and Total. The latter is nil but for counts.
 func (q *Query) Templates() (query, total *promquery.Template) {
@@ -102,14 +102,14 @@
 func (h *Health) Questions() (questions []metricsanalysis.Question) {
 	for _, q := range h.Queries {
 		questions = append(questions, metricsanalysis.Question{
-			Name:    q.Name,
-			Meaning: meanings[q.Meaning],
-			Kind:    slices.Index(policy.FailureKinds[:], string(q.Kind)),
-			Stale:   q.Stale,
-			Skew:    h.MaxClockSkewSeconds,
-			Weight:  q.Weight,
-			Limit:   q.Limit,
-			Apart:   q.IndependentOfRouters,
+			Name:                q.Name,
+			Meaning:             meanings[q.Meaning],
+			Kind:                slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			StaleAfterSeconds:   q.StaleAfterSeconds,
+			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
+			Weight:              q.Weight,
+			Limit:               q.Limit,
+			Independent:         q.IndependentOfRouters,
 		})
 	}
 	return questions
@@ -117,7 +117,7 @@
 
 // Bounds gives what the queries may cost the servers.
 func (h *Health) Bounds() metricsanalysis.Bounds {
-	return metricsanalysis.Bounds{ASecond: h.QueriesPerSecond, AtOnce: h.MaxConcurrentQueries, BackMost: h.MaxBackoffSeconds}
+	return metricsanalysis.Bounds{QueriesPerSecond: h.QueriesPerSecond, MaxInFlight: h.MaxConcurrentQueries, MaxBackoffSeconds: h.MaxBackoffSeconds}
 }
 
 // validate checks what concerns several fields, and parses the templates.
@@ -171,7 +171,7 @@
 		return "meaning", "only :counts have :kind, :total and :apart"
 	case needsLimit && q.Limit == 0:
 		return "limit", "missing; above it a unit is marked"
-	case q.Form == "range" && (q.Span == 0 || q.Step == 0 || q.Step > q.Span):
+	case q.Form == "range" && (q.RangeSeconds == 0 || q.StepSeconds == 0 || q.StepSeconds > q.RangeSeconds):
 		return "span", "a :range needs a :span, and a :step not above it"
 	}
 	return "", ""
@@ -179,13 +179,13 @@
 
 // parseTemplates fills the templates. With an error it gives the key of the one that is wrong.
 func (q *Query) parseTemplates() (key string, err error) {
-	if q.queryTemplate, err = promquery.Read(q.Query, q.FormOf()); err != nil {
+	if q.queryTemplate, err = promquery.Read(q.Query, q.AnswerForm()); err != nil {
 		return "query", err
 	}
 	if !q.isCounts() {
 		return "", nil
 	}
-	if q.totalTemplate, err = promquery.Read(q.Total, q.FormOf()); err != nil {
+	if q.totalTemplate, err = promquery.Read(q.Total, q.AnswerForm()); err != nil {
 		return "total", err
 	}
 	return "", nil
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -26,12 +26,12 @@
 	Peer string `edn:"peer" validate:"omitempty,printascii"`
 }
 
-// Unix is the path of the socket if the link is one.
-func (l *Link) Unix() (path string, ok bool) { return strings.CutPrefix(l.Address, "unix:") }
+// SocketPath is the path of the socket if the link is one.
+func (l *Link) SocketPath() (path string, ok bool) { return strings.CutPrefix(l.Address, "unix:") }
 
 // validate checks what concerns several fields. The key is empty if nothing is wrong.
 func (l *Link) validate() (key, problem string) {
-	if _, ok := l.Unix(); ok {
+	if _, ok := l.SocketPath(); ok {
 		return "", ""
 	}
 	if err := ednValidator.Var(l.Address, "hostname_port"); err != nil {
@@ -56,9 +56,9 @@
 	BackLeast float64 `edn:"back-least" validate:"gt=0"`
 	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
 	// Patience is the number of seconds that a configuration version waits for the endpoint list that it belongs with.
-	Patience float64 `edn:"patience" validate:"gt=0"`
+	PairingTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
 	// MostBytes bounds one response.
-	MostBytes int `edn:"most-bytes" validate:"gte=1024"`
+	MaxResponseBytes int `edn:"most-bytes" validate:"gte=1024"`
 	// Cert, Key, CA and Peer are as in Link. Optional: without all four the stream is plain text, for a service on the same host.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
 	Key  string `edn:"key" validate:"omitempty,filepath"`
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -20,25 +20,25 @@
 		Clients:   clients,
 		Endpoints: endpoints,
 		Rules: Rules{
-			Round:       policy.MinTickSeconds,
-			MaxPause:    policy.MaxRetryAfterSeconds,
-			UnitsForget: policy.ForgetEndpointSeconds,
-			OneWayKeys:  policy.OneWayKeys,
-			CountPerOp:  policy.CanaryLimitPerClass,
+			MinTickSeconds:        policy.MinTickSeconds,
+			MaxRetryAfterSeconds:  policy.MaxRetryAfterSeconds,
+			ForgetEndpointSeconds: policy.ForgetEndpointSeconds,
+			OneWayKeys:            policy.OneWayKeys,
+			CanaryLimitPerClass:   policy.CanaryLimitPerClass,
 		},
 		policy: policy,
 	}
 	for i, class := range policy.Classes {
 		document.Classes = append(document.Classes, RequestClass{
-			Name:               classNames[i],
-			Target:             class.LatencyObjectiveSeconds,
-			Timeout:            class.TimeoutSeconds,
-			PriorityWeight:     class.PriorityWeight,
-			Group:              [...]edn.Keyword{"all", "zone", "cell"}[class.DedupScope],
-			DedupWindowSeconds: class.DedupWindowSeconds,
+			Name:                    classNames[i],
+			LatencyObjectiveSeconds: class.LatencyObjectiveSeconds,
+			TimeoutSeconds:          class.TimeoutSeconds,
+			PriorityWeight:          class.PriorityWeight,
+			DedupScope:              [...]edn.Keyword{"all", "zone", "cell"}[class.DedupScope],
+			DedupWindowSeconds:      class.DedupWindowSeconds,
 		})
 	}
-	return &Router{Relay: name, Name: name, Document: document, Overload: &Overload{Memory: memory}}
+	return &Router{Relay: name, Name: name, Document: document, Overload: &Overload{MemoryBytes: memory}}
 }
 
 // jsonValidator checks validate tags; its errors name fields by their JSON keys.
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -29,38 +29,38 @@
 	if err := validateStages(src, rules, release); err != nil {
 		return policy.Config{}, err
 	}
-	if rules.OneWayKeys && rules.KeysKept == 0 {
+	if rules.OneWayKeys && rules.MaxRememberedKeys == 0 {
 		return policy.Config{}, src.fieldError(":rules :keys-kept", "one-way keys need room for some")
 	}
 	c := policy.Config{
-		Routers:                  rules.Relays,
+		Routers:                  rules.Routers,
 		RollbackVotes:            release.RollbackVotes,
-		MinTickSeconds:           rules.Round,
+		MinTickSeconds:           rules.MinTickSeconds,
 		AllowHedging:             rules.AllowHedging,
 		AllowCancel:              true,
-		MaxRetryAfterSeconds:     rules.MaxPause,
+		MaxRetryAfterSeconds:     rules.MaxRetryAfterSeconds,
 		RequestsPerConn:          1,
 		MaxAttempts:              rules.MaxAttempts,
 		SlowStartInitialShare:    rules.SlowStartInitialShare,
 		SlowStartSeconds:         rules.SlowStartSeconds,
 		SlowStartOverloadFactor:  rules.SlowStartOverloadFactor,
 		SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds,
-		CanaryWindowSeconds:      rules.Window,
+		CanaryWindowSeconds:      rules.CanaryWindowSeconds,
 		CanaryFreeAttempts:       rules.CanaryFreeAttempts,
 		CanaryLimits:             release.CanaryLimits,
-		StageShares:              release.Stages,
-		CanaryLimitPerClass:      rules.CountPerOp,
+		StageShares:              release.StageShares,
+		CanaryLimitPerClass:      rules.CanaryLimitPerClass,
 		IdempotentOnlyStages:     rules.IdempotentOnlyStages,
 		OneWayKeys:               rules.OneWayKeys,
-		MaxRememberedKeys:        rules.KeysKept,
-		ForgetEndpointSeconds:    rules.UnitsForget,
+		MaxRememberedKeys:        rules.MaxRememberedKeys,
+		ForgetEndpointSeconds:    rules.ForgetEndpointSeconds,
 		AutomaticStages:          release.AutomaticStages,
 		ReplaceInPlace:           release.ReplaceInPlace,
 		WrongAnswerPrice:         release.WrongAnswerPrice,
 		StaleBuildPrice:          release.StaleBuildPrice,
 		WrongAnswerReportShare:   release.WrongAnswerReportShare,
 		VoteLifetimeSeconds:      release.VoteLifetimeSeconds,
-		VoteTimeoutSeconds:       release.VoteTimeout,
+		VoteTimeoutSeconds:       release.VoteTimeoutSeconds,
 		VotesPerSecond:           release.VotesPerSecond,
 	}
 	names := map[string]bool{}
@@ -74,12 +74,12 @@
 			return policy.Config{}, err
 		}
 		c.Classes = append(c.Classes, policy.RequestClass{
-			LatencyObjectiveSeconds: class.Target,
-			TimeoutSeconds:          class.Timeout,
+			LatencyObjectiveSeconds: class.LatencyObjectiveSeconds,
+			TimeoutSeconds:          class.TimeoutSeconds,
 			PriorityWeight:          class.PriorityWeight,
 			DedupWindowSeconds:      class.DedupWindowSeconds,
 			Idempotency:             idempotencies[class.Idempotency],
-			DedupScope:              dedupScopes[class.Group],
+			DedupScope:              dedupScopes[class.DedupScope],
 		})
 	}
 	return c, nil
@@ -87,7 +87,7 @@
 
 // validateStages checks the rollout stages against their canary limits, and the windows in which those are counted.
 func validateStages(src source, rules Rules, release Release) error {
-	stages, limits := release.Stages, release.CanaryLimits
+	stages, limits := release.StageShares, release.CanaryLimits
 	if len(limits) != len(stages) {
 		return src.fieldError(":release :caps", fmt.Sprintf("%d caps for %d stages", len(limits), len(stages)))
 	}
@@ -96,7 +96,7 @@
 			return src.fieldError(fmt.Sprintf(":release :stages %d", i), "a stage below the one before it")
 		}
 	}
-	if rules.Window < rules.GraceSeconds {
+	if rules.CanaryWindowSeconds < rules.GraceSeconds {
 		return src.fieldError(":rules :window",
 			fmt.Sprintf("below the grace (%g s): a lower cap would bind after the window it is for", rules.GraceSeconds))
 	}
@@ -119,15 +119,15 @@
 // validateClass checks one request class, which stands at a key, against the rules.
 func validateClass(src source, key string, class RequestClass, rules Rules) error {
 	switch {
-	case class.Timeout <= minTimeoutTicks*rules.Round:
+	case class.TimeoutSeconds <= minTimeoutTicks*rules.MinTickSeconds:
 		return src.fieldError(key+" :timeout", "not above three rounds (:rules :round): no answer could be in time")
-	case class.Target > class.Timeout:
+	case class.LatencyObjectiveSeconds > class.TimeoutSeconds:
 		return src.fieldError(key+" :target", "above the timeout")
-	case class.Timeout >= rules.UnitsForget:
+	case class.TimeoutSeconds >= rules.ForgetEndpointSeconds:
 		return src.fieldError(":rules :forget-units", fmt.Sprintf("not above the timeout of %q", class.Name))
 	}
 	needsKey := idempotencies[class.Idempotency] == policy.IdempotentWithKey
-	if needsKey && (class.DedupWindowSeconds <= 0 || class.Group == "") {
+	if needsKey && (class.DedupWindowSeconds <= 0 || class.DedupScope == "") {
 		return src.fieldError(key, "a deduplicated op type needs :group and a :window above 0")
 	}
 	return nil
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -37,7 +37,7 @@
 	// Shed rejects requests, those of the lowest priority weight first, when the process falls behind.
 	Shed bool `edn:"shed"`
 	// Memory bounds the bytes that connections and messages take. Optional; 0: not bounded.
-	Memory int64 `edn:"memory" validate:"omitempty,gte=1048576"`
+	MemoryBytes int64 `edn:"memory" validate:"omitempty,gte=1048576"`
 }
 
 // Log configures the program's own log.
@@ -85,7 +85,7 @@
 	if r.Control == nil {
 		return 0
 	}
-	return r.Control.Patience
+	return r.Control.PairingTimeoutSeconds
 }
 
 // Check checks what concerns several fields, and fills what is derived from them. ParseRouter calls it; whoever changes fields of a
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -126,12 +126,12 @@
 	if err := checkInFlight(document, c.InFlight); err != nil {
 		return err
 	}
-	if document.Clients.Connections < c.ClientConns {
-		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.Connections, c.ClientConns)
+	if document.Clients.MaxConns < c.ClientConns {
+		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, c.ClientConns)
 	}
 	// What was counted under these rules would mean something else under others.
 	current := s.current.Document.Rules
-	if document.Rules.CountPerOp != current.CountPerOp {
+	if document.Rules.CanaryLimitPerClass != current.CanaryLimitPerClass {
 		return errors.New(":rules :count-per-op-type: cannot change while the program runs")
 	}
 	if document.Rules.OneWayKeys != current.OneWayKeys {
@@ -146,8 +146,8 @@
 // checkDedupGroups finds a class whose keys are deduplicated within zones or cells that no endpoint has.
 func checkDedupGroups(document *config.Document, c Conditions) error {
 	for _, class := range document.Classes {
-		if class.Group == "zone" && !c.HasZones || class.Group == "cell" && !c.HasCells {
-			return fmt.Errorf(":op-types: %q: no unit of the list is in a %s", class.Name, string(class.Group))
+		if class.DedupScope == "zone" && !c.HasZones || class.DedupScope == "cell" && !c.HasCells {
+			return fmt.Errorf(":op-types: %q: no unit of the list is in a %s", class.Name, string(class.DedupScope))
 		}
 	}
 	return nil
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, class := range v.Document.Classes {
 		index := v.ClassOf("GET", "/"+class.Name+"/x")
-		if index < 0 || index >= len(v.Policy.Classes) || v.Policy.Classes[index].TimeoutSeconds != class.Timeout {
+		if index < 0 || index >= len(v.Policy.Classes) || v.Policy.Classes[index].TimeoutSeconds != class.TimeoutSeconds {
 			return fmt.Errorf("version %d: %q has index %d of %d with another configuration", v.Number, class.Name, index, len(v.Policy.Classes))
 		}
 	}
--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -16,7 +16,7 @@
 	build, verdict := c.balancer.CurrentVote()
 	assignment := &linkpb.View{
 		Major: header.Major, Minor: lease.SchemaMinor,
-		Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AckedReport,
+		Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AcknowledgedReport,
 		ListAt: c.endpointList.At, ListNo: c.endpointList.Version,
 		VerdictBuild: int32(build), Verdict: int32(verdict),
 		Share: share, Lease: leaseSeconds,
@@ -42,8 +42,8 @@
 		return
 	}
 	assignment.StageNo, assignment.Build, assignment.Stage = release.Version, int32(release.Build), int32(release.Stage)
-	assignment.Phase, assignment.Cap = release.Phase, release.Cap
-	assignment.StageAge = release.Age + max(0, now-c.releaseReceivedAt)
+	assignment.Phase, assignment.Cap = release.Phase, release.CanaryLimit
+	assignment.StageAge = release.AgeSeconds + max(0, now-c.releaseReceivedAt)
 }
 
 // addEndpoints adds the whole endpoint list. The caller holds the lock.
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -87,7 +87,7 @@
 	settings.Link.Address = "unix:" + b.TempDir() + "/s"
 	log := discardLog()
 	services := &fakeServices{}
-	services.release.Version, services.release.Build, services.release.Phase, services.release.Cap = 4, 2, "on-trial", 0.2
+	services.release.Version, services.release.Build, services.release.Phase, services.release.CanaryLimit = 4, 2, "on-trial", 0.2
 	url := services.serve(b)
 	settings.Sources.List, settings.Sources.Installer = url+"/list", url
 	startedAt := time.Now()
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -41,7 +41,7 @@
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.controller.settings
 	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.Relay, settings.Relay, settings.Link.Beat,
-		xds.Taker{List: v.applyEndpointUpdate, Settings: v.propose, Look: v.recheck})
+		xds.Handler{OnEndpoints: v.applyEndpointUpdate, OnConfig: v.propose, Recheck: v.recheck})
 }
 
 // applyEndpointUpdate enters an endpoint list of a control service, unless another service has sent a newer one.
@@ -87,7 +87,7 @@
 	if outcome, err := v.state.Check(version, v.conditions(version)); outcome != configstate.Applied {
 		return outcome, err
 	}
-	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.Patience)
+	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.PairingTimeoutSeconds)
 	return configstate.Waiting, nil
 }
 
@@ -133,8 +133,8 @@
 		return outcome, err
 	}
 	entry := revisions.Entry{
-		No: version.Number, Parent: before, Since: c.now(), Sum: version.Hash,
-		Needs: version.RequiredListVersion, Text: string(version.Text),
+		Number: version.Number, Previous: before, InForceSince: c.now(), Hash: version.Hash,
+		RequiredListVersion: version.RequiredListVersion, Text: string(version.Text),
 	}
 	if saveErr := v.store.Add(entry); saveErr != nil {
 		c.log.Error("configuration version not saved", "version", version.Number, "error", saveErr)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,7 +154,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	link := c.settings.Link
-	c.leader = lease.NewLeader(epoch, link.Lease, c.settings.Rules.Window, link.Silence, now)
+	c.leader = lease.NewLeader(epoch, link.Lease, c.settings.Rules.CanaryWindowSeconds, link.Silence, now)
 	if saved.Endpoints != nil {
 		c.endpointList = *saved.Endpoints
 		c.endpointList.FullUpdate(now).ApplyTo(c.balancer, now)
@@ -162,7 +162,7 @@
 		c.log.Info("endpoint list restored", "endpoints", c.endpointList.Len(), "version", c.endpointList.Version,
 			"age_seconds", now-c.endpointList.At)
 	}
-	if release := saved.Release; release != nil && release.Check(len(c.settings.Release.Stages)) == nil {
+	if release := saved.Release; release != nil && release.Check(len(c.settings.Release.StageShares)) == nil {
 		c.applyRelease(*release, saved.ReleaseAt)
 	}
 	if vote := saved.Vote; vote != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,7 +13,7 @@
 // A controller without state gives an assignment that binds as soon as it has received the endpoint list and the release, and the
 // list goes along only to routers that lack it.
 func TestFirstAssignmentOfEmptyController(t *testing.T) {
-	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}}
+	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", CanaryLimit: 0.5, AgeSeconds: 3}}
 	settings := testSettings(t, t.TempDir(), services.serve(t), 1)
 	store, _, _, err := OpenStateStore(settings.StateDir)
 	if err != nil {
@@ -39,7 +39,7 @@
 		t.Error(assignment)
 	}
 	stale := services.release
-	stale.Version, stale.Cap = 3, 1
+	stale.Version, stale.CanaryLimit = 3, 1
 	if err := c.applyReleaseUpdate(&stale); err != nil || c.nextAssignment("e", 7).Cap != 0.5 {
 		t.Error("a stale release update widened the canary limit", err)
 	}
--- a/internal/controller/feeds.go
+++ b/internal/controller/feeds.go
@@ -78,7 +78,7 @@
 	if update.Heartbeat {
 		return nil
 	}
-	if err := update.Check(len(c.settings.Release.Stages)); err != nil {
+	if err := update.Check(len(c.settings.Release.StageShares)); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -105,7 +105,7 @@
 func (c *Controller) applyRelease(update releases.Update, receivedAt float64) {
 	c.release, c.releaseReceivedAt = update, receivedAt
 	now := c.now()
-	c.balancer.ApplyRelease(now, update.Build, update.Stage, update.PolicyPhase(), update.Cap, update.Age+max(0, now-receivedAt))
+	c.balancer.ApplyRelease(now, update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds+max(0, now-receivedAt))
 	if c.metricsEvidence != nil {
 		c.metricsEvidence.setRelease(update.Build)
 	}
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -13,12 +13,12 @@
 func TestLateControllerSkipsReportsAndQueries(t *testing.T) {
 	c := newController(exampleSettings(t), discardLog(), nil)
 	c.restore(1, SavedState{})
-	c.voteSender = &releases.VoteSender{Relay: "r1", URL: "http://127.0.0.1:1", Log: c.log}
+	c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log}
 	c.voteSender.Open()
 	c.mu.Lock()
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
-	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, c.now())
+	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
 	c.nextTickAt = c.now() - 2 // as after a pause of two seconds
 	c.shedLoad(c.now())
 	c.mu.Unlock()
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -78,13 +78,13 @@
 		t.Fatal(err)
 	}
 	c.restore(1, SavedState{})
-	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}}
 	c.store, _, _, err = OpenStateStore(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mustClose(t, c.store)
-	c.voteSender = &releases.VoteSender{Relay: "r1", URL: services.serve(t), Timeout: 0.5, Client: http.DefaultClient, Log: c.log,
+	c.voteSender = &releases.VoteSender{Router: "r1", URL: services.serve(t), TimeoutSeconds: 0.5, Client: http.DefaultClient, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
 	c.voteSender.Open()
 	update := &endpoints.Update{Version: 1, Full: true}
@@ -95,7 +95,7 @@
 	if err := c.applyEndpointUpdate(update); err != nil {
 		t.Fatal(err)
 	}
-	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, c.now())
+	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
 	sendReport := func(sequence uint64, wrongAnswers float32) {
 		report := canaryFailureReport(sequence)
 		for _, tally := range report.Tally {
@@ -145,7 +145,7 @@
 	})
 	_, before := marks()
 	for _, q := range servers {
-		q.Ail(fakes.Dead)
+		q.SetFault(fakes.Dead)
 	}
 	eventually(t, "the marks end with the servers", func() bool {
 		m, version := marks()
@@ -250,14 +250,14 @@
 			}
 			settings := queryServerSettings(b, urls...)
 			for i := range settings.Health.Queries {
-				settings.Health.Queries[i].Period, settings.Health.Queries[i].Stale = 1, 5
+				settings.Health.Queries[i].Period, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
 			}
 			c := newController(settings, discardLog(), nil)
 			var err error
 			if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
 				b.Fatal(err)
 			}
-			c.voteSender = &releases.VoteSender{Relay: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not run: the votes stay in it
+			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not run: the votes stay in it
 			c.voteSender.Open()
 			update := &endpoints.Update{Version: 1, Full: true}
 			for id := range endpointCount {
@@ -267,7 +267,7 @@
 			if err := c.applyEndpointUpdate(update); err != nil {
 				b.Fatal(err)
 			}
-			c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}, c.now())
+			c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
 			n := 0.0
 			scrape := func() {
 				n += 10
@@ -320,7 +320,7 @@
 				runtime.ReadMemStats(&heap)
 				queries := 0
 				for _, q := range servers {
-					queries += q.Asked()
+					queries += q.Queries()
 				}
 				serversOnly := used(func(ctx context.Context) { queryAndDiscard(ctx, queries, urls) })
 				b.ReportMetric(total-serversOnly, "planner-cores")
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,7 +16,7 @@
 // openVoteSender makes the sender of votes to the release service; its Run sends what the ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
-		Relay: c.settings.Relay, URL: c.settings.Sources.Installer, Timeout: c.settings.Release.VoteTimeout, Client: client, Log: c.log,
+		Router: c.settings.Relay, URL: c.settings.Sources.Installer, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply,
 	}
 	c.voteSender.Open()
--- a/internal/controller/votes_test.go
+++ b/internal/controller/votes_test.go
@@ -29,7 +29,7 @@
 		{"outcome unknown, of an earlier build", 2, SavedVote{Build: 1, Verdict: policy.VoteRollback}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "released", Cap: 1}}
+			services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "released", CanaryLimit: 1}}
 			dir := t.TempDir()
 			store, _, _, err := OpenStateStore(dir)
 			if err != nil {
@@ -57,7 +57,7 @@
 
 // A router's evidence brings a rollback vote; killed before the reply, the vote is on disk with its outcome unknown.
 func TestVoteIsSavedBeforeItIsSent(t *testing.T) {
-	services := &fakeServices{holdReplies: true, release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", Cap: 0.2}}
+	services := &fakeServices{holdReplies: true, release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}}
 	dir := t.TempDir()
 	settings := testSettings(t, dir, services.serve(t), 1)
 	store, _, _, err := OpenStateStore(dir)
@@ -68,7 +68,7 @@
 	c.restore(1, SavedState{Release: &services.release, ReleaseAt: c.now()})
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
-	c.voteSender = &releases.VoteSender{Relay: "r1", URL: settings.Sources.Installer, Timeout: 0.2, Client: http.DefaultClient, Log: c.log,
+	c.voteSender = &releases.VoteSender{Router: "r1", URL: settings.Sources.Installer, TimeoutSeconds: 0.2, Client: http.DefaultClient, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
 	c.voteSender.Open()
 	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.Accepted {
--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -51,7 +51,7 @@
 // Listen opens the configured address. A socket file that a killed controller left is taken over: the caller holds the lock of
 // the controller's state, so that no other one listens there. A file that is no socket is left alone and is an error.
 func Listen(link *config.Link) (net.Listener, error) {
-	path, ok := link.Unix()
+	path, ok := link.SocketPath()
 	if !ok {
 		return net.Listen("tcp", link.Address)
 	}
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -62,7 +62,7 @@
 			defer mu.Unlock()
 			header, share, leaseSeconds := leader.NextAssignment(now(), router)
 			assignment := &linkpb.View{Major: header.Major, Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation,
-				Echo: header.AckedReport, Share: share, Lease: leaseSeconds, ListAt: now(), ListNo: 5}
+				Echo: header.AcknowledgedReport, Share: share, Lease: leaseSeconds, ListAt: now(), ListNo: 5}
 			if listVersion != 5 {
 				assignment.HasList, assignment.Units = true, []*linkpb.Unit{{Id: 1}}
 			}
@@ -142,7 +142,7 @@
 	if n := lists.Load(); n != 1 {
 		t.Errorf("the endpoint list came %d times though it did not change", n)
 	}
-	path, _ := link.Unix()
+	path, _ := link.SocketPath()
 	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	link, log := unixLink(t), &logBuffer{}
 	_, end := startController(t, link, 10, log)
 	defer end()
-	path, _ := link.Unix()
+	path, _ := link.SocketPath()
 	proxied := *link
 	proxied.Address = "unix:" + path + "f"
 	listener, err := net.Listen("unix", path+"f")
@@ -222,7 +222,7 @@
 // A controller that says nothing is taken for dead, and does not hold the router up.
 func TestSilentControllerIsLeft(t *testing.T) {
 	link, log := unixLink(t), &logBuffer{}
-	path, _ := link.Unix()
+	path, _ := link.SocketPath()
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlrpc/credentials.go
+++ b/internal/controlrpc/credentials.go
@@ -20,7 +20,7 @@
 // permissions say who may connect. Certificate files may be replaced while the program runs; an error means that they can't be
 // used at the start. A peer that is refused is logged by the name in its certificate.
 func Credentials(link *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
-	if _, ok := link.Unix(); ok {
+	if _, ok := link.SocketPath(); ok {
 		return insecure.NewCredentials(), nil
 	}
 	files := &certificateFiles{config: link, log: log}
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -129,7 +129,7 @@
 
 // dialTarget is the configured address in gRPC's form.
 func dialTarget(link *config.Link) string {
-	if path, ok := link.Unix(); ok {
+	if path, ok := link.SocketPath(); ok {
 		return "unix:" + path
 	}
 	return "passthrough:///" + link.Address
@@ -229,7 +229,7 @@
 	r.mu.Lock()
 	previousEpoch, _ := r.follower.Following()
 	reason, endpoints, release := r.follower.AcceptAssignment(header, content)
-	leaseEndsAt := r.follower.LeaseEnd(assignment.Lease)
+	leaseEndsAt := r.follower.LeaseEndsAt(assignment.Lease)
 	if reason == lease.Accepted && endpoints && assignment.HasList {
 		r.listVersion = assignment.ListNo
 	}
@@ -247,5 +247,5 @@
 // assignmentHeader maps the wire's names of what identifies an assignment to those of package lease.
 func assignmentHeader(assignment *linkpb.View) lease.AssignmentHeader {
 	return lease.AssignmentHeader{Major: assignment.Major, Epoch: assignment.Epoch, Sequence: assignment.Number,
-		Incarnation: assignment.Life, AckedReport: assignment.Echo}
+		Incarnation: assignment.Life, AcknowledgedReport: assignment.Echo}
 }
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -64,7 +64,7 @@
 	if byID == nil {
 		byID = immutable.NewSortedMap[uint32, Endpoint](nil)
 	}
-	changes = &Update{Version: update.Version, Age: update.Age, Full: update.Full && l.byID == nil}
+	changes = &Update{Version: update.Version, AgeSeconds: update.AgeSeconds, Full: update.Full && l.byID == nil}
 	byID, present := setEntries(byID, update, changes)
 	if update.Full && byID.Len() > present {
 		byID = deleteUnnamed(byID, update, present, changes)
@@ -72,7 +72,7 @@
 	if byID.Len() > maxEndpoints {
 		return nil, tooManyError(byID.Len())
 	}
-	l.Version, l.At, l.byID = update.Version, now-update.Age, byID
+	l.Version, l.At, l.byID = update.Version, now-update.AgeSeconds, byID
 	return changes, nil
 }
 
@@ -130,7 +130,7 @@
 
 // FullUpdate gives the whole list as one update, as for a start from disk.
 func (l *List) FullUpdate(now float64) *Update {
-	return &Update{Version: l.Version, Full: true, Age: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
+	return &Update{Version: l.Version, Full: true, AgeSeconds: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
 }
 
 // savedList is the stored form of a list.
--- a/internal/endpoints/list_test.go
+++ b/internal/endpoints/list_test.go
@@ -20,7 +20,7 @@
 	}
 	a, b := Endpoint{ID: 1, State: "ready"}, Endpoint{ID: 2, State: "ready"}
 	apply(Update{Version: 5, Full: true, Endpoints: []Endpoint{a, b}})
-	apply(Update{Version: 6, Age: 2, Endpoints: []Endpoint{{ID: 1, State: "gone"}, {ID: 3, State: "draining"}}})
+	apply(Update{Version: 6, AgeSeconds: 2, Endpoints: []Endpoint{{ID: 1, State: "gone"}, {ID: 3, State: "draining"}}})
 	apply(Update{Version: 4, Endpoints: []Endpoint{a}})
 	apply(Update{Version: 6})
 	apply(Update{Version: 1, Full: true, Endpoints: []Endpoint{b}}) // the service has started anew
--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -36,10 +36,10 @@
 // Update is one message of the list service. A full one names every endpoint there is, any other only those that have changed.
 // One without endpoints tells that nothing has changed.
 type Update struct {
-	Version   uint64     `json:"version"`
-	Full      bool       `json:"full,omitempty"`
-	Age       float64    `json:"age,omitempty"` // seconds since this was true, by the service's clock
-	Endpoints []Endpoint `json:"units,omitempty"`
+	Version    uint64     `json:"version"`
+	Full       bool       `json:"full,omitempty"`
+	AgeSeconds float64    `json:"age,omitempty"` // seconds since this was true, by the service's clock
+	Endpoints  []Endpoint `json:"units,omitempty"`
 }
 
 // Check refuses an update that can't be meant. Only a checked update may be applied.
@@ -47,8 +47,8 @@
 	if len(u.Endpoints) > maxEndpoints {
 		return tooManyError(len(u.Endpoints))
 	}
-	if !(u.Age >= 0) { // NaN too
-		return fmt.Errorf("age %v", u.Age)
+	if !(u.AgeSeconds >= 0) { // NaN too
+		return fmt.Errorf("age %v", u.AgeSeconds)
 	}
 	seen := make(map[uint32]bool, len(u.Endpoints))
 	for i := range u.Endpoints {
@@ -88,7 +88,7 @@
 
 // ApplyTo enters a checked update into a policy.
 func (u *Update) ApplyTo(b *policy.Balancer, now float64) {
-	b.SetEndpointListAge(u.Age)
+	b.SetEndpointListAge(u.AgeSeconds)
 	if !u.Full && len(u.Endpoints) == 0 {
 		return // nothing has changed
 	}
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -223,13 +223,13 @@
 		PriorityWeight:          class.PriorityWeight,
 		LatencyObjectiveSeconds: class.LatencyObjectiveSeconds,
 		FirstSentAt:             r.firstSentAt,
-		Asked:                   cs.clock(),
+		SentAt:                  cs.clock(),
 		Deadline:                cs.clock() + timeout,
 	}
-	cs.record.Enter(func(all *invariants.Record) { all.Commands[record.ID] = record })
+	cs.record.Enter(func(all *invariants.Record) { all.Requests[record.ID] = record })
 	abandonAt := math.Inf(1)
 	if r.rand.Float64() < r.behavior.AbandonShare {
-		abandonAt = record.Asked + abandonWithin*timeout*r.rand.Float64()
+		abandonAt = record.SentAt + abandonWithin*timeout*r.rand.Float64()
 	}
 	return &clientTry{r, retries, timeout, abandonAt, record}
 }
--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -23,9 +23,9 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// Control is a control service that speaks xDS v3, aggregated discovery, state of the world. It sends what it is told to, right or
+// ControlService is a control service that speaks xDS v3, aggregated discovery, state of the world. It sends what it is told to, right or
 // wrong, and logs what clients answer.
-type Control struct {
+type ControlService struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 
 	// Relay is the relay that it serves. Only its owner uses it.
@@ -47,9 +47,9 @@
 	dropped   chan struct{}
 }
 
-// StartControl starts a service on a listener, which it owns from then on.
-func StartControl(l net.Listener, creds credentials.TransportCredentials) *Control {
-	c := &Control{
+// StartControlService starts a service on a listener, which it owns from then on.
+func StartControlService(l net.Listener, creds credentials.TransportCredentials) *ControlService {
+	c := &ControlService{
 		server:  grpc.NewServer(grpc.Creds(creds)),
 		streams: map[*controlStream]struct{}{},
 		initial: map[string]*discovery.DiscoveryResponse{},
@@ -64,10 +64,10 @@
 }
 
 // Stop ends the service and all streams.
-func (c *Control) Stop() { c.server.Stop() }
+func (c *ControlService) Stop() { c.server.Stop() }
 
 // Drop ends all streams. The service goes on.
-func (c *Control) Drop() {
+func (c *ControlService) Drop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream := range c.streams {
@@ -77,7 +77,7 @@
 }
 
 // Set makes a response the one of its type that streams begin with, and sends it on the open ones.
-func (c *Control) Set(r *discovery.DiscoveryResponse) {
+func (c *ControlService) Set(r *discovery.DiscoveryResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.initial[r.TypeUrl] = r
@@ -85,13 +85,13 @@
 }
 
 // Send sends a response on the open streams, with a nonce of its own unless it has one.
-func (c *Control) Send(r *discovery.DiscoveryResponse) {
+func (c *ControlService) Send(r *discovery.DiscoveryResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sendLocked(r)
 }
 
-func (c *Control) sendLocked(r *discovery.DiscoveryResponse) {
+func (c *ControlService) sendLocked(r *discovery.DiscoveryResponse) {
 	r = c.withNonce(r)
 	for stream := range c.streams {
 		stream.responses <- r
@@ -99,7 +99,7 @@
 }
 
 // withNonce gives a response with a nonce of its own, or the response itself if it has one. Under the lock.
-func (c *Control) withNonce(r *discovery.DiscoveryResponse) *discovery.DiscoveryResponse {
+func (c *ControlService) withNonce(r *discovery.DiscoveryResponse) *discovery.DiscoveryResponse {
 	if r.Nonce != "" {
 		return r
 	}
@@ -110,21 +110,21 @@
 }
 
 // Streams counts the open streams.
-func (c *Control) Streams() int {
+func (c *ControlService) Streams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
 }
 
 // Log gives a line for each request of a client: type, whether it begins, acknowledges or rejects, version in force, reason.
-func (c *Control) Log() []string {
+func (c *ControlService) Log() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.log)
 }
 
 // StreamAggregatedResources serves one stream until the client or Drop ends it.
-func (c *Control) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (c *ControlService) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	stream := &controlStream{responses: make(chan *discovery.DiscoveryResponse, streamBuffer), dropped: make(chan struct{})}
 	c.mu.Lock()
 	c.streams[stream] = struct{}{}
@@ -160,7 +160,7 @@
 }
 
 // onRequest logs a request. The first one of a type is answered with the initial response, unless the client has its version.
-func (c *Control) onRequest(stream *controlStream, request *discovery.DiscoveryRequest) {
+func (c *ControlService) onRequest(stream *controlStream, request *discovery.DiscoveryRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kind := request.TypeUrl[strings.LastIndexByte(request.TypeUrl, '.')+1:]
@@ -195,8 +195,8 @@
 	}
 }
 
-// UnitsResponse makes a response with an endpoint list.
-func UnitsResponse(relay string, version uint64, list []endpoints.Endpoint) *discovery.DiscoveryResponse {
+// EndpointsResponse makes a response with an endpoint list.
+func EndpointsResponse(relay string, version uint64, list []endpoints.Endpoint) *discovery.DiscoveryResponse {
 	locality := &endpoint.LocalityLbEndpoints{}
 	for _, e := range list {
 		locality.LbEndpoints = append(locality.LbEndpoints, lbEndpoint(e))
@@ -204,8 +204,8 @@
 	assignment := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{locality}}
 	return &discovery.DiscoveryResponse{
 		VersionInfo: fmt.Sprint(version),
-		TypeUrl:     xds.TypeUnits,
-		Resources:   []*anypb.Any{pack(assignment, xds.TypeUnits)},
+		TypeUrl:     xds.TypeEndpoints,
+		Resources:   []*anypb.Any{pack(assignment, xds.TypeEndpoints)},
 	}
 }
 
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -54,7 +54,7 @@
 func TestPlatformSiteVotes(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
-	address, _, err := site.Desk()
+	address, _, err := site.StartControlService()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 		{Overloaded, "query?query=up", 503, "overloaded\n"},
 		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
 	} {
-		q.Ail(test.fault)
+		q.SetFault(test.fault)
 		response, err := http.Get(q.URL + "/api/v1/" + test.path)
 		if err != nil {
 			t.Fatal(err)
@@ -126,7 +126,7 @@
 			t.Errorf("%q %s: %d %s %v\nwant %d %s", test.fault, test.path, response.StatusCode, body, err, test.wantStatus, test.want)
 		}
 	}
-	if q.Asked() != 8 {
-		t.Errorf("%d queries", q.Asked())
+	if q.Queries() != 8 {
+		t.Errorf("%d queries", q.Queries())
 	}
 }
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -50,8 +50,8 @@
 
 // PlatformSite plays what is around one relay in the platform's protocol, and records what it sees on its sockets.
 type PlatformSite struct {
-	Rec   *invariants.Record
-	Relay string
+	Record *invariants.Record
+	Relay  string
 
 	stopped chan struct{}
 
@@ -90,7 +90,7 @@
 // NewPlatformSite makes a site without endpoints, with a canary in its first stage.
 func NewPlatformSite(relay string) *PlatformSite {
 	return &PlatformSite{
-		Rec:        invariants.NewRecord(),
+		Record:     invariants.NewRecord(),
 		Relay:      relay,
 		stopped:    make(chan struct{}),
 		stageSince: time.Now(),
@@ -150,13 +150,13 @@
 	return uint32(id)
 }
 
-// Unit starts an endpoint that treats a share of its requests badly, in every way there is, and lists it.
-func (s *PlatformSite) Unit(n, build int, bad float64) error {
+// StartEndpoint starts an endpoint that treats a share of its requests badly, in every way there is, and lists it.
+func (s *PlatformSite) StartEndpoint(n, build int, bad float64) error {
 	address, err := s.track(Serve(func(c net.Conn) { s.serveEndpoint(c, uint32(n), bad) }))
 	if err != nil {
 		return err
 	}
-	s.Rec.Enter(func(r *invariants.Record) {
+	s.Record.Enter(func(r *invariants.Record) {
 		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: siteEndpointCapacity}
 	})
 	s.List(hostName(n), address, build, platformReady)
@@ -167,7 +167,7 @@
 func (s *PlatformSite) serveEndpoint(c net.Conn, endpoint uint32, bad float64) {
 	br := bufio.NewReader(c)
 	for {
-		args, err := resp.Command(br)
+		args, err := resp.ReadCommand(br)
 		if err != nil {
 			return
 		}
@@ -180,7 +180,7 @@
 		if rand.Float64() < bad {
 			answer, reset = badAnswer(attempt)
 		}
-		s.Rec.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
+		s.Record.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
 		if reset {
 			resetOnClose(c)
 			return
@@ -240,7 +240,7 @@
 // recordEndpoint records that the relay is sent an entry.
 func (s *PlatformSite) recordEndpoint(entry platformHost) {
 	at := s.Clock()
-	s.Rec.Enter(func(r *invariants.Record) {
+	s.Record.Enter(func(r *invariants.Record) {
 		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{
 			At: at, Relay: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
 		})
@@ -327,13 +327,13 @@
 	update := invariants.ReleaseUpdate{
 		At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
 	}
-	s.Rec.Enter(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
+	s.Record.Enter(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
 }
 
-// Desk starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
+// StartControlService starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
 // the canary on; every third answer to a vote is spoilt.
-func (s *PlatformSite) Desk() (address string, end func() error, err error) {
-	l, err := Desk(s.answerControlLine, func(c net.Conn) { send(c, "*\r\n") })
+func (s *PlatformSite) StartControlService() (address string, end func() error, err error) {
+	l, err := ServeLines(s.answerControlLine, func(c net.Conn) { send(c, "*\r\n") })
 	if address, err = s.track(l, err); err != nil {
 		return "", nil, err
 	}
@@ -436,11 +436,11 @@
 		LatencyObjectiveSeconds: 0.3,
 	}
 	encoded := encodeSiteRequest(request, i)
-	request.Asked = s.Clock()
-	request.FirstSentAt, request.Deadline = request.Asked, request.Asked+siteTimeoutSeconds
-	s.Rec.Enter(func(r *invariants.Record) { r.Commands[request.ID] = request })
+	request.SentAt = s.Clock()
+	request.FirstSentAt, request.Deadline = request.SentAt, request.SentAt+siteTimeoutSeconds
+	s.Record.Enter(func(r *invariants.Record) { r.Requests[request.ID] = request })
 	kind, err := exchange(c, br, encoded, request.ID)
-	s.Rec.Enter(func(*invariants.Record) {
+	s.Record.Enter(func(*invariants.Record) {
 		if err != nil {
 			request.ClosedAt = s.Clock()
 		} else {
@@ -468,9 +468,9 @@
 	if body {
 		words = append(words, "BODY")
 	}
-	encoded := resp.Array(nil, len(words))
+	encoded := resp.AppendArray(nil, len(words))
 	for _, word := range words {
-		encoded = resp.Bulk(encoded, word)
+		encoded = resp.AppendBulk(encoded, word)
 	}
 	return encoded
 }
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -107,8 +107,8 @@
 // Stop closes the server and its connections.
 func (q *QueryServer) Stop() { q.server.Close() }
 
-// Ail replaces the server's fault.
-func (q *QueryServer) Ail(f Fault) {
+// SetFault replaces the server's fault.
+func (q *QueryServer) SetFault(f Fault) {
 	if f == Exploded {
 		explodedAnswer() // takes a while, the first time
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// Asked counts the queries that were received.
-func (q *QueryServer) Asked() int {
+// Queries counts the queries that were received.
+func (q *QueryServer) Queries() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.queries
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -333,7 +333,7 @@
 	case phaseReleased:
 		limit = 1
 	}
-	return releases.Update{Version: s.version, Build: s.build, Stage: s.stage, Phase: s.phase, Cap: limit, Age: s.clock() - s.phaseSince}
+	return releases.Update{Version: s.version, Build: s.build, Stage: s.stage, Phase: s.phase, CanaryLimit: limit, AgeSeconds: s.clock() - s.phaseSince}
 }
 
 // recordSent records what a relay was sent, unless a newer update overtook it on the way: relays drop it then.
@@ -348,7 +348,7 @@
 	}
 	s.record.Enter(func(r *invariants.Record) {
 		r.ReleaseUpdates = append(r.ReleaseUpdates, invariants.ReleaseUpdate{
-			At: now, Relay: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.Cap,
+			At: now, Relay: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
 		})
 	})
 }
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -38,8 +38,8 @@
 	return l, nil
 }
 
-// Desk serves a line protocol: take is called with each line, idle, if it is not nil, when none came for half a second.
-func Desk(take func(c net.Conn, line string), idle func(c net.Conn)) (net.Listener, error) {
+// ServeLines serves a line protocol: take is called with each line, idle, if it is not nil, when none came for half a second.
+func ServeLines(take func(c net.Conn, line string), idle func(c net.Conn)) (net.Listener, error) {
 	return Serve(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
--- a/internal/invariants/answers.go
+++ b/internal/invariants/answers.go
@@ -34,7 +34,7 @@
 		rule.breach("command %d got %d answers", request.ID, n)
 	case n == 0 && request.AbandonedAt == 0 && !c.isExcused(request):
 		rule.breach("command %d to %s at %.3f got no answer until %.3f (connection closed at %.3f)",
-			request.ID, request.Relay, request.Asked, request.Deadline, request.ClosedAt)
+			request.ID, request.Relay, request.SentAt, request.Deadline, request.ClosedAt)
 	case n == 1:
 		answer := request.Answers[0]
 		if answer.Kind == "" {
@@ -50,7 +50,7 @@
 
 // isExcused reports whether a request was with a process that owes it no answer in time.
 func (c *checker) isExcused(request *Request) bool {
-	for _, life := range c.Lives {
+	for _, life := range c.Incarnations {
 		if life.Relay != request.Relay || life.Controller {
 			continue
 		}
@@ -63,20 +63,20 @@
 
 // wasNeverAccepted reports whether a request was written to an idle connection in the moment in which a draining process closed it:
 // it met no endpoint.
-func (c *checker) wasNeverAccepted(request *Request, life *Life) bool {
-	return life.Stopping > 0 && request.ClosedAt >= life.Stopping &&
-		request.ClosedAt-request.Asked < c.bounds.SlackSeconds && len(c.attemptsOf[request.ID]) == 0
+func (c *checker) wasNeverAccepted(request *Request, life *Incarnation) bool {
+	return life.DrainingFrom > 0 && request.ClosedAt >= life.DrainingFrom &&
+		request.ClosedAt-request.SentAt < c.bounds.SlackSeconds && len(c.attemptsOf[request.ID]) == 0
 }
 
 // wasKilledWith reports whether the client saw the connection close just as the process was killed.
-func wasKilledWith(request *Request, life *Life) bool {
+func wasKilledWith(request *Request, life *Incarnation) bool {
 	return life.Killed && request.ClosedAt > 0 && math.Abs(request.ClosedAt-life.To) < killBreakSeconds
 }
 
 // wasPausedWith reports whether the process was paused while the request waited.
-func (c *checker) wasPausedWith(request *Request, life *Life) bool {
+func (c *checker) wasPausedWith(request *Request, life *Incarnation) bool {
 	for _, pause := range life.Pauses {
-		if pause[0] <= request.Deadline && pause[1] >= request.Asked-c.bounds.SlackSeconds {
+		if pause[0] <= request.Deadline && pause[1] >= request.SentAt-c.bounds.SlackSeconds {
 			return true
 		}
 	}
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -10,11 +10,11 @@
 
 // counter is what the canary traffic limit counts apart: a process or relay, and, with CanaryLimitPerClass, a request class.
 type counter struct {
-	life  *Life
+	life  *Incarnation
 	class string
 }
 
-func (c *checker) counterOf(life *Life, request *Request) counter {
+func (c *checker) counterOf(life *Incarnation, request *Request) counter {
 	if c.bounds.CanaryLimitPerClass {
 		return counter{life, request.Class}
 	}
@@ -29,8 +29,8 @@
 	oldestBuild := c.oldestBuild()
 	keys := keyBuilds{}
 	for _, attempt := range c.Attempts {
-		request, endpoint := c.Commands[attempt.RequestID], c.Endpoints[attempt.Endpoint]
-		life := c.responsibleLife(request.Relay, request.Asked)
+		request, endpoint := c.Requests[attempt.RequestID], c.Endpoints[attempt.Endpoint]
+		life := c.responsibleLife(request.Relay, request.SentAt)
 		if life == nil || attempt.At > request.Deadline+c.bounds.SlackSeconds {
 			continue
 		}
@@ -67,12 +67,12 @@
 func (c *checker) receivedAt() map[counter][]float64 {
 	instants := map[counter][]float64{}
 	for _, request := range c.requests {
-		life := c.responsibleLife(request.Relay, request.Asked)
+		life := c.responsibleLife(request.Relay, request.SentAt)
 		if life == nil || request.NotConnected {
 			continue
 		}
 		key := c.counterOf(life, request)
-		instants[key] = append(instants[key], request.Asked)
+		instants[key] = append(instants[key], request.SentAt)
 	}
 	return instants
 }
@@ -119,7 +119,7 @@
 }
 
 // releaseStates gives what a process or relay was told of releases until an instant, in order.
-func (c *checker) releaseStates(life *Life, at float64) []releaseState {
+func (c *checker) releaseStates(life *Incarnation, at float64) []releaseState {
 	states := []releaseState{{at: life.From, build: -1, canaryLimit: c.bounds.CanaryLimits[0]}}
 	for _, update := range c.ReleaseUpdates {
 		if update.Relay != life.Relay || update.At < life.From || update.At > at {
@@ -134,7 +134,7 @@
 
 // limitAt gives what limits the attempts of a process or relay at a build at an instant: the loosest state that held within the grace,
 // and since when the last lower limit has been binding. A build that is no canary, or was none within the grace, is not limited.
-func (c *checker) limitAt(life *Life, build int, at float64, oldestBuild int) (loosest *releaseState, since float64, isCanary bool) {
+func (c *checker) limitAt(life *Incarnation, build int, at float64, oldestBuild int) (loosest *releaseState, since float64, isCanary bool) {
 	states := c.releaseStates(life, at)
 	ofBuild := make([]*releaseState, len(states))
 	for i, state := range states {
@@ -167,7 +167,7 @@
 }
 
 // heldUntil is when a state ended that these states follow: when the first sure one of them was learned, infinity if there is none.
-func (c *checker) heldUntil(life *Life, following []releaseState) float64 {
+func (c *checker) heldUntil(life *Incarnation, following []releaseState) float64 {
 	for _, next := range following {
 		if !next.unsure {
 			learned, _ := c.learnedAt(life.Relay, next.at)
@@ -178,7 +178,7 @@
 }
 
 // keyBuilds holds the newest build that answered a key, for each process or relay: what a killed one remembered is gone.
-type keyBuilds map[*Life]map[string]keyBuild
+type keyBuilds map[*Incarnation]map[string]keyBuild
 
 type keyBuild struct {
 	build int
@@ -186,7 +186,7 @@
 }
 
 // checkOneWayKey checks that a key does not go to an earlier build than one that answered it, and notes an answer.
-func (c *checker) checkOneWayKey(rule *Rule, keys keyBuilds, life *Life, request *Request, endpoint *Endpoint, attempt *Attempt) {
+func (c *checker) checkOneWayKey(rule *Rule, keys keyBuilds, life *Incarnation, request *Request, endpoint *Endpoint, attempt *Attempt) {
 	if request.Key == "" {
 		return
 	}
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -43,12 +43,12 @@
 // Report is what a record shows: the rules, in their order, and the service that clients got.
 type Report struct {
 	Rules                      []Rule             `json:"rules"`
-	Asked                      int                `json:"asked"`         // tries
+	Tries                      int                `json:"asked"`         // tries
 	Answers                    map[string]int     `json:"answers"`       // tries by kind of answer, or what took its place
 	Service                    float64            `json:"service"`       // weight of requests answered rightly within their objective, as a share of all
 	ServiceByClass             map[string]float64 `json:"service_by_op"` // the same by request class
 	WrongAnswers               int                `json:"wrong_answers"`
-	PerBuild                   map[int]int        `json:"deliveries_by_build"` // attempts
+	AttemptsByBuild            map[int]int        `json:"deliveries_by_build"` // attempts
 	SucceededWithController    LatencyQuantiles   `json:"acked_in_s"`
 	SucceededWithoutController LatencyQuantiles   `json:"acked_in_s_without_planner"` // sent while the relay's controller was dead or paused
 }
@@ -76,22 +76,22 @@
 type checker struct {
 	*Record
 	bounds     Bounds
-	requests   []*Request            // by the time at which they were sent
-	attemptsOf map[uint64][]*Attempt // by request, in order of time
-	controlled map[string]*Life      // by relay with a controller: a Life that stands for all its routers together
+	requests   []*Request              // by the time at which they were sent
+	attemptsOf map[uint64][]*Attempt   // by request, in order of time
+	controlled map[string]*Incarnation // by relay with a controller: a Life that stands for all its routers together
 }
 
 func newChecker(record *Record, bounds Bounds) *checker {
-	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlled: map[string]*Life{}}
-	for _, life := range record.Lives {
+	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlled: map[string]*Incarnation{}}
+	for _, life := range record.Incarnations {
 		if life.Controller && c.controlled[life.Relay] == nil {
-			c.controlled[life.Relay] = &Life{Relay: life.Relay}
+			c.controlled[life.Relay] = &Incarnation{Relay: life.Relay}
 		}
 	}
-	for _, request := range record.Commands {
+	for _, request := range record.Requests {
 		c.requests = append(c.requests, request)
 	}
-	sort.Slice(c.requests, func(i, j int) bool { return c.requests[i].Asked < c.requests[j].Asked })
+	sort.Slice(c.requests, func(i, j int) bool { return c.requests[i].SentAt < c.requests[j].SentAt })
 	sort.SliceStable(record.Attempts, func(i, j int) bool { return record.Attempts[i].At < record.Attempts[j].At })
 	for _, attempt := range record.Attempts {
 		c.attemptsOf[attempt.RequestID] = append(c.attemptsOf[attempt.RequestID], attempt)
@@ -101,12 +101,12 @@
 
 // responsibleLife is the process that answers for a relay's rules 3 and 5 at an instant, nil if there is none. With a controller it
 // is the relay as a whole: the sum of its routers counts, and what a dead one spent is the relay's still.
-func (c *checker) responsibleLife(relay string, at float64) *Life {
+func (c *checker) responsibleLife(relay string, at float64) *Incarnation {
 	if whole := c.controlled[relay]; whole != nil {
 		return whole
 	}
-	var found *Life
-	for _, life := range c.Lives {
+	var found *Incarnation
+	for _, life := range c.Incarnations {
 		if life.Relay == relay && life.covers(at) {
 			found = life
 		}
@@ -123,7 +123,7 @@
 	if c.controlled[relay] == nil {
 		return at, true
 	}
-	for _, life := range c.Lives {
+	for _, life := range c.Incarnations {
 		if !life.Controller || life.Relay != relay || life.From > at || life.To > 0 && life.To < at {
 			continue
 		}
@@ -134,7 +134,7 @@
 }
 
 // afterPauses moves an instant to the end of the pauses that it lies in, or just before.
-func (l *Life) afterPauses(at float64) float64 {
+func (l *Incarnation) afterPauses(at float64) float64 {
 	for moved := true; moved; {
 		moved = false
 		for _, pause := range l.Pauses {
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -10,13 +10,13 @@
 // cleanRecord breaks no rule: a relay, an endpoint of build 1 and one of build 2, a request of each idempotency.
 func cleanRecord() *Record {
 	r := NewRecord()
-	r.Lives = []*Life{{Relay: "r1", From: 0}}
+	r.Incarnations = []*Incarnation{{Relay: "r1", From: 0}}
 	r.Endpoints[1] = &Endpoint{ID: 1, Build: 1, StartedAt: -100, Capacity: 2}
 	r.Endpoints[2] = &Endpoint{ID: 2, Build: 2, StartedAt: -100, Capacity: 2, Cell: 1}
 	for i, e := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		id := uint64(i + 1)
-		r.Commands[id] = &Request{ID: id, Relay: "r1", Class: string(e), Idempotency: e, DedupScope: "cell", DedupWindowSeconds: 0.5, Key: "k", PriorityWeight: 1, LatencyObjectiveSeconds: 1,
-			FirstSentAt: 10, Asked: 10, Deadline: 11, Answers: []Answer{{10.1, "acked", 1}}, FinalTry: true}
+		r.Requests[id] = &Request{ID: id, Relay: "r1", Class: string(e), Idempotency: e, DedupScope: "cell", DedupWindowSeconds: 0.5, Key: "k", PriorityWeight: 1, LatencyObjectiveSeconds: 1,
+			FirstSentAt: 10, SentAt: 10, Deadline: 11, Answers: []Answer{{10.1, "acked", 1}}, FinalTry: true}
 		r.Attempts = append(r.Attempts, &Attempt{RequestID: id, Endpoint: 1, At: 10.01, WorkSeconds: 0.1})
 	}
 	return r
@@ -41,16 +41,16 @@
 // Each rule is seen to be broken, and what only looks like it is not.
 func Example_violations() {
 	show("clean", func(*Record) {}, nil)
-	show("no answer", func(r *Record) { r.Commands[1].Answers = nil }, nil)
+	show("no answer", func(r *Record) { r.Requests[1].Answers = nil }, nil)
 	show("no answer, relay killed", func(r *Record) {
-		r.Commands[1].Answers, r.Commands[1].ClosedAt = nil, 10.5
-		r.Lives[0].To, r.Lives[0].Killed = 10.5, true
+		r.Requests[1].Answers, r.Requests[1].ClosedAt = nil, 10.5
+		r.Incarnations[0].To, r.Incarnations[0].Killed = 10.5, true
 	}, nil)
-	show("no answer, client left", func(r *Record) { r.Commands[1].Answers, r.Commands[1].AbandonedAt = nil, 10.2 }, nil)
+	show("no answer, client left", func(r *Record) { r.Requests[1].Answers, r.Requests[1].AbandonedAt = nil, 10.2 }, nil)
 	stopping := func(broken float64, met bool) func(*Record) {
 		return func(r *Record) {
-			r.Lives[0].Stopping, r.Lives[0].To = 9.99, 10.6
-			r.Commands[1].Answers, r.Commands[1].ClosedAt = nil, broken
+			r.Incarnations[0].DrainingFrom, r.Incarnations[0].To = 9.99, 10.6
+			r.Requests[1].Answers, r.Requests[1].ClosedAt = nil, broken
 			if !met {
 				r.Attempts = r.Attempts[1:]
 			}
@@ -59,25 +59,25 @@
 	show("written as a draining relay closed", stopping(10.005, false), nil)
 	show("the same, but a unit met it", stopping(10.005, true), nil)
 	show("accepted by a draining relay, then dropped", stopping(10.3, false), nil)
-	show("two answers", func(r *Record) { r.Commands[1].Answers = []Answer{{10.1, "acked", 1}, {10.2, "failed", 0}} }, nil)
-	show("late answer", func(r *Record) { r.Commands[1].Answers[0].At = 11.1 }, nil)
+	show("two answers", func(r *Record) { r.Requests[1].Answers = []Answer{{10.1, "acked", 1}, {10.2, "failed", 0}} }, nil)
+	show("late answer", func(r *Record) { r.Requests[1].Answers[0].At = 11.1 }, nil)
 	show("late answer, relay stood still", func(r *Record) {
-		r.Commands[1].Answers[0].At = 11.1
-		r.Lives[0].Pauses = [][2]float64{{10.5, 11}}
+		r.Requests[1].Answers[0].At = 11.1
+		r.Incarnations[0].Pauses = [][2]float64{{10.5, 11}}
 	}, nil)
 	show("stray bytes", func(r *Record) { r.StrayAnswers = []string{"an answer nobody waited for"} }, nil)
 	show("sent after the answer", func(r *Record) { addAttempt(r, 1, 1, 10.3) }, nil)
-	show("at-most-once twice", func(r *Record) { r.Commands[3].Answers[0].At = 10.5; addAttempt(r, 3, 1, 10.3) }, nil)
+	show("at-most-once twice", func(r *Record) { r.Requests[3].Answers[0].At = 10.5; addAttempt(r, 3, 1, 10.3) }, nil)
 	show("at-most-once twice, first never ran", func(r *Record) {
-		r.Commands[3].Answers[0].At = 10.5
+		r.Requests[3].Answers[0].At = 10.5
 		r.Attempts[2].RejectedAt = 10.02
 		addAttempt(r, 3, 1, 10.3)
 	}, nil)
-	show("at-most-once nacked", func(r *Record) { r.Commands[3].Answers[0].Kind = "nacked" }, nil)
-	show("deduplicated past its window", func(r *Record) { r.Commands[2].Answers[0].At = 10.9; addAttempt(r, 2, 1, 10.6) }, nil)
+	show("at-most-once nacked", func(r *Record) { r.Requests[3].Answers[0].Kind = "nacked" }, nil)
+	show("deduplicated past its window", func(r *Record) { r.Requests[2].Answers[0].At = 10.9; addAttempt(r, 2, 1, 10.6) }, nil)
 	show("deduplicated outside its cell", func(r *Record) {
 		r.ReleaseUpdates = []ReleaseUpdate{{9, "r1", 2, 1, "released", 1}}
-		r.Commands[2].Answers[0].At = 10.9
+		r.Requests[2].Answers[0].At = 10.9
 		addAttempt(r, 2, 2, 10.2)
 	}, nil)
 	draining := func(ready bool) func(*Record) {
@@ -92,14 +92,14 @@
 	show("sent to a unit that came back", draining(true), nil)
 	show("drain told to an earlier life", func(r *Record) {
 		draining(false)(r)
-		r.Lives = []*Life{{Relay: "r1", From: 0, To: 8.5, Killed: true}, {Relay: "r1", From: 9}}
+		r.Incarnations = []*Incarnation{{Relay: "r1", From: 0, To: 8.5, Killed: true}, {Relay: "r1", From: 9}}
 	}, nil)
 	show("cold unit flooded", func(r *Record) {
 		r.Endpoints[1].StartedAt = 10
 		for i := range 12 {
 			addAttempt(r, 1, 1, 10.02+float64(i)/1000)
 		}
-		r.Commands[1].Answers[0].At = 10.9
+		r.Requests[1].Answers[0].At = 10.9
 	}, nil)
 	canaryAttempts := func(n int, at float64) func(*Record) {
 		return func(r *Record) {
@@ -107,7 +107,7 @@
 			for i := range n {
 				addAttempt(r, 1, 2, at+float64(i)/100)
 			}
-			r.Commands[1].Answers[0].At = 10.9
+			r.Requests[1].Answers[0].At = 10.9
 		}
 	}
 	show("one trial delivery", canaryAttempts(1, 10.1), nil)
@@ -130,37 +130,37 @@
 	}, func(b *Bounds) { b.IdempotentOnlyStages = 1 })
 	show("one-way key", func(r *Record) {
 		canaryAttempts(1, 10.005)(r)
-		r.Commands[1].Answers[0] = Answer{10.006, "acked", 2}
+		r.Requests[1].Answers[0] = Answer{10.006, "acked", 2}
 		r.Attempts[1].At = 10.2
-		r.Commands[2].Answers[0].At = 10.3
+		r.Requests[2].Answers[0].At = 10.3
 	}, func(b *Bounds) { b.OneWayKeys = true })
 	show("one-way key, the relay was killed in between", func(r *Record) {
 		canaryAttempts(1, 10.005)(r)
-		r.Commands[1].Answers[0] = Answer{10.006, "acked", 2}
-		r.Attempts[1].At, r.Commands[2].Asked = 10.2, 10.15
-		r.Commands[2].Answers[0].At = 10.3
-		r.Commands[3].Answers[0] = Answer{10.003, "acked", 1}
+		r.Requests[1].Answers[0] = Answer{10.006, "acked", 2}
+		r.Attempts[1].At, r.Requests[2].SentAt = 10.2, 10.15
+		r.Requests[2].Answers[0].At = 10.3
+		r.Requests[3].Answers[0] = Answer{10.003, "acked", 1}
 		r.Attempts[2].At = 10.002
-		r.Lives = []*Life{{Relay: "r1", From: 0, To: 10.1, Killed: true}, {Relay: "r1", From: 10.12}}
+		r.Incarnations = []*Incarnation{{Relay: "r1", From: 0, To: 10.1, Killed: true}, {Relay: "r1", From: 10.12}}
 		r.ReleaseUpdates = append(r.ReleaseUpdates, ReleaseUpdate{10.13, "r1", 2, 0, "on-trial", 0.1})
 	}, func(b *Bounds) { b.OneWayKeys = true })
-	withController := func(n int, lives ...*Life) func(*Record) {
+	withController := func(n int, lives ...*Incarnation) func(*Record) {
 		return func(r *Record) {
 			canaryAttempts(n, 10.1)(r)
-			r.Lives = append(lives, &Life{Relay: "r1", From: 0, To: 10.12, Killed: true}, &Life{Relay: "r1", From: 10.12})
+			r.Incarnations = append(lives, &Incarnation{Relay: "r1", From: 0, To: 10.12, Killed: true}, &Incarnation{Relay: "r1", From: 10.12})
 		}
 	}
-	show("two edges that are led, over the sum", withController(2, &Life{Relay: "r1", Controller: true}), nil)
-	show("two edges that are led, within", withController(1, &Life{Relay: "r1", Controller: true}), nil)
-	paused := &Life{Relay: "r1", Controller: true, Pauses: [][2]float64{{7.9, 9.9}}}
-	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Lives = append(r.Lives, paused) }, nil)
+	show("two edges that are led, over the sum", withController(2, &Incarnation{Relay: "r1", Controller: true}), nil)
+	show("two edges that are led, within", withController(1, &Incarnation{Relay: "r1", Controller: true}), nil)
+	paused := &Incarnation{Relay: "r1", Controller: true, Pauses: [][2]float64{{7.9, 9.9}}}
+	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Incarnations = append(r.Incarnations, paused) }, nil)
 	show("drain told to a planner that was killed at once", func(r *Record) {
 		draining(false)(r)
-		r.Lives = append(r.Lives, &Life{Relay: "r1", Controller: true, To: 8.1, Killed: true}, &Life{Relay: "r1", Controller: true, From: 8.2})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, To: 8.1, Killed: true}, &Incarnation{Relay: "r1", Controller: true, From: 8.2})
 	}, nil)
 	show("drain told to a planner that lived", func(r *Record) {
 		draining(false)(r)
-		r.Lives = append(r.Lives, &Life{Relay: "r1", Controller: true, To: 8.9, Killed: true})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, To: 8.9, Killed: true})
 	}, nil)
 	// Output:
 	// clean:
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -21,8 +21,8 @@
 		updates[key] = append(updates[key], update)
 	}
 	for _, attempt := range c.Attempts {
-		request := c.Commands[attempt.RequestID]
-		life := c.responsibleLife(request.Relay, request.Asked)
+		request := c.Requests[attempt.RequestID]
+		life := c.responsibleLife(request.Relay, request.SentAt)
 		if life == nil {
 			continue
 		}
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -44,7 +44,7 @@
 	LatencyObjectiveSeconds float64
 
 	FirstSentAt  float64 // when its client sent its first try
-	Asked        float64 // when this try was written
+	SentAt       float64 // when this try was written
 	Deadline     float64 // when the client gives up
 	AbandonedAt  float64 // when the client closed the connection
 	NotConnected bool    // no byte of it could be sent
@@ -100,34 +100,34 @@
 	CanaryLimit  float64
 }
 
-// Life is one process of a relay's router or controller, from its start until it was killed or had stopped.
-type Life struct {
-	Relay      string
-	Controller bool // it directs the relay's routers, which have processes of their own
-	From, To   float64
-	Killed     bool
-	Stopping   float64      // when it was told to shut down gracefully; 0: it was not
-	Pauses     [][2]float64 // when it was stopped from outside and continued
+// Incarnation is one process of a relay's router or controller, from its start until it was killed or had stopped.
+type Incarnation struct {
+	Relay        string
+	Controller   bool // it directs the relay's routers, which have processes of their own
+	From, To     float64
+	Killed       bool
+	DrainingFrom float64      // when it was told to shut down gracefully; 0: it was not
+	Pauses       [][2]float64 // when it was stopped from outside and continued
 }
 
 // covers reports whether the process existed at an instant.
-func (l *Life) covers(at float64) bool { return l.From <= at && (l.To == 0 || at <= l.To) }
+func (l *Incarnation) covers(at float64) bool { return l.From <= at && (l.To == 0 || at <= l.To) }
 
 // Record is all that was seen on sockets. Only Enter may be used while others write.
 type Record struct {
 	mu              sync.Mutex
-	Commands        map[uint64]*Request // by ID
+	Requests        map[uint64]*Request // by ID
 	Attempts        []*Attempt
 	Endpoints       map[uint32]*Endpoint // by ID
 	EndpointUpdates []EndpointUpdate
 	ReleaseUpdates  []ReleaseUpdate
-	Lives           []*Life
+	Incarnations    []*Incarnation
 	StrayAnswers    []string // what came on a connection when nothing was waited for
 }
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{Commands: map[uint64]*Request{}, Endpoints: map[uint32]*Endpoint{}}
+	return &Record{Requests: map[uint64]*Request{}, Endpoints: map[uint32]*Endpoint{}}
 }
 
 // Enter changes the record under its lock. It may be called from any goroutine.
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -30,18 +30,18 @@
 // measureService fills what clients got. All tries of a client count as one request: its last one offers the weight, and an answer
 // earns it if it came within the objective from the first try on.
 func (c *checker) measureService(report *Report) {
-	report.Answers, report.ServiceByClass, report.PerBuild = map[string]int{}, map[string]float64{}, map[int]int{}
+	report.Answers, report.ServiceByClass, report.AttemptsByBuild = map[string]int{}, map[string]float64{}, map[int]int{}
 	var total weights
 	byClass := map[string]*weights{}
 	var withController, withoutController []float64
-	for _, request := range c.Commands {
-		report.Asked++
+	for _, request := range c.Requests {
+		report.Tries++
 		report.Answers[request.outcome()]++
 		if request.WrongAnswer {
 			report.WrongAnswers++
 		}
 		if len(request.Answers) > 0 && request.Answers[0].Kind == kindSucceeded {
-			latency := request.Answers[0].At - request.Asked
+			latency := request.Answers[0].At - request.SentAt
 			if c.isWithoutController(request) {
 				withoutController = append(withoutController, latency)
 			} else {
@@ -67,7 +67,7 @@
 		report.ServiceByClass[name] = class.service()
 	}
 	for _, attempt := range c.Attempts {
-		report.PerBuild[c.Endpoints[attempt.Endpoint].Build]++
+		report.AttemptsByBuild[c.Endpoints[attempt.Endpoint].Build]++
 	}
 	report.SucceededWithController = latencyQuantiles(withController)
 	report.SucceededWithoutController = latencyQuantiles(withoutController)
@@ -97,16 +97,16 @@
 	if c.controlled[request.Relay] == nil {
 		return false
 	}
-	for _, life := range c.Lives {
-		if life.Controller && life.Relay == request.Relay && life.covers(request.Asked) {
-			return life.isPaused(request.Asked)
+	for _, life := range c.Incarnations {
+		if life.Controller && life.Relay == request.Relay && life.covers(request.SentAt) {
+			return life.isPaused(request.SentAt)
 		}
 	}
 	return true
 }
 
 // isPaused reports whether the process was paused at an instant.
-func (l *Life) isPaused(at float64) bool {
+func (l *Incarnation) isPaused(at float64) bool {
 	for _, pause := range l.Pauses {
 		if pause[0] <= at && at <= pause[1] {
 			return true
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -40,7 +40,7 @@
 		return reason, false, false
 	}
 	f.leaderEpoch, f.assignmentSeq = header.Epoch, header.Sequence
-	f.basedAt = f.sentAt(header.AckedReport)
+	f.basedAt = f.sentAt(header.AcknowledgedReport)
 	applyEndpoints = content.EndpointsAt > f.content.EndpointsAt
 	applyRelease = content.ReleaseVersion > 0 && content.ReleaseVersion >= f.content.ReleaseVersion
 	if applyEndpoints {
@@ -63,7 +63,7 @@
 		return StaleEpoch
 	case header.Epoch == f.leaderEpoch && header.Sequence <= f.assignmentSeq:
 		return StaleSequence
-	case header.AckedReport > f.reportsSent:
+	case header.AcknowledgedReport > f.reportsSent:
 		return UnknownReport
 	}
 	return Accepted
@@ -83,10 +83,10 @@
 	f.content.EndpointsAt = max(f.content.EndpointsAt, listAt)
 }
 
-// LeaseEnd gives when the lease ends that came with the last assignment, 0 if it counts for nothing. It is counted from the
+// LeaseEndsAt gives when the lease ends that came with the last assignment, 0 if it counts for nothing. It is counted from the
 // sending of the report that the assignment acknowledges: that was before the leader granted the lease, so the lease ends here
 // no later than in the leader's ledger, however long either message took.
-func (f *Follower) LeaseEnd(leaseSeconds float64) float64 {
+func (f *Follower) LeaseEndsAt(leaseSeconds float64) float64 {
 	if f.basedAt < 0 {
 		return 0
 	}
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -79,7 +79,7 @@
 	l.assignmentsSent++
 	header = AssignmentHeader{Major: SchemaMajor, Epoch: l.epoch, Sequence: l.assignmentsSent}
 	if known := l.routers[name]; known != nil {
-		header.Incarnation, header.AckedReport = known.incarnation, known.sequence
+		header.Incarnation, header.AcknowledgedReport = known.incarnation, known.sequence
 		if l.IsLeader() {
 			share = l.ledger.Grant(now, leaseHolder(name, known.incarnation), len(l.routers))
 		}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -134,7 +134,7 @@
 	if release {
 		router.content.ReleaseVersion = a.content.ReleaseVersion
 	}
-	router.balancer.ApplyAssignment(0, policy.VoteNone, a.share, router.follower.LeaseEnd(a.leaseSeconds))
+	router.balancer.ApplyAssignment(0, policy.VoteNone, a.share, router.follower.LeaseEndsAt(a.leaseSeconds))
 }
 
 // heartbeats is whole round trips of some routers, as without faults.
@@ -251,7 +251,7 @@
 	accept := func(what string, h AssignmentHeader, content ContentVersions) {
 		reason, endpoints, release := f.AcceptAssignment(h, content)
 		epoch, sequence := f.Following()
-		fmt.Printf("%s: %v, endpoints %t, release %t; follows %d/%d, lease until %.1f\n", what, reason, endpoints, release, epoch, sequence, f.LeaseEnd(1))
+		fmt.Printf("%s: %v, endpoints %t, release %t; follows %d/%d, lease until %.1f\n", what, reason, endpoints, release, epoch, sequence, f.LeaseEndsAt(1))
 	}
 	h := AssignmentHeader{SchemaMajor, 3, 1, incarnation, sequence}
 	accept("first", h, ContentVersions{60, 4})
@@ -260,7 +260,7 @@
 	accept("with a list from its disk", h, ContentVersions{40, 3})
 	h.Sequence, h.Incarnation = 3, 6
 	accept("for an earlier process", h, ContentVersions{70, 5})
-	h.Incarnation, h.AckedReport = 7, 9
+	h.Incarnation, h.AcknowledgedReport = 7, 9
 	accept("acknowledges what was never sent", h, ContentVersions{70, 5})
 	h = AssignmentHeader{SchemaMajor, 2, 99, incarnation, sequence}
 	accept("an earlier controller, late", h, ContentVersions{80, 6})
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -10,11 +10,11 @@
 
 // AssignmentHeader identifies an assignment.
 type AssignmentHeader struct {
-	Major       uint32 // schema
-	Epoch       uint64 // of the controller process that sent it
-	Sequence    uint64 // within that epoch
-	Incarnation uint64 // of the router process that it is for
-	AckedReport uint64 // sequence of the last report of that process that the controller had; 0: none
+	Major              uint32 // schema
+	Epoch              uint64 // of the controller process that sent it
+	Sequence           uint64 // within that epoch
+	Incarnation        uint64 // of the router process that it is for
+	AcknowledgedReport uint64 // sequence of the last report of that process that the controller had; 0: none
 }
 
 // String names the assignment in logs and test failures.
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -20,10 +20,10 @@
 }
 
 func newDriver(servers int, question Question) *driver {
-	if question.Stale == 0 {
-		question.Stale = 5
+	if question.StaleAfterSeconds == 0 {
+		question.StaleAfterSeconds = 5
 	}
-	question.Weight, question.Skew = 1, 1
+	question.Weight, question.MaxClockSkewSeconds = 1, 1
 	d := &driver{New([]Question{question}, servers), 1000}
 	d.analyzer.SetEndpoints([]Endpoint{{1, 7, 0}, {2, 7, 0}, {11, 8, 900}, {12, 8, 900}})
 	d.analyzer.SetRelease(8)
@@ -209,7 +209,7 @@
 // each endpoint did since it was first seen is counted once its last scrape came.
 func TestCountsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(1, Question{Name: "errors", Kind: failedKind, Stale: 1e9})
+		d := newDriver(1, Question{Name: "errors", Kind: failedKind, StaleAfterSeconds: 1e9})
 		// One process after the other at endpoint 11; a scrape each second.
 		type scrape struct{ at, outcomes, failures float64 }
 		var scrapes []scrape
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -34,7 +34,7 @@
 		if question.Meaning != Counts {
 			continue
 		}
-		evidence.Independent[question.Kind] = question.Apart
+		evidence.Independent[question.Kind] = question.Independent
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.counts.outcomes == 0 {
 				return
@@ -88,7 +88,7 @@
 // FreshEndpoints tells of how many endpoints a server's answers to a question are not stale.
 func (a *Analyzer) FreshEndpoints(now float64, question, server int) (count int) {
 	for _, series := range a.servers[question][server].series {
-		if series.started && series.at >= now-a.questions[question].Stale {
+		if series.started && series.at >= now-a.questions[question].StaleAfterSeconds {
 			count++
 		}
 	}
@@ -122,13 +122,13 @@
 	q := &a.questions[question]
 	fresh, past := map[seriesKey][]reading{}, map[seriesKey][]reading{}
 	for _, server := range a.servers[question] {
-		if server.newestAt < now-q.Stale {
+		if server.newestAt < now-q.StaleAfterSeconds {
 			continue
 		}
 		for key, series := range server.series {
 			switch {
 			case !series.started:
-			case series.at >= now-q.Stale:
+			case series.at >= now-q.StaleAfterSeconds:
 				fresh[key] = append(fresh[key], q.read(now, series))
 			case q.Meaning == Counts:
 				past[key] = append(past[key], reading{share: series.total.failureShare(), counts: series.total})
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -21,14 +21,14 @@
 
 // Question is one thing that every server is queried for, again and again.
 type Question struct {
-	Name    string
-	Meaning Meaning
-	Kind    int     // index into policy.FailureKinds, for Counts
-	Stale   float64 // seconds after which a value says nothing any more
-	Skew    float64 // seconds that a server's clock may be ahead
-	Weight  float64 // 0 to 1, of its marks and counts
-	Limit   float64 // a Quantile or a Saturation above it marks an endpoint
-	Apart   bool    // no attempt of this relay is in its counts: they are independent of the routers' reports
+	Name                string
+	Meaning             Meaning
+	Kind                int     // index into policy.FailureKinds, for Counts
+	StaleAfterSeconds   float64 // seconds after which a value says nothing any more
+	MaxClockSkewSeconds float64 // seconds that a server's clock may be ahead
+	Weight              float64 // 0 to 1, of its marks and counts
+	Limit               float64 // a Quantile or a Saturation above it marks an endpoint
+	Independent         bool    // no attempt of this relay is in its counts: they are independent of the routers' reports
 }
 
 // decays tells whether a question's counts fade with time: lateness comes and goes with the load.
--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -11,9 +11,9 @@
 
 // Bounds limits the cost of queries, all servers together.
 type Bounds struct {
-	ASecond  float64 // queries a second
-	AtOnce   int     // jobs in flight
-	BackMost float64 // seconds, the longest pause of a server or a question that fails
+	QueriesPerSecond  float64 // queries a second
+	MaxInFlight       int     // jobs in flight
+	MaxBackoffSeconds float64 // seconds, the longest pause of a server or a question that fails
 }
 
 // Job is one query, or two that go together, that is sent again and again.
@@ -96,7 +96,7 @@
 // only the end of a job in flight can change it.
 func (s *Scheduler) Next(now float64) (started StartedJob, ok bool, waitSeconds float64) {
 	s.refillBudget(now)
-	if s.inFlight >= s.bounds.AtOnce {
+	if s.inFlight >= s.bounds.MaxInFlight {
 		return started, false, math.Inf(1)
 	}
 	job, latePeriods, waitSeconds := s.latest(now)
@@ -104,7 +104,7 @@
 		return started, false, waitSeconds
 	}
 	if s.budget < job.Queries {
-		return started, false, (job.Queries - s.budget) / s.bounds.ASecond
+		return started, false, (job.Queries - s.budget) / s.bounds.QueriesPerSecond
 	}
 	s.budget -= job.Queries
 	server := &s.servers[job.Server]
@@ -118,7 +118,7 @@
 
 // refillBudget adds what the time since the last call pays for.
 func (s *Scheduler) refillBudget(now float64) {
-	s.budget = min(s.budget+(now-s.budgetAt)*s.bounds.ASecond, max(2, budgetBurstSeconds*s.bounds.ASecond))
+	s.budget = min(s.budget+(now-s.budgetAt)*s.bounds.QueriesPerSecond, max(2, budgetBurstSeconds*s.bounds.QueriesPerSecond))
 	s.budgetAt = now
 }
 
@@ -146,7 +146,7 @@
 	if server.failures > 0 {
 		return 1
 	}
-	return max(1, (s.bounds.AtOnce+1)/2)
+	return max(1, (s.bounds.MaxInFlight+1)/2)
 }
 
 // Done enters how a job ended. retryAfterSeconds is how long the server wants to be left alone, 0: it does not say.
@@ -180,7 +180,7 @@
 // is longer; never above the bound.
 func (s *Scheduler) pauseSeconds(periodSeconds float64, failures int, retryAfterSeconds float64) float64 {
 	backoff := periodSeconds * math.Pow(2, float64(min(failures, maxBackoffDoubling)-1))
-	return max(min(s.bounds.BackMost, backoff), min(retryAfterSeconds, s.bounds.BackMost))
+	return max(min(s.bounds.MaxBackoffSeconds, backoff), min(retryAfterSeconds, s.bounds.MaxBackoffSeconds))
 }
 
 // LatePeriods tells how many periods late jobs have come lately: what the budget and slow servers cost.
--- a/internal/metricsanalysis/scheduler_test.go
+++ b/internal/metricsanalysis/scheduler_test.go
@@ -12,7 +12,7 @@
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 4).Draw(t, "servers")
-		bounds := Bounds{ASecond: rapid.Float64Range(1, 50).Draw(t, "budget"), AtOnce: rapid.IntRange(1, 8).Draw(t, "at once"), BackMost: 5}
+		bounds := Bounds{QueriesPerSecond: rapid.Float64Range(1, 50).Draw(t, "budget"), MaxInFlight: rapid.IntRange(1, 8).Draw(t, "at once"), MaxBackoffSeconds: 5}
 		scheduler := NewScheduler(bounds, servers, 0)
 		var jobs []Job
 		for q := range rapid.IntRange(1, 6).Draw(t, "questions") {
@@ -40,7 +40,7 @@
 			started, ok, wait := scheduler.Next(now)
 			if ok {
 				spent += started.Queries
-				if allowed := max(2, budgetBurstSeconds*bounds.ASecond) + bounds.ASecond*now; spent > allowed+1e-6 {
+				if allowed := max(2, budgetBurstSeconds*bounds.QueriesPerSecond) + bounds.QueriesPerSecond*now; spent > allowed+1e-6 {
 					t.Fatalf("at %g s %g queries, %g allowed", now, spent, allowed)
 				}
 				sameServer := 0
@@ -52,7 +52,7 @@
 						sameServer++
 					}
 				}
-				if len(inFlight)+1 > bounds.AtOnce || sameServer+1 > max(1, (bounds.AtOnce+1)/2) {
+				if len(inFlight)+1 > bounds.MaxInFlight || sameServer+1 > max(1, (bounds.MaxInFlight+1)/2) {
 					t.Fatalf("%d in flight, %d at one server", len(inFlight)+1, sameServer+1)
 				}
 				starts[started.Job]++
@@ -91,7 +91,7 @@
 				continue
 			}
 			// Its fair share of the budget, its server's time and its period bound how often it came; a quarter of that is expected.
-			least := 60 / max(1, queries/bounds.ASecond, minPauseFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.AtOnce)) / 4
+			least := 60 / max(1, queries/bounds.QueriesPerSecond, minPauseFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
 			if float64(n) < math.Floor(least) {
 				t.Fatalf("%+v came %d times in 60 s, %g expected at least; answer times %v, failing %v, %+v", j, n, least, answerSeconds, failing, bounds)
 			}
@@ -100,7 +100,7 @@
 			}
 		}
 		for s := range servers {
-			if failing[s] && len(inFlight) == 0 && lastStartAt[s] < 60-3*(bounds.BackMost+answerSeconds[s])-queries/bounds.ASecond*2 && bounds.ASecond > 10 {
+			if failing[s] && len(inFlight) == 0 && lastStartAt[s] < 60-3*(bounds.MaxBackoffSeconds+answerSeconds[s])-queries/bounds.QueriesPerSecond*2 && bounds.QueriesPerSecond > 10 {
 				t.Fatalf("failing server %d was last queried at %g", s, lastStartAt[s])
 			}
 		}
@@ -109,7 +109,7 @@
 
 // One question of a server fails, the others do not: only that one backs off.
 func TestOnlyFailingQuestionBacksOff(t *testing.T) {
-	scheduler := NewScheduler(Bounds{ASecond: 100, AtOnce: 4, BackMost: 8}, 1, 0)
+	scheduler := NewScheduler(Bounds{QueriesPerSecond: 100, MaxInFlight: 4, MaxBackoffSeconds: 8}, 1, 0)
 	scheduler.SetJobs(0, []Job{{Question: 0, PeriodSeconds: 0.5, Queries: 1}, {Question: 1, PeriodSeconds: 0.5, Queries: 1}})
 	queries := [2]int{}
 	for now := 0.0; now < 20; now += 0.01 {
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -54,9 +54,9 @@
 	switch {
 	case math.IsNaN(point.Value) || math.IsInf(point.Value, 0) || point.Value < 0:
 		refused[RefusedNoNumber]++
-	case point.At > r.now+r.question.Skew:
+	case point.At > r.now+r.question.MaxClockSkewSeconds:
 		refused[RefusedFuture]++
-	case point.At < r.now-r.question.Stale:
+	case point.At < r.now-r.question.StaleAfterSeconds:
 		refused[RefusedStale]++
 	default:
 		return true
--- a/internal/platform/control/client_test.go
+++ b/internal/platform/control/client_test.go
@@ -26,7 +26,7 @@
 func startPlatform(t *testing.T, reply func(c net.Conn, line string)) *fakePlatform {
 	platform := &fakePlatform{}
 	var err error
-	platform.listener, err = fakes.Desk(func(c net.Conn, line string) {
+	platform.listener, err = fakes.ServeLines(func(c net.Conn, line string) {
 		platform.mu.Lock()
 		platform.received = append(platform.received, line)
 		platform.mu.Unlock()
--- a/internal/platform/control/protocol.go
+++ b/internal/platform/control/protocol.go
@@ -64,7 +64,7 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown phase %.32q", phaseWord)
 	}
-	update := &releases.Update{Build: build, Stage: stage, Phase: phase, Cap: canaryLimit, Age: ageMilliseconds / 1000}
+	update := &releases.Update{Build: build, Stage: stage, Phase: phase, CanaryLimit: canaryLimit, AgeSeconds: ageMilliseconds / 1000}
 	return update, update.Check(stages)
 }
 
--- a/internal/platform/control/protocol_test.go
+++ b/internal/platform/control/protocol_test.go
@@ -8,7 +8,7 @@
 )
 
 func releaseText(update *releases.Update) string {
-	return fmt.Sprint(update.Build, update.Stage, " ", update.Phase, " ", update.Cap, update.Age)
+	return fmt.Sprint(update.Build, update.Stage, " ", update.Phase, " ", update.CanaryLimit, update.AgeSeconds)
 }
 
 func TestParse(t *testing.T) {
--- a/internal/platform/node/discovery_test.go
+++ b/internal/platform/node/discovery_test.go
@@ -88,7 +88,7 @@
 	endOld()
 	settings.DiscoveryAddress, settings.PlatformAddress, _ = s.startServices(t, nil)
 	s.node.Reload(&settings)
-	if err := s.Unit(2, 1, 0); err != nil {
+	if err := s.StartEndpoint(2, 1, 0); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the list of the third", func() bool { return s.node.endpointCount() == 2 })
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -108,16 +108,16 @@
 
 func proxySettings(settings *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
 	clients := config.Clients{
-		Connections: limits.ClientConns,
-		Keep:        limits.IdleEvictionThreshold,
-		ReadTime:    clientReadSeconds,
-		IdleTime:    clientIdleSeconds,
+		MaxConns:           limits.ClientConns,
+		EvictIdleAbove:     limits.IdleEvictionThreshold,
+		ReadTimeoutSeconds: clientReadSeconds,
+		IdleTimeoutSeconds: clientIdleSeconds,
 	}
 	upstreams := config.Endpoints{
-		Connections: limits.EndpointConns,
-		Total:       limits.EndpointConns,
-		DialTime:    settings.DialSeconds,
-		IdleTime:    loadshed.EndpointIdleSeconds(policyConfig.ConnIdleSeconds),
+		MaxConnsPerEndpoint: limits.EndpointConns,
+		MaxConns:            limits.EndpointConns,
+		DialTimeoutSeconds:  settings.DialSeconds,
+		IdleTimeoutSeconds:  loadshed.EndpointIdleSeconds(policyConfig.ConnIdleSeconds),
 	}
 	return config.ForPlatform(settings.Name, policyConfig, settings.ClassNames, clients, upstreams, limits.BufferBytes)
 }
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -43,8 +43,8 @@
 	s.clients.Wait()
 	s.stopNode()
 	report := s.checkInvariants(5)
-	if report.Answers["acked"] < report.Asked*8/10 || report.PerBuild[fakes.PlatformSiteCanary] == 0 {
-		t.Errorf("%d asked, %v, %v", report.Asked, report.Answers, report.PerBuild)
+	if report.Answers["acked"] < report.Tries*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
+		t.Errorf("%d asked, %v, %v", report.Tries, report.Answers, report.AttemptsByBuild)
 	}
 }
 
@@ -63,8 +63,8 @@
 	}
 	s.checkInvariants(2)
 	late := 0
-	for _, c := range s.Rec.Commands {
-		if c.Asked > from+s.node.shutdownPlan.AcceptUntil && len(c.Answers) == 1 && c.Answers[0].Kind == "acked" {
+	for _, c := range s.Record.Requests {
+		if c.SentAt > from+s.node.shutdownPlan.AcceptUntil && len(c.Answers) == 1 && c.Answers[0].Kind == "acked" {
 			late++
 		}
 	}
@@ -122,7 +122,7 @@
 	c := s.dial()
 	c.send("PING")
 	eventually(t, "the connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
-	if err := s.Unit(1, 1, 0); err != nil {
+	if err := s.StartEndpoint(1, 1, 0); err != nil {
 		t.Fatal(err)
 	}
 	close(gate)
--- a/internal/platform/node/release.go
+++ b/internal/platform/node/release.go
@@ -6,7 +6,7 @@
 )
 
 func (n *Node) applyRelease(update *releases.Update) {
-	n.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.Cap, update.Age)
+	n.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds)
 }
 
 // reportWrongAnswer passes on that an endpoint gave a wrong answer some time ago. One that is not known any more is ignored.
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -26,7 +26,7 @@
 	address     string
 	stopClients chan struct{}
 	clients     sync.WaitGroup
-	life        *invariants.Life
+	life        *invariants.Incarnation
 	stopNode    func()
 }
 
@@ -51,8 +51,8 @@
 	settings := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
 	site.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
-	site.life = &invariants.Life{Relay: site.Relay, From: site.Clock()}
-	site.Rec.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, site.life) })
+	site.life = &invariants.Incarnation{Relay: site.Relay, From: site.Clock()}
+	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.life) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- site.node.Run(ctx, l) }()
@@ -60,7 +60,7 @@
 		site.clients.Go(func() { site.Client(i+1, site.address, site.stopClients) })
 	}
 	site.stopNode = func() {
-		site.life.Stopping = site.Clock()
+		site.life.DrainingFrom = site.Clock()
 		stop()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -73,7 +73,7 @@
 func (s *testSite) checkInvariants(rules int) *invariants.Report {
 	s.clients.Wait()
 	s.life.To = s.Clock()
-	report := invariants.Check(s.Rec, fakes.PlatformSiteBounds)
+	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:rules] {
 		if rule.Broken > 0 {
 			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
@@ -91,7 +91,7 @@
 		if build == fakes.PlatformSiteCanary {
 			share = 0
 		}
-		if err := s.Unit(i+1, build, share); err != nil {
+		if err := s.StartEndpoint(i+1, build, share); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -101,7 +101,7 @@
 // startServices starts discovery and a control service.
 func (s *testSite) startServices(t *testing.T, spoil func() bool) (discovery, platform string, end func()) {
 	discovery, endDiscovery, discoveryErr := s.Discovery(spoil)
-	platform, endPlatform, platformErr := s.Desk()
+	platform, endPlatform, platformErr := s.StartControlService()
 	if err := errors.Join(discoveryErr, platformErr); err != nil {
 		t.Fatal(err)
 	}
@@ -155,9 +155,9 @@
 
 func (c *respClient) send(words ...string) {
 	c.t.Helper()
-	buf := resp.Array(nil, len(words))
+	buf := resp.AppendArray(nil, len(words))
 	for _, word := range words {
-		buf = resp.Bulk(buf, word)
+		buf = resp.AppendBulk(buf, word)
 	}
 	if _, err := c.Write(buf); err != nil {
 		c.t.Error(err)
--- a/internal/platform/resp/read.go
+++ b/internal/platform/resp/read.go
@@ -41,14 +41,14 @@
 	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Bad reports whether an error is a malformed message rather than a broken connection.
-func Bad(err error) bool {
+// IsMalformed reports whether an error is a malformed message rather than a broken connection.
+func IsMalformed(err error) bool {
 	var malformed *MalformedError
 	return errors.As(err, &malformed)
 }
 
-// Command reads one request: an array of bulk strings, the first of them the command's name.
-func Command(reader *bufio.Reader) ([][]byte, error) {
+// ReadCommand reads one request: an array of bulk strings, the first of them the command's name.
+func ReadCommand(reader *bufio.Reader) ([][]byte, error) {
 	if err := expect(reader, arrayMark); err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 	Values [][]byte // nil among them: null
 }
 
-// Answer reads an endpoint's reply.
-func Answer(reader *bufio.Reader) (Reply, error) {
+// ReadReply reads an endpoint's reply.
+func ReadReply(reader *bufio.Reader) (Reply, error) {
 	mark, err := reader.ReadByte()
 	if err != nil {
 		return Reply{}, err
--- a/internal/platform/resp/resp_test.go
+++ b/internal/platform/resp/resp_test.go
@@ -11,7 +11,7 @@
 )
 
 func readRequest(text string) string {
-	args, err := Command(bufio.NewReader(strings.NewReader(text)))
+	args, err := ReadCommand(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
 	}
@@ -19,7 +19,7 @@
 }
 
 func readReply(text string) string {
-	r, err := Answer(bufio.NewReader(strings.NewReader(text)))
+	r, err := ReadReply(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
 	}
@@ -92,17 +92,17 @@
 		c := &counter{}
 		reader := bufio.NewReader(io.MultiReader(strings.NewReader(head), c))
 		if head[0] == '-' {
-			if _, err := Answer(reader); !Bad(err) {
+			if _, err := ReadReply(reader); !IsMalformed(err) {
 				t.Errorf("%q: %v", head, err)
 			}
-		} else if _, err := Command(reader); !Bad(err) {
+		} else if _, err := ReadCommand(reader); !IsMalformed(err) {
 			t.Errorf("%q: %v", head, err)
 		}
 		if c.n > MaxValueBytes+2*4096 {
 			t.Errorf("%q: %d bytes were read", head, c.n)
 		}
 	}
-	if Bad(io.EOF) || !Bad(fmt.Errorf("endpoint 1: %w", &MalformedError{})) {
+	if IsMalformed(io.EOF) || !IsMalformed(fmt.Errorf("endpoint 1: %w", &MalformedError{})) {
 		t.Error("Bad")
 	}
 }
@@ -115,18 +115,18 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		in := bytes.NewReader(data)
 		reader := bufio.NewReader(in)
-		args, err := Command(reader)
+		args, err := ReadCommand(reader)
 		if err != nil {
-			if !Bad(err) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+			if !IsMalformed(err) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Fatal(err)
 			}
 			return
 		}
-		buf := Array(nil, len(args))
+		buf := AppendArray(nil, len(args))
 		for _, a := range args {
-			buf = Bulk(buf, a)
+			buf = AppendBulk(buf, a)
 		}
-		again, err := Command(bufio.NewReader(bytes.NewReader(buf)))
+		again, err := ReadCommand(bufio.NewReader(bytes.NewReader(buf)))
 		if err != nil || fmt.Sprintf("%q", again) != fmt.Sprintf("%q", args) {
 			t.Fatalf("%q is read again as %q, %v", args, again, err)
 		}
@@ -141,7 +141,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := Answer(bufio.NewReader(bytes.NewReader(data)))
+		r, err := ReadReply(bufio.NewReader(bytes.NewReader(data)))
 		if err == nil && (len(r.Values) > 0) == (data[0] == '-') {
 			t.Fatalf("%q read as %+v", data, r)
 		}
--- a/internal/platform/resp/write.go
+++ b/internal/platform/resp/write.go
@@ -2,18 +2,18 @@
 
 import "strconv"
 
-// Array appends the head of an array of count values.
-func Array(buf []byte, count int) []byte { return appendLength(buf, arrayMark, count) }
+// AppendArray appends the head of an array of count values.
+func AppendArray(buf []byte, count int) []byte { return appendLength(buf, arrayMark, count) }
 
-// Bulk appends a bulk string.
-func Bulk[T ~string | ~[]byte](buf []byte, value T) []byte {
+// AppendBulk appends a bulk string.
+func AppendBulk[T ~string | ~[]byte](buf []byte, value T) []byte {
 	buf = appendLength(buf, bulkMark, len(value))
 	buf = append(buf, value...)
 	return append(buf, '\r', '\n')
 }
 
-// Error appends an error line; characters that can't stand in a line are left out.
-func Error(buf []byte, text string) []byte {
+// AppendError appends an error line; characters that can't stand in a line are left out.
+func AppendError(buf []byte, text string) []byte {
 	buf = append(buf, errorMark)
 	for _, c := range []byte(text) {
 		if c >= ' ' && c < 127 {
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -151,7 +151,7 @@
 		{fakes.TooManyNow, "busy: status 429"}, {fakes.Overloaded, "busy: status 503"}, {fakes.Elsewhere, "redirected"},
 		{fakes.Warns, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: above 100: some label has exploded"},
 	} {
-		server.Ail(test.fault)
+		server.SetFault(test.fault)
 		client := impatient
 		if test.fault == fakes.Exploded {
 			client = unhurried
@@ -159,7 +159,7 @@
 		if got := get(client, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+test.want) {
 			t.Errorf("%s: %s", test.fault, got)
 		}
-		server.Ail(fakes.NoFault)
+		server.SetFault(fakes.NoFault)
 		for form, query := range map[promquery.Form]string{promquery.Samples: `up{unit=~"7|8"}[5s]`, promquery.Instant: `up{unit!="8"}`, promquery.Range: "up"} {
 			if got := get(unhurried, query, form); got != "1 rows" {
 				t.Errorf("after %s, %s: %s", test.fault, query, got)
@@ -167,7 +167,7 @@
 		}
 	}
 	small := newTestClient(t, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 20, MaxSeries: 100})
-	server.Ail(fakes.Exploded)
+	server.SetFault(fakes.Exploded)
 	if _, err := small.Query(context.Background(), Request{Query: "up[5s]", Form: promquery.Samples, At: 1000}); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
 		t.Error(err)
 	}
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -74,11 +74,11 @@
 // NewPoller makes a poller without a fleet, which gives each answer to apply. now is the clock, seconds since 1970.
 func NewPoller(settings *config.Health, log *slog.Logger, now func() float64, apply ApplyFunc) (*Poller, error) {
 	p := &Poller{
-		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.Timeout),
+		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.TimeoutSeconds),
 		wake: make(chan struct{}, 1), scheduler: metricsanalysis.NewScheduler(settings.Bounds(), len(settings.Servers), now()),
 		chunks: make([][]queryChunk, len(settings.Queries)), refusals: map[target]Cause{},
 	}
-	limits := Limits{TimeoutSeconds: settings.Timeout, MaxBytes: settings.AnswerBytes, MaxSeries: settings.Series}
+	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxAnswerBytes, MaxSeries: settings.MaxSeries}
 	for _, server := range settings.Servers {
 		client, err := NewClient(server.Name, server.URL, limits)
 		if err != nil {
@@ -104,7 +104,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.UnitBy == labelledByAddress {
+		if query.EndpointLabelHolds == labelledByAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.writeChunks(query, labels)
@@ -248,7 +248,7 @@
 // send sends a job's queries. Failures are queried first, and outcomes as of the same time: what comes between is in neither.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []Row, err error) {
 	query, client := &p.settings.Queries[job.Question], p.clients[job.Server]
-	request := Request{Query: chunk.query, Form: query.FormOf(), At: at, RangeSeconds: query.Span, StepSeconds: query.Step}
+	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
 	rows, err = client.Query(ctx, request)
 	if err == nil && chunk.outcomes != "" {
 		request.Query = chunk.outcomes
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -28,9 +28,9 @@
 // identify reads the endpoint and the build off a series' labels. Where no label holds the build, it is the one that the
 // endpoint list says. The caller holds the lock.
 func (p *Poller) identify(query *config.Query, labels model.Metric) (endpoint uint32, build int, known bool) {
-	label := string(labels[model.LabelName(query.UnitLabel)])
+	label := string(labels[model.LabelName(query.EndpointLabel)])
 	endpoint, known = p.idByAddress[label]
-	if query.UnitBy == labelledByID {
+	if query.EndpointLabelHolds == labelledByID {
 		id, err := strconv.ParseUint(label, 10, 32)
 		endpoint, known = uint32(id), err == nil
 	}
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -88,7 +88,7 @@
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
 	h := newHarness(t, func(s *config.Router) {
-		s.Overload = &config.Overload{Memory: budget}
+		s.Overload = &config.Overload{MemoryBytes: budget}
 	})
 	release := make(chan struct{})
 	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -136,9 +136,9 @@
 // A slow reader holds memory only as long as it holds its connection.
 func TestSlowReadersMemory(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) {
-		s.Overload = &config.Overload{Memory: 64 << 20}
-		s.Clients.ReadTime = 0.4
-		s.Endpoints.AnswerBytes = 16 << 20
+		s.Overload = &config.Overload{MemoryBytes: 64 << 20}
+		s.Clients.ReadTimeoutSeconds = 0.4
+		s.Endpoints.MaxAnswerBytes = 16 << 20
 	})
 	big := strings.Repeat("x", 12<<20)
 	h.addEndpoint(1, 1, answerHTTP(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(big), big)))
--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -15,7 +15,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
-	p.endpointListAt, p.endpointListVersion = now-update.Age, update.Version
+	p.endpointListAt, p.endpointListVersion = now-update.AgeSeconds, update.Version
 	update.ApplyTo(p.balancer, now)
 	if update.Full {
 		for _, pool := range p.pools {
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -127,7 +127,7 @@
 // newBenchHarness starts a proxy in front of so many quick endpoints.
 func newBenchHarness(b *testing.B, units int) *harness {
 	h := newHarness(b, func(s *config.Router) {
-		s.Endpoints.Connections, s.Clients.Connections, s.Rules.Relays = 1024, 4096, 1
+		s.Endpoints.MaxConnsPerEndpoint, s.Clients.MaxConns, s.Rules.Routers = 1024, 4096, 1
 	})
 	var list []endpoints.Endpoint
 	for i := range units {
@@ -181,7 +181,7 @@
 // 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
 	h := newHarness(b, func(s *config.Router) {
-		s.Rules.OneWayKeys, s.Rules.KeysKept, s.Rules.UnitsForget = true, 10000, 1.6
+		s.Rules.OneWayKeys, s.Rules.MaxRememberedKeys, s.Rules.ForgetEndpointSeconds = true, 10000, 1.6
 	})
 	unit := newQuickEndpoint(b).Addr().String()
 	id := uint32(0)
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -117,7 +117,7 @@
 		}
 		var sweep effects
 		if p.idleSweepAt <= now {
-			p.idleSweepAt = now + min(maxIdleSweepSeconds, p.currentConfig.Load().Document.Endpoints.IdleTime/sweepsPerIdleTime)
+			p.idleSweepAt = now + min(maxIdleSweepSeconds, p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds/sweepsPerIdleTime)
 			p.closeIdleConns(now, &sweep)
 		}
 		next := p.nextTickAt()
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -53,7 +53,7 @@
 // serveEndpointConn makes a connection, and reads answers from it until it ends.
 func (p *Proxy) serveEndpointConn(conn *endpointConn) {
 	defer p.goroutines.Done()
-	timeout := secondsToDuration(p.currentConfig.Load().Document.Endpoints.DialTime)
+	timeout := secondsToDuration(p.currentConfig.Load().Document.Endpoints.DialTimeoutSeconds)
 	netConn, err := net.DialTimeout("tcp", conn.pool.addr, timeout)
 	if socket := p.onDialed(conn, netConn, err); socket != nil {
 		p.readAnswers(conn, socket)
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -63,7 +63,7 @@
 
 // closeIdleConns closes connections that have been idle for too long, or whose endpoint is not usable. The caller holds p.mu.
 func (p *Proxy) closeIdleConns(now float64, effects *effects) {
-	idleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTime
+	idleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds
 	for _, pool := range p.pools {
 		n := 0
 		for n < len(pool.idle) && (!pool.usable || now-pool.idle[n].idleSince > idleSeconds) {
@@ -102,12 +102,12 @@
 		return false
 	}
 	limits := &p.currentConfig.Load().Document.Endpoints
-	if conn := p.takeIdleConn(pool, attempt.startedAt, limits.IdleTime, effects); conn != nil {
+	if conn := p.takeIdleConn(pool, attempt.startedAt, limits.IdleTimeoutSeconds, effects); conn != nil {
 		conn.attempt, attempt.conn, attempt.assignedConn = attempt, conn, conn
 		effects.attemptsToWrite = append(effects.attemptsToWrite, attempt)
 		return true
 	}
-	if pool.connCount >= limits.Connections || !p.mayDial(limits, effects) {
+	if pool.connCount >= limits.MaxConnsPerEndpoint || !p.mayDial(limits, effects) {
 		return false
 	}
 	p.dial(pool, attempt)
@@ -138,7 +138,7 @@
 // mayDial tells whether the limit on all endpoint connections allows one more, closing an idle one where needed. The
 // caller holds p.mu.
 func (p *Proxy) mayDial(limits *config.Endpoints, effects *effects) bool {
-	return limits.Total <= 0 || len(p.endpointConns) < limits.Total || p.removeLongestIdle(effects)
+	return limits.MaxConns <= 0 || len(p.endpointConns) < limits.MaxConns || p.removeLongestIdle(effects)
 }
 
 // removeLongestIdle closes the connection that has been idle longest of all. It returns false if none is idle. The caller
--- a/internal/proxy/http.go
+++ b/internal/proxy/http.go
@@ -59,7 +59,7 @@
 // readAnswer reads an endpoint's response. One that says that the request never ran is an overload, other 5xx are errors.
 func (http1) readAnswer(br *bufio.Reader, reader *limitedReader, attempt *attempt) (endpointAnswer, error) {
 	config := attempt.request.config
-	response, err := readHTTPAnswer(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.AnswerBytes)
+	response, err := readHTTPAnswer(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.MaxAnswerBytes)
 	switch {
 	case err != nil:
 		return endpointAnswer{}, err
--- a/internal/proxy/http_conn.go
+++ b/internal/proxy/http_conn.go
@@ -30,7 +30,7 @@
 	p := conn.proxy
 	limits := &p.currentConfig.Load().Document.Clients
 	reader.remaining = noReadLimit
-	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTime)))
+	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTimeoutSeconds)))
 	// A shutdown ends this wait by the clock; what had come by then is served.
 	if _, err := br.Peek(1); err != nil && !conn.socket.hasUnread() {
 		return false
@@ -46,7 +46,7 @@
 	}
 	p.mu.Lock()
 	conn.reading = true // a shutdown lets the message come whole
-	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.ReadTime)))
+	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.ReadTimeoutSeconds)))
 	p.mu.Unlock()
 	message, err := readHTTPMessage(br, reader, limits.HeadBytes, limits.BodyBytes, func() {
 		p.writeBestEffort(conn, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
@@ -112,7 +112,7 @@
 	switch {
 	case errors.As(err, &invalid):
 	case isTimeout(err):
-		readTime := p.currentConfig.Load().Document.Clients.ReadTime
+		readTime := p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds
 		invalid = &requestError{http.StatusRequestTimeout, fmt.Sprintf("the request took longer than %g s", readTime)}
 	default:
 		return
@@ -144,7 +144,7 @@
 	if conn.closeAfterAnswer {
 		answer = answer.withConnectionClose()
 	} else {
-		until = until.Add(secondsToDuration(p.currentConfig.Load().Document.Clients.IdleTime))
+		until = until.Add(secondsToDuration(p.currentConfig.Load().Document.Clients.IdleTimeoutSeconds))
 	}
 	conn.socket.SetReadDeadline(until)
 	n, err := conn.socket.writeNow(answer.bytes)
@@ -162,7 +162,7 @@
 	p := conn.proxy
 	defer p.goroutines.Done()
 	defer p.memory.add(-len(buf))
-	conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(p.currentConfig.Load().Document.Clients.ReadTime)))
+	conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds)))
 	_, err := conn.socket.Write(buf[n:])
 	conn.socket.SetWriteDeadline(time.Time{})
 	proto.onAnswerWritten(conn, err)
--- a/internal/proxy/http_receipt.go
+++ b/internal/proxy/http_receipt.go
@@ -18,7 +18,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	age := p.Now() - startedAt
-	longest := p.currentConfig.Load().Document.Rules.UnitsForget
+	longest := p.currentConfig.Load().Document.Rules.ForgetEndpointSeconds
 	if !(age >= 0 && age < longest) { // also where age is no number
 		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, longest)
 	}
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -82,7 +82,7 @@
 			want := []string{e.lookup, e.divert, e.to}[i]
 			t.Run(e.name+", "+strings.Fields(head)[1], func(t *testing.T) {
 				t.Parallel()
-				h := newHarness(t, func(s *config.Router) { s.Endpoints.AnswerBytes = 4096 })
+				h := newHarness(t, func(s *config.Router) { s.Endpoints.MaxAnswerBytes = 4096 })
 				bad := h.addEndpoint(1, 1, e.play)
 				well := h.addEndpoint(2, 1, answerPath)
 				for try := 0; bad.count() == 0 && try < 200; try++ {
@@ -264,7 +264,7 @@
 
 func TestBadClients(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) {
-		s.Clients.HeadBytes, s.Clients.BodyBytes, s.Clients.ReadTime = 2048, 1000, 0.4
+		s.Clients.HeadBytes, s.Clients.BodyBytes, s.Clients.ReadTimeoutSeconds = 2048, 1000, 0.4
 	})
 	endpoint := h.addEndpoint(1, 1, answerPath)
 	for _, x := range []struct{ name, text, want string }{
@@ -353,7 +353,7 @@
 // A client that does not read its answer holds up nobody else, not even on the same endpoint connection.
 func TestSlowReader(t *testing.T) {
 	big := strings.Repeat("x", 4000000)
-	h := newHarness(t, func(s *config.Router) { s.Endpoints.Connections, s.Clients.ReadTime = 1, 0.5 })
+	h := newHarness(t, func(s *config.Router) { s.Endpoints.MaxConnsPerEndpoint, s.Clients.ReadTimeoutSeconds = 1, 0.5 })
 	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
 			req, ok := endpoint.readRequest(br)
@@ -407,7 +407,7 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	h := newHarness(t, func(s *config.Router) { s.Clients.Connections = 2 })
+	h := newHarness(t, func(s *config.Router) { s.Clients.MaxConns = 2 })
 	h.addEndpoint(1, 1, answerPath)
 	a, b := h.dial(), h.dial()
 	h.eventually("both are taken", func() bool { return h.proxy.Stats().ClientConns == 2 })
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -59,7 +59,7 @@
 		idleSince:     p.Now(),
 	}
 	if !p.admitClient(conn) {
-		p.writeBestEffort(conn, p.protocol.tooManyConnections(p.currentConfig.Load().Document.Rules.MaxPause))
+		p.writeBestEffort(conn, p.protocol.tooManyConnections(p.currentConfig.Load().Document.Rules.MaxRetryAfterSeconds))
 		netConn.Close()
 		return
 	}
@@ -95,14 +95,14 @@
 // overCapacity tells whether so many connections are open, evicted ones included, that descriptors would run out. The
 // caller holds p.mu.
 func (p *Proxy) overCapacity(limits *config.Clients) bool {
-	return limits.Keep > 0 && loadshed.OverCapacity(len(p.clients), limits.Connections)
+	return limits.EvictIdleAbove > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
 }
 
 // findPlace tells whether one more connection may be admitted: below the limit, or because another one could be evicted.
 // From limits.Keep on, one is evicted for each that comes. The caller holds p.mu.
 func (p *Proxy) findPlace(limits *config.Clients) bool {
-	evicts := limits.Keep > 0 && len(p.clients) >= limits.Keep
-	return evicts && p.evictClient() || len(p.clients) < limits.Connections
+	evicts := limits.EvictIdleAbove > 0 && len(p.clients) >= limits.EvictIdleAbove
+	return evicts && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
 // evictClient has the connection close that the shedding rules choose, and returns false if they choose none. Its reader
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -11,7 +11,7 @@
 func (p *Proxy) sampleLoad(now float64) {
 	p.timerDelaySeconds = max(0, now-p.policyTickAt)
 	p.processSample = p.sampler.Sample()
-	round := p.currentConfig.Load().Document.Rules.Round
+	round := p.currentConfig.Load().Document.Rules.MinTickSeconds
 	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, round))
 	if p.shedder == nil {
 		return
--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -129,7 +129,7 @@
 // A command that has come in part when the shutdown begins is served if the rest comes, and answered with an error if not.
 func TestPartialCommandAtShutdown(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTime = 60 })
+		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds = 60 })
 		h.addEndpoint(1, 1, answerID)
 		c := h.dial()
 		c.wantServed("lookup")
@@ -191,7 +191,7 @@
 			}
 			h.eventually("reading has stopped", func() bool { return h.proxy.Stats().InFlight == 64 })
 		}},
-		{"after more than the idle time behind its command", func(s *config.Router) { s.Clients.IdleTime = 0.05 }, func(h *harness, c *testClient) {
+		{"after more than the idle time behind its command", func(s *config.Router) { s.Clients.IdleTimeoutSeconds = 0.05 }, func(h *harness, c *testClient) {
 			text, _ := newLongCommand("lookup")
 			writeText(c, text)
 			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
@@ -219,7 +219,7 @@
 			if x.edit != nil {
 				x.edit(s)
 			}
-			s.Endpoints.Connections, s.Endpoints.Total = 100, 100
+			s.Endpoints.MaxConnsPerEndpoint, s.Endpoints.MaxConns = 100, 100
 		})
 		gate := make(chan struct{})
 		endpoint := h.addEndpoint(1, 1, answerIDWhenOpen(gate))
@@ -241,7 +241,7 @@
 func TestClientClosesDuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		endpoint := newUnacceptingEndpoint(t)
-		h := newRESPHarnessWith(t, func(t *policy.Config) { allowLongRequests(t); t.AllowCancel = cancel }, func(s *config.Router) { s.Endpoints.DialTime = 30 })
+		h := newRESPHarnessWith(t, func(t *policy.Config) { allowLongRequests(t); t.AllowCancel = cancel }, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 30 })
 		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, _ := newLongCommand("lookup")
 		c := h.dial()
@@ -259,7 +259,7 @@
 func TestEndpointLeavesDuringDial(t *testing.T) {
 	for _, how := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
 		endpoint := newUnacceptingEndpoint(t)
-		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTime = 30 })
+		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 30 })
 		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, id := newLongCommand("seal")
 		c := h.dial()
@@ -366,7 +366,7 @@
 
 // A client that reads slowly gets its answers whole, whatever the read and idle timeouts.
 func TestSlowReaderGetsWholeAnswers(t *testing.T) {
-	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTime, s.Clients.IdleTime = 0.05, 0.05 })
+	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds, s.Clients.IdleTimeoutSeconds = 0.05, 0.05 })
 	big := strings.Repeat("x", 1_000_000)
 	h.addEndpoint(1, 1, answerRESP("*3\r\n$1000000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
 	c := h.dial()
@@ -393,7 +393,7 @@
 // A connection that is made after the dial timeout is not used, and the attempt that waited for it never ran.
 func TestDialTimeoutNeverRan(t *testing.T) {
 	endpoint := newUnacceptingEndpoint(t)
-	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTime = 0.05 })
+	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 0.05 })
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 	text, _ := newLongCommand("seal")
 	h.wantEqual("never ran", h.askOnce(text), "-BUSY 1500")
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -111,7 +111,7 @@
 	p.policyTickAt, p.endpointListAt = p.clockBaseSeconds, p.clockBaseSeconds
 	p.sampler = processstats.New()
 	if overload := settings.Overload; overload != nil {
-		p.memory.limitBytes = overload.Memory
+		p.memory.limitBytes = overload.MemoryBytes
 		if overload.Shed {
 			p.shedder = loadshed.New(shedderClasses(current.Policy), seed, p.clockBaseSeconds)
 		}
--- a/internal/proxy/resp.go
+++ b/internal/proxy/resp.go
@@ -45,7 +45,7 @@
 	options = append(options, message.options[:message.timeoutOffset]...)
 	options = append(options, millis...)
 	options = append(options, message.options[message.timeoutOffset:]...)
-	buf = resp.Bulk(buf, options)
+	buf = resp.AppendBulk(buf, options)
 	return append(buf, message.body...)
 }
 
@@ -53,13 +53,13 @@
 // the connection: the attempt may have run.
 func (resp2) readAnswer(br *bufio.Reader, reader *limitedReader, _ *attempt) (endpointAnswer, error) {
 	reader.remaining = noReadLimit // the framing has its own bounds
-	reply, err := resp.Answer(br)
+	reply, err := resp.ReadReply(br)
 	switch {
 	case err != nil:
 		return endpointAnswer{}, err
 	case reply.Values != nil && reply.Values[0] != nil:
 		value := reply.Values[0]
-		encoded := resp.Bulk(make([]byte, 0, len(value)+16), value)
+		encoded := resp.AppendBulk(make([]byte, 0, len(value)+16), value)
 		return endpointAnswer{answer: answer{bytes: encoded, kind: kindSucceeded}, outcome: policy.Succeeded, reusable: true}, nil
 	case hasErrorCode(reply.Error, "BUSY"):
 		return endpointAnswer{outcome: policy.Overloaded, reusable: true}, nil
--- a/internal/proxy/resp_command.go
+++ b/internal/proxy/resp_command.go
@@ -47,12 +47,12 @@
 	if err := parsed.checkOptions(config, class, words[0], write); err != nil {
 		return nil, 0, err
 	}
-	parsed.head = resp.Array(make([]byte, 0, 32+len(key)+len(id)), len(words))
+	parsed.head = resp.AppendArray(make([]byte, 0, 32+len(key)+len(id)), len(words))
 	for _, word := range words[:3] {
-		parsed.head = resp.Bulk(parsed.head, word)
+		parsed.head = resp.AppendBulk(parsed.head, word)
 	}
 	if write {
-		parsed.body = resp.Bulk(make([]byte, 0, len(words[4])+16), words[4])
+		parsed.body = resp.AppendBulk(make([]byte, 0, len(words[4])+16), words[4])
 	}
 	return parsed, class, nil
 }
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -26,7 +26,7 @@
 		conn.reading = true // a shutdown lets the command come whole
 		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
 		p.mu.Unlock()
-		words, err := resp.Command(br)
+		words, err := resp.ReadCommand(br)
 		if err != nil {
 			proto.rejectUnreadable(conn, err)
 			return
@@ -50,7 +50,7 @@
 	}
 	message, class, err := proto.parseCommand(config, words)
 	if err != nil {
-		proto.answerDirectly(conn, pending, resp.Error(nil, "ERR "+err.Error()))
+		proto.answerDirectly(conn, pending, resp.AppendError(nil, "ERR "+err.Error()))
 		return nil
 	}
 	message.queuedSeconds = queuedSeconds
@@ -76,7 +76,7 @@
 // readTimeoutSeconds is how long a command may take to come. The caller holds Proxy.mu.
 func (resp2) readTimeoutSeconds(conn *clientConn) float64 {
 	p := conn.proxy
-	timeout := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTime, conn.evicted)
+	timeout := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds, conn.evicted)
 	if p.draining && p.answerDeadline > 0 {
 		timeout = max(0, min(timeout, p.answerDeadline-p.Now()))
 	}
@@ -88,7 +88,7 @@
 func (proto resp2) firstByteTimeoutSeconds(conn *clientConn, first bool) float64 {
 	p := conn.proxy
 	if !first {
-		return p.currentConfig.Load().Document.Clients.IdleTime
+		return p.currentConfig.Load().Document.Clients.IdleTimeoutSeconds
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,12 +178,12 @@
 func (proto resp2) rejectUnreadable(conn *clientConn, err error) {
 	text := "ERR the command did not come whole in time"
 	switch {
-	case resp.Bad(err):
+	case resp.IsMalformed(err):
 		text = "ERR " + err.Error()
 	case !isTimeout(err):
 		return
 	}
-	proto.answerDirectly(conn, conn.answers.enqueue(), resp.Error(nil, text))
+	proto.answerDirectly(conn, conn.answers.enqueue(), resp.AppendError(nil, text))
 	if !proto.flushAnswers(conn) || conn.placeIsWanted() {
 		return
 	}
@@ -195,7 +195,7 @@
 	p := conn.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return conn.evicted || len(p.clients) >= p.currentConfig.Load().Document.Clients.Connections
+	return conn.evicted || len(p.clients) >= p.currentConfig.Load().Document.Clients.MaxConns
 }
 
 // abandonRequests ends what a client that has gone has in flight.
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -33,12 +33,12 @@
 		editPolicy(&policyConfig)
 	}
 	settings := config.ForPlatform("r1", policyConfig, []string{"lookup", "order", "seal"},
-		config.Clients{Connections: 50, ReadTime: 1, IdleTime: 20, DrainTime: 3},
-		config.Endpoints{Connections: 20, Total: 20, DialTime: 0.25, IdleTime: 8}, 0)
+		config.Clients{MaxConns: 50, ReadTimeoutSeconds: 1, IdleTimeoutSeconds: 20, DrainTimeoutSeconds: 3},
+		config.Endpoints{MaxConnsPerEndpoint: 20, MaxConns: 20, DialTimeoutSeconds: 0.25, IdleTimeoutSeconds: 8}, 0)
 	if edit != nil {
 		edit(settings)
 	}
-	settings.Clients.Keep = settings.Clients.Connections
+	settings.Clients.EvictIdleAbove = settings.Clients.MaxConns
 	p := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
 	p.connReuseDelaySeconds = 0 // most tests count connections
 	p.SetReady()
@@ -47,7 +47,7 @@
 
 // readCommand reads one attempt and records it.
 func (endpoint *scriptedEndpoint) readCommand(br *bufio.Reader) ([]string, bool) {
-	args, err := resp.Command(br)
+	args, err := resp.ReadCommand(br)
 	if err != nil {
 		return nil, false
 	}
@@ -109,9 +109,9 @@
 }
 
 func encodeCommand(list ...string) string {
-	buf := resp.Array(nil, len(list))
+	buf := resp.AppendArray(nil, len(list))
 	for _, w := range list {
-		buf = resp.Bulk(buf, w)
+		buf = resp.AppendBulk(buf, w)
 	}
 	return string(buf)
 }
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -232,7 +232,7 @@
 
 // A rejection names a retry-after time, and comes at once where no endpoint is worth waiting for.
 func TestRESPRejectedAtOnce(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.Total, s.Endpoints.Connections = 1, 1 })
+	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.MaxConns, s.Endpoints.MaxConnsPerEndpoint = 1, 1 })
 	h.addEndpoint(1, 1, answerRESP("-BUSY\r\n"))
 	text, _ := newCommand("seal")
 	from := time.Now()
@@ -267,7 +267,7 @@
 
 // At the limit of connections, the longest idle one is evicted for a new one; one with a command in flight never is.
 func TestRESPEvictsLongestIdle(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Clients.Connections = 5 })
+	h := newRESPHarness(t, func(s *config.Router) { s.Clients.MaxConns = 5 })
 	h.addEndpoint(1, 1, answerIDAfter(150*time.Millisecond))
 	busy, id := h.dialBusy()
 	var idle []*testClient
@@ -285,7 +285,7 @@
 // New connections, about to send their first command, are not evicted for each other while older ones are idle, also when
 // several come at once; and however many come, their number stays bounded.
 func TestRESPNewConnectionsSurviveEviction(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Clients.Connections = 8 })
+	h := newRESPHarness(t, func(s *config.Router) { s.Clients.MaxConns = 8 })
 	h.addEndpoint(1, 1, answerID)
 	var kept []*testClient
 	come := func() *testClient {
@@ -351,7 +351,7 @@
 // A connection that has been idle for too long is not used, also where the periodic sweep has not closed it yet: its endpoint
 // closes it, and an attempt written to it may have run.
 func TestRESPIdleConnectionNotReused(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.IdleTime = 0.2 })
+	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.IdleTimeoutSeconds = 0.2 })
 	h.addEndpoint(1, 1, answerID)
 	h.proxy.mu.Lock()
 	h.proxy.idleSweepAt = h.proxy.Now() + 1000
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCheckRefusesWhatCannotBeMeant(t *testing.T) {
-	valid := Update{Version: 1, Build: 2, Stage: 1, Phase: "on-trial", Cap: 0.5, Age: 3}
+	valid := Update{Version: 1, Build: 2, Stage: 1, Phase: "on-trial", CanaryLimit: 0.5, AgeSeconds: 3}
 	with := func(edit func(*Update)) Update { u := valid; edit(&u); return u }
 	if err := valid.Check(2); err != nil {
 		t.Error(err)
@@ -18,9 +18,9 @@
 		"build below 0": with(func(u *Update) { u.Build = -1 }),
 		"stage below 0": with(func(u *Update) { u.Stage = -1 }),
 		"stage above":   with(func(u *Update) { u.Stage = 2 }),
-		"cap above 1":   with(func(u *Update) { u.Cap = 1.1 }),
-		"cap NaN":       with(func(u *Update) { u.Cap = math.NaN() }),
-		"age NaN":       with(func(u *Update) { u.Age = math.NaN() }),
+		"cap above 1":   with(func(u *Update) { u.CanaryLimit = 1.1 }),
+		"cap NaN":       with(func(u *Update) { u.CanaryLimit = math.NaN() }),
+		"age NaN":       with(func(u *Update) { u.AgeSeconds = math.NaN() }),
 	} {
 		if update.Check(2) == nil {
 			t.Errorf("%s: %+v is taken", name, update)
--- a/internal/releases/update.go
+++ b/internal/releases/update.go
@@ -8,14 +8,14 @@
 
 // Update is one message of the release service's stream, and its reply to a vote.
 type Update struct {
-	Version   uint64  `json:"version"` // grows with every change, also over restarts of the service
-	Build     int     `json:"build"`
-	Stage     int     `json:"stage"`           // rollout stage, from 0
-	Phase     string  `json:"phase"`           // a key of phases
-	Cap       float64 `json:"cap"`             // share of requests that the canary may get in this stage, 0 to 1
-	Age       float64 `json:"age"`             // seconds that build, stage and phase have lasted
-	Vote      string  `json:"vote,omitempty"`  // in a reply: a key of replies
-	Heartbeat bool    `json:"quiet,omitempty"` // nothing is new; it only shows that the stream lives
+	Version     uint64  `json:"version"` // grows with every change, also over restarts of the service
+	Build       int     `json:"build"`
+	Stage       int     `json:"stage"`           // rollout stage, from 0
+	Phase       string  `json:"phase"`           // a key of phases
+	CanaryLimit float64 `json:"cap"`             // share of requests that the canary may get in this stage, 0 to 1
+	AgeSeconds  float64 `json:"age"`             // seconds that build, stage and phase have lasted
+	Vote        string  `json:"vote,omitempty"`  // in a reply: a key of replies
+	Heartbeat   bool    `json:"quiet,omitempty"` // nothing is new; it only shows that the stream lives
 }
 
 // PolicyPhase gives the phase of a checked update.
@@ -27,10 +27,10 @@
 		return fmt.Errorf("unknown phase %q", u.Phase)
 	}
 	validStage := u.Stage >= 0 && u.Stage < stages
-	validCap := u.Cap >= 0 && u.Cap <= 1 // not NaN
-	if u.Build < 0 || !validStage || !validCap || !(u.Age >= 0) {
+	validCap := u.CanaryLimit >= 0 && u.CanaryLimit <= 1 // not NaN
+	if u.Build < 0 || !validStage || !validCap || !(u.AgeSeconds >= 0) {
 		return fmt.Errorf("build %d stage %d cap %v age %v: stages are 0 to %d, a cap 0 to 1, none is below 0",
-			u.Build, u.Stage, u.Cap, u.Age, stages-1)
+			u.Build, u.Stage, u.CanaryLimit, u.AgeSeconds, stages-1)
 	}
 	return nil
 }
--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -34,11 +34,11 @@
 // VoteSender sends votes to the release service, one after the other. Call Open, then Run on a goroutine of its own; Cast may
 // be called from any other.
 type VoteSender struct {
-	Relay   string
-	URL     string  // of the release service
-	Timeout float64 // seconds that a reply is waited for
-	Client  *http.Client
-	Log     *slog.Logger
+	Router         string
+	URL            string  // of the release service
+	TimeoutSeconds float64 // seconds that a reply is waited for
+	Client         *http.Client
+	Log            *slog.Logger
 
 	// OnSend is called before each vote is sent, OnReply with what became of it and, where the reply tells the release's new
 	// state, that. Both are called by Run.
@@ -78,7 +78,7 @@
 
 // send sends one vote. Where there is no whole reply in time the vote may have counted: the reply is VoteUnknown.
 func (s *VoteSender) send(ctx context.Context, v Vote) (policy.VoteReply, *Update, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.Timeout*float64(time.Second)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.TimeoutSeconds*float64(time.Second)))
 	defer cancel()
 	request, err := s.newRequest(ctx, v)
 	if err != nil {
@@ -100,7 +100,7 @@
 }
 
 func (s *VoteSender) newRequest(ctx context.Context, v Vote) (*http.Request, error) {
-	text, err := json.Marshal(VoteMessage{Relay: s.Relay, Build: v.Build, Stage: v.Stage, Verdict: verdicts[v.Verdict]})
+	text, err := json.Marshal(VoteMessage{Relay: s.Router, Build: v.Build, Stage: v.Stage, Verdict: verdicts[v.Verdict]})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -26,15 +26,15 @@
 	if err != nil || last == nil {
 		return store, err
 	}
-	v, err := configstate.Read(last.No, []byte(last.Text))
+	v, err := configstate.Read(last.Number, []byte(last.Text))
 	if err == nil {
 		err = apply(v)
 	}
 	if err != nil {
-		log.Error("last configuration version not applied, starting with the file's configuration", "version", last.No, "error", err)
+		log.Error("last configuration version not applied, starting with the file's configuration", "version", last.Number, "error", err)
 		return store, nil
 	}
-	age := float64(time.Now().UnixNano())/1e9 - last.Since
-	log.Info("last configuration version applied", "version", last.No, "age_seconds", math.Round(age))
+	age := float64(time.Now().UnixNano())/1e9 - last.InForceSince
+	log.Info("last configuration version applied", "version", last.Number, "age_seconds", math.Round(age))
 	return store, nil
 }
--- a/internal/revisions/store.go
+++ b/internal/revisions/store.go
@@ -21,12 +21,12 @@
 
 // Entry is one version that was in force.
 type Entry struct {
-	No     uint64  `json:"no"`              // its number
-	Parent uint64  `json:"parent"`          // the version in force before it, 0: the program's file
-	Since  float64 `json:"since"`           // when it came into force, in seconds since 1970
-	Sum    uint64  `json:"sum"`             // hash of Text
-	Needs  uint64  `json:"needs,omitempty"` // version of the endpoint list that it belongs with, 0: any
-	Text   string  `json:"text"`
+	Number              uint64  `json:"no"`              // its number
+	Previous            uint64  `json:"parent"`          // the version in force before it, 0: the program's file
+	InForceSince        float64 `json:"since"`           // when it came into force, in seconds since 1970
+	Hash                uint64  `json:"sum"`             // hash of Text
+	RequiredListVersion uint64  `json:"needs,omitempty"` // version of the endpoint list that it belongs with, 0: any
+	Text                string  `json:"text"`
 }
 
 // Store is a history on disk. Only one process may hold it open to write, and none may read it meanwhile.
@@ -81,10 +81,10 @@
 		if err != nil {
 			return err
 		}
-		if last, _ := bucket.Cursor().Last(); last != nil && binary.BigEndian.Uint64(last) >= e.No {
-			return fmt.Errorf("version %d after %d", e.No, binary.BigEndian.Uint64(last))
+		if last, _ := bucket.Cursor().Last(); last != nil && binary.BigEndian.Uint64(last) >= e.Number {
+			return fmt.Errorf("version %d after %d", e.Number, binary.BigEndian.Uint64(last))
 		}
-		if err := bucket.Put(entryKey(e.No), text); err != nil {
+		if err := bucket.Put(entryKey(e.Number), text); err != nil {
 			return err
 		}
 		return dropOldest(bucket)
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	for i := range entries {
-		if entries[i].No == number {
+		if entries[i].Number == number {
 			return &entries[i], nil
 		}
 	}
--- a/internal/revisions/store_test.go
+++ b/internal/revisions/store_test.go
@@ -23,11 +23,11 @@
 		t.Error(e, err)
 	}
 	for n := uint64(1); n <= Kept+20; n++ {
-		if err := s.Add(Entry{No: n, Parent: n - 1, Text: fmt.Sprint("text ", n)}); err != nil {
+		if err := s.Add(Entry{Number: n, Previous: n - 1, Text: fmt.Sprint("text ", n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Add(Entry{No: 7}); err == nil {
+	if err := s.Add(Entry{Number: 7}); err == nil {
 		t.Error("went back to 7")
 	}
 	if _, err := Read(file); err == nil || !errors.Is(err, boltstore.ErrInUse) {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	entries, err := r.All()
-	if err != nil || len(entries) != Kept || entries[0].No != 21 || entries[Kept-1].Parent != Kept+19 {
+	if err != nil || len(entries) != Kept || entries[0].Number != 21 || entries[Kept-1].Previous != Kept+19 {
 		t.Error(len(entries), err)
 	}
 	if e, err := r.Get(100); err != nil || e.Text != "text 100" {
@@ -97,12 +97,12 @@
 	}
 	for i, got := range entries {
 		n := uint64(i + 3)
-		want := Entry{No: n, Parent: n - 1, Since: 1700000000.5 + float64(n), Sum: 1 << 63 / n, Needs: 10 * (n - 3), Text: fmt.Sprint("{:schema ", n, "}")}
+		want := Entry{Number: n, Previous: n - 1, InForceSince: 1700000000.5 + float64(n), Hash: 1 << 63 / n, RequiredListVersion: 10 * (n - 3), Text: fmt.Sprint("{:schema ", n, "}")}
 		if got != want {
 			t.Errorf("%+v, want %+v", got, want)
 		}
 	}
-	if err := s.Add(Entry{No: 6, Parent: 5}); err != nil {
+	if err := s.Add(Entry{Number: 6, Previous: 5}); err != nil {
 		t.Error(err)
 	}
 	if err := s.Close(); err != nil {
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -46,12 +46,14 @@
 	settings := v.router.config
 	control := settings.Control
 	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.Relay, recheckSeconds(control),
-		xds.Taker{List: v.applyEndpoints, Settings: v.offer, Look: v.recheck})
+		xds.Handler{OnEndpoints: v.applyEndpoints, OnConfig: v.offer, Recheck: v.recheck})
 }
 
 // recheckSeconds is how often a version that waits for its endpoint list is looked at again: a quarter of the time that it may wait, or the
 // silence limit of the control service where that is shorter.
-func recheckSeconds(control *config.Control) float64 { return min(control.Patience/4, control.Silence) }
+func recheckSeconds(control *config.Control) float64 {
+	return min(control.PairingTimeoutSeconds/4, control.Silence)
+}
 
 // applyEndpoints applies an endpoint list unless it is older than the list in force, or of the same version and different: it was
 // overtaken, the service went back, or two services disagree.
@@ -99,12 +101,12 @@
 
 func (v *configVersions) record(version *configstate.Version, before uint64) {
 	err := v.history.Add(revisions.Entry{
-		No:     version.Number,
-		Parent: before,
-		Since:  wallClock(),
-		Sum:    version.Hash,
-		Needs:  version.RequiredListVersion,
-		Text:   string(version.Text),
+		Number:              version.Number,
+		Previous:            before,
+		InForceSince:        wallClock(),
+		Hash:                version.Hash,
+		RequiredListVersion: version.RequiredListVersion,
+		Text:                string(version.Text),
 	})
 	if err != nil { // the version is in force all the same; a restart would go on with the one before
 		v.router.log.Error("configuration version not saved", "version", version.Number, "error", err)
--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -31,7 +31,7 @@
 // configuration version answered which path.
 type fixture struct {
 	t                *testing.T
-	control          *fakes.Control
+	control          *fakes.ControlService
 	stateDir         string
 	listenAddr       string
 	endpoint         endpoints.Endpoint
@@ -84,7 +84,7 @@
 	cert, key = o.Issue("edge", "edge.example.org", ends)
 	f.tlsSettings = fmt.Sprintf(":cert %q :key %q :ca %q :peer \"control.example.org\"", cert, key, o.CAFile())
 	f.controlCreds = creds
-	f.control = fakes.StartControl(l, creds)
+	f.control = fakes.StartControlService(l, creds)
 	t.Cleanup(func() { f.control.Stop() })
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -202,7 +202,7 @@
 	f := newFixture(t)
 	c := f.control
 	endpointList := func(version uint64) *discovery.DiscoveryResponse {
-		return fakes.UnitsResponse("r1", version, []endpoints.Endpoint{f.endpoint})
+		return fakes.EndpointsResponse("r1", version, []endpoints.Endpoint{f.endpoint})
 	}
 	doc := func(n, needs uint64, text string) *discovery.DiscoveryResponse {
 		return fakes.DocumentResponse("r1", n, needs, text)
@@ -223,22 +223,22 @@
 	good := doc(2, 0, f.documentText(2))
 	good.Nonce = "same"
 	f.sendAndWait(func() { c.Send(good) })
-	f.sendAndWait(func() { c.Send(good) })                                                                       // the same nonce twice
-	f.sendAndWait(func() { c.Send(doc(2, 0, f.documentText(2))) })                                               // resent: the acknowledgement was lost
-	f.sendAndWait(func() { c.Send(doc(2, 0, f.documentText(3))) })                                               // the same number, another text
-	f.sendAndWait(func() { c.Send(doc(1, 0, f.documentText(1))) })                                               // an old one replayed
-	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })           // above the canary limit
-	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":grace         1.0", ":grace 9.0"))) })           // a rule that can't be kept
-	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":group :all", ":group :cell"))) })                // a deduplication scope that no endpoint belongs to
-	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":connections 10000", ":connections 1"))) })       // under what is open
-	f.sendAndWait(func() { c.Send(doc(3, 0, strings.Replace(f.documentText(3), "]}", "", 1))) })                 // cut off
-	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":window        4.0", ":widow 4.0"))) })           // unknown key
-	f.sendAndWait(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, f.documentText(3))) })                      // for another router
-	f.sendAndWait(func() { c.Send(endpointList(4)) })                                                            // an older list
-	f.sendAndWait(func() { r := endpointList(6); r.VersionInfo = "six"; c.Send(r) })                             // a version that is no number
-	f.sendAndWait(func() { c.Send(fakes.UnitsResponse("r1", 6, []endpoints.Endpoint{f.endpoint, f.endpoint})) }) // an endpoint twice
-	f.sendAndWait(func() { c.Send(doc(4, 7, f.documentText(4))) })                                               // requires an endpoint list that does not come
-	f.sendAndWait(func() { c.Send(doc(5, 7, f.documentText(5))); c.Send(endpointList(7)) })                      // and with one that does
+	f.sendAndWait(func() { c.Send(good) })                                                                           // the same nonce twice
+	f.sendAndWait(func() { c.Send(doc(2, 0, f.documentText(2))) })                                                   // resent: the acknowledgement was lost
+	f.sendAndWait(func() { c.Send(doc(2, 0, f.documentText(3))) })                                                   // the same number, another text
+	f.sendAndWait(func() { c.Send(doc(1, 0, f.documentText(1))) })                                                   // an old one replayed
+	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, "[0.15 0.5 1.0]", "[0.05 0.5 1.0]"))) })               // above the canary limit
+	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":grace         1.0", ":grace 9.0"))) })               // a rule that can't be kept
+	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":group :all", ":group :cell"))) })                    // a deduplication scope that no endpoint belongs to
+	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":connections 10000", ":connections 1"))) })           // under what is open
+	f.sendAndWait(func() { c.Send(doc(3, 0, strings.Replace(f.documentText(3), "]}", "", 1))) })                     // cut off
+	f.sendAndWait(func() { c.Send(doc(3, 0, f.documentText(3, ":window        4.0", ":widow 4.0"))) })               // unknown key
+	f.sendAndWait(func() { c.Send(fakes.DocumentResponse("r2", 3, 0, f.documentText(3))) })                          // for another router
+	f.sendAndWait(func() { c.Send(endpointList(4)) })                                                                // an older list
+	f.sendAndWait(func() { r := endpointList(6); r.VersionInfo = "six"; c.Send(r) })                                 // a version that is no number
+	f.sendAndWait(func() { c.Send(fakes.EndpointsResponse("r1", 6, []endpoints.Endpoint{f.endpoint, f.endpoint})) }) // an endpoint twice
+	f.sendAndWait(func() { c.Send(doc(4, 7, f.documentText(4))) })                                                   // requires an endpoint list that does not come
+	f.sendAndWait(func() { c.Send(doc(5, 7, f.documentText(5))); c.Send(endpointList(7)) })                          // and with one that does
 	f.eventually("both", func() bool { return strings.Contains(strings.Join(c.Log(), "\n"), `"v5"`) })
 	serves(5)
 	f.sendAndWait(func() { c.Set(endpointList(7)) })
@@ -292,7 +292,7 @@
 	stop := f.start()
 	defer stop()
 	f.eventually("the stream", func() bool { return len(c.Log()) == 2 })
-	f.sendAndWait(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Endpoint{f.endpoint})) })
+	f.sendAndWait(func() { c.Set(fakes.EndpointsResponse("r1", 1, []endpoints.Endpoint{f.endpoint})) })
 	f.sendAndWait(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, f.documentText(1))) })
 	got := make(chan string)
 	go func() { got <- f.get("/chute/1", "X-Take", "250ms", "Flint-Time", "0.7") }()
@@ -319,13 +319,13 @@
 	stop := f.start()
 	defer stop()
 	f.eventually("the stream", func() bool { return len(c.Log()) == 2 })
-	f.sendAndWait(func() { c.Set(fakes.UnitsResponse("r1", 1, []endpoints.Endpoint{f.endpoint})) })
+	f.sendAndWait(func() { c.Set(fakes.EndpointsResponse("r1", 1, []endpoints.Endpoint{f.endpoint})) })
 	f.sendAndWait(func() { c.Set(fakes.DocumentResponse("r1", 1, 0, f.documentText(1))) })
 	var many []endpoints.Endpoint
 	for id := range uint32(30000) {
 		many = append(many, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:9", State: "ready"})
 	}
-	for i, r := range []*discovery.DiscoveryResponse{fakes.DocumentResponse("r1", 2, 0, f.documentText(2)+strings.Repeat(" ", 1100000)), fakes.UnitsResponse("r1", 2, many)} {
+	for i, r := range []*discovery.DiscoveryResponse{fakes.DocumentResponse("r1", 2, 0, f.documentText(2)+strings.Repeat(" ", 1100000)), fakes.EndpointsResponse("r1", 2, many)} {
 		c.Send(r)
 		f.eventually("the stream again", func() bool { return strings.Count(strings.Join(c.Log(), "\n"), `Document begins at "v1"`) == i+1 })
 	}
@@ -341,13 +341,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := f.control, fakes.StartControl(l, f.controlCreds)
+	a, b := f.control, fakes.StartControlService(l, f.controlCreds)
 	defer b.Stop()
 	f.controlAddresses += fmt.Sprintf(" %q", l.Addr().String())
 	stop := f.start()
 	defer stop()
 	f.eventually("both streams", func() bool { return len(a.Log()) == 2 && len(b.Log()) == 2 })
-	last := func(c *fakes.Control, n int) string {
+	last := func(c *fakes.ControlService, n int) string {
 		f.eventually("an answer", func() bool { return len(c.Log()) >= n })
 		lines := c.Log()
 		return lines[len(lines)-1]
@@ -355,13 +355,13 @@
 	other := f.endpoint
 	other.Build = 9
 	for i, x := range []struct {
-		c    *fakes.Control
+		c    *fakes.ControlService
 		r    *discovery.DiscoveryResponse
 		want string
 	}{
-		{a, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{f.endpoint}), "ACK"},
-		{b, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{f.endpoint}), "ACK"},
-		{b, fakes.UnitsResponse("r1", 5, []endpoints.Endpoint{other}), "list version 5 is in force with other units: 1 differ"},
+		{a, fakes.EndpointsResponse("r1", 5, []endpoints.Endpoint{f.endpoint}), "ACK"},
+		{b, fakes.EndpointsResponse("r1", 5, []endpoints.Endpoint{f.endpoint}), "ACK"},
+		{b, fakes.EndpointsResponse("r1", 5, []endpoints.Endpoint{other}), "list version 5 is in force with other units: 1 differ"},
 		{a, fakes.DocumentResponse("r1", 1, 0, f.documentText(1)), "ACK"},
 		{b, fakes.DocumentResponse("r1", 1, 0, f.documentText(2)), "version 1 is in force with another text"},
 		{b, fakes.DocumentResponse("r1", 2, 0, f.documentText(2)), "ACK"},
--- a/internal/router/controllerlink.go
+++ b/internal/router/controllerlink.go
@@ -69,18 +69,18 @@
 
 func releaseUpdate(assignment *linkpb.View) *releases.Update {
 	return &releases.Update{
-		Version: assignment.StageNo,
-		Build:   int(assignment.Build),
-		Stage:   int(assignment.Stage),
-		Phase:   assignment.Phase,
-		Cap:     assignment.Cap,
-		Age:     assignment.StageAge,
+		Version:     assignment.StageNo,
+		Build:       int(assignment.Build),
+		Stage:       int(assignment.Stage),
+		Phase:       assignment.Phase,
+		CanaryLimit: assignment.Cap,
+		AgeSeconds:  assignment.StageAge,
 	}
 }
 
 // endpointUpdate gives an assignment's endpoint list; one without a list confirms the list in force.
 func endpointUpdate(assignment *linkpb.View) *endpoints.Update {
-	update := &endpoints.Update{Version: assignment.ListNo, Full: assignment.HasList, Age: max(0, wallClock()-assignment.ListAt)}
+	update := &endpoints.Update{Version: assignment.ListNo, Full: assignment.HasList, AgeSeconds: max(0, wallClock()-assignment.ListAt)}
 	for _, unit := range assignment.Units {
 		update.Endpoints = append(update.Endpoints, endpoints.Endpoint{
 			ID:        unit.Id,
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -15,7 +15,7 @@
 		return
 	}
 	update := list.FullUpdate(wallClock())
-	r.log.Info("saved endpoint list applied", "endpoints", list.Len(), "version", list.Version, "age_seconds", update.Age)
+	r.log.Info("saved endpoint list applied", "endpoints", list.Len(), "version", list.Version, "age_seconds", update.AgeSeconds)
 	r.proxy.ApplyEndpoints(update)
 }
 
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -154,9 +154,9 @@
 func answerBuckets(classes []config.RequestClass) (bounds []float64) {
 	for _, class := range classes {
 		for _, part := range []float64{0.125, 0.25, 0.5, 0.75, 1} {
-			bounds = append(bounds, part*class.Target)
+			bounds = append(bounds, part*class.LatencyObjectiveSeconds)
 		}
-		bounds = append(bounds, class.Timeout)
+		bounds = append(bounds, class.TimeoutSeconds)
 	}
 	slices.Sort(bounds)
 	return slices.Compact(bounds)
--- a/internal/router/releases.go
+++ b/internal/router/releases.go
@@ -33,7 +33,7 @@
 // applyRelease applies a release update. Updates come by the stream and in replies to votes, so that a newer one may overtake an older
 // one on the way, which is dropped.
 func (r *Router) applyRelease(update *releases.Update) error {
-	if err := update.Check(len(r.config.Release.Stages)); err != nil {
+	if err := update.Check(len(r.config.Release.StageShares)); err != nil {
 		return err
 	}
 	r.releaseMu.Lock()
@@ -43,7 +43,7 @@
 		return nil
 	}
 	r.releaseVersion = update.Version
-	r.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.Cap, update.Age)
+	r.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds)
 	return nil
 }
 
@@ -77,7 +77,7 @@
 // restoreRelease gives the proxy the release update of the process before; the policy decides by its age whether it still binds. A file
 // that can't be read counts as none.
 func (r *Router) restoreRelease() {
-	saved, err := readRelease(r.releaseFile(), len(r.config.Release.Stages))
+	saved, err := readRelease(r.releaseFile(), len(r.config.Release.StageShares))
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -90,7 +90,7 @@
 	r.log.Info("saved release update restored", "build", update.Build, "stage", update.Stage, "phase", update.Phase,
 		"confirmed_ago_seconds", confirmedAgo)
 	r.releaseVersion = update.Version
-	r.proxy.RestoreRelease(update.Build, update.Stage, update.PolicyPhase(), update.Cap, update.Age, confirmedAgo)
+	r.proxy.RestoreRelease(update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds, confirmedAgo)
 }
 
 // readRelease reads and checks a saved release update. Without a file the error is fs.ErrNotExist.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -128,13 +128,13 @@
 func (r *Router) startStandalone() error {
 	settings := r.config
 	r.votes = &releases.VoteSender{
-		Relay:   settings.Relay,
-		URL:     settings.Sources.Installer,
-		Timeout: settings.Release.VoteTimeout,
-		Client:  r.httpClient,
-		Log:     r.log,
-		OnSend:  func(releases.Vote) {},
-		OnReply: r.onVoteReply,
+		Router:         settings.Relay,
+		URL:            settings.Sources.Installer,
+		TimeoutSeconds: settings.Release.VoteTimeoutSeconds,
+		Client:         r.httpClient,
+		Log:            r.log,
+		OnSend:         func(releases.Vote) {},
+		OnReply:        r.onVoteReply,
 	}
 	r.votes.Open()
 	r.proxy = proxy.NewHTTP(settings, r.seed(), r.log, r.votes.Cast)
@@ -201,7 +201,7 @@
 // are followed meanwhile: the rules bind while requests are in flight.
 func (r *Router) drain(listener net.Listener) error {
 	proxy.CloseListener(listener)
-	ctx, cancel := context.WithTimeout(context.Background(), seconds(r.config.Clients.DrainTime))
+	ctx, cancel := context.WithTimeout(context.Background(), seconds(r.config.Clients.DrainTimeoutSeconds))
 	defer cancel()
 	return r.proxy.Drain(ctx)
 }
--- a/internal/scenario/configstorm.go
+++ b/internal/scenario/configstorm.go
@@ -25,25 +25,25 @@
 // configStorm serves the endpoint list and the configuration versions of all relays over xDS, with a control service for each.
 type configStorm struct {
 	runner    *runner
-	services  map[string]*fakes.Control // by relay
-	addresses map[string]string         // by relay
+	services  map[string]*fakes.ControlService // by relay
+	addresses map[string]string                // by relay
 	sent      int
 	bad       int
 }
 
 func (r *runner) newConfigStorm() (*configStorm, error) {
-	s := &configStorm{runner: r, services: map[string]*fakes.Control{}, addresses: map[string]string{}}
+	s := &configStorm{runner: r, services: map[string]*fakes.ControlService{}, addresses: map[string]string{}}
 	names := r.script.relayNames()
 	for _, name := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		s.addresses[name], s.services[name] = l.Addr().String(), fakes.StartControl(l, insecure.NewCredentials())
+		s.addresses[name], s.services[name] = l.Addr().String(), fakes.StartControlService(l, insecure.NewCredentials())
 		s.services[name].Relay = name
 	}
 	r.list.Mirror(func(relay string, version uint64, list []endpoints.Endpoint) {
-		s.services[relay].Set(fakes.UnitsResponse(relay, version+1, list))
+		s.services[relay].Set(fakes.EndpointsResponse(relay, version+1, list))
 	}, names)
 	return s, nil
 }
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -33,8 +33,8 @@
 	logFile      string
 
 	mu   sync.Mutex
-	cmd  *exec.Cmd        // nil: it is stopped
-	life *invariants.Life // the record of cmd
+	cmd  *exec.Cmd               // nil: it is stopped
+	life *invariants.Incarnation // the record of cmd
 }
 
 type processes []*process
@@ -133,8 +133,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.life = &invariants.Life{Relay: p.relay, Controller: p.isController, From: p.runner.clock()}
-	p.runner.record.Enter(func(r *invariants.Record) { r.Lives = append(r.Lives, p.life) })
+	p.life = &invariants.Incarnation{Relay: p.relay, Controller: p.isController, From: p.runner.clock()}
+	p.runner.record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.life) })
 	p.cmd = cmd
 	for range startAttempts {
 		if c, err := net.DialTimeout("tcp", p.adminAddress, startDialTimeout); err == nil {
@@ -164,7 +164,7 @@
 	}
 	p.runner.record.Enter(func(*invariants.Record) {
 		if p.life.Killed = sig == syscall.SIGKILL; !p.life.Killed {
-			p.life.Stopping = p.runner.clock()
+			p.life.DrainingFrom = p.runner.clock()
 		}
 	})
 	p.signal(sig)
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -78,7 +78,7 @@
 		if e.Server != 0 && e.Server != i+1 {
 			continue
 		}
-		server.Ail(fault)
+		server.SetFault(fault)
 		if e.Seconds > 0 {
 			r.after(e.Seconds, func() { server.Heal(fault) })
 		}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -166,7 +166,7 @@
 	platform, release, fleet := r.script.Platform, r.script.Release, r.script.Fleet
 	r.list = fakes.NewEndpointList(platform.ListLagSeconds, r.record, r.clock)
 	plan := fakes.ReleasePlan{
-		StageShares:         release.Stages,
+		StageShares:         release.StageShares,
 		CanaryLimits:        release.CanaryLimits,
 		Slots:               fleet.Slots,
 		StartSeconds:        fleet.StartSeconds,
@@ -223,11 +223,11 @@
 			Path:                    "/" + class.Name + "/",
 			Share:                   class.Share,
 			WorkSeconds:             class.WorkSeconds,
-			LatencyObjectiveSeconds: class.Target,
-			TimeoutSeconds:          class.Timeout,
+			LatencyObjectiveSeconds: class.LatencyObjectiveSeconds,
+			TimeoutSeconds:          class.TimeoutSeconds,
 			PriorityWeight:          class.PriorityWeight,
 			Idempotency:             invariants.Idempotency(class.Idempotency),
-			DedupScope:              string(class.Group),
+			DedupScope:              string(class.DedupScope),
 			DedupWindowSeconds:      class.DedupWindowSeconds,
 		})
 	}
@@ -262,10 +262,10 @@
 		SlowStartSeconds:         rules.SlowStartSeconds,
 		SlowStartOverloadFactor:  rules.SlowStartOverloadFactor,
 		SlowStartOverloadSeconds: rules.SlowStartOverloadSeconds,
-		CanaryWindowSeconds:      rules.Window,
+		CanaryWindowSeconds:      rules.CanaryWindowSeconds,
 		CanaryFreeAttempts:       rules.CanaryFreeAttempts,
 		CanaryLimits:             s.Release.CanaryLimits,
-		CanaryLimitPerClass:      rules.CountPerOp,
+		CanaryLimitPerClass:      rules.CanaryLimitPerClass,
 		IdempotentOnlyStages:     rules.IdempotentOnlyStages,
 		OneWayKeys:               rules.OneWayKeys,
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -45,8 +45,8 @@
 	if !strings.Contains(history, "build 2 goes back") {
 		t.Errorf("the bad build was not rolled back: %s", history)
 	}
-	if out.Answers["acked"] < out.Asked/2 {
-		t.Errorf("%v of %d tries", out.Answers, out.Asked)
+	if out.Answers["acked"] < out.Tries/2 {
+		t.Errorf("%v of %d tries", out.Answers, out.Tries)
 	}
 }
 
@@ -77,8 +77,8 @@
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
 		t.Errorf("%d kills and pauses, %d requests without a controller", kills, out.SucceededWithoutController.N)
 	}
-	if out.Answers["acked"] < out.Asked*9/10 {
-		t.Errorf("%v of %d tries", out.Answers, out.Asked)
+	if out.Answers["acked"] < out.Tries*9/10 {
+		t.Errorf("%v of %d tries", out.Answers, out.Tries)
 	}
 }
 
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	for _, d := range rec.Attempts {
-		if c := rec.Commands[d.RequestID]; c.Idempotency == invariants.NonIdempotent {
+		if c := rec.Requests[d.RequestID]; c.Idempotency == invariants.NonIdempotent {
 			again := *d
 			again.At += 0.001
 			rec.Attempts = append(rec.Attempts, &again)
@@ -173,14 +173,14 @@
 		of[d.RequestID] = append(of[d.RequestID], d)
 		perEndpoint[d.Endpoint]++
 	}
-	for id, c := range rec.Commands {
+	for id, c := range rec.Requests {
 		list := of[id]
 		if c.Class != "seal-gate" || len(c.Answers) != 1 || c.Answers[0].Kind != "acked" || len(list) != 1 {
 			continue
 		}
 		d, a := list[0], c.Answers[0]
-		if d.Endpoint != a.Endpoint || d.At < c.Asked || a.At < d.At || a.At > c.Deadline || rec.Endpoints[d.Endpoint] == nil {
-			t.Errorf("command %d: asked %.3f, delivered %.3f to %d, answered %.3f by %d, due %.3f", id, c.Asked, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
+		if d.Endpoint != a.Endpoint || d.At < c.SentAt || a.At < d.At || a.At > c.Deadline || rec.Endpoints[d.Endpoint] == nil {
+			t.Errorf("command %d: asked %.3f, delivered %.3f to %d, answered %.3f by %d, due %.3f", id, c.SentAt, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
 		}
 		followed++
 	}
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -83,19 +83,19 @@
 	r, rel := s.Rules, s.Release
 	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
 		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		r.Relays, r.Round, r.MaxAttempts, r.AllowHedging, r.MaxPause, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor,
-		r.SlowStartOverloadSeconds, r.Window, r.GraceSeconds, r.CanaryFreeAttempts, r.CountPerOp, r.IdempotentOnlyStages, r.OneWayKeys,
-		r.KeysKept, r.UnitsForget)
+		r.Routers, r.MinTickSeconds, r.MaxAttempts, r.AllowHedging, r.MaxRetryAfterSeconds, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor,
+		r.SlowStartOverloadSeconds, r.CanaryWindowSeconds, r.GraceSeconds, r.CanaryFreeAttempts, r.CanaryLimitPerClass, r.IdempotentOnlyStages, r.OneWayKeys,
+		r.MaxRememberedKeys, r.ForgetEndpointSeconds)
 	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
-		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.Stages, rel.CanaryLimits, rel.RollbackVotes, rel.AutomaticStages,
-		rel.ReplaceInPlace, rel.WrongAnswerPrice, rel.StaleBuildPrice, rel.WrongAnswerReportShare, rel.VoteLifetimeSeconds, rel.VoteTimeout,
+		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.StageShares, rel.CanaryLimits, rel.RollbackVotes, rel.AutomaticStages,
+		rel.ReplaceInPlace, rel.WrongAnswerPrice, rel.StaleBuildPrice, rel.WrongAnswerReportShare, rel.VoteLifetimeSeconds, rel.VoteTimeoutSeconds,
 		rel.VotesPerSecond)
 	b.WriteString(" :op-types [")
 	for _, class := range s.Classes {
-		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", class.Name, class.Target, class.Timeout,
+		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", class.Name, class.LatencyObjectiveSeconds, class.TimeoutSeconds,
 			class.PriorityWeight, string(class.Idempotency), class.DedupWindowSeconds)
-		if class.Group != "" {
-			fmt.Fprintf(&b, " :group :%s", string(class.Group))
+		if class.DedupScope != "" {
+			fmt.Fprintf(&b, " :group :%s", string(class.DedupScope))
 		}
 		b.WriteString("}\n")
 	}
--- a/internal/storedformats/storedformats_test.go
+++ b/internal/storedformats/storedformats_test.go
@@ -77,8 +77,8 @@
 	}
 	var printed bytes.Buffer
 	for _, e := range entries {
-		since := time.Unix(0, int64(e.Since*1e9)).UTC().Format(time.RFC3339)
-		fmt.Fprintf(&printed, "%d after %d, in force since %s, %d bytes\n", e.No, e.Parent, since, len(e.Text))
+		since := time.Unix(0, int64(e.InForceSince*1e9)).UTC().Format(time.RFC3339)
+		fmt.Fprintf(&printed, "%d after %d, in force since %s, %d bytes\n", e.Number, e.Previous, since, len(e.Text))
 	}
 	entry, err := store.Get(4)
 	if err != nil {
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -26,7 +26,7 @@
 	Log         *slog.Logger
 	Session     *Session // this client's alone
 	Relay       string   // the name of the resources it wants
-	Taker       Taker    // called from Run's goroutine
+	Taker       Handler  // called from Run's goroutine
 
 	BackoffMinSeconds float64 // pause before the first try to reconnect
 	BackoffMaxSeconds float64 // longest pause
@@ -166,7 +166,7 @@
 	if !isNew {
 		return nil
 	}
-	if response.TypeUrl == TypeUnits {
+	if response.TypeUrl == TypeEndpoints {
 		return s.answer(response, s.applyEndpoints(response))
 	}
 	return s.offerVersion(response)
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	return s.client.Taker.List(update)
+	return s.client.Taker.OnEndpoints(update)
 }
 
 // offerVersion passes on a configuration version, and answers it unless it has to wait. It replaces one that waits.
@@ -188,7 +188,7 @@
 	if err != nil {
 		return s.answer(response, err)
 	}
-	outcome, err := s.client.Taker.Settings(version)
+	outcome, err := s.client.Taker.OnConfig(version)
 	if outcome == configstate.Waiting && err == nil {
 		s.client.Log.Info("configuration version waits", "version", version.Number, "required_list_version", version.RequiredListVersion)
 		s.waiting = &waitingVersion{response, version}
@@ -202,7 +202,7 @@
 	if s.waiting == nil {
 		return nil
 	}
-	outcome, err := s.client.Taker.Look(s.waiting.version)
+	outcome, err := s.client.Taker.Recheck(s.waiting.version)
 	if outcome == configstate.Waiting {
 		return nil
 	}
--- a/internal/xds/endpoints.go
+++ b/internal/xds/endpoints.go
@@ -40,7 +40,7 @@
 	update := &endpoints.Update{Version: version, Full: true}
 	for i, resource := range response.Resources {
 		var assignment endpoint.ClusterLoadAssignment
-		if resource.TypeUrl != TypeUnits {
+		if resource.TypeUrl != TypeEndpoints {
 			return nil, fmt.Errorf("resource %d is of type %q", i, resource.TypeUrl)
 		}
 		if err := proto.Unmarshal(resource.Value, &assignment); err != nil {
--- a/internal/xds/reconnect_bench_test.go
+++ b/internal/xds/reconnect_bench_test.go
@@ -35,15 +35,15 @@
 		b.Fatal(err)
 	}
 	address := listener.Addr().String()
-	control := fakes.StartControl(listener, insecure.NewCredentials())
+	control := fakes.StartControlService(listener, insecure.NewCredentials())
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var acceptedAt []time.Time
-	settings := &config.Control{Addresses: []string{address}, Silence: 2, BackLeast: 0.1, BackMost: 5, MostBytes: 1 << 20}
+	settings := &config.Control{Addresses: []string{address}, Silence: 2, BackLeast: 0.1, BackMost: 5, MaxResponseBytes: 1 << 20}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	taker := xds.Taker{
-		List: func(*endpoints.Update) error { return nil },
-		Settings: func(*configstate.Version) (configstate.Outcome, error) {
+	taker := xds.Handler{
+		OnEndpoints: func(*endpoints.Update) error { return nil },
+		OnConfig: func(*configstate.Version) (configstate.Outcome, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			acceptedAt = append(acceptedAt, time.Now())
@@ -74,7 +74,7 @@
 			b.Fatal(err)
 		}
 		from := time.Now()
-		control = fakes.StartControl(listener, insecure.NewCredentials())
+		control = fakes.StartControlService(listener, insecure.NewCredentials())
 		control.Set(fakes.DocumentResponse("r1", number, 0, document))
 		for done := 0; done < routers; time.Sleep(5 * time.Millisecond) {
 			mu.Lock()
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -21,27 +21,27 @@
 
 // The resource types that a client subscribes to.
 const (
-	TypeUnits    = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment" // endpoint lists
-	TypeDocument = "type.googleapis.com/flintspread.config.v1.Document"                 // configuration versions
+	TypeEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment" // endpoint lists
+	TypeDocument  = "type.googleapis.com/flintspread.config.v1.Document"                 // configuration versions
 )
 
 // Types lists the resource types in the order in which they are asked for: one that depends on another comes after it.
-var Types = [...]string{TypeUnits, TypeDocument}
+var Types = [...]string{TypeEndpoints, TypeDocument}
 
-// Taker is what takes endpoint lists and configuration versions. Its calls come from a goroutine for each service that is
+// Handler is what takes endpoint lists and configuration versions. Its calls come from a goroutine for each service that is
 // followed, so that they must be safe for concurrent use; none may block.
-type Taker struct {
+type Handler struct {
 	// List applies an endpoint list; an error rejects it.
-	List func(*endpoints.Update) error
+	OnEndpoints func(*endpoints.Update) error
 	// Settings applies a version, rejects it with an error, or says that it has to wait.
-	Settings func(*configstate.Version) (configstate.Outcome, error)
+	OnConfig func(*configstate.Version) (configstate.Outcome, error)
 	// Look decides again on a version that had to wait: after each response and once a recheck interval.
-	Look func(*configstate.Version) (configstate.Outcome, error)
+	Recheck func(*configstate.Version) (configstate.Outcome, error)
 }
 
 // FollowAll follows all control services of the settings until ctx ends, and then gives nil. node names this program to them,
 // relay the resources that it wants. An error is one of the settings.
-func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, taker Taker) error {
+func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, taker Handler) error {
 	transport := insecure.NewCredentials()
 	if control.Cert != "" {
 		var err error
@@ -55,7 +55,7 @@
 		client := &Client{
 			Address: address, Credentials: transport, Log: log, Session: NewSession(node, relay), Relay: relay,
 			BackoffMinSeconds: control.BackLeast, BackoffMaxSeconds: control.BackMost, SilenceSeconds: control.Silence,
-			MaxResponseBytes: control.MostBytes, RecheckSeconds: recheckSeconds, Taker: taker,
+			MaxResponseBytes: control.MaxResponseBytes, RecheckSeconds: recheckSeconds, Taker: taker,
 		}
 		group.Go(func() error { return client.Run(ctx) })
 	}
