--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -6,8 +6,8 @@
 type Controller struct {
 	// Relay is the name by which the endpoint list and the release service know the controller's routers, as one.
 	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
-	// Admin is the HOST:PORT that serves /metrics.
-	Admin string `edn:"admin" validate:"required,hostname_port"`
+	// MetricsAddress is the HOST:PORT that serves /metrics.
+	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
 	// StateDir is the folder that keeps epoch, vote, last release and last endpoint list. Only one controller may use it.
 	StateDir string `edn:"state-dir" validate:"required"`
 	// Seed makes decisions repeatable. Optional; 0: drawn anew at each start.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -32,47 +32,47 @@
 
 // Clients bounds what clients may use of a router.
 type Clients struct {
-	// Connections is the largest number of client connections.
+	// MaxConns is the largest number of client connections.
 	MaxConns int `edn:"connections" validate:"gt=0"`
 	// HeadBytes and BodyBytes bound one request.
 	HeadBytes int64 `edn:"head-bytes" validate:"gte=1024"`
 	BodyBytes int64 `edn:"body-bytes" validate:"gte=0"`
-	// ReadTime is the number of seconds within which a request must have been read, and an answer been taken.
+	// ReadTimeoutSeconds is the number of seconds within which a request must have been read, and an answer been taken.
 	ReadTimeoutSeconds float64 `edn:"read-time" validate:"gt=0"`
-	// IdleTime is the number of seconds after which an idle connection is closed.
+	// IdleTimeoutSeconds is the number of seconds after which an idle connection is closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
-	// DrainTime is the longest time, in seconds, that a graceful shutdown waits for requests in flight.
+	// DrainTimeoutSeconds is the longest time, in seconds, that a graceful shutdown waits for requests in flight.
 	DrainTimeoutSeconds float64 `edn:"drain-time" validate:"gt=0"`
-	// Keep is the number of connections above which an idle one is closed for each that is accepted; 0: none is. No file sets it.
+	// EvictIdleAbove is the number of connections above which an idle one is closed for each that is accepted; 0: none is. No file sets it.
 	EvictIdleAbove int `edn:"-"`
 }
 
 // Endpoints bounds the connections to endpoints.
 type Endpoints struct {
-	// Connections is the largest number of connections to each endpoint.
+	// MaxConnsPerEndpoint is the largest number of connections to each endpoint.
 	MaxConnsPerEndpoint int `edn:"connections" validate:"gt=0"`
-	// DialTime is the number of seconds after which a connection attempt fails.
+	// DialTimeoutSeconds is the number of seconds after which a connection attempt fails.
 	DialTimeoutSeconds float64 `edn:"dial-time" validate:"gt=0"`
-	// IdleTime is the number of seconds after which an idle connection is closed. It must be below the endpoints' own, or requests
+	// IdleTimeoutSeconds is the number of seconds after which an idle connection is closed. It must be below the endpoints' own, or requests
 	// meet connections that were just closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
-	// AnswerBytes bounds one answer.
+	// MaxAnswerBytes bounds one answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gt=0"`
-	// Total bounds the connections to all endpoints together; 0: not bounded. No file sets it.
+	// MaxConns bounds the connections to all endpoints together; 0: not bounded. No file sets it.
 	MaxConns int `edn:"-"`
 }
 
 // Rules are the bounds that the routers keep towards clients and endpoints.
 type Rules struct {
-	// Relays is the number of relays that share the endpoints.
+	// Routers is the number of routers that share the endpoints.
 	Routers int `edn:"relays" validate:"gt=0"`
-	// Round is the shortest time between two ticks, in seconds. Answers are sent two to three of it before the client's timeout.
-	MinTickSeconds float64 `edn:"round" validate:"gt=0"`
+	// TimerResolutionSeconds is how exactly the router keeps a time, in seconds. Answers are sent two to three of it before the client's timeout.
+	TimerResolutionSeconds float64 `edn:"round" validate:"gt=0"`
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int `edn:"deliveries" validate:"gt=0,lte=100"`
 	// AllowHedging lets two attempts of a request be in flight together.
 	AllowHedging bool `edn:"parallel"`
-	// MaxPause is the longest retry-after time, in seconds, that a rejected client is told.
+	// MaxRetryAfterSeconds is the longest retry-after time, in seconds, that a rejected client is told.
 	MaxRetryAfterSeconds float64 `edn:"max-pause" validate:"gt=0"`
 	// SlowStartInitialShare is the share of its capacity that an endpoint has when it starts.
 	SlowStartInitialShare float64 `edn:"cold-from" validate:"gt=0,lte=1"`
@@ -81,27 +81,27 @@
 	// SlowStartOverloadFactor times its present capacity, for SlowStartOverloadSeconds, makes an endpoint in slow start fail.
 	SlowStartOverloadFactor  float64 `edn:"fall-multiple" validate:"gte=1"`
 	SlowStartOverloadSeconds float64 `edn:"fall-time" validate:"gt=0"`
-	// Window is the time, in seconds, over which the canary traffic limit counts. It is not below GraceSeconds.
+	// CanaryWindowSeconds is the time, in seconds, over which the canary traffic limit counts. It is not below GraceSeconds.
 	CanaryWindowSeconds float64 `edn:"window" validate:"gt=0"`
 	// GraceSeconds is the time within which drains and lower canary limits must be followed.
 	GraceSeconds float64 `edn:"grace" validate:"gt=0"`
 	// CanaryFreeAttempts is the number of canary attempts that each window allows, beside the share of Release.CanaryLimits.
 	CanaryFreeAttempts float64 `edn:"free" validate:"gte=0"`
-	// CountPerOp applies the canary traffic limit to each request class by itself.
+	// CanaryLimitPerClass applies the canary traffic limit to each request class by itself.
 	CanaryLimitPerClass bool `edn:"count-per-op-type"`
 	// IdempotentOnlyStages is the number of first rollout stages that take idempotent requests only.
 	IdempotentOnlyStages int `edn:"guarded-stages" validate:"gte=0"`
 	// OneWayKeys keeps a key that a build answered from ever going to an earlier build.
 	OneWayKeys bool `edn:"one-way-keys"`
-	// KeysKept bounds the keys that are remembered for OneWayKeys.
+	// MaxRememberedKeys bounds the keys that are remembered for OneWayKeys.
 	MaxRememberedKeys int `edn:"keys-kept" validate:"gte=0"`
-	// UnitsForget is the time, in seconds, after which an endpoint that left the list is forgotten. It is above every request timeout.
+	// ForgetEndpointSeconds is the time, in seconds, after which an endpoint that left the list is forgotten. It is above every request timeout.
 	ForgetEndpointSeconds float64 `edn:"forget-units" validate:"gt=0"`
 }
 
 // Release says how canaries are rolled out, and what mistakes about them cost.
 type Release struct {
-	// Stages are the shares of the endpoints that run the canary, by rollout stage. They don't fall.
+	// StageShares are the shares of the endpoints that run the canary, by rollout stage. They don't fall.
 	StageShares []float64 `edn:"stages" validate:"required,min=1,dive,gt=0,lte=1"`
 	// CanaryLimits are the shares of the requests that may go to the canary, by rollout stage: none below the stage's share.
 	CanaryLimits []float64 `edn:"caps" validate:"required,min=1,dive,gte=0,lte=1"`
@@ -119,7 +119,7 @@
 	WrongAnswerReportShare float64 `edn:"report-share" validate:"gte=0,lte=1"`
 	// VoteLifetimeSeconds is how long a vote counts.
 	VoteLifetimeSeconds float64 `edn:"vote-life" validate:"gt=0"`
-	// VoteTimeout is the number of seconds that the answer to a vote is waited for.
+	// VoteTimeoutSeconds is the number of seconds that the answer to a vote is waited for.
 	VoteTimeoutSeconds float64 `edn:"vote-timeout" validate:"gt=0"`
 	// VotesPerSecond is what the release service takes from all relays together.
 	VotesPerSecond float64 `edn:"votes-a-second" validate:"gt=0"`
@@ -128,15 +128,15 @@
 // RequestClass is one kind of request.
 type RequestClass struct {
 	Name string `edn:"name" validate:"required"`
-	// Target is the latency objective in seconds: a later answer earns nothing. It is not above Timeout.
+	// LatencyObjectiveSeconds is the latency objective in seconds: a later answer earns nothing. It is not above Timeout.
 	LatencyObjectiveSeconds float64 `edn:"target" validate:"gt=0"`
-	// Timeout is the client's time for the request in seconds, its retries included. It is above three of Rules.Round.
+	// TimeoutSeconds is the client's time for the request in seconds, its retries included. It is above three of Rules.Round.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// PriorityWeight is the relative worth of an answer within the objective.
 	PriorityWeight float64 `edn:"importance" validate:"gt=0"`
 	// Idempotency says whether the request may run again: policy.Idempotent, IdempotentWithKey or NonIdempotent, in this order.
 	Idempotency edn.Keyword `edn:"effect" validate:"oneof=redeliverable deduplicated at-most-once"`
-	// Group says which endpoints recognise a repeated key. Needed for deduplicated classes.
+	// DedupScope says which endpoints recognise a repeated key. Needed for deduplicated classes.
 	DedupScope edn.Keyword `edn:"group" validate:"omitempty,oneof=all zone cell"`
 	// DedupWindowSeconds is how long an endpoint recognises a repeated key. Needed for deduplicated classes.
 	DedupWindowSeconds float64 `edn:"window" validate:"omitempty,gte=0"`
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -20,11 +20,11 @@
 	QueriesPerSecond float64 `edn:"queries-a-second" validate:"gt=0,lte=1000"`
 	// MaxConcurrentQueries bounds the queries that are open at once.
 	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
-	// Timeout is the number of seconds after which a query is given up.
+	// TimeoutSeconds is the number of seconds after which a query is given up.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// MaxBackoffSeconds is the longest that a failing server is left alone.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
-	// AnswerBytes and Series bound one answer.
+	// MaxAnswerBytes and MaxSeries bound one answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
 	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
 	// MaxClockSkewSeconds is how far ahead a server's clock may be.
@@ -53,12 +53,12 @@
 	Query string `edn:"query" validate:"required"`
 	// Total selects the counters of all outcomes. Needed for counts, not allowed otherwise.
 	Total string `edn:"total" validate:"omitempty"`
-	// Span and Step are the length and the resolution of a range query in seconds. Needed for that form.
+	// RangeSeconds and StepSeconds are the length and the resolution of a range query in seconds. Needed for that form.
 	RangeSeconds float64 `edn:"span" validate:"omitempty,gt=0"`
 	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
 	// Period is the number of seconds between two queries.
 	Period float64 `edn:"period" validate:"gte=0.05"`
-	// Stale is the number of seconds after which an answer is no evidence any more.
+	// StaleAfterSeconds is the number of seconds after which an answer is no evidence any more.
 	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=Period"`
 	// Weight, up to 1, is what the evidence counts for.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
@@ -67,7 +67,7 @@
 	// IndependentOfRouters says that no attempt of this relay's routers is among the counts. Else those are taken out, so that no
 	// outcome counts twice. Optional.
 	IndependentOfRouters bool `edn:"apart"`
-	// UnitLabel is the label that tells endpoints apart; UnitBy says whether it holds their id or their address.
+	// EndpointLabel is the label that tells endpoints apart; EndpointLabelHolds says whether it holds their id or their address.
 	EndpointLabel      string      `edn:"unit-label" validate:"required"`
 	EndpointLabelHolds edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
 	// BuildLabel is the label with the endpoint's build. Optional; without it the endpoint list tells the build.
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -13,10 +13,10 @@
 	// Beat is the number of seconds between two reports of a router, and between its attempts to connect again. Twice that is to
 	// stay below Rules.GraceSeconds.
 	Beat float64 `edn:"beat" validate:"gt=0"`
-	// Silence is the number of seconds without a message after which the other end counts as dead.
-	Silence float64 `edn:"silence" validate:"gtfield=Beat"`
-	// Lease is the number of seconds for which a router may spend the canary attempts that were leased to it.
-	Lease float64 `edn:"lease" validate:"gtfield=Beat"`
+	// SilenceSeconds is the number of seconds without a message after which the other end counts as dead.
+	SilenceSeconds float64 `edn:"silence" validate:"gtfield=Beat"`
+	// LeaseSeconds is the number of seconds for which a router may spend the canary attempts that were leased to it.
+	LeaseSeconds float64 `edn:"lease" validate:"gtfield=Beat"`
 	// Cert and Key are PEM files: the own certificate with its chain, and its key. Needed over TCP, as are CA and Peer.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
 	Key  string `edn:"key" validate:"omitempty,filepath"`
@@ -50,14 +50,14 @@
 type Control struct {
 	// Addresses are HOST:PORT. All of them are followed.
 	Addresses []string `edn:"addresses" validate:"required,min=1,max=8,dive,hostname_port"`
-	// Silence is the number of seconds that a keepalive ping may stay unanswered.
-	Silence float64 `edn:"silence" validate:"gt=0"`
+	// SilenceSeconds is the number of seconds that a keepalive ping may stay unanswered.
+	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
 	// BackLeast and BackMost bound the exponential backoff between two connections, in seconds.
 	BackLeast float64 `edn:"back-least" validate:"gt=0"`
 	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
-	// Patience is the number of seconds that a configuration version waits for the endpoint list that it belongs with.
+	// PairingTimeoutSeconds is the number of seconds that a configuration version waits for the endpoint list that it belongs with.
 	PairingTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
-	// MostBytes bounds one response.
+	// MaxResponseBytes bounds one response.
 	MaxResponseBytes int `edn:"most-bytes" validate:"gte=1024"`
 	// Cert, Key, CA and Peer are as in Link. Optional: without all four the stream is plain text, for a service on the same host.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -20,11 +20,11 @@
 		Clients:   clients,
 		Endpoints: endpoints,
 		Rules: Rules{
-			MinTickSeconds:        policy.MinTickSeconds,
-			MaxRetryAfterSeconds:  policy.MaxRetryAfterSeconds,
-			ForgetEndpointSeconds: policy.ForgetEndpointSeconds,
-			OneWayKeys:            policy.OneWayKeys,
-			CanaryLimitPerClass:   policy.CanaryLimitPerClass,
+			TimerResolutionSeconds: policy.TimerResolutionSeconds,
+			MaxRetryAfterSeconds:   policy.MaxRetryAfterSeconds,
+			ForgetEndpointSeconds:  policy.ForgetEndpointSeconds,
+			OneWayKeys:             policy.OneWayKeys,
+			CanaryLimitPerClass:    policy.CanaryLimitPerClass,
 		},
 		policy: policy,
 	}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -35,7 +35,7 @@
 	c := policy.Config{
 		Routers:                  rules.Routers,
 		RollbackVotes:            release.RollbackVotes,
-		MinTickSeconds:           rules.MinTickSeconds,
+		TimerResolutionSeconds:   rules.TimerResolutionSeconds,
 		AllowHedging:             rules.AllowHedging,
 		AllowCancel:              true,
 		MaxRetryAfterSeconds:     rules.MaxRetryAfterSeconds,
@@ -119,7 +119,7 @@
 // validateClass checks one request class, which stands at a key, against the rules.
 func validateClass(src source, key string, class RequestClass, rules Rules) error {
 	switch {
-	case class.TimeoutSeconds <= minTimeoutTicks*rules.MinTickSeconds:
+	case class.TimeoutSeconds <= minTimeoutTicks*rules.TimerResolutionSeconds:
 		return src.fieldError(key+" :timeout", "not above three rounds (:rules :round): no answer could be in time")
 	case class.LatencyObjectiveSeconds > class.TimeoutSeconds:
 		return src.fieldError(key+" :target", "above the timeout")
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -6,14 +6,14 @@
 type Router struct {
 	// Relay is the name by which the endpoint list and the release service know the router, and all that share its controller.
 	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
-	// Listen is the HOST:PORT that clients connect to.
-	Listen string `edn:"listen" validate:"required,hostname_port"`
-	// Admin is the HOST:PORT that serves /metrics.
-	Admin string `edn:"admin" validate:"required,hostname_port"`
+	// ListenAddress is the HOST:PORT that clients connect to.
+	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
+	// MetricsAddress is the HOST:PORT that serves /metrics.
+	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
 	// StateDir is the folder that keeps the last endpoint list, the last release and the history of configurations.
 	StateDir string `edn:"state-dir" validate:"required"`
-	// Shared lets other routers on this host listen on the same address. Optional.
-	Shared bool `edn:"share-port"`
+	// ReusePort lets other routers on this host listen on the same address. Optional.
+	ReusePort bool `edn:"share-port"`
 	// Seed makes decisions repeatable: equal seeds and events give equal decisions. Optional; 0: drawn anew at each start.
 	Seed uint64 `edn:"seed"`
 	Log  Log    `edn:"log"`
@@ -36,7 +36,7 @@
 type Overload struct {
 	// Shed rejects requests, those of the lowest priority weight first, when the process falls behind.
 	Shed bool `edn:"shed"`
-	// Memory bounds the bytes that connections and messages take. Optional; 0: not bounded.
+	// MemoryBytes bounds the bytes that connections and messages take. Optional; 0: not bounded.
 	MemoryBytes int64 `edn:"memory" validate:"omitempty,gte=1048576"`
 }
 
@@ -49,12 +49,12 @@
 
 // Sources says where the endpoint list and the release updates come from.
 type Sources struct {
-	// List is the URL of the endpoint list. It is left out exactly if there is a Control.
-	List string `edn:"list" validate:"omitempty,http_url"`
-	// Installer is the URL of the release service: /stage is watched, votes go to /vote.
-	Installer string `edn:"installer" validate:"required,http_url"`
-	// Silence is the number of seconds without a line after which a watch counts as broken.
-	Silence float64 `edn:"silence" validate:"gt=0"`
+	// EndpointListURL is the URL of the endpoint list. It is left out exactly if there is a Control.
+	EndpointListURL string `edn:"list" validate:"omitempty,http_url"`
+	// ReleaseServiceURL is the URL of the release service: /stage is watched, votes go to /vote.
+	ReleaseServiceURL string `edn:"installer" validate:"required,http_url"`
+	// SilenceSeconds is the number of seconds without a line after which a watch counts as broken.
+	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
 	// BackLeast and BackMost bound the exponential backoff between two connections of a watch, in seconds.
 	BackLeast float64 `edn:"back-least" validate:"gt=0"`
 	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
@@ -114,7 +114,7 @@
 		return src.fieldError(":planner "+key, problem)
 	}
 	switch {
-	case r.Shared && r.Rules.OneWayKeys:
+	case r.ReusePort && r.Rules.OneWayKeys:
 		return src.fieldError(":rules :one-way-keys", "edges that share a port do not know each other's keys")
 	case r.Control != nil:
 		return src.fieldError(":control", "with a :planner the versions of the settings are the planner's matter")
@@ -127,9 +127,9 @@
 // validateSources checks that the endpoint list comes from exactly one place, and that a control service can be connected to.
 func validateSources(src source, s *Sources, c *Control) error {
 	switch {
-	case c == nil && s.List == "":
+	case c == nil && s.EndpointListURL == "":
 		return src.fieldError(":sources :list", "missing; without a :control it comes from nowhere else")
-	case c != nil && s.List != "":
+	case c != nil && s.EndpointListURL != "":
 		return src.fieldError(":sources :list", "with a :control the list comes from there")
 	case c != nil && c.hasSomeCredentials() && !c.hasAllCredentials():
 		return src.fieldError(":control", "of :cert, :key, :ca and :peer all are needed, or none")
--- a/internal/configstate/proposal.go
+++ b/internal/configstate/proposal.go
@@ -8,7 +8,7 @@
 )
 
 // Proposal is a version that a controller proposes to its routers. It is applied once every router alive has said that it
-// could apply it; one that can't rejects it for all, so that no two routers are under different versions.
+// could apply it; one that can't rejects it for all.
 type Proposal struct {
 	Version   *Version
 	decideBy  float64
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -83,13 +83,13 @@
 func BenchmarkFirstView(b *testing.B) {
 	settings := exampleSettings(b)
 	settings.StateDir = b.TempDir()
-	settings.Admin = "127.0.0.1:0"
+	settings.MetricsAddress = "127.0.0.1:0"
 	settings.Link.Address = "unix:" + b.TempDir() + "/s"
 	log := discardLog()
 	services := &fakeServices{}
 	services.release.Version, services.release.Build, services.release.Phase, services.release.CanaryLimit = 4, 2, "on-trial", 0.2
 	url := services.serve(b)
-	settings.Sources.List, settings.Sources.Installer = url+"/list", url
+	settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = url+"/list", url
 	startedAt := time.Now()
 	applied := make(chan struct{}, 1)
 	client := &controlrpc.RouterClient{Config: &settings.Link, Log: log, Now: func() float64 { return time.Since(startedAt).Seconds() }, Relay: "r1", Router: "e",
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -139,7 +139,7 @@
 	if saveErr := v.store.Add(entry); saveErr != nil {
 		c.log.Error("configuration version not saved", "version", version.Number, "error", saveErr)
 	}
-	c.log.Info("configuration version applied", "version", version.Number, "previous", before)
+	c.log.Info("configuration version in force", "version", version.Number, "previous_version", before)
 	return outcome, err
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,7 +154,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	link := c.settings.Link
-	c.leader = lease.NewLeader(epoch, link.Lease, c.settings.Rules.CanaryWindowSeconds, link.Silence, now)
+	c.leader = lease.NewLeader(epoch, link.LeaseSeconds, c.settings.Rules.CanaryWindowSeconds, link.SilenceSeconds, now)
 	if saved.Endpoints != nil {
 		c.endpointList = *saved.Endpoints
 		c.endpointList.FullUpdate(now).ApplyTo(c.balancer, now)
@@ -181,7 +181,7 @@
 	if l.routers, err = controlrpc.Listen(&settings.Link); err != nil {
 		return l, fmt.Errorf(":link :address: %w", err)
 	}
-	if l.admin, err = net.Listen("tcp", settings.Admin); err != nil {
+	if l.admin, err = net.Listen("tcp", settings.MetricsAddress); err != nil {
 		l.routers.Close()
 		return l, fmt.Errorf(":admin: %w", err)
 	}
@@ -219,11 +219,11 @@
 func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
-		return watch.Source{URL: url, SilenceSeconds: sources.Silence, BackoffMinSeconds: sources.BackLeast,
+		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackLeast,
 			BackoffMaxSeconds: sources.BackMost, Log: c.log, Client: client}
 	}
 	if c.settings.Control == nil {
-		running.Go(func() { watch.Follow(ctx, source(sources.List), c.applyEndpointUpdate, func() {}) })
+		running.Go(func() { watch.Follow(ctx, source(sources.EndpointListURL), c.applyEndpointUpdate, func() {}) })
 	} else {
 		running.Go(func() {
 			if err := c.configVersions.follow(ctx); err != nil {
@@ -231,7 +231,7 @@
 			}
 		})
 	}
-	running.Go(func() { watch.Follow(ctx, source(sources.Installer+"/stage"), c.applyReleaseUpdate, func() {}) })
+	running.Go(func() { watch.Follow(ctx, source(sources.ReleaseServiceURL+"/stage"), c.applyReleaseUpdate, func() {}) })
 	if c.metricsEvidence != nil {
 		running.Go(func() { c.metricsEvidence.run(ctx) })
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -56,7 +56,7 @@
 	}
 	defer listener.Close()
 	settings := testSettings(t, t.TempDir(), "http://127.0.0.1:1", 1)
-	settings.Admin = listener.Addr().String()
+	settings.MetricsAddress = listener.Addr().String()
 	if err := Run(context.Background(), settings, discardLog()); err == nil || !strings.Contains(err.Error(), ":admin") {
 		t.Error(err)
 	}
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -103,7 +103,7 @@
 // testSettings gives the example's settings with a state folder and services of the test.
 func testSettings(t *testing.T, dir, url string, rollbackVotes int) *config.Controller {
 	settings := exampleSettings(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", rollbackVotes))
-	settings.StateDir, settings.Admin, settings.Sources.List, settings.Sources.Installer = dir, "127.0.0.1:0", url+"/list", url
+	settings.StateDir, settings.MetricsAddress, settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = dir, "127.0.0.1:0", url+"/list", url
 	settings.Link.Address = "unix:" + filepath.Join(dir, "s")
 	return settings
 }
--- a/internal/controller/feeds.go
+++ b/internal/controller/feeds.go
@@ -84,7 +84,7 @@
 	c.mu.Lock()
 	if update.Version < c.release.Version {
 		c.mu.Unlock()
-		c.log.Info("stale release update dropped", "version", update.Version)
+		c.log.Info("outdated release update dropped", "version", update.Version)
 		return nil
 	}
 	changed := update.Version != c.release.Version
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,7 +16,7 @@
 // openVoteSender makes the sender of votes to the release service; its Run sends what the ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
-		Router: c.settings.Relay, URL: c.settings.Sources.Installer, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
+		Router: c.settings.Relay, URL: c.settings.Sources.ReleaseServiceURL, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply,
 	}
 	c.voteSender.Open()
@@ -31,7 +31,7 @@
 func (c *Controller) onVoteReply(vote releases.Vote, reply policy.VoteReply, update *releases.Update) {
 	if update != nil {
 		if err := c.applyReleaseUpdate(update); err != nil {
-			c.log.Warn("release update in a vote's reply refused", "error", err)
+			c.log.Warn("release update in a vote's reply rejected", "error", err)
 		}
 	}
 	c.mu.Lock()
--- a/internal/controller/votes_test.go
+++ b/internal/controller/votes_test.go
@@ -68,7 +68,7 @@
 	c.restore(1, SavedState{Release: &services.release, ReleaseAt: c.now()})
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
-	c.voteSender = &releases.VoteSender{Router: "r1", URL: settings.Sources.Installer, TimeoutSeconds: 0.2, Client: http.DefaultClient, Log: c.log,
+	c.voteSender = &releases.VoteSender{Router: "r1", URL: settings.Sources.ReleaseServiceURL, TimeoutSeconds: 0.2, Client: http.DefaultClient, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
 	c.voteSender.Open()
 	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.Accepted {
--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	s.streams = map[*routerStream]struct{}{}
 	s.mu.Unlock()
-	server := grpc.NewServer(grpc.Creds(transport), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ConnectionTimeout(seconds(s.Config.Silence)))
+	server := grpc.NewServer(grpc.Creds(transport), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ConnectionTimeout(seconds(s.Config.SilenceSeconds)))
 	linkpb.RegisterPlannerServer(server, s)
 	stop := context.AfterFunc(ctx, server.Stop)
 	defer stop()
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -49,7 +49,7 @@
 // startController serves assignments of an epoch until stop is called.
 func startController(t *testing.T, link *config.Link, epoch uint64, log *logBuffer) (addr string, stop func()) {
 	var mu sync.Mutex
-	leader := lease.NewLeader(epoch, link.Lease, 0, 1, 0)
+	leader := lease.NewLeader(epoch, link.LeaseSeconds, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 	server := &ControllerServer{Config: link, Log: log.logger(), Relay: "r1",
 		AcceptReport: func(report *linkpb.Digest) lease.Reason {
@@ -121,7 +121,7 @@
 
 // unixLink gives settings of a Unix socket in a folder of the test.
 func unixLink(t *testing.T) *config.Link {
-	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, Silence: 0.5, Lease: 1}
+	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1}
 }
 
 // A controller that dies and comes back is followed again, also on the socket file that a killed one left; an older one is not.
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -100,7 +100,7 @@
 			level = slog.LevelDebug // warned of once, not ten times a second
 		}
 		r.Log.Log(ctx, level, "connection to the controller lost", "address", r.Config.Address, "assignments", assignments,
-			"error", err, "retry_seconds", pauseSeconds)
+			"error", err, "retry_in_seconds", pauseSeconds)
 		select {
 		case <-ctx.Done():
 		case <-time.After(seconds(pauseSeconds)):
@@ -122,7 +122,7 @@
 				Jitter:     connectBackoffJitter,
 				MaxDelay:   seconds(r.Config.Beat),
 			},
-			MinConnectTimeout: seconds(r.Config.Silence),
+			MinConnectTimeout: seconds(r.Config.SilenceSeconds),
 		}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 }
@@ -140,8 +140,8 @@
 func (r *RouterClient) runStream(ctx context.Context, conn *grpc.ClientConn) (assignments int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := seconds(r.Config.Silence)
-	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", r.Config.Silence)) })
+	silence := seconds(r.Config.SilenceSeconds)
+	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", r.Config.SilenceSeconds)) })
 	defer silenceTimer.Stop()
 	// A cancelled stream says only that it was cancelled; the cause says why.
 	causeOf := func(err error) error {
--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -212,7 +212,7 @@
 // lbEndpoint is one endpoint of an assignment. An address without a port is sent with port 0: the receiver must refuse it.
 func lbEndpoint(e endpoints.Endpoint) *endpoint.LbEndpoint {
 	health := core.HealthStatus_HEALTHY
-	if e.State == stateDraining {
+	if e.State == endpoints.StateDraining {
 		health = core.HealthStatus_DRAINING
 	}
 	metadata, err := structpb.NewStruct(map[string]any{
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -10,11 +10,7 @@
 )
 
 // The states of an endpoint on the list, by the wire's words.
-const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-	stateGone     = "gone"
-)
+const ()
 
 const (
 	subscriberBuffer  = 1024        // updates; a subscriber that does not read them is dropped
@@ -131,7 +127,7 @@
 		e := l.pending[0].endpoint
 		l.pending = l.pending[1:]
 		l.version++
-		if e.State == stateGone {
+		if e.State == endpoints.StateGone {
 			delete(l.published, e.ID)
 		} else {
 			l.published[e.ID] = e
@@ -183,8 +179,8 @@
 	named := map[uint32]bool{}
 	for _, e := range update.Endpoints {
 		named[e.ID] = true
-		lastSent[e.ID] = e.State == stateReady
-		sent = append(sent, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: e.ID, Ready: e.State == stateReady})
+		lastSent[e.ID] = e.State == endpoints.StateReady
+		sent = append(sent, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: e.ID, Ready: e.State == endpoints.StateReady})
 	}
 	for id := range lastSent {
 		if update.Full && !named[id] {
--- a/internal/fakes/fastendpoint.go
+++ b/internal/fakes/fastendpoint.go
@@ -155,7 +155,7 @@
 	}
 	full := endpoints.Update{Version: 1, Full: true}
 	for i, e := range list {
-		full.Endpoints = append(full.Endpoints, endpoints.Endpoint{ID: uint32(i + 1), Addr: e.Addr, State: stateReady, Build: 1})
+		full.Endpoints = append(full.Endpoints, endpoints.Endpoint{ID: uint32(i + 1), Addr: e.Addr, State: endpoints.StateReady, Build: 1})
 	}
 	release := releases.Update{Version: 1, Build: 1, Phase: phaseReleased, CanaryLimit: 1, AgeSeconds: 1000}
 	moot := release
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -128,7 +128,7 @@
 		record.Enter(func(r *invariants.Record) { r.Endpoints[e.ID].StartedAt = e.StartedAt })
 		s.slots = append(s.slots, e)
 		s.pending[slot].build = first
-		list.Put(listEntry(e, stateReady))
+		list.Put(listEntry(e, endpoints.StateReady))
 	}
 	return s, nil
 }
@@ -294,7 +294,7 @@
 	sequence := pending.sequence
 	if crash {
 		s.fleet.StopEndpoint(old)
-		s.list.Put(listEntry(old, stateGone))
+		s.list.Put(listEntry(old, endpoints.StateGone))
 	}
 	time.AfterFunc(seconds(s.plan.StartSeconds), func() {
 		s.mu.Lock()
@@ -307,7 +307,7 @@
 			s.err = err
 			return
 		}
-		s.list.Put(listEntry(e, stateReady))
+		s.list.Put(listEntry(e, endpoints.StateReady))
 		s.slots[slot] = e
 		if !crash {
 			s.drain(old)
@@ -317,9 +317,9 @@
 
 // drain lets a replaced process finish its requests, and stops it.
 func (s *ReleaseService) drain(old *Endpoint) {
-	s.list.Put(listEntry(old, stateDraining))
+	s.list.Put(listEntry(old, endpoints.StateDraining))
 	time.AfterFunc(seconds(s.plan.DrainSeconds), func() {
-		s.list.Put(listEntry(old, stateGone))
+		s.list.Put(listEntry(old, endpoints.StateGone))
 		s.fleet.StopEndpoint(old)
 	})
 }
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -3,18 +3,18 @@
 // sentReportsKept is the number of latest reports whose sending times a follower keeps.
 const sentReportsKept = 64
 
-// notBased is the follower's basedAt while its last assignment acknowledges no report whose sending time is known.
-const notBased = -1
+// unknownSentAt is the follower's acknowledgedSentAt while its last assignment acknowledges no report whose sending time is known.
+const unknownSentAt = -1
 
 // Follower is a router's end. It follows the controller with the highest epoch that it has heard of, and no other.
 type Follower struct {
-	incarnation   uint64
-	reportsSent   uint64                   // which is the sequence of the last one
-	reportSentAt  [sentReportsKept]float64 // by sequence modulo the size
-	leaderEpoch   uint64
-	assignmentSeq uint64  // sequence of the last assignment accepted, within leaderEpoch
-	basedAt       float64 // when the report was sent that the last assignment acknowledges
-	content       ContentVersions
+	incarnation        uint64
+	reportsSent        uint64                   // which is the sequence of the last one
+	reportSentAt       [sentReportsKept]float64 // by sequence modulo the size
+	leaderEpoch        uint64
+	assignmentSeq      uint64  // sequence of the last assignment accepted, within leaderEpoch
+	acknowledgedSentAt float64 // when the report was sent that the last assignment acknowledges
+	content            ContentVersions
 
 	// Refused counts the assignments that did not count, by reason.
 	Refused [ReasonCount]uint64
@@ -40,7 +40,7 @@
 		return reason, false, false
 	}
 	f.leaderEpoch, f.assignmentSeq = header.Epoch, header.Sequence
-	f.basedAt = f.sentAt(header.AcknowledgedReport)
+	f.acknowledgedSentAt = f.sentAt(header.AcknowledgedReport)
 	applyEndpoints = content.EndpointsAt > f.content.EndpointsAt
 	applyRelease = content.ReleaseVersion > 0 && content.ReleaseVersion >= f.content.ReleaseVersion
 	if applyEndpoints {
@@ -69,13 +69,13 @@
 	return Accepted
 }
 
-// sentAt gives when a report was sent, or notBased. An assignment that acknowledges a report from too long ago proves nothing
+// sentAt gives when a report was sent, or unknownSentAt. An assignment that acknowledges a report from too long ago proves nothing
 // about the present.
 func (f *Follower) sentAt(report uint64) float64 {
 	if report > 0 && f.reportsSent-report < sentReportsKept {
 		return f.reportSentAt[report%sentReportsKept]
 	}
-	return notBased
+	return unknownSentAt
 }
 
 // RestoreEndpointsAt notes that the router has an endpoint list from its own disk that was true at the time given.
@@ -87,16 +87,16 @@
 // sending of the report that the assignment acknowledges: that was before the leader granted the lease, so the lease ends here
 // no later than in the leader's ledger, however long either message took.
 func (f *Follower) LeaseEndsAt(leaseSeconds float64) float64 {
-	if f.basedAt < 0 {
+	if f.acknowledgedSentAt < 0 {
 		return 0
 	}
-	return f.basedAt + leaseSeconds
+	return f.acknowledgedSentAt + leaseSeconds
 }
 
 // AssignmentAge gives the age of the last assignment, in seconds, at the most. startedAt is when the router process started:
 // there may be no assignment yet.
 func (f *Follower) AssignmentAge(now, startedAt float64) float64 {
-	return now - max(startedAt, f.basedAt)
+	return now - max(startedAt, f.acknowledgedSentAt)
 }
 
 // Following gives the epoch that counts, 0 for none yet, and the sequence of its last assignment.
--- a/internal/loadshed/fairness.go
+++ b/internal/loadshed/fairness.go
@@ -3,10 +3,10 @@
 // While the process sheds, what a client asks for above its fair share is shed before the requests of others. The fair share
 // is a multiple of the mean over the clients of the last windows.
 const (
-	fairShareFactor  = 2.0    // times the mean work of a client that are still fair
-	maxClients       = 10_000 // clients told apart in a window
-	minClientWork    = 0.5    // a client with less is forgotten
-	clientWorkFading = 2      // divides a client's work with each window
+	fairShareFactor = 2.0    // times the mean work of a client that are still fair
+	maxClients      = 10_000 // clients told apart in a window
+	minClientWork   = 0.5    // a client with less work in a window is forgotten
+	clientWorkKept  = 0.5    // share of a client's work that is kept from window to window
 )
 
 // countClient notes work that a client offers. Clients beyond maxClients are not told apart.
@@ -32,7 +32,7 @@
 func (s *Shedder) fadeClients() {
 	s.clientWork = 0
 	for client, work := range s.workByClient {
-		work /= clientWorkFading
+		work *= clientWorkKept
 		if work < minClientWork {
 			delete(s.workByClient, client)
 			continue
--- a/internal/loadshed/limit.go
+++ b/internal/loadshed/limit.go
@@ -21,17 +21,17 @@
 
 // The limit grows while the pressure is low and most of the limit is used.
 const (
-	lowPressure    = 0.4     // below it the limit may grow
-	usedShare      = 0.8     // of the limit that has to be admitted for it to grow
-	fastGrowth     = 1.03    // factor for each sample, well below the rate of the last overload
-	nearOverload   = 0.95    // share of that rate from which growth is slow
-	slowGrowth     = 0.004   // part of the limit by which it then grows with each sample at first,
-	maxSlowGrowth  = 0.02    // and at most
-	calmSquare     = 8       // square of the seconds since the last cut after which slow growth has doubled
-	maxCPUShare    = 0.9     // share of the processors that may be used
-	idleCPUGrowth  = 0.3     // part of the limit by which it grows with each sample, for each 1 of CPU share below maxCPUShare
-	minLimitShare  = 1.0 / 4 // share of the best rate that the limit keeps
-	bestRateFading = 0.999   // share of the best rate that is kept from sample to sample
+	lowPressure       = 0.4     // below it the limit may grow
+	usedShare         = 0.8     // of the limit that has to be admitted for it to grow
+	fastGrowth        = 1.03    // factor for each sample, well below the rate of the last overload
+	nearOverload      = 0.95    // share of that rate from which growth is slow
+	slowGrowth        = 0.004   // part of the limit by which it then grows with each sample at first,
+	maxSlowGrowth     = 0.02    // and at most
+	calmSquare        = 8       // square of the seconds since the last cut after which slow growth has doubled
+	maxCPUShare       = 0.9     // share of the processors that may be used
+	idleCPUGrowth     = 0.3     // part of the limit by which it grows with each sample, for each 1 of CPU share below maxCPUShare
+	minLimitShare     = 1.0 / 4 // share of the best rate that the limit keeps
+	keptBestRateShare = 0.999   // share of the best rate that is kept from sample to sample
 )
 
 const (
@@ -55,7 +55,8 @@
 		sample.GCShare/maxGCShare, sample.HeapShare/maxMemoryShare, sample.BufferShare/maxMemoryShare)
 }
 
-// Observe enters a sample and adjusts the limit. It is to be called some times a second.
+// Observe enters a sample and adjusts the limit. It is to be called once a tick of the policy, ten times a second: the growth by sample is
+// tuned to that.
 func (s *Shedder) Observe(now float64, sample LoadSample) {
 	elapsed := now - s.windowStartedAt
 	if elapsed <= 0 {
@@ -72,7 +73,7 @@
 	}
 	s.liftLimit(now, offeredRate)
 	if elapsed >= windowSeconds/2 {
-		s.bestRate = max(s.bestRate*bestRateFading, s.servedWork/elapsed)
+		s.bestRate = max(s.bestRate*keptBestRateShare, s.servedWork/elapsed)
 	}
 	if elapsed >= windowSeconds || pressure > 1 && s.shedShare == 0 {
 		s.endWindow(now, elapsed)
--- a/internal/loadshed/shutdown.go
+++ b/internal/loadshed/shutdown.go
@@ -7,7 +7,7 @@
 	maxTimeoutSeconds  = 3.0 // that a request timeout counts for at most
 	lastRequestSeconds = 0.6 // before the kill, at which it ends its clients' connections
 	lastAnswerSeconds  = 0.3 // before the kill, by which all that was accepted meanwhile is answered
-	overtimeSeconds    = 3.0 // after that, in which a kill that comes late finds it still finishing what it owes
+	overtimeSeconds    = 3.0 // after that, in which a kill that comes late finds it still finishing its answers
 )
 
 // ShutdownPlan is what a router does when after it was told to stop, in seconds from the signal.
--- a/internal/platform/discovery/message.go
+++ b/internal/platform/discovery/message.go
@@ -32,11 +32,12 @@
 
 const maxHostBytes = 256 // of a host's name
 
-// stateGone is the state of an endpoint that left the list.
-const stateGone = "gone"
-
 // states gives an endpoint's state by the service's word.
-var states = map[string]string{"SERVING": "ready", "DRAINING": "draining", "DELETED": stateGone}
+var states = map[string]string{
+	"SERVING":  endpoints.StateReady,
+	"DRAINING": endpoints.StateDraining,
+	"DELETED":  endpoints.StateGone,
+}
 
 // Parse reads and checks a message.
 func Parse(text []byte) (*Message, error) {
@@ -94,7 +95,7 @@
 		Zone:      zone,
 		Cell:      uint16(m.Cell) + 1,
 	}
-	if endpoint.State != stateGone {
+	if endpoint.State != endpoints.StateGone {
 		endpoint.Addr = m.Address
 	}
 	return endpoint
--- a/internal/platform/discovery/registry.go
+++ b/internal/platform/discovery/registry.go
@@ -45,7 +45,7 @@
 		member := &message.Members[i]
 		listed := r.host(member.Host)
 		listed.leftAt = 0
-		if states[member.Health] == stateGone {
+		if states[member.Health] == endpoints.StateGone {
 			listed.leftAt = now
 		}
 		update.Endpoints = append(update.Endpoints, member.endpoint(listed.id, r.zone(member.Zone)))
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -26,11 +26,11 @@
 
 // What the platform's description gives, and the configuration file does not.
 const (
-	clientReadSeconds     = 2.3    // for a client's first byte, and for a request from its first byte to its last
-	clientIdleSeconds     = 2.2    // of a client's connection; the platform's clients may be closed on after 2 s
-	forgetEndpointSeconds = 60.0   // after it left the list
-	maxRememberedKeys     = 50_000 // for one-way keys
-	keepHostSeconds       = 2 * forgetEndpointSeconds
+	clientReadSeconds     = 2.3                       // for a client's first byte, and for a request from its first byte to its last
+	clientIdleSeconds     = 2.2                       // of a client's connection; the platform allows closing one that was idle for 2 s
+	forgetEndpointSeconds = 60.0                      // after it left the list
+	maxRememberedKeys     = 50_000                    // for one-way keys
+	keepHostSeconds       = 2 * forgetEndpointSeconds // so that a host that comes back meanwhile is the same endpoint
 )
 
 // Node is one router on the platform.
@@ -156,7 +156,8 @@
 }
 
 // stopAccepting goes through the shutdown plan up to the point from which no request is accepted. Clients may not know of the shutdown
-// yet, or have nowhere else to go: they are served as long as there is time to answer them.
+// yet, or have nowhere else to go: they are served as long as there is time to answer them. With timeouts below 0.6 s ServeUntil comes
+// before AcceptUntil, else after it; the negative sleep ends at once.
 func (n *Node) stopAccepting(listener net.Listener) {
 	plan := n.shutdownPlan
 	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,7 +6,7 @@
 // alike. Requests of low priority meet it earlier.
 const (
 	targetLatencyRatio = 0.45 // typical latency over its objective that the limit is adjusted for
-	limitAdjustSeconds = 0.25 // time between two adjustments
+	limitAdjustSeconds = 0.25 // least time between two adjustments: every third tick
 	limitDecrease      = 0.9  // factor while answers are too slow
 	limitIncrease      = 0.05 // part by which it grows while it is used, and one attempt
 	limitUsed          = 0.7  // part of it that has to be in flight for it to grow
@@ -39,8 +39,8 @@
 	r.ClientRetry = r.ClientRetry || now-b.lastFailedAt[r.Class] <= repeatWindowSeconds
 }
 
-// firstSeenAt is when a request's client first asked. Most tries get one time. One that gets another time, and more than the objective,
-// is a later try of a client that gives up a request timeout after its first.
+// firstSeenAt is when a request's client first asked. Most requests of a class come with one timeout. One that comes with another, and
+// more than the objective, is a later try of a client that gives up a request timeout after its first.
 func (b *Balancer) firstSeenAt(now float64, r *Request) float64 {
 	class, timeout := r.class(), r.Deadline-r.ReceivedAt
 	if !b.commonTimeout[r.Class].add(timeout) && timeout > class.LatencyObjectiveSeconds {
@@ -93,7 +93,7 @@
 func (b *Balancer) requestRate(now float64) float64 {
 	received := 0
 	for i := range b.receivedAt {
-		b.receivedAt[i] = since(b.receivedAt[i], now-b.config.CanaryWindowSeconds+b.config.MinTickSeconds)
+		b.receivedAt[i] = since(b.receivedAt[i], now-b.config.CanaryWindowSeconds+b.config.TimerResolutionSeconds)
 		received += len(b.receivedAt[i])
 	}
 	return float64(received) / b.config.CanaryWindowSeconds
--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -1,6 +1,6 @@
 package policy
 
-// What counts as evidence on a release, and what speaks of something else.
+// What counts as evidence on a release, and what speaks of something else. The reasons are in docs/design.md, exceptions 1 and 3 to 7.
 const (
 	settleSeconds     = 2.0  // after an endpoint's start, that go uncounted
 	slowLatencyFactor = 2.0  // an answer is slow above so many times the baseline's median latency
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -20,8 +20,8 @@
 	// Endpoints (endpoints.go, subset.go).
 	endpoints       []*endpoint // by rank
 	endpointByID    map[uint32]*endpoint
-	groups          [sideCount][]*endpoint // what this router uses of the ready endpoints, by side
-	groupWeight     [sideCount]float64     // capacity of all ready endpoints, by side
+	subset          [sideCount][]*endpoint // the ready endpoints that this router uses, by side
+	readyCapacity   [sideCount]float64     // capacity of all ready endpoints, by side
 	readyCount      int
 	oldestBuild     int // among the ready ones
 	subscribed      bool
@@ -39,7 +39,7 @@
 	buildByKey       map[uint64]int
 	keyFloorBuild    int // every key counts as answered by this build
 	leasedShare      float64
-	leaseEnd         float64
+	leaseEndsAt         float64
 
 	// Latency and load (admission.go, retry.go, outlier.go).
 	typicalLatency    []float64 // by class
@@ -49,7 +49,7 @@
 	lastFailedAt      []float64  // when a request last ended without success, by class
 	typicalWork       float64    // of the work that clients state
 	retryTokens       float64
-	connRefusals      decayingShare // share of new connections that could not be made
+	connFailures      decayingShare // share of new connections that could not be made
 	inFlight          int           // attempts
 	peakInFlight      int           // since the limit was last adjusted
 	concurrencyLimit  float64
@@ -95,8 +95,8 @@
 }
 
 // SetConfig puts a configuration in force for requests received from now on; the caller doesn't change it any more. Classes keep their
-// index, and more may follow. A request ends by the configuration that it was received under, except for what concerns all requests
-// together: limits, windows, drains and slow start go by the current one at once, which is sooner than their grace asks.
+// index, and more may follow. A request ends by the configuration that it was received under. What concerns all requests together
+// (limits, windows, drains, slow start, cancelling after an answer) follows the new configuration at once.
 func (b *Balancer) SetConfig(config *Config) {
 	b.config, b.maxPriority = config, 0
 	for i, class := range config.Classes {
@@ -141,7 +141,7 @@
 // TickRouter does a router's periodic work. It casts no vote.
 func (b *Balancer) TickRouter(now float64) TickResult {
 	b.noteCall(now)
-	if now-b.limitAdjustedAt >= limitAdjustSeconds-b.config.MinTickSeconds {
+	if now-b.limitAdjustedAt >= limitAdjustSeconds-b.config.TimerResolutionSeconds {
 		b.limitAdjustedAt = now
 		b.adjustConcurrencyLimit()
 		b.forgetKeys()
--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -4,7 +4,8 @@
 
 // canaryAllowance is the canary traffic limit (rule 5): how many more attempts at a canary build the window allows for a request. That
 // is the router's share of the free attempts, and a share of the requests received in the window, by the rollout stage. A build
-// that was not announced is in its first stage. The windows lean to the safe side by a tick: requests leave theirs early, attempts late.
+// that was not announced is in its first stage. The windows lean to the safe side by the timer's resolution: requests leave theirs early,
+// attempts late. What has left them is dropped.
 func (b *Balancer) canaryAllowance(now float64, r *Request, build int) float64 {
 	limit, stage := b.release.canaryLimit, b.release.stage
 	if !b.release.known || build > b.release.build {
@@ -14,10 +15,10 @@
 		return 0
 	}
 	i := b.limitIndex(r.Class)
-	b.receivedAt[i] = since(b.receivedAt[i], now-b.config.CanaryWindowSeconds+b.config.MinTickSeconds)
-	b.canaryAttemptsAt[i] = since(b.canaryAttemptsAt[i], now-b.config.CanaryWindowSeconds-b.config.MinTickSeconds)
+	b.receivedAt[i] = since(b.receivedAt[i], now-b.config.CanaryWindowSeconds+b.config.TimerResolutionSeconds)
+	b.canaryAttemptsAt[i] = since(b.canaryAttemptsAt[i], now-b.config.CanaryWindowSeconds-b.config.TimerResolutionSeconds)
 	free := b.config.CanaryFreeAttempts * b.leasedShare
-	if b.config.HasController && now >= b.leaseEnd {
+	if b.config.HasController && now >= b.leaseEndsAt {
 		free = 0 // the controller may have leased this share to another router
 	}
 	return free + limit*float64(len(b.receivedAt[i])) - float64(len(b.canaryAttemptsAt[i]))
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -2,10 +2,10 @@
 
 // Config is what a deployment tells a Balancer. It is not changed once it was given to New or SetConfig. Durations are seconds.
 type Config struct {
-	Routers        int     // how many routers share the endpoints
-	RollbackVotes  int     // votes that send a release back; 0 counts as 1
-	MinTickSeconds float64 // shortest time between two calls of a tick; deadlines are met by margins of two to three of it
-	Classes        []RequestClass
+	Routers                int     // how many routers share the endpoints
+	RollbackVotes          int     // votes that send a release back; 0 counts as 1
+	TimerResolutionSeconds float64 // how exactly the caller keeps a time; deadlines are met two to three of it early
+	Classes                []RequestClass
 
 	SubscribeToEndpoints bool    // the endpoint list must be subscribed to (TickResult.SubscribeToEndpoints)
 	AllowHedging         bool    // two attempts of a request may be in flight together
@@ -13,7 +13,7 @@
 	MaxRetryAfterSeconds float64 // longest retry-after time that a rejection may name
 	ConnIdleSeconds      float64 // endpoints close a connection that was idle for so long
 	RequestsPerConn      int     // attempts that one connection to an endpoint carries together
-	MaxAttempts          int     // attempts of one request
+	MaxAttempts          int     // attempts of one request, those that were never sent included
 
 	SlowStartInitialShare    float64 // share of its capacity that an endpoint has when it starts
 	SlowStartSeconds         float64 // time until it has all of it
@@ -29,8 +29,10 @@
 	OneWayKeys           bool      // a key that a build answered never goes to an earlier build
 	MaxRememberedKeys    int       // keys remembered for OneWayKeys; 0: all
 
-	ForgetEndpointSeconds float64 // an endpoint that left the list is forgotten after it; 0: never; must be above any request timeout
-	HasController         bool    // a controller votes and leases the free canary attempts (ApplyAssignment)
+	// ForgetEndpointSeconds after it left the list an endpoint is forgotten; 0: never. It must be above any request timeout, since retries
+	// look up the endpoints of earlier attempts (unresponsive, leavesDedupScope).
+	ForgetEndpointSeconds float64
+	HasController         bool // a controller votes and leases the free canary attempts (ApplyAssignment)
 
 	AutomaticStages        bool    // stages advance by time; votes only hold or roll back
 	ReplaceInPlace         bool    // baseline endpoints leave as their canary successors come, instead of staying beside them
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -1,29 +1,29 @@
 package policy
 
-const rareConnRefusals = 0.1 // share of new connections that fails without anything being unusual
+const rareConnFailures = 0.1 // share of new connections that fails without anything being unusual
 
 // recordConnection notes whether a connection to an endpoint is open, and how often a new one to a baseline endpoint failed lately; at
 // a canary that is a matter of its build.
 func (b *Balancer) recordConnection(now float64, e *endpoint, outcome Outcome) {
-	newConn := outcome == NotConnected || outcome.isAnswer() && !b.hasConnection(now, e)
+	newConn := outcome == NotConnected || outcome.IsAnswer() && !b.hasConnection(now, e)
 	if newConn && !b.isCanary(e.build) {
-		b.connRefusals.add(now, failureMemorySeconds, averageWeight, outcome == NotConnected)
+		b.connFailures.add(now, failureMemorySeconds, averageWeight, outcome == NotConnected)
 	}
 	switch {
 	case outcome == NotConnected:
 		e.conns = 0
-	case outcome.isAnswer():
+	case outcome.IsAnswer():
 		e.conns, e.connSeenAt = (e.inFlight+b.config.RequestsPerConn-1)/b.config.RequestsPerConn, now
 	}
 }
 
-// connRefusalShare is the share of new connections that could not be made lately.
-func (b *Balancer) connRefusalShare(now float64) float64 {
-	return b.connRefusals.level(now, failureMemorySeconds)
+// connFailureShare is the share of new connections that could not be made lately.
+func (b *Balancer) connFailureShare(now float64) float64 {
+	return b.connFailures.level(now, failureMemorySeconds)
 }
 
-// connsRefused tells whether so many new connections fail that the open ones are precious.
-func (b *Balancer) connsRefused(now float64) bool { return b.connRefusalShare(now) > rareConnRefusals }
+// manyConnsFail tells whether so many new connections fail that the open ones are to be used first.
+func (b *Balancer) manyConnsFail(now float64) bool { return b.connFailureShare(now) > rareConnFailures }
 
 // hasConnection tells whether an endpoint has an open connection that can take another attempt.
 func (b *Balancer) hasConnection(now float64, e *endpoint) bool {
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -9,6 +9,9 @@
 	failureKinds        // how many there are
 )
 
+// isLateness tells whether a kind is about time and connections, which queues and neighbours spoil as well as builds.
+func isLateness(kind int) bool { return kind == attemptLost || kind == slowAnswer }
+
 // FailureKinds names the kinds of failure, in the order of an EndpointSample.
 var FailureKinds = [failureKinds]string{"wrong", "failed", "lost", "slow"}
 
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -7,11 +7,14 @@
 //   - OnAttemptDone: what to do after an attempt ended;
 //   - TickRouter or TickController: the periodic work, and how long to wait until the next.
 //
-// What it learns: the endpoint list (BeginEndpointList, UpdateEndpoint, EndEndpointList, EndpointListFailed, SetEndpointListAge), releases
-// (ApplyRelease, RestoreRelease), votes (OnVoteReply, RestoreVote), wrong answers that clients report (ReportWrongAnswer), and evidence from
-// metrics (SetMetricsEvidence, SetHealthMarks). A router that has a controller calls Pick, OnAttemptDone and TickRouter, and learns what its
-// controller decided by ApplyAssignment; the controller calls TickController, and learns what its routers counted by ApplyReport. A router
-// without a controller calls TickController itself.
+// What it learns: configurations (SetConfig), the endpoint list (BeginEndpointList, UpdateEndpoint, EndEndpointList, EndpointListFailed,
+// SetEndpointListAge), releases (ApplyRelease, RestoreRelease), votes (OnVoteReply, RestoreVote), wrong answers that clients report
+// (ReportWrongAnswer), evidence from metrics (SetMetricsEvidence, SetHealthMarks), and how late the caller itself may be (SetOwnDelay). What
+// it tells: LocalEvidence and CurrentVote.
+//
+// A router that has a controller calls Pick, OnAttemptDone and TickRouter, and learns what its controller decided by ApplyAssignment; the
+// controller calls TickController, and learns what its routers counted by ApplyReport and DropReport. A router without a controller
+// calls TickController itself.
 //
 // Calls must be serialized by the caller; none of them blocks. Equal sequences of calls give equal answers: random choices are drawn from
 // the seed. All instants are seconds on one clock of the caller that never goes back; all durations are seconds.
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -43,7 +43,7 @@
 	conns      int // connections believed to be open
 	connSeenAt float64
 
-	slowStartTokens   float64 // attempts that it may get in slow start, as of slowStartTokensAt
+	slowStartTokens   float64 // work that it may get in slow start, as of slowStartTokensAt
 	slowStartTokensAt float64
 }
 
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -23,7 +23,7 @@
 // newFleet gives three classes, one of each idempotency, and endpoints 1 to 4 of build 7, long past slow start.
 func newFleet(edit func(*Config)) *fleet {
 	t := Config{
-		Routers: 2, MinTickSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
+		Routers: 2, TimerResolutionSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
 		Classes: []RequestClass{
 			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: Idempotent, DedupWindowSeconds: 1},
 			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupWindowSeconds: 1},
--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// MaxSPRT-AB, the sequential test of docs/design.md: the canary's failures against the baseline's.
+// MaxSPRT-AB, the sequential test of docs/design.md, which tells the reasons ("Kept", and exceptions 1 to 3 and 8): the canary's failures
+// against the baseline's.
 const (
 	rollbackThreshold   = 3.0  // nats of the log-likelihood ratio, before ln(routers)
 	minCanaryOutcomes   = 20.0 // canary outcomes before a vote to roll back, all voters together
@@ -60,7 +61,7 @@
 }
 
 // outliers is how many of a side's endpoints, which are sorted by failures above the mean, are left out. A build is bad on all of its
-// endpoints: the worst quarter of a side may be ill for reasons of its own.
+// endpoints: the worst quarter of a side may fail for other reasons.
 func (c *comparison) outliers(side int) int {
 	each := c.each[side]
 	quarter := min(len(each)/2, (len(each)+3)/4)
@@ -98,7 +99,7 @@
 // sample is too small or speaks of something else than the build. reported is the share of wrong answers that the sample can show.
 func (b *Balancer) canaryEvidence(kind int, list []*endpointCounts, reported float64) float64 {
 	c := newComparison(kind, b.release.build, list)
-	if kind >= attemptLost && c.loneCanary() {
+	if isLateness(kind) && c.loneCanary() {
 		return 0 // one endpoint's lateness is no proof
 	}
 	whole, sum := c.trim()
@@ -140,16 +141,18 @@
 	return 0
 }
 
-// overdispersion learns the threshold from A/A comparisons, as the paper's Algorithm 1: how far the baseline's endpoints differ among
-// themselves against what chance gives (Pearson's statistic over its degrees of freedom, at least 1).
+// overdispersion is how many times more the baseline's endpoints differ among themselves than chance gives: Pearson's chi-squared over
+// its degrees of freedom, at least 1. The log-likelihood ratio is divided by it, which stands for the threshold that the paper
+// of docs/design.md learns from A/A comparisons.
 func overdispersion(each []outcomeCount, sum outcomeCount) float64 {
-	p, chiSquared := sum.failures/max(1, sum.total), 0.0
-	for _, c := range each {
-		chiSquared += (c.failures - c.total*p) * (c.failures - c.total*p) / (c.total * p * (1 - p))
-	}
+	p := sum.failures / max(1, sum.total)
 	if p <= 0 || p >= 1 || len(each) < 2 {
 		return 1
 	}
+	chiSquared := 0.0
+	for _, c := range each {
+		chiSquared += (c.failures - c.total*p) * (c.failures - c.total*p) / (c.total * p * (1 - p))
+	}
 	return max(1, chiSquared/float64(len(each)-1))
 }
 
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -60,20 +60,20 @@
 		return ownRatio
 	}
 	seen := b.visibleShare(kind)
-	if seen == 0 { // no own sample could contradict them, and all routers that hear them are one voice
+	if seen == 0 { // no own sample could contradict them, and all routers that hear them share one source, so that they count as one
 		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.Routers))))
 	}
 	claimed, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
-	base, trial := observed[baseline], observed[canary]
+	observedBaseline, observedCanary := observed[baseline], observed[canary]
 	// Failure rate of the canary without the claim, and with it.
-	p := (base.failures + 0.5) / (base.total + 1)
+	p := (observedBaseline.failures + 0.5) / (observedBaseline.total + 1)
 	q := min(p+seen*(claimed[canary].failures/claimed[canary].total-claimed[baseline].failures/claimed[baseline].total), (1+p)/2)
 	perFailure, perSuccess := math.Log(q/p), math.Log((1-q)/(1-p))
-	explained := trial.failures*perFailure + (trial.total-trial.failures)*perSuccess
+	explained := observedCanary.failures*perFailure + (observedCanary.total-observedCanary.failures)*perSuccess
 	contradicted := !(q > p) || explained < 0
-	if contradicted || base.total == 0 || trial.total*float64(b.rollbackVotes()) < minCanaryOutcomes {
+	if contradicted || observedBaseline.total == 0 || observedCanary.total*float64(b.rollbackVotes()) < minCanaryOutcomes {
 		return ownRatio
 	}
-	couldContradict := -trial.total * (p*perFailure + (1-p)*perSuccess)
+	couldContradict := -observedCanary.total * (p*perFailure + (1-p)*perSuccess)
 	return max(ownRatio, explained+min(metricsRatio, couldContradict, threshold/2))
 }
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -44,7 +44,7 @@
 	if outcome == Cancelled && !r.Completed {
 		outcome = TimedOut // it was cancelled because its endpoint was unresponsive
 	}
-	if b.saysNothing(now, r, outcome, took) {
+	if b.isUninformative(now, r, outcome, took) {
 		return
 	}
 	if outcome != TimedOut {
@@ -60,8 +60,8 @@
 	}
 }
 
-// saysNothing tells whether an outcome says nothing about its endpoint: the client had little time left, or this process stood still.
-func (b *Balancer) saysNothing(now float64, r *Request, outcome Outcome, took float64) bool {
+// isUninformative tells whether an outcome says nothing about its endpoint: the client had little time left, or this process stood still.
+func (b *Balancer) isUninformative(now float64, r *Request, outcome Outcome, took float64) bool {
 	if outcome == TimedOut && took < b.attemptTimeout(r) {
 		return true
 	}
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -3,16 +3,26 @@
 const (
 	holdSeconds = 0.02 // a held request is picked again after it
 
-	defaultDraws    = 2 // the better of two random choices
-	staleListDraws  = 4 // where the best so far fails about every other attempt: half of a stale list may be gone
-	fewConnsDraws   = 8 // where new connections are refused: the open ones lead to few endpoints, which others crowd as well
-	staleListScore  = 0.5
-	minLatencyRatio = 0.2 // an endpoint looks at most five times as fast as a typical one
-	outlierCost     = 12  // an endpoint that fails every attempt looks so much more loaded
+	defaultDraws      = 2 // the better of two random choices
+	staleListDraws    = 4 // where the best so far fails about every other attempt: half of a stale list may be gone
+	failingConnsDraws = 8 // where new connections fail: the open ones lead to few endpoints, which other routers use too
+	staleListScore    = 0.5
+	minLatencyRatio   = 0.2 // an endpoint looks at most five times as fast as a typical one
+	outlierCost       = 12  // an endpoint that fails every attempt looks so much more loaded
 )
 
-// Pick decides on a request: send an attempt, hold it, or answer it finally. It is to be called when a request is received and when a
-// decision's PickAgainAt is reached.
+// Pick decides on a request: send an attempt, hold it, or answer it finally. It is to be called when a request is received, when a
+// decision's PickAgainAt is reached, and when its client has gone, to learn whether to cancel what is in flight; OnAttemptDone calls it
+// after every attempt. The first call's now must equal r.ReceivedAt: only then is the request counted in the limits' windows.
+//
+// A retry is refused for good, by finalAnswer once nothing is in flight, when
+//   - the deadline or the latency objective is too near (outOfTime);
+//   - the attempts are used up, or one of them may have run and a repeat could have a second effect (retryIsSafe);
+//   - the retry budget is empty (retryAffordable);
+//   - the request needs too much work to be answered in time (tooHeavy).
+//
+// It is put off while an attempt is in flight whose endpoint may still answer (unresponsive), and while no endpoint may take it
+// (eligible, hasSlowStartToken). The concurrency limit is for first attempts alone.
 func (b *Balancer) Pick(now float64, r *Request) Decision {
 	b.noteCall(now)
 	if r.Config == nil {
@@ -54,9 +64,9 @@
 	return hold(now, r)
 }
 
-// hold has a request wait. Its last look comes half a tick after it is out of time (outOfTime), so that it is not picked for ever.
+// hold has a request wait until there is a chance that it can go, or its time is over.
 func hold(now float64, r *Request) Decision {
-	return Decision{Action: Hold, PickAgainAt: min(now+holdSeconds, r.Deadline-2*r.Config.MinTickSeconds)}
+	return Decision{Action: Hold, PickAgainAt: min(now+holdSeconds, r.lastAttemptEnd())}
 }
 
 // send begins an attempt, with the time to look again if the endpoint stays silent.
@@ -77,7 +87,7 @@
 	}
 	e.slowStartTokens -= r.Work
 	class := r.class()
-	decision := Decision{Action: Send, Endpoint: e.id, AttemptDeadline: r.Deadline - 2*r.Config.MinTickSeconds}
+	decision := Decision{Action: Send, Endpoint: e.id, AttemptDeadline: r.lastAttemptEnd()}
 	lookAgain := now + b.attemptTimeout(r)
 	if class.Idempotency != NonIdempotent && lookAgain < r.FirstSeenAt+class.LatencyObjectiveSeconds {
 		decision.PickAgainAt = lookAgain
@@ -102,7 +112,7 @@
 		b.rememberKey(r.Key, e.build)
 	}
 	if r.Completed {
-		return Decision{CancelInFlight: b.config.AllowCancel}
+		return Decision{CancelInFlight: b.config.AllowCancel} // by the current configuration, for all requests
 	}
 	return b.Pick(now, r)
 }
@@ -110,8 +120,8 @@
 // pickEndpoint picks a side by its share of the capacity, and an endpoint within it; one of the other side where none can take the
 // request. A canary that this balancer's vote alone rolls back comes second.
 func (b *Balancer) pickEndpoint(now float64, r *Request) *endpoint {
-	first, second := b.groups[canary], b.groups[baseline]
-	if b.rollsBackAlone() || b.random.next() >= b.groupWeight[canary]/(b.groupWeight[baseline]+b.groupWeight[canary]) {
+	first, second := b.subset[canary], b.subset[baseline]
+	if b.rollsBackAlone() || b.random.next() >= b.readyCapacity[canary]/(b.readyCapacity[baseline]+b.readyCapacity[canary]) {
 		first, second = second, first
 	}
 	if e := b.pickFromGroup(now, r, first); e != nil {
@@ -126,17 +136,17 @@
 	if len(group) == 0 || b.isCanary(group[0].build) && b.canaryAllowance(now, r, group[0].build) < 1 {
 		return nil
 	}
-	connsRefused := b.connsRefused(now)
+	manyConnsFail := b.manyConnsFail(now)
 	maxDraws := staleListDraws
-	if connsRefused {
-		maxDraws = fewConnsDraws
+	if manyConnsFail {
+		maxDraws = failingConnsDraws
 	}
 	drawAgain := func() bool {
-		return best == nil || connsRefused || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListScore
+		return best == nil || manyConnsFail || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListScore
 	}
 	var bestCost float64
 	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
-		needConn := connsRefused && (draw != 1 || r.NotConnected) // one draw may open a new connection
+		needConn := manyConnsFail && (draw != 1 || r.NotConnected) // one draw may open a new connection
 		e := b.drawEndpoint(now, r, group, needConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
 			continue
@@ -188,7 +198,7 @@
 // silent and how often it failed lately, over its capacity. All of that decays, so that each endpoint is tried again.
 func (b *Balancer) cost(now float64, e *endpoint, work float64) float64 {
 	if !b.hasConnection(now, e) {
-		work *= 1 + outlierCost*b.connRefusalShare(now)
+		work *= 1 + outlierCost*b.connFailureShare(now)
 	}
 	slowness := max(e.latencyRatio, minLatencyRatio)
 	if e.latencyRatio == 0 {
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -58,7 +58,7 @@
 // ApplyAssignment enters what a controller tells its router: the vote that stands, on which build, and the router's share of the free
 // canary attempts until the lease ends. An assignment has no end of its own: without a controller nothing is loosened. Drains and limits
 // that were told stay binding, an unannounced build is in its first stage, and the leased share is zero once the lease is over.
-func (b *Balancer) ApplyAssignment(build int, verdict Verdict, share, leaseEnd float64) {
+func (b *Balancer) ApplyAssignment(build int, verdict Verdict, share, leaseEndsAt float64) {
 	b.currentVote = vote{build: build, verdict: verdict}
-	b.leasedShare, b.leaseEnd = share, leaseEnd
+	b.leasedShare, b.leaseEndsAt = share, leaseEndsAt
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -12,9 +12,9 @@
 	Deadline     float64 // when its client gives up
 	Work         float64 // expected work, 0: unknown; relative to the typical request after the first Pick
 	ClientRetry  bool    // the client says that it asks again
-	Streaming    bool    // a part of the answer has gone to the client
+	Streaming    bool    // a part of the answer has gone to the client; set by callers that stream answers
 	Completed    bool    // it has its final answer, or nobody waits for one
-	NotConnected bool    // its last attempt reached no endpoint
+	NotConnected bool    // the attempt that ended last reached no endpoint
 	Attempts     []Attempt
 }
 
@@ -39,6 +39,7 @@
 	ConnectionLost         // may have run
 	Cancelled              // may have run
 	NotSent                // given up before it left; it never ran
+	OutcomeCount           // how many outcomes there are
 )
 
 // isFailure tells whether an outcome speaks against its endpoint or build.
@@ -46,8 +47,11 @@
 	return o == ServerError || o == TimedOut || o == ConnectionLost || o == NotConnected
 }
 
-// isAnswer tells whether an endpoint answered.
-func (o Outcome) isAnswer() bool { return o == Succeeded || o == ServerError || o == Overloaded }
+// IsAnswer tells whether the outcome came from the endpoint itself.
+func (o Outcome) IsAnswer() bool { return o == Succeeded || o == ServerError || o == Overloaded }
+
+// MayHaveRun tells whether an attempt with this outcome may have had an effect.
+func (o Outcome) MayHaveRun() bool { return o != NotSent && o != NotConnected && o != Overloaded }
 
 // Action is what the caller has to do with a request.
 type Action uint8
@@ -66,7 +70,7 @@
 	Action            Action
 	Endpoint          uint32
 	AttemptDeadline   float64 // the attempt has to be given up then
-	PickAgainAt       float64 // call Pick again then; 0: not
+	PickAgainAt       float64 // call Pick again then; not, if it is 0 or not before the request's deadline
 	RetryAfterSeconds float64
 	CancelInFlight    bool // cancel the attempts in flight
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -11,20 +11,32 @@
 // attemptTimeoutFactor is how many typical latencies an attempt is left alone before another may follow.
 const attemptTimeoutFactor = 3.0
 
+// An answer has to be written before its client's time is over: attempts end so many times the timer's resolution before the deadline.
+// A held request is picked then for the last time, and half a resolution earlier counts as out of time: rounding could otherwise
+// make it be picked again without end.
+const (
+	attemptMargin   = 2
+	outOfTimeMargin = 2.5
+)
+
 // timeTolerance keeps rounding from hiding that a time has come, in seconds.
 const timeTolerance = 1e-6
 
 // outOfTime tells whether no further attempt can earn anything: the client's time or the latency objective is over. Under load nothing goes
-// to a client that asks again after the objective of its first try has passed. The margin is half a tick more than that of
-// hold: at a hair before its end a held request would be picked for ever.
+// to a client that asks again after the objective of its first try has passed.
 func (b *Balancer) outOfTime(now float64, r *Request) bool {
 	objective := r.class().LatencyObjectiveSeconds
-	if now >= r.Deadline-2.5*r.Config.MinTickSeconds || now-r.ReceivedAt >= objective {
+	if now >= r.Deadline-outOfTimeMargin*r.Config.TimerResolutionSeconds || now-r.ReceivedAt >= objective {
 		return true
 	}
 	return b.latencyRatio > targetLatencyRatio && len(r.Attempts) == 0 && now-r.FirstSeenAt >= objective
 }
 
+// lastAttemptEnd is when the last attempt of a request has to end.
+func (r *Request) lastAttemptEnd() float64 {
+	return r.Deadline - attemptMargin*r.Config.TimerResolutionSeconds
+}
+
 // retryIsSafe tells whether a further attempt can do no harm (rule 2, no effect twice). A request may be sent again when no attempt can
 // have run; when it is idempotent; or when it has a key and the window in which endpoints recognise that is open for every
 // attempt. Where it may go then is leavesDedupScope's matter.
@@ -39,7 +51,7 @@
 			continue
 		}
 		windowEnds := attempt.StartedAt + class.DedupWindowSeconds
-		if class.Idempotency == NonIdempotent || now+2*r.Config.MinTickSeconds >= windowEnds {
+		if class.Idempotency == NonIdempotent || now+2*r.Config.TimerResolutionSeconds >= windowEnds {
 			return false
 		}
 	}
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -15,7 +15,7 @@
 	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the objective:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(c))
 	// A hair before the end there is no asking again at the same moment.
-	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.MinTickSeconds + 1e-10}))
+	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.TimerResolutionSeconds + 1e-10}))
 	// Output:
 	// reject, retry after 1.0 s ahead of the time-out: true not before the objective: true
 	// then: cancel
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -14,13 +14,14 @@
 	return initial + (1-initial)*max(0, now-e.startedAt)/b.config.SlowStartSeconds
 }
 
-// hasSlowStartToken tells whether an endpoint may get another request as far as slow start goes. send takes the token.
+// hasSlowStartToken refills an endpoint's tokens and tells whether it may get another request as far as slow start goes. send takes the
+// request's work from them.
 func (b *Balancer) hasSlowStartToken(now float64, e *endpoint) bool {
 	share := b.slowStartShare(now, e)
 	if share >= 1 {
 		return true
 	}
-	subsetSize := float64(len(b.groups[baseline]) + len(b.groups[canary])) // other routers use other endpoints
+	subsetSize := float64(len(b.subset[baseline]) + len(b.subset[canary])) // other routers use other endpoints
 	tokensPerSecond := slowStartBudget * b.config.SlowStartOverloadFactor * share * b.requestRate(now) / subsetSize
 	e.slowStartTokens = min(e.slowStartTokens+tokensPerSecond*(now-e.slowStartTokensAt), max(1, tokensPerSecond*b.config.SlowStartOverloadSeconds))
 	e.slowStartTokensAt = now
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -13,9 +13,9 @@
 // capacity of both sides, and whether both builds run side by side.
 func (b *Balancer) regroupEndpoints(now float64) {
 	baselineServes := b.countReadyEndpoints(now)
-	connsRefused := b.connsRefused(now)
-	b.sideBySide = b.canaryReady > 0 && baselineServes && !connsRefused
-	if connsRefused {
+	manyConnsFail := b.manyConnsFail(now)
+	b.sideBySide = b.canaryReady > 0 && baselineServes && !manyConnsFail
+	if manyConnsFail {
 		b.dropLatenessCounts()
 	}
 	b.chooseSubset(now)
@@ -43,21 +43,21 @@
 	return baselineServes
 }
 
-// chooseSubset fills groups and groupWeight.
+// chooseSubset fills subset and readyCapacity.
 func (b *Balancer) chooseSubset(now float64) {
 	share := min(1, max(minSubset, b.requestRate(now)*b.config.ConnIdleSeconds*subsetIdleShare)/float64(max(1, b.readyCount)))
-	for side := range b.groups {
-		b.groups[side], b.groupWeight[side] = b.groups[side][:0], 0
+	for side := range b.subset {
+		b.subset[side], b.readyCapacity[side] = b.subset[side][:0], 0
 	}
 	for _, e := range b.endpoints {
 		if !e.ready {
 			continue
 		}
 		side := boolToInt(b.isCanary(e.build))
-		b.groups[side] = append(b.groups[side], e)
-		b.groupWeight[side] += e.weight * b.slowStartShare(now, e) * (1 - b.outlierScore(now, e)/2)
+		b.subset[side] = append(b.subset[side], e)
+		b.readyCapacity[side] += e.weight * b.slowStartShare(now, e) * (1 - b.outlierScore(now, e)/2)
 	}
-	for side, group := range b.groups {
-		b.groups[side] = group[:int(math.Ceil(share*float64(len(group))))]
+	for side, group := range b.subset {
+		b.subset[side] = group[:int(math.Ceil(share*float64(len(group))))]
 	}
 }
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// When a vote is cast, and which.
+// When a vote is cast, and which. The reasons are in docs/design.md, exceptions 0, 8 and 11.
 const (
 	voteRetrySeconds         = 0.5  // until a vote that did not count is cast again
 	holdThreshold            = 0.75 // part of the rollback threshold from which the clock is held
@@ -130,21 +130,28 @@
 	return VoteNone
 }
 
-// evidenceOverThreshold is the strongest evidence against the canary, over the threshold of its kind. ln(routers) guards against the
-// one of many that crosses by chance. Where k votes are needed, any k of n have to: the threshold is where that is as unlikely.
-// Wrong answers are found by each client for itself; what fails or is late troubles many routers at once, so that there they
-// only share the guard.
-func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) float64 {
-	n, k := float64(b.config.Routers), float64(b.rollbackVotes())
-	strongest, threshold := 0.0, (rollbackThreshold+logBinomial(n, k))/k
+// evidenceOverThreshold is the strongest evidence against the canary, over the threshold of its kind.
+func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) (strongest float64) {
 	metrics := b.metricsCounts(counts)
 	for kind := range failureKinds {
+		threshold := b.thresholdFor(kind)
 		strongest = max(strongest, b.combinedEvidence(kind, threshold, counts, metrics)/threshold)
-		threshold = rollbackThreshold + math.Log(n/k)
 	}
 	return strongest
 }
 
+// thresholdFor is the log-likelihood ratio, in nats, from which a kind of failure calls for a rollback. ln(routers) guards against the
+// one of many that crosses by chance. Where k votes are needed, any k of n have to: the threshold is where that is as unlikely.
+// Wrong answers are found by each client for itself; what fails or is late troubles many routers at once, so that there they
+// only share the guard.
+func (b *Balancer) thresholdFor(kind int) float64 {
+	n, k := float64(b.config.Routers), float64(b.rollbackVotes())
+	if kind == wrongAnswer {
+		return (rollbackThreshold + logBinomial(n, k)) / k
+	}
+	return rollbackThreshold + math.Log(n/k)
+}
+
 // mayPromote tells whether the list shows the stage, and the newest canary endpoint and the stage have been watched for long enough.
 func (b *Balancer) mayPromote(now float64, counts []*endpointCounts) bool {
 	wait := b.promoteWait(now, counts)
@@ -174,7 +181,7 @@
 		}
 	}
 	rate := b.requestRate(now) + b.reportedRate
-	more := rate * b.groupWeight[canary] / (b.groupWeight[baseline] + b.groupWeight[canary]) * (promoteWaitFewSeconds - promoteWaitSeconds)
+	more := rate * b.readyCapacity[canary] / (b.readyCapacity[baseline] + b.readyCapacity[canary]) * (promoteWaitFewSeconds - promoteWaitSeconds)
 	if outcomes >= minCanaryOutcomes || outcomes+more < minCanaryOutcomes {
 		return promoteWaitSeconds
 	}
--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -21,7 +21,7 @@
 	config := policy.Config{
 		Routers:                  d.integer("balancers"),
 		RollbackVotes:            d.integer("family_info.noes_needed"),
-		MinTickSeconds:           d.seconds("round"),
+		TimerResolutionSeconds:   d.seconds("round"),
 		SubscribeToEndpoints:     d.choice("discovery", "push", "ask") == 1,
 		AllowHedging:             d.boolean("policy_limits.parallel_tries"),
 		AllowCancel:              d.boolean("policy_limits.may_cancel"),
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -83,7 +83,7 @@
 	p.stats.Outcomes[outcome]++
 	record := &request.Attempts[attempt.index]
 	record.InFlight = false
-	record.MayHaveRun = mayHaveRun(outcome)
+	record.MayHaveRun = outcome.MayHaveRun()
 	if conn := attempt.conn; conn != nil {
 		attempt.conn = nil
 		if conn.attempt == attempt {
@@ -108,7 +108,7 @@
 // to make a connection, or to write to one, and none came of it.
 func (a *attempt) settleOutcome(outcome policy.Outcome) policy.Outcome {
 	partlyWritten := a.writeState.Load() == lastByteHeld
-	if isAnswer(outcome) || !a.drop() || outcome == policy.NotConnected {
+	if outcome.IsAnswer() || !a.drop() || outcome == policy.NotConnected {
 		return outcome
 	}
 	if a.conn != nil && (a.conn.dialing || partlyWritten) && !a.request.Completed {
@@ -117,16 +117,6 @@
 	return policy.NotSent
 }
 
-// isAnswer tells whether an outcome came from the endpoint itself.
-func isAnswer(outcome policy.Outcome) bool {
-	return outcome == policy.Succeeded || outcome == policy.ServerError || outcome == policy.Overloaded
-}
-
-// mayHaveRun tells whether an attempt with this outcome may have had an effect.
-func mayHaveRun(outcome policy.Outcome) bool {
-	return outcome != policy.NotSent && outcome != policy.NotConnected && outcome != policy.Overloaded
-}
-
 // writeAttempt writes an attempt to its connection without waiting, unless it was dropped meanwhile. The caller does not
 // hold p.mu.
 func (p *Proxy) writeAttempt(attempt *attempt) {
--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -8,21 +8,22 @@
 // What the router learns from outside (endpoint list, release, controller, clients' reports) goes into the balancer here,
 // under the lock that orders its calls.
 
-// ApplyEndpoints applies a checked update of the endpoint list to the balancer and the pools.
-func (p *Proxy) ApplyEndpoints(update *endpoints.Update) {
+// ApplyEndpoints applies what endpoints.List.Apply says has changed to the balancer and the pools. Only the first changes of a list are
+// Full. They hold for every decision made from its return on.
+func (p *Proxy) ApplyEndpoints(changes *endpoints.Update) {
 	var effects effects
 	defer p.runEffects(&effects) // after the lock is given back
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
-	p.endpointListAt, p.endpointListVersion = now-update.AgeSeconds, update.Version
-	update.ApplyTo(p.balancer, now)
-	if update.Full {
+	p.endpointListAt, p.endpointListVersion = now-changes.AgeSeconds, changes.Version
+	changes.ApplyTo(p.balancer, now)
+	if changes.Full {
 		for _, pool := range p.pools {
 			pool.usable = false
 		}
 	}
-	for _, endpoint := range update.Endpoints {
+	for _, endpoint := range changes.Endpoints {
 		p.updatePool(endpoint, &effects)
 	}
 	p.removeUnusedPools()
@@ -57,10 +58,10 @@
 }
 
 // ApplyAssignment applies a controller's assignment: its verdict on the build, and the leased share until it ends.
-func (p *Proxy) ApplyAssignment(build int, verdict policy.Verdict, share, until float64) {
+func (p *Proxy) ApplyAssignment(build int, verdict policy.Verdict, share, leaseEndsAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.balancer.ApplyAssignment(build, verdict, share, until)
+	p.balancer.ApplyAssignment(build, verdict, share, leaseEndsAt)
 }
 
 // SetHealthMarks replaces the controller's health marks on endpoints, which were true ageSeconds ago.
@@ -81,6 +82,11 @@
 func (p *Proxy) ReportWrongAnswer(endpointID uint32, ageSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	p.countWrongAnswer(endpointID, ageSeconds)
+}
+
+// countWrongAnswer counts a reported wrong answer and tells the balancer. The caller holds p.mu.
+func (p *Proxy) countWrongAnswer(endpointID uint32, ageSeconds float64) {
 	p.stats.WrongAnswers++
 	p.balancer.ReportWrongAnswer(p.Now(), endpointID, ageSeconds)
 }
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -6,10 +6,7 @@
 )
 
 // The states of an endpoint as its list names them.
-const (
-	stateDraining = "draining"
-	stateGone     = "gone"
-)
+const ()
 
 // endpointPool is the connections to one endpoint process. It is guarded by Proxy.mu.
 type endpointPool struct {
@@ -27,7 +24,7 @@
 // updatePool brings the pools in step with an entry of the endpoint list. The caller holds p.mu.
 func (p *Proxy) updatePool(endpoint endpoints.Endpoint, effects *effects) {
 	pool := p.pools[endpoint.ID]
-	if endpoint.State == stateGone {
+	if endpoint.State == endpoints.StateGone {
 		if pool != nil {
 			pool.usable = false
 		}
@@ -45,7 +42,7 @@
 		pool = &endpointPool{id: endpoint.ID, addr: endpoint.Addr, build: endpoint.Build, startedAt: endpoint.StartedAt}
 		p.pools[endpoint.ID] = pool
 	}
-	pool.usable, pool.zone, pool.cell = endpoint.State != stateDraining, endpoint.Zone, endpoint.Cell
+	pool.usable, pool.zone, pool.cell = endpoint.State != endpoints.StateDraining, endpoint.Zone, endpoint.Cell
 }
 
 func (pool *endpointPool) sameProcess(endpoint endpoints.Endpoint) bool {
--- a/internal/proxy/http_conn.go
+++ b/internal/proxy/http_conn.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	p.memory.waitAvailable(p.stop)
-	queuedSeconds := conn.queuedSecondsIfOverloaded()
+	queuedSeconds := conn.queuedSecondsIfMeasured()
 	result := proto.shedUnparsed(conn, br, queuedSeconds)
 	switch result {
 	case shedKeepConn:
--- a/internal/proxy/http_receipt.go
+++ b/internal/proxy/http_receipt.go
@@ -22,7 +22,6 @@
 	if !(age >= 0 && age < longest) { // also where age is no number
 		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, longest)
 	}
-	p.stats.WrongAnswers++
-	p.balancer.ReportWrongAnswer(p.Now(), endpointID, age)
+	p.countWrongAnswer(endpointID, age)
 	return nil
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -99,7 +99,7 @@
 }
 
 // findPlace tells whether one more connection may be admitted: below the limit, or because another one could be evicted.
-// From limits.Keep on, one is evicted for each that comes. The caller holds p.mu.
+// From limits.EvictIdleAbove connections on, one is evicted for each that comes. The caller holds p.mu.
 func (p *Proxy) findPlace(limits *config.Clients) bool {
 	evicts := limits.EvictIdleAbove > 0 && len(p.clients) >= limits.EvictIdleAbove
 	return evicts && p.evictClient() || len(p.clients) < limits.MaxConns
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -11,15 +11,15 @@
 func (p *Proxy) sampleLoad(now float64) {
 	p.timerDelaySeconds = max(0, now-p.policyTickAt)
 	p.processSample = p.sampler.Sample()
-	round := p.currentConfig.Load().Document.Rules.MinTickSeconds
-	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, round))
+	timerResolution := p.currentConfig.Load().Document.Rules.TimerResolutionSeconds
+	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, timerResolution))
 	if p.shedder == nil {
 		return
 	}
 	sample := p.loadSample()
 	p.shedder.Observe(now, sample)
 	p.shedding.Store(p.shedder.ShedShare() > 0)
-	p.overloaded.Store(p.shedder.Overloaded(sample))
+	p.measureQueueing.Store(p.shedder.ShouldMeasureQueueing(sample))
 }
 
 // loadSample puts the last measurements together for the shedder, and begins a new span for queued requests.
@@ -39,9 +39,9 @@
 	}
 }
 
-// queuedSecondsIfOverloaded is queuedSeconds while this process is overloaded, else 0: it costs a system call a request.
-func (conn *clientConn) queuedSecondsIfOverloaded() float64 {
-	if !conn.proxy.overloaded.Load() {
+// queuedSecondsIfMeasured is queuedSeconds while this process is near its limits, else 0: it costs a system call a request.
+func (conn *clientConn) queuedSecondsIfMeasured() float64 {
+	if !conn.proxy.measureQueueing.Load() {
 		return 0
 	}
 	return conn.queuedSeconds()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,7 +23,8 @@
 	castVote func(releases.Vote) // called without the lock; must not wait. nil: a controller votes
 
 	// OnFinalAnswer, where set, is called under the lock with each final answer: the request's class, the kind of answer, and
-	// the seconds since the request was received. It must not wait, and must be set before Serve is called.
+	// the seconds since the request was received. Requests shed before they were parsed (http_shed.go) are not told. It must not
+	// wait, and must be set before Serve is called.
 	OnFinalAnswer func(class, kind string, seconds float64)
 
 	connReuseDelaySeconds float64   // after an answer, in which its connection gets no further attempt
@@ -35,7 +36,7 @@
 	goroutines            sync.WaitGroup
 
 	shedding        atomic.Bool   // some requests are shed at present
-	overloaded      atomic.Bool   // this process is late, or sheds
+	measureQueueing atomic.Bool   // this process is near its limits: how long requests lay in the kernel is measured
 	maxQueuedMillis atomic.Uint32 // the longest that a request lay in the kernel since the last load sample
 
 	mu                sync.Mutex // guards all below, and orders the balancer's calls
@@ -52,7 +53,7 @@
 
 	lastRequestID   uint32
 	inFlight        int                 // accepted requests without a final answer
-	inFlightByClass []int               // the same by the configuration state's slot of their class
+	inFlightByClass []int               // the same by Request.Class
 	requestIDs      map[string]struct{} // of requests in flight, where the protocol names them
 	deadlines       deadlineQueue
 	answerDeadline  float64 // when every request is to be answered at the latest; 0: no such time
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -21,7 +21,7 @@
 	var unanswered []*request // with some that were answered since the last look
 	defer func() { proto.abandonRequests(conn, unanswered) }()
 	for first := true; proto.waitForCommand(conn, br, first); first = false {
-		queuedSeconds := conn.queuedSeconds()
+		queuedSeconds := conn.queuedSeconds() // always: the time that a command tells counts from its sending
 		p.mu.Lock()
 		conn.reading = true // a shutdown lets the command come whole
 		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"flintspread/internal/policy"
 	"flintspread/internal/processstats"
 )
 
@@ -10,7 +11,7 @@
 type Stats struct {
 	// Requests: accepted ones by how they ended (Abandoned: the client closed first), and messages that were none.
 	Received, Succeeded, Rejected, Failed, Abandoned uint64
-	InvalidRequests                                  uint64
+	InvalidRequests                                  uint64 // with messages that are answered without a request, such as PING
 
 	// Client connections by what became of them when they came; MemoryRefused are those refused for want of memory.
 	ClientsAccepted, ClientsRefused, MemoryRefused uint64
@@ -18,12 +19,12 @@
 	// Attempts sent and cancelled, connections dialled, answers to attempts that had been given up, wrong answers reported by
 	// clients, and attempts by outcome.
 	Attempts, Dials, Cancels, LateAnswers, WrongAnswers uint64
-	Outcomes                                            [8]uint64
+	Outcomes                                            [policy.OutcomeCount]uint64
 
 	InFlight, ClientConns, EndpointConns, Endpoints int // now
 
 	Shed              uint64  // rejected requests that were rejected for this process's own load
-	ShedShare         float64 // share of arriving requests that is shed now
+	ShedShare         float64 // share of the offered work that is shed now
 	TimerDelaySeconds float64 // how late the timer was at the last load sample
 	Process           processstats.Sample
 
--- a/internal/router/confighash.go
+++ b/internal/router/confighash.go
@@ -10,7 +10,8 @@
 
 // ConfigHash identifies the policy configuration that a router and its controller must share. Each sends it to the other, so that it
 // has to be the same for programs of different versions: the text that is hashed keeps the field names of the first
-// version (hashedConfig), whatever policy.Config calls its fields now. Fields that only one of the two programs reads are left out.
+// version (hashedConfig), whatever policy.Config calls its fields now. ConnIdleSeconds and HasController are the router's own and
+// hashed as zero. A new field stays out: one that both programs must agree on needs a further hash in the protocol.
 func ConfigHash(config policy.Config) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%+v", newHashedConfig(config)))
 }
@@ -65,7 +66,7 @@
 	hashed := hashedConfig{
 		Balancers:   config.Routers,
 		BackVotes:   config.RollbackVotes,
-		Round:       config.MinTickSeconds,
+		Round:       config.TimerResolutionSeconds,
 		Ask:         config.SubscribeToEndpoints,
 		Parallel:    config.AllowHedging,
 		Cancel:      config.AllowCancel,
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -52,7 +52,7 @@
 // recheckSeconds is how often a version that waits for its endpoint list is looked at again: a quarter of the time that it may wait, or the
 // silence limit of the control service where that is shorter.
 func recheckSeconds(control *config.Control) float64 {
-	return min(control.PairingTimeoutSeconds/4, control.Silence)
+	return min(control.PairingTimeoutSeconds/4, control.SilenceSeconds)
 }
 
 // applyEndpoints applies an endpoint list unless it is older than the list in force, or of the same version and different: it was
@@ -66,7 +66,8 @@
 	return v.router.applyEndpointUpdate(update)
 }
 
-// offer offers a version to the proxy, and records it before it is acknowledged: what was acknowledged is in force after a crash.
+// offer offers a version to the proxy, and records it before it is acknowledged, where the disk allows: what was recorded is in force
+// after a crash.
 func (v *configVersions) offer(version *configstate.Version) (configstate.Outcome, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/router/controllerlink.go
+++ b/internal/router/controllerlink.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// applyAssignment applies an assignment that the controller client accepted; newEndpoints and newRelease say which parts changed, leaseEnd
-// is when its lease ends. It is called by the controller client's goroutine alone and does not wait.
-func (r *Router) applyAssignment(assignment *linkpb.View, newEndpoints, newRelease bool, leaseEnd float64) {
+// applyAssignment applies an assignment that the controller client accepted; newEndpoints and newRelease say which parts changed, leaseEndsAt
+// is when its lease ends. It is called by the controller client's goroutine alone, and blocks on a disk write after each part that is saved.
+func (r *Router) applyAssignment(assignment *linkpb.View, newEndpoints, newRelease bool, leaseEndsAt float64) {
 	if newEndpoints {
 		if err := r.applyEndpointUpdate(endpointUpdate(assignment)); err != nil {
 			r.log.Error("endpoint list in an assignment rejected", "error", err)
@@ -50,7 +50,7 @@
 		r.proxy.SetHealthMarks(assignment.MarksAge, healthMarks(assignment))
 		r.healthMarkSequence.Store(assignment.MarksNo)
 	}
-	r.proxy.ApplyAssignment(int(assignment.VerdictBuild), policy.Verdict(assignment.Verdict), assignment.Share, leaseEnd)
+	r.proxy.ApplyAssignment(int(assignment.VerdictBuild), policy.Verdict(assignment.Verdict), assignment.Share, leaseEndsAt)
 }
 
 // changesHealthMarks reports whether an assignment brings health marks, or ends those in force: a controller that restarted, or has no
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -10,6 +10,7 @@
 	"flintspread/internal/config"
 	"flintspread/internal/controlrpc"
 	"flintspread/internal/lease"
+	"flintspread/internal/policy"
 	"flintspread/internal/processstats"
 	"flintspread/internal/proxy"
 )
@@ -56,8 +57,17 @@
 	}
 )
 
-// outcomeLabels are the values of the label "result", by policy.Outcome.
-var outcomeLabels = [...]string{"acked", "errored", "full", "timed_out", "unconnected", "broken", "cancelled", "unsent"}
+// outcomeLabels are the values of the label "result".
+var outcomeLabels = [policy.OutcomeCount]string{
+	policy.Succeeded:      "acked",
+	policy.ServerError:    "errored",
+	policy.Overloaded:     "full",
+	policy.TimedOut:       "timed_out",
+	policy.NotConnected:   "unconnected",
+	policy.ConnectionLost: "broken",
+	policy.Cancelled:      "cancelled",
+	policy.NotSent:        "unsent",
+}
 
 // collector gives the counts of the proxy and of the controller client to Prometheus. They are read at each scrape; nothing is counted
 // twice.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,7 +71,7 @@
 		return fmt.Errorf(":listen: %w", err)
 	}
 	defer listener.Close()
-	metricsListener, err := net.Listen("tcp", settings.Admin)
+	metricsListener, err := net.Listen("tcp", settings.MetricsAddress)
 	if err != nil {
 		return fmt.Errorf(":admin: %w", err)
 	}
@@ -129,7 +129,7 @@
 	settings := r.config
 	r.votes = &releases.VoteSender{
 		Router:         settings.Relay,
-		URL:            settings.Sources.Installer,
+		URL:            settings.Sources.ReleaseServiceURL,
 		TimeoutSeconds: settings.Release.VoteTimeoutSeconds,
 		Client:         r.httpClient,
 		Log:            r.log,
@@ -141,7 +141,7 @@
 	r.loadEndpoints()
 	if settings.Control == nil {
 		r.running.Go(func() {
-			watch.Follow(r.watches, r.watchSource(settings.Sources.List), r.applyEndpointUpdate, func() {})
+			watch.Follow(r.watches, r.watchSource(settings.Sources.EndpointListURL), r.applyEndpointUpdate, func() {})
 		})
 	} else {
 		if err := r.openConfigVersions(); err != nil {
@@ -154,7 +154,7 @@
 		})
 	}
 	r.running.Go(func() {
-		watch.Follow(r.watches, r.watchSource(settings.Sources.Installer+"/stage"), r.onReleaseMessage, func() {})
+		watch.Follow(r.watches, r.watchSource(settings.Sources.ReleaseServiceURL+"/stage"), r.onReleaseMessage, func() {})
 	})
 	r.running.Go(func() { r.votes.Run(r.watches) })
 	return nil
@@ -215,10 +215,10 @@
 // listen opens the clients' address. With :share-port the kernel spreads connections over the routers of this host that listen there.
 func listen(settings *config.Router) (net.Listener, error) {
 	var listenConfig net.ListenConfig
-	if settings.Shared {
+	if settings.ReusePort {
 		listenConfig.Control = reusePort
 	}
-	return listenConfig.Listen(context.Background(), "tcp", settings.Listen)
+	return listenConfig.Listen(context.Background(), "tcp", settings.ListenAddress)
 }
 
 // reusePort is a net.ListenConfig.Control that lets several sockets listen at one address.
@@ -238,7 +238,7 @@
 	sources := r.config.Sources
 	return watch.Source{
 		URL:               url,
-		SilenceSeconds:    sources.Silence,
+		SilenceSeconds:    sources.SilenceSeconds,
 		BackoffMinSeconds: sources.BackLeast,
 		BackoffMaxSeconds: sources.BackMost,
 		Log:               r.log,
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -26,7 +26,7 @@
 	Log         *slog.Logger
 	Session     *Session // this client's alone
 	Relay       string   // the name of the resources it wants
-	Taker       Handler  // called from Run's goroutine
+	Handler     Handler  // called from Run's goroutine
 
 	BackoffMinSeconds float64 // pause before the first try to reconnect
 	BackoffMaxSeconds float64 // longest pause
@@ -62,7 +62,7 @@
 		}
 		// Half of the pause is random: a hundred relays that lost the service together come back apart.
 		pauseSeconds := watch.Backoff(failures, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
-		c.Log.Warn("control stream lost", "address", c.Address, "responses", responses, "error", err, "retry_seconds", pauseSeconds)
+		c.Log.Warn("control stream lost", "address", c.Address, "responses", responses, "error", err, "retry_in_seconds", pauseSeconds)
 		select {
 		case <-ctx.Done():
 		case <-time.After(seconds(pauseSeconds)):
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	return s.client.Taker.OnEndpoints(update)
+	return s.client.Handler.OnEndpoints(update)
 }
 
 // offerVersion passes on a configuration version, and answers it unless it has to wait. It replaces one that waits.
@@ -188,7 +188,7 @@
 	if err != nil {
 		return s.answer(response, err)
 	}
-	outcome, err := s.client.Taker.OnConfig(version)
+	outcome, err := s.client.Handler.OnConfig(version)
 	if outcome == configstate.Waiting && err == nil {
 		s.client.Log.Info("configuration version waits", "version", version.Number, "required_list_version", version.RequiredListVersion)
 		s.waiting = &waitingVersion{response, version}
@@ -202,7 +202,7 @@
 	if s.waiting == nil {
 		return nil
 	}
-	outcome, err := s.client.Taker.Recheck(s.waiting.version)
+	outcome, err := s.client.Handler.Recheck(s.waiting.version)
 	if outcome == configstate.Waiting {
 		return nil
 	}
--- a/internal/xds/endpoints.go
+++ b/internal/xds/endpoints.go
@@ -23,11 +23,7 @@
 const maxStartedAt = 1e11
 
 // The states of an endpoint as package endpoints has them.
-const (
-	stateReady    = "ready"
-	stateDraining = "draining"
-	stateGone     = "gone"
-)
+const ()
 
 // EndpointUpdate reads endpoint assignments as a full endpoint list. An endpoint's metadata under "flintspread" has to give id and
 // build, and may give zone, cell and start; its health tells ready from draining, and an unhealthy one is left out, which makes
@@ -61,7 +57,7 @@
 			if err != nil {
 				return fmt.Errorf("cluster %q, endpoint %d: %w", assignment.ClusterName, i, err)
 			}
-			if listed.State != stateGone {
+			if listed.State != endpoints.StateGone {
 				update.Endpoints = append(update.Endpoints, listed)
 			}
 		}
@@ -93,11 +89,11 @@
 func stateOf(health core.HealthStatus) string {
 	switch health {
 	case core.HealthStatus_UNKNOWN, core.HealthStatus_HEALTHY, core.HealthStatus_DEGRADED:
-		return stateReady
+		return endpoints.StateReady
 	case core.HealthStatus_DRAINING:
-		return stateDraining
+		return endpoints.StateDraining
 	default:
-		return stateGone
+		return endpoints.StateGone
 	}
 }
 
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,5 +1,5 @@
 // Package xds takes configuration versions and endpoint lists from control services: xDS v3, aggregated discovery over one gRPC
-// stream a service, state of the world. This package keeps the protocol; what a version leads to, its Taker decides.
+// stream a service, state of the world. This package keeps the protocol; what a version leads to, its Handler decides.
 //
 // Durations are float64 seconds, as in the settings.
 package xds
@@ -29,19 +29,19 @@
 var Types = [...]string{TypeEndpoints, TypeDocument}
 
 // Handler is what takes endpoint lists and configuration versions. Its calls come from a goroutine for each service that is
-// followed, so that they must be safe for concurrent use; none may block.
+// followed, so that they must be safe for concurrent use. They may write to disk, and should not wait for anything else.
 type Handler struct {
-	// List applies an endpoint list; an error rejects it.
+	// OnEndpoints applies an endpoint list; an error rejects it.
 	OnEndpoints func(*endpoints.Update) error
-	// Settings applies a version, rejects it with an error, or says that it has to wait.
+	// OnConfig applies a version, rejects it with an error, or says that it has to wait.
 	OnConfig func(*configstate.Version) (configstate.Outcome, error)
-	// Look decides again on a version that had to wait: after each response and once a recheck interval.
+	// Recheck decides again on a version that had to wait: after each response and once a recheck interval.
 	Recheck func(*configstate.Version) (configstate.Outcome, error)
 }
 
 // FollowAll follows all control services of the settings until ctx ends, and then gives nil. node names this program to them,
 // relay the resources that it wants. An error is one of the settings.
-func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, taker Handler) error {
+func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, handler Handler) error {
 	transport := insecure.NewCredentials()
 	if control.Cert != "" {
 		var err error
@@ -54,8 +54,8 @@
 	for _, address := range control.Addresses {
 		client := &Client{
 			Address: address, Credentials: transport, Log: log, Session: NewSession(node, relay), Relay: relay,
-			BackoffMinSeconds: control.BackLeast, BackoffMaxSeconds: control.BackMost, SilenceSeconds: control.Silence,
-			MaxResponseBytes: control.MaxResponseBytes, RecheckSeconds: recheckSeconds, Taker: taker,
+			BackoffMinSeconds: control.BackLeast, BackoffMaxSeconds: control.BackMost, SilenceSeconds: control.SilenceSeconds,
+			MaxResponseBytes: control.MaxResponseBytes, RecheckSeconds: recheckSeconds, Handler: handler,
 		}
 		group.Go(func() error { return client.Run(ctx) })
 	}
