--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -1,25 +1,27 @@
 package policy
 
-// What counts as evidence on a release, and what speaks of something else. The reasons are in docs/design.md, exceptions 1 and 3 to 7.
+// What counts as evidence on a release, and what is attributed to other causes.
+// docs/design.md gives the reasons (exceptions 1 and 3 to 7).
 const (
-	settleSeconds     = 2.0  // after an endpoint's start, that go uncounted
-	slowLatencyFactor = 2.0  // an answer is slow above so many times the baseline's median latency
-	canaryLeniency    = 1.5  // times that for the canary: a build that is a little slower is still good
-	medianStep        = 0.02 // part by which the baseline's median moves for each answer
-	slowCountDecay    = 0.97 // part of the counts of slow answers that each adjustment of the limit keeps: load changes with time
+	settleSeconds     = 2.0  // time after an endpoint's start in which outcomes are not counted
+	slowLatencyFactor = 2.0  // multiple of the baseline's median latency above which an answer is slow
+	canaryLeniency    = 1.5  // further factor for the canary: a build that is a little slower is still good
+	medianStep        = 0.02 // fraction by which the baseline's median moves with each answer
+	slowCountDecay    = 0.97 // fraction of the slow-answer counts kept at each limit adjustment, as load changes
 )
 
-// wasWarm tells whether an attempt met a warm endpoint, rid of what queued while it was in slow start. That takes longer in a full fleet,
-// and where few votes decide.
+// wasWarm reports whether an attempt met a warm endpoint that has worked off its queue from slow start. That takes
+// longer in a fully loaded fleet, and more caution is due where few votes decide.
 func (b *Balancer) wasWarm(e *endpoint, startedAt float64) bool {
 	if startedAt < e.startedAt {
-		return false // it went to the process before this one
+		return false // it was sent to the endpoint's previous process
 	}
 	load := min(1, b.latencyRatio/targetLatencyRatio)
 	return startedAt-e.startedAt >= b.config.SlowStartSeconds*(1+load/float64(b.rollbackVotes()))
 }
 
-// countsForAnalysis tells whether an attempt's outcome is evidence at all. Retries, on either side, repeat what was counted.
+// countsForAnalysis reports whether an attempt's outcome is evidence at all. Retries are not, on
+// either side: they repeat what was already counted.
 func (b *Balancer) countsForAnalysis(now float64, r *Request, e *endpoint, startedAt float64) bool {
 	isRetry := r.ClientRetry || len(r.Attempts) > 1
 	sameProcess := startedAt >= e.startedAt
@@ -27,7 +29,7 @@
 	return !isRetry && sameProcess && settled && b.release.known && e.build <= b.release.build
 }
 
-// countOutcome enters an outcome into the evidence, by kind of failure.
+// countOutcome adds an outcome to the evidence, by kind of failure.
 func (b *Balancer) countOutcome(r *Request, e *endpoint, outcome Outcome, took float64, warm bool) {
 	counts := &b.countsOf(e.id, e.build).byKind
 	switch outcome {
@@ -37,8 +39,8 @@
 	case ServerError:
 		counts[serverError].record(true)
 	}
-	// Without baseline endpoints beside it, a burst, a slow fleet or vanished endpoints meet the canary alone: its lateness is no
-	// comparison. Nor is that of endpoints that start together.
+	// Without baseline endpoints beside it, only the canary meets a burst, a slow fleet or vanished endpoints, so its
+	// lateness has nothing to be compared with. The same holds while new connections fail widely.
 	if !b.sideBySide {
 		return
 	}
@@ -50,7 +52,8 @@
 	}
 }
 
-// countLatency compares a warm endpoint's latency to the baseline's median, which it moves for a baseline endpoint.
+// countLatency compares a warm endpoint's latency to the baseline's median. A baseline
+// endpoint's latency also updates that median.
 func (b *Balancer) countLatency(r *Request, e *endpoint, count *outcomeCount, outcome Outcome, took float64) {
 	slowFrom := slowLatencyFactor * canaryLeniency
 	if e.build < b.release.build {
@@ -62,7 +65,7 @@
 	}
 }
 
-// ReportWrongAnswer enters a wrong answer that a client found, to an attempt of age seconds ago.
+// ReportWrongAnswer records that a client reported a wrong answer to an attempt of age seconds ago.
 func (b *Balancer) ReportWrongAnswer(now float64, endpointID uint32, age float64) {
 	e := b.endpointByID[endpointID]
 	if e == nil {
@@ -77,15 +80,15 @@
 	}
 }
 
-// dropLatenessCounts drops what was counted of lateness. Where connections are refused, the few open ones decide who is late, and did so before
-// it was seen.
+// dropLatenessCounts discards the lateness counts. Where connections are refused, only the endpoints with open ones are
+// sampled, and that was so even before it was noticed.
 func (b *Balancer) dropLatenessCounts() {
 	for _, counts := range b.localCounts {
 		counts.byKind[attemptLost], counts.byKind[slowAnswer] = outcomeCount{}, outcomeCount{}
 	}
 }
 
-// decaySlowCounts lets the counts of slow answers fade.
+// decaySlowCounts decays the counts of slow answers.
 func (b *Balancer) decaySlowCounts() {
 	for _, counts := range b.localCounts {
 		slow := &counts.byKind[slowAnswer]
--- a/internal/policy/average.go
+++ b/internal/policy/average.go
@@ -4,7 +4,7 @@
 
 const averageWeight = 0.1 // weight of a new value in a moving average
 
-// addToAverage moves an average towards a value; the first value sets it.
+// addToAverage updates a moving average with a value; the first value sets it.
 func addToAverage(average *float64, value float64) {
 	if *average == 0 {
 		*average = value
@@ -12,7 +12,7 @@
 	*average += averageWeight * (value - *average)
 }
 
-// stepToMedian moves a median by a part of itself towards a value; the first value sets it.
+// stepToMedian moves an estimate of the median towards a value by a fraction step of itself; the first value sets it.
 func stepToMedian(median *float64, value, step float64) {
 	switch {
 	case *median == 0:
@@ -24,15 +24,15 @@
 	}
 }
 
-// decayingShare is a moving share of hits that decays to 1/e within a lifetime.
+// decayingShare is a moving share of hits that decays to 1/e within a lifetime, in seconds.
 type decayingShare struct{ share, at float64 }
 
-// level is the share as of now.
+// level returns the share as of now.
 func (s decayingShare) level(now, lifetime float64) float64 {
 	return s.share * math.Exp((s.at-now)/lifetime)
 }
 
-// add enters a hit or a miss.
+// add records a hit or a miss.
 func (s *decayingShare) add(now, lifetime, weight float64, hit bool) {
 	s.share, s.at = s.level(now, lifetime)*(1-weight), now
 	if hit {
@@ -40,10 +40,10 @@
 	}
 }
 
-// majority finds the value that most of a sequence have, within a hundredth (Boyer and Moore's vote).
+// majority tracks the value that most of a sequence share, to within one percent (Boyer-Moore majority vote).
 type majority struct{ value, votes float64 }
 
-// add enters a value and tells whether it is the one that most have.
+// add records a value and reports whether it matches the present candidate for the majority.
 func (m *majority) add(value float64) bool {
 	same := math.Abs(value-m.value) <= 0.01*m.value
 	switch {
@@ -57,7 +57,7 @@
 	return same
 }
 
-// boolToInt is 1 for true, such as the index of the canary in a pair.
+// boolToInt returns 1 for true and 0 for false, for instance as an index into a baseline/canary pair.
 func boolToInt(yes bool) int {
 	if yes {
 		return 1
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -5,7 +5,7 @@
 // tickSeconds is the time between two ticks.
 const tickSeconds = 0.1
 
-// Indices of pairs that hold something of both sides of a comparison.
+// The two sides of a comparison, as indices of pairs.
 const (
 	baseline = iota
 	canary
@@ -18,7 +18,7 @@
 	random random
 
 	// Endpoints (endpoints.go, subset.go).
-	endpoints       []*endpoint // by rank
+	endpoints       []*endpoint // sorted by rank
 	endpointByID    map[uint32]*endpoint
 	subset          [sideCount][]*endpoint // the ready endpoints that this router uses, by side
 	readyCapacity   [sideCount]float64     // capacity of all ready endpoints, by side
@@ -32,42 +32,42 @@
 	release          release
 	baselineReady    int         // ready endpoints of builds before the release's
 	canaryReady      int         // ready endpoints of its build
-	newestCanary     float64     // start of the newest among the latter
-	sideBySide       bool        // both builds run together, so that their lateness can be compared
-	receivedAt       [][]float64 // requests received in the canary window; by class where the limit is, else at 0
-	canaryAttemptsAt [][]float64 // canary attempts, likewise
+	newestCanary     float64     // start of the newest of those canary endpoints
+	sideBySide       bool        // both builds serve at once, so that their lateness can be compared
+	receivedAt       [][]float64 // requests received in the canary window, by limitIndex
+	canaryAttemptsAt [][]float64 // canary attempts, by limitIndex
 	buildByKey       map[uint64]int
-	keyFloorBuild    int // every key counts as answered by this build
+	keyFloorBuild    int // every key counts as answered by this build at least
 	leasedShare      float64
-	leaseEndsAt         float64
+	leaseEndsAt      float64
 
 	// Latency and load (admission.go, retry.go, outlier.go).
 	typicalLatency    []float64 // by class
 	maxTypicalLatency float64
 	baselineLatency   []float64  // median of warm baseline endpoints, by class
-	commonTimeout     []majority // time that clients give a try, by class
+	commonTimeout     []majority // most common request timeout, by class
 	lastFailedAt      []float64  // when a request last ended without success, by class
-	typicalWork       float64    // of the work that clients state
+	typicalWork       float64    // average of the work that requests state
 	retryTokens       float64
 	connFailures      decayingShare // share of new connections that could not be made
-	inFlight          int           // attempts
-	peakInFlight      int           // since the limit was last adjusted
+	inFlight          int           // attempts in flight
+	peakInFlight      int           // most attempts in flight since the limit was last adjusted
 	concurrencyLimit  float64
-	latencyRatio      float64 // typical latency over its objective, of the class nearest to it
+	latencyRatio      float64 // typical latency over its objective, of the class nearest to its objective
 	maxPriority       float64
 	limitAdjustedAt   float64
 
 	// This process itself.
 	lastCallAt float64
-	resumedAt  float64 // when it was found that the process had stood still
-	ownDelay   float64 // seconds by which it may be late with what it learns
+	resumedAt  float64 // when the process last resumed after a stall
+	ownDelay   float64 // seconds by which it may process its input late
 
 	// Evidence (counts.go, reports.go, metrics.go).
-	localCounts     []*endpointCounts // in the order of first outcomes
+	localCounts     []*endpointCounts // in the order of their first outcomes
 	reports         map[string]Evidence
 	mergedCounts    []*endpointCounts
 	mergeNeeded     bool
-	reportedRate    float64 // requests per second of the routers that reported
+	reportedRate    float64 // requests per second over all reports
 	metricsEvidence MetricsEvidence
 
 	// Votes (vote.go).
@@ -79,7 +79,8 @@
 	noVoteBefore float64
 }
 
-// New makes a balancer with no endpoints.
+// New returns a balancer without endpoints. Random choices are drawn from the seed; now is
+// in seconds on the caller's clock.
 func New(config Config, seed uint64, now float64) *Balancer {
 	b := &Balancer{
 		random:           newRandom(seed),
@@ -94,9 +95,10 @@
 	return b
 }
 
-// SetConfig puts a configuration in force for requests received from now on; the caller doesn't change it any more. Classes keep their
-// index, and more may follow. A request ends by the configuration that it was received under. What concerns all requests together
-// (limits, windows, drains, slow start, cancelling after an answer) follows the new configuration at once.
+// SetConfig puts a configuration in force for requests received from now on; the caller must not change it
+// afterwards. Classes keep their index, and new ones may be appended. A request keeps the configuration that it
+// was received under. Settings that concern all requests together (limits, windows, drains, slow start,
+// cancelling after an answer) take effect at once.
 func (b *Balancer) SetConfig(config *Config) {
 	b.config, b.maxPriority = config, 0
 	for i, class := range config.Classes {
@@ -116,11 +118,12 @@
 	b.commonTimeout = append(b.commonTimeout, majority{})
 }
 
-// SetOwnDelay tells by how many seconds the caller itself may be late with what endpoints sent; attempt timeouts are longer by it.
+// SetOwnDelay sets by how many seconds the caller itself may be late in processing
+// answers; attempt timeouts are extended by it.
 func (b *Balancer) SetOwnDelay(seconds float64) { b.ownDelay = seconds }
 
-// noteCall notes a call. If periodic calls were missed, the process itself stood still: what it finds now came meanwhile, and how
-// late that is says nothing about endpoints.
+// noteCall records the time of a call and detects that the process was stalled: after missed ticks, the lateness
+// of pending events says nothing about endpoints.
 func (b *Balancer) noteCall(now float64) {
 	if now-b.lastCallAt > 3*tickSeconds {
 		b.resumedAt = now
@@ -128,10 +131,10 @@
 	b.lastCallAt = now
 }
 
-// TickResult is the answer of a tick.
+// TickResult is the result of a tick.
 type TickResult struct {
 	NextTickSeconds      float64
-	CastVote             bool // send Verdict on Build and Stage to the release service, and report its reply by OnVoteReply
+	CastVote             bool // send Verdict on Build and Stage to the release service, and pass its reply to OnVoteReply
 	Build                int
 	Stage                int
 	Verdict              Verdict
@@ -152,8 +155,8 @@
 	return TickResult{NextTickSeconds: tickSeconds}
 }
 
-// TickController does the periodic work of a balancer that also votes: TickRouter's, the subscription to the endpoint list, and the vote
-// that the evidence calls for.
+// TickController does the periodic work of a balancer that also votes: that of TickRouter, the subscription to the
+// endpoint list, and the vote that the evidence calls for.
 func (b *Balancer) TickController(now float64) TickResult {
 	result := b.TickRouter(now)
 	if b.config.SubscribeToEndpoints && !b.subscribed && now-b.subscribedAt >= subscribeRetrySeconds {
--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -2,10 +2,11 @@
 
 import "sort"
 
-// canaryAllowance is the canary traffic limit (rule 5): how many more attempts at a canary build the window allows for a request. That
-// is the router's share of the free attempts, and a share of the requests received in the window, by the rollout stage. A build
-// that was not announced is in its first stage. The windows lean to the safe side by the timer's resolution: requests leave theirs early,
-// attempts late. What has left them is dropped.
+// canaryAllowance returns how many more attempts at a canary build the canary traffic limit (rule 5) allows in
+// the current window: the router's share of the free attempts, plus a share, set by the rollout stage, of the
+// requests received in the window, less the attempts made in it. A build that was not announced is in its first
+// stage. The windows err on the safe side by the timer's resolution: requests leave theirs early, attempts
+// late. Entries that have left a window are dropped.
 func (b *Balancer) canaryAllowance(now float64, r *Request, build int) float64 {
 	limit, stage := b.release.canaryLimit, b.release.stage
 	if !b.release.known || build > b.release.build {
@@ -24,7 +25,7 @@
 	return free + limit*float64(len(b.receivedAt[i])) - float64(len(b.canaryAttemptsAt[i]))
 }
 
-// limitIndex is where a class's requests and canary attempts are kept.
+// limitIndex returns the index under which a class's requests and canary attempts are counted.
 func (b *Balancer) limitIndex(class int) int {
 	if b.config.CanaryLimitPerClass {
 		return class
@@ -32,7 +33,7 @@
 	return 0
 }
 
-// since gives the instants that are not before from.
+// since returns the instants that are not before from; instants must be sorted.
 func since(instants []float64, from float64) []float64 {
 	return instants[sort.SearchFloat64s(instants, from):]
 }
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -1,73 +1,76 @@
 package policy
 
-// Config is what a deployment tells a Balancer. It is not changed once it was given to New or SetConfig. Durations are seconds.
+// Config is the configuration of a Balancer. It must not be changed once passed to New or
+// SetConfig. Durations are seconds.
 type Config struct {
-	Routers                int     // how many routers share the endpoints
-	RollbackVotes          int     // votes that send a release back; 0 counts as 1
-	TimerResolutionSeconds float64 // how exactly the caller keeps a time; deadlines are met two to three of it early
+	Routers                int     // number of routers that share the endpoints
+	RollbackVotes          int     // votes needed to roll a release back; 0 counts as 1
+	TimerResolutionSeconds float64 // precision of the caller's timers; attempts end two to three times this early
 	Classes                []RequestClass
 
-	SubscribeToEndpoints bool    // the endpoint list must be subscribed to (TickResult.SubscribeToEndpoints)
-	AllowHedging         bool    // two attempts of a request may be in flight together
+	SubscribeToEndpoints bool    // the caller must subscribe to the endpoint list (TickResult.SubscribeToEndpoints)
+	AllowHedging         bool    // two attempts of a request may be in flight at once
 	AllowCancel          bool    // an attempt in flight may be cancelled
-	MaxRetryAfterSeconds float64 // longest retry-after time that a rejection may name
-	ConnIdleSeconds      float64 // endpoints close a connection that was idle for so long
-	RequestsPerConn      int     // attempts that one connection to an endpoint carries together
-	MaxAttempts          int     // attempts of one request, those that were never sent included
+	MaxRetryAfterSeconds float64 // longest retry-after time that a rejection may carry
+	ConnIdleSeconds      float64 // idle time after which endpoints close a connection
+	RequestsPerConn      int     // attempts that one connection to an endpoint carries at once
+	MaxAttempts          int     // attempts of one request, including those that were never sent
 
-	SlowStartInitialShare    float64 // share of its capacity that an endpoint has when it starts
-	SlowStartSeconds         float64 // time until it has all of it
-	SlowStartOverloadFactor  float64 // it fails when it gets more than this many times its share of the mean traffic
-	SlowStartOverloadSeconds float64 // over this time
+	SlowStartInitialShare    float64 // share of its capacity that an endpoint has at its start
+	SlowStartSeconds         float64 // time from its start until it has its full capacity
+	SlowStartOverloadFactor  float64 // an endpoint fails under more than this multiple of its share of the mean traffic
+	SlowStartOverloadSeconds float64 // period over which that traffic is measured
 
-	CanaryWindowSeconds  float64   // window in which the canary traffic limit holds
-	CanaryFreeAttempts   float64   // attempts that a window always allows, all routers of one controller together
-	CanaryLimits         []float64 // further ones as a share of the requests received in the window, by rollout stage
-	StageShares          []float64 // share of the endpoints that runs the canary, by rollout stage
-	CanaryLimitPerClass  bool      // the limit holds for each request class by itself
-	IdempotentOnlyStages int       // the first so many stages take idempotent requests only
-	OneWayKeys           bool      // a key that a build answered never goes to an earlier build
-	MaxRememberedKeys    int       // keys remembered for OneWayKeys; 0: all
+	CanaryWindowSeconds  float64   // window over which the canary traffic limit is enforced
+	CanaryFreeAttempts   float64   // attempts always allowed per window, for all routers of one controller together
+	CanaryLimits         []float64 // further attempts as a share of the requests received in the window, by rollout stage
+	StageShares          []float64 // share of the endpoints that run the canary, by rollout stage
+	CanaryLimitPerClass  bool      // the limit applies to each request class separately
+	IdempotentOnlyStages int       // number of initial stages that accept only idempotent requests
+	OneWayKeys           bool      // a key that a build has answered never goes to an earlier build
+	MaxRememberedKeys    int       // maximum number of keys remembered for OneWayKeys; 0: no limit
 
-	// ForgetEndpointSeconds after it left the list an endpoint is forgotten; 0: never. It must be above any request timeout, since retries
-	// look up the endpoints of earlier attempts (unresponsive, leavesDedupScope).
+	// ForgetEndpointSeconds is the time after which an endpoint that left the list is forgotten;
+	// 0: never. It must exceed every request timeout, since retries look up the endpoints of
+	// earlier attempts (unresponsive, leavesDedupScope).
 	ForgetEndpointSeconds float64
 	HasController         bool // a controller votes and leases the free canary attempts (ApplyAssignment)
 
-	AutomaticStages        bool    // stages advance by time; votes only hold or roll back
-	ReplaceInPlace         bool    // baseline endpoints leave as their canary successors come, instead of staying beside them
-	WrongAnswerPrice       float64 // cost of the work that is answered wrongly, in the unit of StaleBuildPrice
-	StaleBuildPrice        float64 // cost of the work that the old build serves while a good one waits
+	AutomaticStages        bool    // stages advance on a schedule; votes only hold or roll back
+	ReplaceInPlace         bool    // canary endpoints replace baseline endpoints instead of running beside them
+	WrongAnswerPrice       float64 // cost of work that is answered wrongly, in the unit of StaleBuildPrice
+	StaleBuildPrice        float64 // cost of work that the old build serves while a good build waits
 	WrongAnswerReportShare float64 // share of wrong answers that clients report
-	VoteLifetimeSeconds    float64 // a vote counts for so long
-	VoteTimeoutSeconds     float64 // a reply to a vote is waited for so long
-	VotesPerSecond         float64 // votes that the release service takes from all routers together
+	VoteLifetimeSeconds    float64 // time for which a vote counts
+	VoteTimeoutSeconds     float64 // time to wait for the reply to a vote
+	VotesPerSecond         float64 // votes that the release service accepts from all routers together
 }
 
-// RequestClass describes requests that are alike.
+// RequestClass describes a class of similar requests.
 type RequestClass struct {
-	LatencyObjectiveSeconds float64 // an answer later than this earns nothing
-	TimeoutSeconds          float64 // the client's time for all its tries
+	LatencyObjectiveSeconds float64 // an answer later than this is worth nothing
+	TimeoutSeconds          float64 // time that a client allows for all its tries
 	PriorityWeight          float64 // relative worth of an answer
 	Idempotency             Idempotency
 	DedupScope              DedupScope
-	DedupWindowSeconds      float64 // for how long an endpoint recognises a repeated key
+	DedupWindowSeconds      float64 // time for which an endpoint recognises a repeated key
 }
 
-// Idempotency says whether a request may run again.
+// Idempotency says whether a request may be executed again.
 type Idempotency uint8
 
-// How a request may run again.
+// The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // any number of times
-	IdempotentWithKey                    // again within the class's scope and window, where its key is recognised
-	NonIdempotent                        // once
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // may run again within the class's scope and window, where its key is recognised
+	NonIdempotent                        // may run only once
 )
 
-// DedupScope says which endpoints recognise a repeated key: all, those of the first endpoint's zone, or those of its cell.
+// DedupScope says which endpoints recognise a repeated key: all, those of the first
+// endpoint's zone, or those of its cell.
 type DedupScope uint8
 
-// Where a repeated key is recognised.
+// The deduplication scopes.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -1,9 +1,9 @@
 package policy
 
-const rareConnFailures = 0.1 // share of new connections that fails without anything being unusual
+const rareConnFailures = 0.1 // share of new connections whose failure is nothing unusual
 
-// recordConnection notes whether a connection to an endpoint is open, and how often a new one to a baseline endpoint failed lately; at
-// a canary that is a matter of its build.
+// recordConnection records whether a connection to an endpoint is open and, for baseline endpoints, how often new
+// connections have failed lately. Failures at a canary are left out: they may be caused by its build.
 func (b *Balancer) recordConnection(now float64, e *endpoint, outcome Outcome) {
 	newConn := outcome == NotConnected || outcome.IsAnswer() && !b.hasConnection(now, e)
 	if newConn && !b.isCanary(e.build) {
@@ -17,15 +17,15 @@
 	}
 }
 
-// connFailureShare is the share of new connections that could not be made lately.
+// connFailureShare returns the share of new connections that failed lately.
 func (b *Balancer) connFailureShare(now float64) float64 {
 	return b.connFailures.level(now, failureMemorySeconds)
 }
 
-// manyConnsFail tells whether so many new connections fail that the open ones are to be used first.
+// manyConnsFail reports whether so many new connections fail that open ones should be preferred.
 func (b *Balancer) manyConnsFail(now float64) bool { return b.connFailureShare(now) > rareConnFailures }
 
-// hasConnection tells whether an endpoint has an open connection that can take another attempt.
+// hasConnection reports whether an endpoint has an open connection with room for another attempt.
 func (b *Balancer) hasConnection(now float64, e *endpoint) bool {
 	return e.inFlight < e.conns*b.config.RequestsPerConn && now-e.connSeenAt < b.config.ConnIdleSeconds
 }
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -1,21 +1,22 @@
 package policy
 
-// The kinds of failure. Each is counted against outcomes of its own: rates of different size would drown each other in one sum.
+// The kinds of failure. Each is counted against its own outcomes: in one sum, frequent kinds would drown out rare ones.
 const (
 	wrongAnswer  = iota // answers that clients report as wrong
-	serverError         // errors
-	attemptLost         // lost and failed connections, time-outs
-	slowAnswer          // answers far later than typical, and overload, of warm endpoints
-	failureKinds        // how many there are
+	serverError         // answers with an error
+	attemptLost         // lost and failed connections, timeouts
+	slowAnswer          // answers of warm endpoints that are far later than typical, or overload
+	failureKinds        // number of kinds
 )
 
-// isLateness tells whether a kind is about time and connections, which queues and neighbours spoil as well as builds.
+// isLateness reports whether a kind is about time and connections, which queues and noisy
+// neighbours affect as well as builds.
 func isLateness(kind int) bool { return kind == attemptLost || kind == slowAnswer }
 
-// FailureKinds names the kinds of failure, in the order of an EndpointSample.
+// FailureKinds holds the names of the kinds of failure, in the order of the arrays of an EndpointSample.
 var FailureKinds = [failureKinds]string{"wrong", "failed", "lost", "slow"}
 
-// outcomeCount is how many outcomes there were, and how many of them were failures. Counts that decay are fractions.
+// outcomeCount counts outcomes and the failures among them. Decayed counts are fractional.
 type outcomeCount struct{ total, failures float64 }
 
 func (c outcomeCount) plus(d outcomeCount) outcomeCount {
@@ -33,7 +34,7 @@
 	}
 }
 
-// endpointCounts is what one endpoint did under one build while the present release was known.
+// endpointCounts counts the outcomes of one endpoint under one build since the present release became known.
 type endpointCounts struct {
 	endpoint uint32
 	build    int
@@ -52,7 +53,7 @@
 	build    int
 }
 
-// countsOf gives the local counts of an endpoint under a build, new ones where there are none.
+// countsOf returns the local counts of an endpoint under a build, creating them if needed.
 func (b *Balancer) countsOf(endpoint uint32, build int) *endpointCounts {
 	for _, counts := range b.localCounts {
 		if counts.endpoint == endpoint && counts.build == build {
@@ -64,7 +65,7 @@
 	return counts
 }
 
-// sumBySide sums a kind over the endpoints of earlier builds, and over those of the canary build.
+// sumBySide sums a kind's counts over the endpoints of the canary build, and over those of all other builds.
 func sumBySide(list []*endpointCounts, kind, canaryBuild int) (sum [sideCount]outcomeCount) {
 	for _, counts := range list {
 		side := boolToInt(counts.build == canaryBuild)
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,21 +1,22 @@
-// Package policy is the decision core of a router and of a controller: a state machine without I/O, clock or goroutine. It decides
-// where a request goes, what follows the outcome of an attempt, and how to vote on a release.
+// Package policy is the decision core of a router and of a controller: a state machine without I/O, clock or goroutine.
+// It decides where a request is sent, what follows the outcome of an attempt, and how to vote on a release.
 //
-// A caller makes one Balancer (New), tells it what it learns and asks three things:
+// A caller creates one Balancer with New, feeds it what it learns, and asks for three kinds of decision:
 //
 //   - Pick: where to send a request now, whether to hold it, or its final answer;
-//   - OnAttemptDone: what to do after an attempt ended;
-//   - TickRouter or TickController: the periodic work, and how long to wait until the next.
+//   - OnAttemptDone: what to do after an attempt has ended;
+//   - TickRouter or TickController: the periodic work, and the time until the next tick.
 //
-// What it learns: configurations (SetConfig), the endpoint list (BeginEndpointList, UpdateEndpoint, EndEndpointList, EndpointListFailed,
-// SetEndpointListAge), releases (ApplyRelease, RestoreRelease), votes (OnVoteReply, RestoreVote), wrong answers that clients report
-// (ReportWrongAnswer), evidence from metrics (SetMetricsEvidence, SetHealthMarks), and how late the caller itself may be (SetOwnDelay). What
-// it tells: LocalEvidence and CurrentVote.
+// Its inputs are configurations (SetConfig), the endpoint list (BeginEndpointList, UpdateEndpoint, EndEndpointList,
+// EndpointListFailed, SetEndpointListAge), releases (ApplyRelease, RestoreRelease), votes (OnVoteReply, RestoreVote),
+// wrong answers reported by clients (ReportWrongAnswer), evidence from metrics (SetMetricsEvidence, SetHealthMarks),
+// and the caller's own delay (SetOwnDelay). LocalEvidence and CurrentVote expose its state.
 //
-// A router that has a controller calls Pick, OnAttemptDone and TickRouter, and learns what its controller decided by ApplyAssignment; the
-// controller calls TickController, and learns what its routers counted by ApplyReport and DropReport. A router without a controller
-// calls TickController itself.
+// A router that has a controller calls Pick, OnAttemptDone and TickRouter, and receives the controller's decisions
+// through ApplyAssignment. The controller calls TickController, and receives the routers' counts through ApplyReport
+// and DropReport. A router without a controller calls TickController itself.
 //
-// Calls must be serialized by the caller; none of them blocks. Equal sequences of calls give equal answers: random choices are drawn from
-// the seed. All instants are seconds on one clock of the caller that never goes back; all durations are seconds.
+// The caller must serialize all calls; none of them blocks. Equal sequences of calls return equal results: random
+// choices are drawn from the seed. All instants are seconds on one monotonic clock of the caller; all durations are
+// seconds.
 package policy
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -5,49 +5,50 @@
 	"sort"
 )
 
-// subscribeRetrySeconds is the time between two subscriptions to the endpoint list.
+// subscribeRetrySeconds is the minimum time between two subscriptions to the endpoint list.
 const subscribeRetrySeconds = 1
 
-// EndpointState is what the list says of an endpoint.
+// EndpointState is the state of an endpoint in the list.
 type EndpointState uint8
 
-// What an entry of the list may say.
+// The states of an endpoint.
 const (
 	Ready EndpointState = iota
 	Draining
 	Gone
 )
 
-// endpoint is what a balancer knows of one.
+// endpoint is what a balancer knows about one endpoint.
 type endpoint struct {
 	id            uint32
-	rank          float64 // its place in this balancer's order
+	rank          float64 // sort key of this balancer's order, from the seed and the id
 	zone, cell    uint16
 	build         int
 	weight        float64
 	startedAt     float64
 	ready         bool
-	listed        bool    // named by the list that is being read
-	previousBuild int     // build of the process before this one
-	leftAt        float64 // when it was no longer listed as ready, 0 while it is
+	listed        bool    // named by the update in progress, or kept by it
+	previousBuild int     // build of the endpoint's previous process
+	leftAt        float64 // when it ceased to be ready; 0 while it is
 
-	inFlight     int     // own attempts
+	inFlight     int     // this balancer's attempts
 	workInFlight float64 // their work
-	lastAnswerAt float64 // or when the first of the attempts in flight began
-	latencyRatio float64 // its latency over the typical one, 0: unknown
+	lastAnswerAt float64 // when it last answered, or when it last ceased to be idle
+	latencyRatio float64 // its latency over the typical one; 0: unknown
 
 	failures     decayingShare // share of attempts that failed
 	wrongMark    decayingShare // share of wrong answers that metrics show
-	degradedMark decayingShare // what else metrics show
+	degradedMark decayingShare // other degradation that metrics show
 
 	conns      int // connections believed to be open
 	connSeenAt float64
 
-	slowStartTokens   float64 // work that it may get in slow start, as of slowStartTokensAt
+	slowStartTokens   float64 // work that may be sent to it in slow start, as of slowStartTokensAt
 	slowStartTokensAt float64
 }
 
-// BeginEndpointList begins an update of the list. A full one names every endpoint there is; else only changes follow.
+// BeginEndpointList begins an update of the endpoint list. A full update names every endpoint, any other only changes.
+// UpdateEndpoint must follow for each entry, then EndEndpointList.
 func (b *Balancer) BeginEndpointList(full bool) {
 	b.subscribed = true
 	for _, e := range b.endpoints {
@@ -55,13 +56,13 @@
 	}
 }
 
-// UpdateEndpoint enters one entry of the update that was begun. A weight of 0 counts as 1.
+// UpdateEndpoint applies one entry of the current update. A weight of 0 counts as 1.
 func (b *Balancer) UpdateEndpoint(id uint32, zone, cell uint16, build int, state EndpointState, weight, startedAt float64) {
 	e := b.endpointByID[id]
 	if e == nil {
 		e = b.addEndpoint(id, build, startedAt)
 	}
-	if startedAt != e.startedAt || build != e.build { // another process
+	if startedAt != e.startedAt || build != e.build { // the endpoint was restarted
 		e.previousBuild = e.build
 		e.failures, e.wrongMark, e.degradedMark = decayingShare{}, decayingShare{}, decayingShare{}
 		e.latencyRatio = 0
@@ -74,7 +75,7 @@
 	e.ready, e.listed = state == Ready, true
 }
 
-// addEndpoint enters a new endpoint at its rank.
+// addEndpoint inserts a new endpoint by its rank.
 func (b *Balancer) addEndpoint(id uint32, build int, startedAt float64) *endpoint {
 	e := &endpoint{id: id, rank: b.random.of(uint64(id)), previousBuild: build, build: build, startedAt: startedAt,
 		slowStartTokens: b.firstSlowStartTokens(), slowStartTokensAt: startedAt}
@@ -87,7 +88,7 @@
 	return e
 }
 
-// EndEndpointList ends an update: endpoints that a full list did not name are gone.
+// EndEndpointList ends an update: endpoints that a full update did not name are no longer ready.
 func (b *Balancer) EndEndpointList(now float64) {
 	for _, e := range b.endpoints {
 		e.ready = e.ready && e.listed
@@ -101,15 +102,15 @@
 	b.regroupEndpoints(now)
 }
 
-// EndpointListFailed tells that a subscription to the list failed; a later tick asks for another.
+// EndpointListFailed records that the subscription to the endpoint list failed; a later tick requests another.
 func (b *Balancer) EndpointListFailed() { b.subscribed = false }
 
-// SetEndpointListAge tells how many seconds ago what is known of the list was true. Nothing is promoted on a list that is too old: an
-// endpoint of the canary may be gone as well as ready.
+// SetEndpointListAge sets how many seconds ago the endpoint list was known to be true. Nothing is promoted on a list
+// that is too old: its canary endpoints may be gone by now.
 func (b *Balancer) SetEndpointListAge(seconds float64) { b.endpointListAge = seconds }
 
-// forgetEndpoints drops endpoints that left the list long ago. What they counted goes on together, as of one endpoint 0: a build that was
-// replaced endpoint by endpoint would else have nothing to be compared with.
+// forgetEndpoints removes endpoints that left the list long ago. Their counts are kept together under endpoint 0:
+// otherwise a build that was replaced endpoint by endpoint would leave nothing to compare with.
 func (b *Balancer) forgetEndpoints(now float64) {
 	forgotten := func(e *endpoint) bool {
 		return b.config.ForgetEndpointSeconds > 0 && !e.ready && e.inFlight == 0 && now-e.leftAt > b.config.ForgetEndpointSeconds
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// fleet drives one Balancer by hand: a clock, a list, requests and their outcomes.
+// fleet drives one Balancer by hand: a clock, an endpoint list, requests and their outcomes.
 type fleet struct {
 	b   *Balancer
 	now float64
@@ -20,7 +20,8 @@
 	since float64
 }
 
-// newFleet gives three classes, one of each idempotency, and endpoints 1 to 4 of build 7, long past slow start.
+// newFleet returns a fleet with three classes, one of each idempotency, and endpoints 1 to
+// 4 of build 7, long past slow start.
 func newFleet(edit func(*Config)) *fleet {
 	t := Config{
 		Routers: 2, TimerResolutionSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
@@ -50,7 +51,7 @@
 	f.b.EndEndpointList(f.now)
 }
 
-// request makes a request, asks where it goes and enters the attempt.
+// request creates a request, picks for it and records the attempt.
 func (f *fleet) request(class int) (*Request, Decision) {
 	f.id++
 	c := &Request{ID: f.id, Class: class, ReceivedAt: f.now, Deadline: f.now + 0.8}
@@ -77,8 +78,8 @@
 	return f.did(c, f.b.OnAttemptDone(f.now, c, d.Endpoint, r, f.now-d.StartedAt))
 }
 
-// run plays n idempotent requests over so many seconds; outcome says how each attempt ends and after how long.
-// It returns the attempts by build.
+// run sends n idempotent requests over the given seconds; outcome determines how each attempt ends and
+// after how long. It returns the attempts by build.
 func (f *fleet) run(n int, secs float64, outcome func(u uint32, build int) (Outcome, float64)) map[int]int {
 	sent := map[int]int{}
 	type end struct {
@@ -112,7 +113,7 @@
 
 func fine(uint32, int) (Outcome, float64) { return Succeeded, 0.05 }
 
-// vote asks for the periodic work until a vote comes or the time is up, and prints it.
+// vote ticks until a vote is cast or the time is up, and prints the vote.
 func (f *fleet) vote(secs float64, reply VoteReply) {
 	for end := f.now + secs; f.now < end; {
 		t := f.b.TickController(f.now)
--- a/internal/policy/keys.go
+++ b/internal/policy/keys.go
@@ -2,10 +2,10 @@
 
 import "maps"
 
-// One-way keys (rule 5): once a build has answered a key, the key never goes to an earlier build. The memory is bounded: what can't be
-// remembered must not be answered by a canary.
+// One-way keys (rule 5): once a build has answered a key, the key never goes to an earlier build. The memory is
+// bounded: a canary must not answer a key that can't be remembered.
 
-// keyAllows tells whether a request's key may go to an endpoint's build.
+// keyAllows reports whether a request's key permits an endpoint's build.
 func (b *Balancer) keyAllows(r *Request, e *endpoint) bool {
 	if !b.config.OneWayKeys || r.Key == 0 {
 		return true
@@ -18,8 +18,8 @@
 	return canRemember || !b.isCanary(e.build)
 }
 
-// rememberKey notes which build answered a key. When a released build's keys fill the memory, all keys count as its own, which is what
-// they are about to be.
+// rememberKey records which build answered a key. When the memory fills up while the newest build is released, every
+// key counts as answered by that build, which is about to become true anyway.
 func (b *Balancer) rememberKey(key uint64, build int) {
 	if build <= b.keyFloorBuild {
 		return
@@ -32,7 +32,8 @@
 	}
 }
 
-// forgetKeys drops keys whose build is the oldest one left. An earlier build that comes back gets no keys.
+// forgetKeys drops the keys that were answered by the oldest ready build or an earlier one. An
+// earlier build that comes back receives no keys.
 func (b *Balancer) forgetKeys() {
 	if b.config.MaxRememberedKeys > 0 && b.readyCount > 0 && b.oldestBuild > b.keyFloorBuild {
 		b.keyFloorBuild = b.oldestBuild
--- a/internal/policy/longlife_test.go
+++ b/internal/policy/longlife_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A long life: endpoints come and go, keys are never met twice. What is kept stays bounded and no key goes back.
+// Over a long lifetime, endpoints come and go and keys never repeat: memory stays bounded, and no key goes back.
 func Example_longLife() {
 	f := newFleet(func(t *Config) {
 		t.OneWayKeys, t.MaxRememberedKeys, t.ForgetEndpointSeconds, t.CanaryLimits = true, 50, 10, []float64{0.5, 0.5, 1}
@@ -57,7 +57,7 @@
 	// rolled back: floor 0
 }
 
-// No promotion rests on a list that has shown nothing for long; a vote to roll back does not wait for one.
+// A stale endpoint list prevents promotions but not a vote to roll back.
 func Example_staleEndpointList() {
 	f := newFleet(nil)
 	f.list(false, endpointEntry{5, 8, Ready, f.now}, endpointEntry{6, 8, Ready, f.now})
@@ -82,8 +82,8 @@
 	// vote rollback on build 8 stage 2
 }
 
-// Apart, routers count and follow assignments, the controller merges reports and votes. A router casts no vote, and what it spends of the
-// free attempts ends with its lease.
+// Routers count and follow assignments, while the controller merges reports and votes. A router casts no vote, and its
+// share of the free attempts ends with its lease.
 func Example_controllerAndRouters() {
 	names := [...]string{"none", "promote", "hold", "rollback"}
 	controller := newFleet(nil)
@@ -130,7 +130,7 @@
 	// no reports any more: 0
 }
 
-// A router that starts anew while its controller is away goes on by the release that it restored, unless that is too old.
+// A router that restarts while its controller is away continues with its restored release, unless that is too old.
 func Example_restoredRelease() {
 	for _, ago := range []float64{2, 60} {
 		f := newFleet(func(t *Config) { t.HasController = true })
--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -5,17 +5,17 @@
 	"sort"
 )
 
-// MaxSPRT-AB, the sequential test of docs/design.md, which tells the reasons ("Kept", and exceptions 1 to 3 and 8): the canary's failures
-// against the baseline's.
+// MaxSPRT-AB, the sequential test that compares the canary's failures to the baseline's. docs/design.md gives the
+// reasons ("Kept", and exceptions 1 to 3 and 8).
 const (
-	rollbackThreshold   = 3.0  // nats of the log-likelihood ratio, before ln(routers)
-	minCanaryOutcomes   = 20.0 // canary outcomes before a vote to roll back, all voters together
-	minCanaryFailures   = 3.0  // failures among them
-	minEndpointOutcomes = 4.0  // an endpoint's outcomes, before it is looked at by itself
-	ownFaultFactor      = 4.0  // errors are some endpoints' own where the rest fails so many times less
+	rollbackThreshold   = 3.0  // log-likelihood ratio in nats, before ln(routers) is added
+	minCanaryOutcomes   = 20.0 // canary outcomes required for a vote to roll back, all voters together
+	minCanaryFailures   = 3.0  // canary failures required
+	minEndpointOutcomes = 4.0  // outcomes required for an endpoint to be judged on its own
+	ownFaultFactor      = 4.0  // errors are attributed to single endpoints if the rest fail less often by this factor
 )
 
-// logLikelihoodRatio is MaxSPRT-AB's L in nats, signed: positive where b fails more often than a.
+// logLikelihoodRatio returns MaxSPRT-AB's L in nats, signed: positive if b fails more often than a.
 func logLikelihoodRatio(a, b outcomeCount) float64 {
 	ratio := logLikelihood(a) + logLikelihood(b) - logLikelihood(a.plus(b))
 	if b.failures*a.total < a.failures*b.total {
@@ -24,7 +24,7 @@
 	return ratio
 }
 
-// logLikelihood is that of a sample under its own failure rate.
+// logLikelihood returns the log-likelihood of a sample under its own failure rate, in nats.
 func logLikelihood(c outcomeCount) float64 {
 	if c.failures <= 0 || c.failures >= c.total {
 		return 0
@@ -32,12 +32,12 @@
 	return c.failures*math.Log(c.failures/c.total) + (c.total-c.failures)*math.Log(1-c.failures/c.total)
 }
 
-// comparison is a kind's outcomes by side. Endpoints met too seldom to be told from the rest count together.
+// comparison holds a kind's outcomes by side. Endpoints with too few outcomes to be judged on their own are pooled.
 type comparison struct {
 	kind   int
 	each   [sideCount][]outcomeCount // by endpoint
 	summed [sideCount]outcomeCount   // sum of each
-	few    [sideCount]outcomeCount   // endpoints with few outcomes, together
+	few    [sideCount]outcomeCount   // pooled endpoints with few outcomes
 }
 
 func newComparison(kind, canaryBuild int, list []*endpointCounts) *comparison {
@@ -55,20 +55,20 @@
 	return c
 }
 
-// loneCanary tells whether one endpoint alone makes up the canary.
+// loneCanary reports whether the canary consists of a single endpoint.
 func (c *comparison) loneCanary() bool {
 	return len(c.each[canary]) < 2 && c.few[canary].total < minEndpointOutcomes
 }
 
-// outliers is how many of a side's endpoints, which are sorted by failures above the mean, are left out. A build is bad on all of its
-// endpoints: the worst quarter of a side may fail for other reasons.
+// outliers returns how many of a side's endpoints are left out; they must be sorted by failures above the mean, worst
+// first. A bad build is bad on all of its endpoints, while the worst quarter of a side may fail for other reasons.
 func (c *comparison) outliers(side int) int {
 	each := c.each[side]
 	quarter := min(len(each)/2, (len(each)+3)/4)
 	switch {
-	case c.kind == serverError: // two, where others remain
+	case c.kind == serverError: // at least two, if others remain
 		return min(max(0, len(each)-1), max(2, quarter))
-	case c.kind == wrongAnswer: // rare: only a canary endpoint that gives more than half of them
+	case c.kind == wrongAnswer: // rare: only a canary endpoint that accounts for more than half of them
 		return boolToInt(side == canary && len(each) > 1 && 2*each[0].failures > c.summed[side].failures)
 	case c.kind == slowAnswer && side == canary: // neighbours and queues cause slowness on many endpoints
 		return len(each) / 2
@@ -76,7 +76,7 @@
 	return quarter
 }
 
-// trim leaves each side's outliers out. It gives the sums of all, and of the rest.
+// trim removes each side's outliers and returns the sums over all endpoints and over the remaining ones.
 func (c *comparison) trim() (whole, trimmed [sideCount]outcomeCount) {
 	for side := range whole {
 		whole[side] = c.summed[side].plus(c.few[side])
@@ -95,12 +95,13 @@
 	return whole, trimmed
 }
 
-// canaryEvidence is the log-likelihood ratio of a kind over both builds' samples, positive where the canary fails more often, 0 where the
-// sample is too small or speaks of something else than the build. reported is the share of wrong answers that the sample can show.
+// canaryEvidence returns the log-likelihood ratio of a kind over both builds' samples, in nats: positive if the
+// canary fails more often, 0 if the sample is too small or points to something other than the build. reported is the
+// share of wrong answers that the sample can show.
 func (b *Balancer) canaryEvidence(kind int, list []*endpointCounts, reported float64) float64 {
 	c := newComparison(kind, b.release.build, list)
 	if isLateness(kind) && c.loneCanary() {
-		return 0 // one endpoint's lateness is no proof
+		return 0 // a single endpoint may be late for reasons of its own
 	}
 	whole, sum := c.trim()
 	dispersion := overdispersion(c.each[baseline], sum[baseline])
@@ -109,7 +110,7 @@
 		if ownFault {
 			return 0
 		}
-		sum = whole // the rest fails about as much: the errors are the build's, and all of them count
+		sum = whole // the rest fail about as often: the errors are the build's, and all of them count
 	}
 	if !b.enoughOutcomes(kind, sum) {
 		return 0
@@ -121,8 +122,8 @@
 	return ratio
 }
 
-// enoughOutcomes tells whether a sample is large enough to vote on. The voters that a rollback needs share the outcomes, and of
-// wrong answers, which each finds for itself, the failures too.
+// enoughOutcomes reports whether a sample is large enough to vote on. The outcomes are divided among the voters that a
+// rollback needs; wrong answers are observed by each voter separately, so their failures are divided as well.
 func (b *Balancer) enoughOutcomes(kind int, sum [sideCount]outcomeCount) bool {
 	voters, failures := float64(b.rollbackVotes()), minCanaryFailures
 	if kind == wrongAnswer {
@@ -131,8 +132,8 @@
 	return sum[baseline].total != 0 && sum[canary].total*voters >= minCanaryOutcomes && sum[canary].failures >= failures
 }
 
-// falseReportMargin is what wrong answers have to show beyond the threshold. Right answers are reported too: the less the harm costs
-// against a good build that is sent back, the surer the vote has to be.
+// falseReportMargin returns the evidence, in nats, that wrong answers must show beyond the threshold, since clients
+// also report correct answers. The less the harm costs compared to rolling back a good build, the larger the margin.
 func (b *Balancer) falseReportMargin(sum [sideCount]outcomeCount, reported float64) float64 {
 	more := sum[canary].failures/sum[canary].total - sum[baseline].failures/sum[baseline].total
 	if more > 0 {
@@ -141,9 +142,9 @@
 	return 0
 }
 
-// overdispersion is how many times more the baseline's endpoints differ among themselves than chance gives: Pearson's chi-squared over
-// its degrees of freedom, at least 1. The log-likelihood ratio is divided by it, which stands for the threshold that the paper
-// of docs/design.md learns from A/A comparisons.
+// overdispersion returns how much more the baseline's endpoints differ from each other than chance predicts: Pearson's
+// chi-squared over its degrees of freedom, at least 1. Dividing the log-likelihood ratio by it replaces the threshold
+// that the paper cited in docs/design.md learns from A/A comparisons.
 func overdispersion(each []outcomeCount, sum outcomeCount) float64 {
 	p := sum.failures / max(1, sum.total)
 	if p <= 0 || p >= 1 || len(each) < 2 {
@@ -156,7 +157,7 @@
 	return max(1, chiSquared/float64(len(each)-1))
 }
 
-// logBinomial is the log of the number of ways to choose k of n.
+// logBinomial returns the logarithm of the binomial coefficient "n choose k".
 func logBinomial(n, k float64) float64 {
 	all, _ := math.Lgamma(n + 1)
 	in, _ := math.Lgamma(k + 1)
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// MetricsEvidence is what the fleet's metrics show of a release, all of it each time. Kinds that are Independent hold no outcome that this
-// balancer counted too.
+// MetricsEvidence is the cumulative evidence that the fleet's metrics hold on a release. A kind is Independent if it
+// contains no outcome that this balancer counted as well.
 type MetricsEvidence struct {
 	Evidence
 	Independent [failureKinds]bool
 }
 
-// SetMetricsEvidence replaces what metrics showed.
+// SetMetricsEvidence replaces the evidence from metrics.
 func (b *Balancer) SetMetricsEvidence(evidence MetricsEvidence) { b.metricsEvidence = evidence }
 
-// metricsCounts is what metrics show of the present release and own, which is given, could not know: own outcomes are among those of
-// the fleet, of wrong answers the share that clients report.
+// metricsCounts returns the counts from metrics for the present release, without the outcomes that are already in own:
+// the fleet's metrics include them. Of wrong answers, own holds only the share that clients report.
 func (b *Balancer) metricsCounts(own []*endpointCounts) []*endpointCounts {
 	if b.metricsEvidence.Build != b.release.build || len(b.metricsEvidence.Samples) == 0 {
 		return nil
@@ -29,8 +29,8 @@
 		for kind := range counts.byKind {
 			count := sample.count(kind)
 			if known := ownByKey[sample.key()]; known != nil && !b.metricsEvidence.Independent[kind] {
-				// Each own failure is among those that metrics show. Of the own outcomes only the visible share is known well enough to be
-				// left out: the rest may have failed unreported.
+				// Metrics include each own failure. Of the own outcomes only the visible share is subtracted:
+				// the rest may have failed without being reported.
 				count.total = max(0, count.total-b.visibleShare(kind)*known.byKind[kind].total)
 				count.failures = max(0, count.failures-known.byKind[kind].failures)
 			}
@@ -41,7 +41,7 @@
 	return list
 }
 
-// visibleShare is the share of a kind's failures that this balancer can see.
+// visibleShare returns the share of a kind's failures that this balancer can observe.
 func (b *Balancer) visibleShare(kind int) float64 {
 	if kind == wrongAnswer {
 		return b.config.WrongAnswerReportShare
@@ -49,10 +49,11 @@
 	return 1
 }
 
-// combinedEvidence is the log-likelihood ratio of a kind, of the own sample and of what metrics add to it. Metrics are never believed
-// alone: their rates are put to the own sample, and count for nothing where that is less likely under them than without.
-// Else they add to what they explain at most what a clean own sample of this size would speak against them, and half the threshold. So whatever
-// they say, a good build is sent back with a chance of at most e to the minus half the threshold.
+// combinedEvidence returns the log-likelihood ratio of a kind, in nats, from the own sample and metrics
+// together. Metrics are never believed on their own: their rates are tested against the own sample, and
+// ignored if they make it less likely. If they explain it, they add at most what a clean own sample of this
+// size could contradict, and at most half the threshold. So whatever metrics show, a good build is rolled back
+// with a probability of at most exp(-threshold/2).
 func (b *Balancer) combinedEvidence(kind int, threshold float64, own, metrics []*endpointCounts) float64 {
 	ownRatio := b.canaryEvidence(kind, own, b.config.WrongAnswerReportShare)
 	metricsRatio := b.canaryEvidence(kind, metrics, 1)
@@ -60,12 +61,12 @@
 		return ownRatio
 	}
 	seen := b.visibleShare(kind)
-	if seen == 0 { // no own sample could contradict them, and all routers that hear them share one source, so that they count as one
+	if seen == 0 { // no own sample can contradict metrics; as all routers share one source, they count as one
 		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.Routers))))
 	}
 	claimed, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
 	observedBaseline, observedCanary := observed[baseline], observed[canary]
-	// Failure rate of the canary without the claim, and with it.
+	// Failure rate of the canary without the claim of the metrics, and with it.
 	p := (observedBaseline.failures + 0.5) / (observedBaseline.total + 1)
 	q := min(p+seen*(claimed[canary].failures/claimed[canary].total-claimed[baseline].failures/claimed[baseline].total), (1+p)/2)
 	perFailure, perSuccess := math.Log(q/p), math.Log((1-q)/(1-p))
--- a/internal/policy/metrics_test.go
+++ b/internal/policy/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// said makes evidence from metrics: n outcomes and bad ones for each endpoint, of one kind.
+// said returns evidence from metrics with the given outcomes and failures of one kind for each endpoint.
 func said(kind int, n, earlier, trial float64) MetricsEvidence {
 	s := MetricsEvidence{Evidence: Evidence{Build: 8}}
 	for _, u := range []uint32{1, 2, 3, 4, 11, 12} {
@@ -20,7 +20,7 @@
 	return s
 }
 
-// Metrics beside the own sample: they lift what that shows too little of, and are not believed against it.
+// Metrics strengthen an own sample that shows too little, and are not believed against it.
 func Example_metricsEvidence() {
 	play := func(name string, reported float64, own int, reports int, s MetricsEvidence) {
 		f := newFleet(func(t *Config) { t.AutomaticStages, t.WrongAnswerReportShare = true, reported })
@@ -65,7 +65,7 @@
 	// two reports, and the metrics speak of an earlier build: no vote
 }
 
-// TestMetricsCountsLeaveOutOwnOutcomes guards against own failures that count twice: what metrics show is taken without them, and without
+// TestMetricsCountsLeaveOutOwnOutcomes guards against counting own failures twice: metrics are reduced by them, and by
 // the share of the own outcomes whose failure would have been seen.
 func TestMetricsCountsLeaveOutOwnOutcomes(t *testing.T) {
 	tests := []struct {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Marks: what attempts would show counts only where they show something; wrong answers count; both are forgotten.
+// Degraded marks count only where attempts confirm them, marks for wrong answers always; both decay.
 func Example_healthMarks() {
 	share := func(name string, m HealthMark, age float64) {
 		f := newFleet(nil)
@@ -115,7 +115,7 @@
 	share("probes fail, serves well", HealthMark{Endpoint: 1, DegradedShare: 1}, 0)
 	share("answers fast but wrongly", HealthMark{Endpoint: 1, WrongShare: 0.5}, 0)
 	share("said long ago", HealthMark{Endpoint: 1, WrongShare: 0.5}, 30)
-	// A fifth of what endpoint 1 is sent fails: the mark confirms it, and costs it the more.
+	// A fifth of the attempts at endpoint 1 fail: they confirm the mark, which costs the endpoint more traffic.
 	part := func(m ...HealthMark) (n int) {
 		f := newFleet(nil)
 		f.run(100, 1, fine)
@@ -142,8 +142,9 @@
 	// fails at times, with a mark against without, less than half: true
 }
 
-// Whatever metrics say of a good build, the own sample guards it: at most e to the minus half the threshold would cross by
-// chance for the worst of lies. 400 good builds with failures of their own, each lied about in one of four ways.
+// Whatever metrics show about a good build, the own sample guards it: the worst of false metrics
+// cross the threshold with a probability of at most exp(-threshold/2). 400 good builds with some
+// failures, each misreported in one of four ways.
 func TestWrongMetricsEvidence(t *testing.T) {
 	for _, rate := range []float64{0, 0.02, 0.1} {
 		back := 0
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -1,35 +1,36 @@
 package policy
 
 const (
-	holdSeconds = 0.02 // a held request is picked again after it
+	holdSeconds = 0.02 // time after which a held request is picked again
 
 	defaultDraws      = 2 // the better of two random choices
-	staleListDraws    = 4 // where the best so far fails about every other attempt: half of a stale list may be gone
-	failingConnsDraws = 8 // where new connections fail: the open ones lead to few endpoints, which other routers use too
+	staleListDraws    = 4 // used while the best so far fails about every other attempt: half of a stale list may be gone
+	failingConnsDraws = 8 // used while new connections fail: open ones lead to few endpoints, which other routers use too
 	staleListScore    = 0.5
-	minLatencyRatio   = 0.2 // an endpoint looks at most five times as fast as a typical one
-	outlierCost       = 12  // an endpoint that fails every attempt looks so much more loaded
+	minLatencyRatio   = 0.2 // an endpoint counts as at most five times as fast as a typical one
+	outlierCost       = 12  // an endpoint that fails every attempt counts as more loaded by this factor, plus one
 )
 
-// Pick decides on a request: send an attempt, hold it, or answer it finally. It is to be called when a request is received, when a
-// decision's PickAgainAt is reached, and when its client has gone, to learn whether to cancel what is in flight; OnAttemptDone calls it
-// after every attempt. The first call's now must equal r.ReceivedAt: only then is the request counted in the limits' windows.
+// Pick decides on a request: send an attempt, hold it, or answer it finally. The caller must call it when a request is
+// received, when a decision's PickAgainAt is reached, and when the client has gone, to learn whether to cancel the
+// attempts in flight; OnAttemptDone calls it after every attempt. The first call's now must equal r.ReceivedAt: only
+// then is the request counted in the limits' windows.
 //
-// A retry is refused for good, by finalAnswer once nothing is in flight, when
+// A retry is refused for good, by finalAnswer once nothing is in flight, if
 //   - the deadline or the latency objective is too near (outOfTime);
-//   - the attempts are used up, or one of them may have run and a repeat could have a second effect (retryIsSafe);
+//   - no attempts are left, or one of them may have run and a retry could have a second effect (retryIsSafe);
 //   - the retry budget is empty (retryAffordable);
 //   - the request needs too much work to be answered in time (tooHeavy).
 //
-// It is put off while an attempt is in flight whose endpoint may still answer (unresponsive), and while no endpoint may take it
-// (eligible, hasSlowStartToken). The concurrency limit is for first attempts alone.
+// It is postponed while an attempt is in flight whose endpoint may still answer (unresponsive), and while no endpoint
+// may accept it (eligible, hasSlowStartToken). The concurrency limit applies only to first attempts.
 func (b *Balancer) Pick(now float64, r *Request) Decision {
 	b.noteCall(now)
 	if r.Config == nil {
 		r.Config = b.config
 	}
 	if r.Completed || r.Streaming {
-		return Decision{CancelInFlight: r.Completed && r.Config.AllowCancel} // nobody waits for what is still in flight
+		return Decision{CancelInFlight: r.Completed && r.Config.AllowCancel} // the attempts in flight are no longer needed
 	}
 	if len(r.Attempts) == 0 && now <= r.ReceivedAt {
 		b.receive(now, r)
@@ -64,14 +65,14 @@
 	return hold(now, r)
 }
 
-// hold has a request wait until there is a chance that it can go, or its time is over.
+// hold returns the decision to pick a request again shortly, or at its last chance.
 func hold(now float64, r *Request) Decision {
 	return Decision{Action: Hold, PickAgainAt: min(now+holdSeconds, r.lastAttemptEnd())}
 }
 
-// send begins an attempt, with the time to look again if the endpoint stays silent.
+// send starts an attempt; the decision includes when to pick again if the endpoint stays silent.
 func (b *Balancer) send(now float64, r *Request, e *endpoint) Decision {
-	if len(r.Attempts) > 0 && !r.NotConnected { // an attempt that reached no endpoint has cost none any work
+	if len(r.Attempts) > 0 && !r.NotConnected { // an attempt that did not reach its endpoint has caused no load
 		b.retryTokens--
 	}
 	if e.inFlight == 0 {
@@ -95,8 +96,8 @@
 	return decision
 }
 
-// OnAttemptDone enters the outcome of an attempt at an endpoint, which took so many seconds, and decides what follows. The caller has
-// updated the request's Attempts before.
+// OnAttemptDone records the outcome of an attempt at an endpoint, which took the given seconds, and decides what
+// follows. The caller must have updated the request's Attempts before.
 func (b *Balancer) OnAttemptDone(now float64, r *Request, endpointID uint32, outcome Outcome, took float64) Decision {
 	b.noteCall(now)
 	e := b.endpointByID[endpointID]
@@ -112,13 +113,13 @@
 		b.rememberKey(r.Key, e.build)
 	}
 	if r.Completed {
-		return Decision{CancelInFlight: b.config.AllowCancel} // by the current configuration, for all requests
+		return Decision{CancelInFlight: b.config.AllowCancel} // by the current configuration, not the request's own
 	}
 	return b.Pick(now, r)
 }
 
-// pickEndpoint picks a side by its share of the capacity, and an endpoint within it; one of the other side where none can take the
-// request. A canary that this balancer's vote alone rolls back comes second.
+// pickEndpoint picks a side in proportion to its capacity, and an endpoint of that side, or of the other if none can
+// accept the request. A canary that this balancer's vote alone rolls back is tried second.
 func (b *Balancer) pickEndpoint(now float64, r *Request) *endpoint {
 	first, second := b.subset[canary], b.subset[baseline]
 	if b.rollsBackAlone() || b.random.next() >= b.readyCapacity[canary]/(b.readyCapacity[baseline]+b.readyCapacity[canary]) {
@@ -130,8 +131,8 @@
 	return b.pickFromGroup(now, r, second)
 }
 
-// pickFromGroup is the power of two choices: the cheaper of some endpoints drawn at random. More are drawn where the best so far looks
-// gone, but not among canaries, which must be seen to fail, and where new connections are refused.
+// pickFromGroup implements the power of two choices: the cheaper of two endpoints drawn at random. More are drawn if
+// the best so far looks gone and is no canary, as canaries must be seen to fail, and while many new connections fail.
 func (b *Balancer) pickFromGroup(now float64, r *Request, group []*endpoint) (best *endpoint) {
 	if len(group) == 0 || b.isCanary(group[0].build) && b.canaryAllowance(now, r, group[0].build) < 1 {
 		return nil
@@ -146,7 +147,7 @@
 	}
 	var bestCost float64
 	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
-		needConn := manyConnsFail && (draw != 1 || r.NotConnected) // one draw may open a new connection
+		needConn := manyConnsFail && (draw != 1 || r.NotConnected) // the second draw may open a new connection
 		e := b.drawEndpoint(now, r, group, needConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
 			continue
@@ -158,8 +159,9 @@
 	return best
 }
 
-// drawEndpoint draws a place in a group and takes the first endpoint from there on that may have the request; where a connection is
-// needed the first that has one, or else the last that may have it. nil: none may.
+// drawEndpoint draws a position in a group at random and returns the first eligible endpoint from
+// there on. If needConn is set, it prefers the first one with an open connection, and else returns
+// the last eligible one. nil: none is eligible.
 func (b *Balancer) drawEndpoint(now float64, r *Request, group []*endpoint, needConn bool) (drawn *endpoint) {
 	start := int(b.random.next() * float64(len(group)))
 	for i := range group {
@@ -175,7 +177,7 @@
 	return drawn
 }
 
-// eligible tells whether an endpoint may have a request at all, whatever its load.
+// eligible reports whether a request may be sent to an endpoint at all, whatever its load.
 func (b *Balancer) eligible(now float64, r *Request, e *endpoint) bool {
 	for i := range r.Attempts {
 		if b.triedThere(r, &r.Attempts[i], e) || b.leavesDedupScope(r, &r.Attempts[i], e) {
@@ -185,7 +187,7 @@
 	return e.ready && b.keyAllows(r, e) && (!b.isCanary(e.build) || b.canaryAllowance(now, r, e.build) >= 1)
 }
 
-// triedThere tells whether an attempt is in flight at an endpoint, or was just lost there.
+// triedThere reports whether an attempt is in flight at an endpoint, or was just lost there.
 func (b *Balancer) triedThere(r *Request, attempt *Attempt, e *endpoint) bool {
 	if b.endpointByID[attempt.Endpoint] != e {
 		return false
@@ -194,8 +196,9 @@
 	return attempt.InFlight || justLost
 }
 
-// cost is how loaded an endpoint looks from here: own work in flight and to come, how slowly it answers, how long it has been
-// silent and how often it failed lately, over its capacity. All of that decays, so that each endpoint is tried again.
+// cost returns how loaded an endpoint appears: own work in flight and to come, weighted by how slowly
+// it answers, how long it has been silent and how often it failed lately, over its capacity. All of
+// these decay, so that each endpoint is tried again.
 func (b *Balancer) cost(now float64, e *endpoint, work float64) float64 {
 	if !b.hasConnection(now, e) {
 		work *= 1 + outlierCost*b.connFailureShare(now)
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -6,7 +6,7 @@
 	"hash/fnv"
 )
 
-// random draws numbers from a seed, so that equal sequences of calls give equal decisions.
+// random is a seeded generator: equal sequences of calls return equal numbers.
 type random struct {
 	seed  uint64
 	count uint64
@@ -15,13 +15,13 @@
 
 func newRandom(seed uint64) random { return random{seed: seed, hash: fnv.New64a()} }
 
-// next is the next number of the sequence, from 0 to below 1.
+// next returns the next number of the sequence, in [0, 1).
 func (r *random) next() float64 {
 	r.count++
 	return r.of(r.count)
 }
 
-// of is the number that belongs to n, from 0 to below 1.
+// of returns the number that belongs to n, in [0, 1), independently of the sequence.
 func (r *random) of(n uint64) float64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], n)
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -1,6 +1,6 @@
 package policy
 
-// Phase is how far a release has come. The numbers are those of the simulator's protocol.
+// Phase is the phase of a release. The numbers are those of the simulator's protocol.
 type Phase uint8
 
 // The phases of a release.
@@ -11,20 +11,21 @@
 	PhaseWithdrawn
 )
 
-// release is what is known of the newest build.
+// release is what is known about the newest build.
 type release struct {
-	known          bool // anything was told at all
+	known          bool // false until the first ApplyRelease
 	build          int
 	stage          int
 	phase          Phase
-	canaryLimit    float64 // canary attempts as a share of the requests received
+	canaryLimit    float64 // upper limit of canary attempts, as a share of the requests received
 	stageStartedAt float64
 }
 
-// over tells whether the release is rolling back or was withdrawn.
+// over reports whether the release is rolling back or was withdrawn.
 func (r *release) over() bool { return r.phase == PhaseRollingBack || r.phase == PhaseWithdrawn }
 
-// isCanary tells whether a build is on trial for this balancer. Before any news only the oldest build is not.
+// isCanary reports whether a build is a canary for this balancer. While no release is
+// known, every build but the oldest is.
 func (b *Balancer) isCanary(build int) bool {
 	if !b.release.known {
 		return build > b.oldestBuild
@@ -32,7 +33,8 @@
 	return build > b.release.build || build == b.release.build && b.release.phase != PhaseReleased
 }
 
-// ApplyRelease enters news of the newest build: its stage, its phase, its canary traffic limit, and how long that has lasted.
+// ApplyRelease records the state of the newest build: its stage, its phase, its canary traffic limit as a share of the
+// requests received, and its age, the seconds since that state began.
 func (b *Balancer) ApplyRelease(now float64, build, stage int, phase Phase, limit, age float64) {
 	if !b.release.known || build != b.release.build {
 		b.localCounts = nil
@@ -46,18 +48,19 @@
 	b.regroupEndpoints(now)
 }
 
-// RestoreRelease enters, at the start of a router, the news that the process before it had, confirmed so long ago. While its controller
-// is away nobody else tells it, and a fleet that runs the canary alone would be held to the first stage's limit. Such news holds
-// for as long as a vote does.
+// RestoreRelease applies, at the start of a router, the release state that its previous process had, last confirmed
+// confirmedAgo seconds ago. While the controller is away there is no other source, and a fleet that runs only the
+// canary would be held to the first stage's limit. State older than a vote's lifetime is ignored.
 func (b *Balancer) RestoreRelease(now float64, build, stage int, phase Phase, limit, age, confirmedAgo float64) {
 	if confirmedAgo < b.config.VoteLifetimeSeconds {
 		b.ApplyRelease(now, build, stage, phase, limit, age+confirmedAgo)
 	}
 }
 
-// ApplyAssignment enters what a controller tells its router: the vote that stands, on which build, and the router's share of the free
-// canary attempts until the lease ends. An assignment has no end of its own: without a controller nothing is loosened. Drains and limits
-// that were told stay binding, an unannounced build is in its first stage, and the leased share is zero once the lease is over.
+// ApplyAssignment records a controller's decisions for its router: the current vote, the build it is on, and the
+// router's share of the free canary attempts until the lease ends. The vote does not expire: while the controller is
+// away nothing is relaxed. Drains and limits stay binding, an unannounced build is in its first stage, and the
+// leased share is zero once the lease has ended.
 func (b *Balancer) ApplyAssignment(build int, verdict Verdict, share, leaseEndsAt float64) {
 	b.currentVote = vote{build: build, verdict: verdict}
 	b.leasedShare, b.leaseEndsAt = share, leaseEndsAt
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Evidence is all that a router has counted of a release. It is whole each time, so that only the newest matters.
+// Evidence is all that a router has counted for a release. It is cumulative, so that only the newest matters.
 type Evidence struct {
-	Build             int // of the release that was known
+	Build             int // build of the release that the router knew
 	RequestsPerSecond float64
 	Samples           []EndpointSample
 }
 
-// EndpointSample is what one endpoint did under one build: outcomes, and failures among them, by kind of failure.
+// EndpointSample counts the outcomes of one endpoint under one build, and the failures among them, by kind of failure.
 type EndpointSample struct {
 	Endpoint uint32
 	Build    int
@@ -20,7 +20,7 @@
 	Failures [failureKinds]float64
 }
 
-// LocalEvidence gives what this balancer counted itself.
+// LocalEvidence returns what this balancer has counted itself.
 func (b *Balancer) LocalEvidence(now float64) Evidence {
 	evidence := Evidence{
 		Build:             b.release.build,
@@ -37,7 +37,7 @@
 	return evidence
 }
 
-// ApplyReport replaces what a router had reported. From the first report on, evidence is that of the routers.
+// ApplyReport replaces a router's earlier report. From the first report on, the evidence is that of the routers alone.
 func (b *Balancer) ApplyReport(router string, evidence Evidence) {
 	if b.reports == nil {
 		b.reports = map[string]Evidence{}
@@ -46,14 +46,14 @@
 	b.mergeNeeded = true
 }
 
-// DropReport drops what a router reported.
+// DropReport discards a router's report.
 func (b *Balancer) DropReport(router string) {
 	delete(b.reports, router)
 	b.mergeNeeded = true
 }
 
-// counts is what votes rest on: the routers' counts where there are reports, else the local ones. Reports are merged once a
-// tick, however many came since the last.
+// counts returns the counts that votes rest on: the routers' if any router has reported, else the local ones. Reports
+// are merged at most once a tick, however many have arrived since the last.
 func (b *Balancer) counts() []*endpointCounts {
 	if b.reports == nil {
 		return b.localCounts
@@ -64,7 +64,8 @@
 	return b.mergedCounts
 }
 
-// mergeReports sums what routers counted of the present release, in the order of their names: equal reports give equal sums.
+// mergeReports sums the routers' counts of the present release in the order of the routers' names: float sums depend on
+// their order, and equal reports must produce equal sums.
 func (b *Balancer) mergeReports() {
 	b.mergedCounts, b.reportedRate, b.mergeNeeded = nil, 0, false
 	merged := map[countsKey]*endpointCounts{}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -1,29 +1,29 @@
 package policy
 
-// Request is one request until its last attempt has ended. The caller owns it, adds an Attempt for each Send, and marks what
-// becomes of it; Pick fills Config and FirstSeenAt and normalises Work.
+// Request is one request until its last attempt has ended. The caller owns it, appends an Attempt for each Send, and
+// updates it as attempts end; Pick sets Config and FirstSeenAt and normalises Work.
 type Request struct {
 	ID           uint32
 	Class        int     // index into Config.Classes
-	Config       *Config // in force when it was received; nil: the current one
-	Key          uint64  // of requests that are idempotent with a key, or of one-way keys; 0: none
+	Config       *Config // in force when it was received; set by the first Pick if nil
+	Key          uint64  // deduplication or one-way key; 0: none
 	ReceivedAt   float64
-	FirstSeenAt  float64 // when its client first asked, as far as can be told
-	Deadline     float64 // when its client gives up
-	Work         float64 // expected work, 0: unknown; relative to the typical request after the first Pick
-	ClientRetry  bool    // the client says that it asks again
-	Streaming    bool    // a part of the answer has gone to the client; set by callers that stream answers
-	Completed    bool    // it has its final answer, or nobody waits for one
-	NotConnected bool    // the attempt that ended last reached no endpoint
+	FirstSeenAt  float64 // estimated time of the client's first try
+	Deadline     float64 // when its client stops waiting
+	Work         float64 // expected work, 0: unknown; from the first Pick on relative to the typical request
+	ClientRetry  bool    // the client has marked it as a retry
+	Streaming    bool    // part of the answer has been sent to the client; set by callers that stream answers
+	Completed    bool    // it has its final answer, or the client has gone
+	NotConnected bool    // the attempt that ended last did not reach its endpoint
 	Attempts     []Attempt
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt is one attempt to send a request to an endpoint.
 type Attempt struct {
 	Endpoint   uint32
 	StartedAt  float64
-	InFlight   bool // it has no outcome yet
-	MayHaveRun bool // once it ended: the endpoint may have executed the request
+	InFlight   bool // no outcome yet
+	MayHaveRun bool // valid once it has ended: the endpoint may have executed the request
 }
 
 // Outcome is how an attempt ended.
@@ -33,49 +33,49 @@
 const (
 	Succeeded      Outcome = iota
 	ServerError            // the endpoint answered with an error
-	Overloaded             // the endpoint turned it away without looking at it
+	Overloaded             // the endpoint refused it without executing it
 	TimedOut               // may have run
 	NotConnected           // no connection could be made; it never ran
 	ConnectionLost         // may have run
 	Cancelled              // may have run
-	NotSent                // given up before it left; it never ran
-	OutcomeCount           // how many outcomes there are
+	NotSent                // abandoned before it was sent; it never ran
+	OutcomeCount           // number of outcomes
 )
 
-// isFailure tells whether an outcome speaks against its endpoint or build.
+// isFailure reports whether an outcome counts as a failure of its endpoint or build.
 func (o Outcome) isFailure() bool {
 	return o == ServerError || o == TimedOut || o == ConnectionLost || o == NotConnected
 }
 
-// IsAnswer tells whether the outcome came from the endpoint itself.
+// IsAnswer reports whether the outcome is an answer from the endpoint itself.
 func (o Outcome) IsAnswer() bool { return o == Succeeded || o == ServerError || o == Overloaded }
 
-// MayHaveRun tells whether an attempt with this outcome may have had an effect.
+// MayHaveRun reports whether an attempt with this outcome may have had an effect.
 func (o Outcome) MayHaveRun() bool { return o != NotSent && o != NotConnected && o != Overloaded }
 
-// Action is what the caller has to do with a request.
+// Action is what the caller must do with a request.
 type Action uint8
 
-// What a caller may have to do.
+// The actions.
 const (
 	NoAction Action = iota
 	Send            // start an attempt at Decision.Endpoint
-	Hold            // pick again at Decision.PickAgainAt
+	Hold            // call Pick again at Decision.PickAgainAt
 	Reject          // final answer: a retry is harmless, after Decision.RetryAfterSeconds
-	Fail            // final answer: it may have run
+	Fail            // final answer: the request may have run
 )
 
-// Decision is the answer of Pick and OnAttemptDone.
+// Decision is the result of Pick and OnAttemptDone.
 type Decision struct {
 	Action            Action
 	Endpoint          uint32
-	AttemptDeadline   float64 // the attempt has to be given up then
-	PickAgainAt       float64 // call Pick again then; not, if it is 0 or not before the request's deadline
+	AttemptDeadline   float64 // when the attempt must be abandoned
+	PickAgainAt       float64 // when to call Pick again; ignored if 0 or not before the request's deadline
 	RetryAfterSeconds float64
 	CancelInFlight    bool // cancel the attempts in flight
 }
 
-// attemptsInFlight is how many attempts have no outcome yet.
+// attemptsInFlight returns the number of attempts that have no outcome yet.
 func (r *Request) attemptsInFlight() (n int) {
 	for _, attempt := range r.Attempts {
 		n += boolToInt(attempt.InFlight)
@@ -83,5 +83,5 @@
 	return n
 }
 
-// class is the request's class by the configuration that it came under.
+// class returns the request's class under the configuration that the request was received with.
 func (r *Request) class() *RequestClass { return &r.Config.Classes[r.Class] }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// A retry budget bounds what retries add to the load: a request earns a part of a token, a retry costs one.
+// The retry budget bounds the load that retries add: each request earns a fraction of a token, each retry costs one.
 const (
 	retryTokensPerRequest = 0.15
 	maxRetryTokens        = 20.0
 )
 
-// attemptTimeoutFactor is how many typical latencies an attempt is left alone before another may follow.
+// attemptTimeoutFactor is the multiple of the typical latency after which another attempt may follow.
 const attemptTimeoutFactor = 3.0
 
-// An answer has to be written before its client's time is over: attempts end so many times the timer's resolution before the deadline.
-// A held request is picked then for the last time, and half a resolution earlier counts as out of time: rounding could otherwise
-// make it be picked again without end.
+// An answer must be written before its client stops waiting: attempts end attemptMargin timer resolutions before the
+// deadline. A held request is picked for the last time then, and counts as out of time half a resolution earlier:
+// otherwise rounding could have it picked again without end.
 const (
 	attemptMargin   = 2
 	outOfTimeMargin = 2.5
 )
 
-// timeTolerance keeps rounding from hiding that a time has come, in seconds.
+// timeTolerance, in seconds, allows for rounding when checking whether an instant has been reached.
 const timeTolerance = 1e-6
 
-// outOfTime tells whether no further attempt can earn anything: the client's time or the latency objective is over. Under load nothing goes
-// to a client that asks again after the objective of its first try has passed.
+// outOfTime reports whether a further attempt is pointless because the deadline or the latency objective has passed.
+// Under load, a client's retry is not sent either once the objective of its first try has passed.
 func (b *Balancer) outOfTime(now float64, r *Request) bool {
 	objective := r.class().LatencyObjectiveSeconds
 	if now >= r.Deadline-outOfTimeMargin*r.Config.TimerResolutionSeconds || now-r.ReceivedAt >= objective {
@@ -32,14 +32,14 @@
 	return b.latencyRatio > targetLatencyRatio && len(r.Attempts) == 0 && now-r.FirstSeenAt >= objective
 }
 
-// lastAttemptEnd is when the last attempt of a request has to end.
+// lastAttemptEnd returns when the last attempt of a request must end.
 func (r *Request) lastAttemptEnd() float64 {
 	return r.Deadline - attemptMargin*r.Config.TimerResolutionSeconds
 }
 
-// retryIsSafe tells whether a further attempt can do no harm (rule 2, no effect twice). A request may be sent again when no attempt can
-// have run; when it is idempotent; or when it has a key and the window in which endpoints recognise that is open for every
-// attempt. Where it may go then is leavesDedupScope's matter.
+// retryIsSafe reports whether a further attempt can't cause a second effect (rule 2). A request may be sent again if no
+// attempt can have run, if it is idempotent, or if it has a key and, for every attempt, the window in which endpoints
+// recognise the key is still open. leavesDedupScope restricts where it may be sent then.
 func (b *Balancer) retryIsSafe(now float64, r *Request) bool {
 	if len(r.Attempts) >= r.Config.MaxAttempts {
 		return false
@@ -58,7 +58,7 @@
 	return true
 }
 
-// leavesDedupScope tells whether an endpoint would not recognise the key of an attempt that may have run.
+// leavesDedupScope reports whether an endpoint would not recognise the key of an attempt that may have run.
 func (b *Balancer) leavesDedupScope(r *Request, attempt *Attempt, e *endpoint) bool {
 	class := r.class()
 	if class.Idempotency != IdempotentWithKey || !attempt.InFlight && !attempt.MayHaveRun {
@@ -74,11 +74,12 @@
 	return false
 }
 
-// retryAffordable tells whether the retry budget allows another attempt. After one that reached no endpoint it is free.
+// retryAffordable reports whether the retry budget allows another attempt. A retry after an
+// attempt that did not reach its endpoint is free.
 func (b *Balancer) retryAffordable(r *Request) bool { return b.retryTokens >= 1 || r.NotConnected }
 
-// finalAnswer ends a request: a rejection where a retry of the client is harmless, else a failure. With an attempt in flight it waits
-// for that one's outcome.
+// finalAnswer returns a request's final answer: a rejection if a retry by the client is harmless, else a failure. While
+// an attempt is in flight it returns no action, as that attempt may still succeed.
 func (b *Balancer) finalAnswer(now float64, r *Request) Decision {
 	if r.attemptsInFlight() > 0 {
 		return Decision{}
@@ -90,8 +91,8 @@
 	return Decision{Action: Reject, RetryAfterSeconds: r.Config.MaxRetryAfterSeconds}
 }
 
-// effectUncertain tells whether a retry by the client could have a second effect: it may have run, and the client can't keep a
-// retry where its key is recognised.
+// effectUncertain reports whether a retry by the client could have a second effect: an attempt may have run, and the
+// client can't direct its retry to where the key is recognised.
 func (r *Request) effectUncertain() bool {
 	class := r.class()
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll {
@@ -105,7 +106,8 @@
 	return false
 }
 
-// attemptTimeout is how many seconds an attempt is left alone: some typical latencies, more for work that is said to be heavy.
+// attemptTimeout returns the time after which an attempt may be followed by another: a few typical latencies, longer
+// for work that is expected to be heavy, plus the caller's own delay; infinite while no latency is known.
 func (b *Balancer) attemptTimeout(r *Request) float64 {
 	if b.typicalLatency[r.Class] == 0 {
 		return math.Inf(1)
@@ -113,8 +115,8 @@
 	return attemptTimeoutFactor*b.typicalLatency[r.Class]*max(1, r.Work) + b.ownDelay
 }
 
-// unresponsive tells whether each attempt in flight has gone to an endpoint that has answered nothing since. An endpoint with little else
-// in flight had little other chance to answer: it gets more time.
+// unresponsive reports whether every attempt in flight has timed out at an endpoint that has answered nothing since it
+// was sent. An endpoint with few other attempts in flight had little chance to answer any: it is given more time.
 func (b *Balancer) unresponsive(now float64, r *Request) bool {
 	for _, attempt := range r.Attempts {
 		if !attempt.InFlight {
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Rule 1: a request that can go nowhere is held, then answered before the client's time is up.
+// Rule 1: a request that can't be sent is held, then answered before the client's timeout.
 func Example_finalAnswer() {
 	f := newFleet(nil)
 	f.list(true)
@@ -14,7 +14,7 @@
 	}
 	fmt.Println(s, "ahead of the time-out:", f.now < c.Deadline, "not before the objective:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(c))
-	// A hair before the end there is no asking again at the same moment.
+	// Just before the end the request is not picked again at the same instant.
 	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.TimerResolutionSeconds + 1e-10}))
 	// Output:
 	// reject, retry after 1.0 s ahead of the time-out: true not before the objective: true
@@ -39,7 +39,7 @@
 		}
 		fmt.Println()
 	}
-	// Past the window in which repeats are dropped, and outside the group, nothing more is sent.
+	// After the deduplication window, and outside the deduplication scope, nothing more is sent.
 	f := newFleet(func(t *Config) { t.Classes[1].DedupWindowSeconds = 0.1; t.Classes[1].DedupScope = DedupCell })
 	c, _ := f.request(1)
 	f.now += 0.02
@@ -55,7 +55,7 @@
 	// window over: fail
 }
 
-// Rule 3: nothing goes to an endpoint from the moment the list says it drains or is gone.
+// Rule 3: nothing is sent to an endpoint once the list says that it is draining or gone.
 func Example_drain() {
 	f := newFleet(nil)
 	f.list(false, endpointEntry{id: 1, build: 7, state: Draining}, endpointEntry{id: 2, build: 7, state: Gone})
@@ -110,7 +110,7 @@
 	// 8 8 8 8 8 8 8 8 8 8 one-way key
 }
 
-// After a restart, with only a cached list and no news, a newer build counts as in its first stage.
+// After a restart with only a cached endpoint list and no release known, a newer build counts as in its first stage.
 func Example_restart() {
 	f := newFleet(nil)
 	f.b = New(*f.b.config, 43, f.now)
@@ -122,7 +122,8 @@
 	// no vote
 }
 
-// An attempt in flight at a silent endpoint is cancelled, or hedged where that is allowed; at an endpoint that answers it is left alone.
+// An attempt at a silent endpoint is cancelled, or hedged where that is allowed; at an
+// endpoint that answers it continues.
 func Example_unresponsiveEndpoint() {
 	for _, parallel := range []bool{false, true} {
 		f := newFleet(func(t *Config) { t.AllowHedging = parallel })
@@ -140,7 +141,7 @@
 	// silent: send, answering: nothing
 }
 
-// A failing endpoint gets little, whatever way it fails, and is tried again later.
+// A failing endpoint receives little traffic, whichever way it fails, and is tried again later.
 func Example_failingEndpoint() {
 	for _, r := range []Outcome{ServerError, Overloaded, NotConnected, ConnectionLost} {
 		f := newFleet(nil)
@@ -159,7 +160,7 @@
 	// little but not none: true little but not none: true little but not none: true little but not none: true
 }
 
-// Overload: with answers slow, fewer attempts are in flight, and low priority gives way first.
+// Overload: while answers are slow, fewer attempts are in flight, and low priority yields first.
 func Example_concurrencyLimit() {
 	f := newFleet(nil)
 	f.run(300, 3, func(uint32, int) (Outcome, float64) { return Succeeded, 0.25 })
@@ -179,14 +180,14 @@
 	// priority 5: hold with 6 in flight
 }
 
-// Endpoints take few connections: those that are open are kept to; refusals cost no token, are nobody's failure.
+// Endpoints accept few connections: open ones are preferred; refusals cost no token and count against no build.
 func Example_refusedConnections() {
 	f := newFleet(nil)
 	for i := uint32(0); i < 60; i++ {
 		f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 200 + i, build: 8})
 	}
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 20)
-	for _, open := range []uint32{1000, 6, 6, 6} { // every so many endpoints take a connection
+	for _, open := range []uint32{1000, 6, 6, 6} { // one in this many endpoints accepts connections
 		met := map[Outcome]int{}
 		f.run(200, 4, func(u uint32, _ int) (Outcome, float64) {
 			r := Succeeded
@@ -206,7 +207,7 @@
 	// 126 succeeded, 74 not connected, no vote
 }
 
-// A router that stood still itself finds late answers and time-outs at once: they are nobody's failure.
+// A router that was stalled finds late answers and timeouts all at once: they count against no endpoint.
 func Example_processPause() {
 	f := newFleet(nil)
 	f.run(40, 2, fine)
@@ -224,7 +225,7 @@
 	// after 1.2 s: failing false
 }
 
-// Rule 4: many routers together send a endpoint in slow start no more than one that sees all the traffic.
+// Rule 4: many routers together send an endpoint in slow start no more than a single router with all the traffic would.
 func Example_slowStartAmongManyRouters() {
 	for _, n := range []int{1, 100} {
 		sum := 0
@@ -235,7 +236,7 @@
 			f.list(false, endpointEntry{id: 4, build: 7, since: f.now})
 			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
 				sum += boolToInt(u == 4)
-				return [...]Outcome{Overloaded, Succeeded}[boolToInt(u == 4)], 0.01 // the cold one looks far better than the others
+				return [...]Outcome{Overloaded, Succeeded}[boolToInt(u == 4)], 0.01 // slow start looks far better
 			})
 		}
 		fmt.Println(n, "routers:", sum)
@@ -245,7 +246,8 @@
 	// 100 routers: 5
 }
 
-// Under load a request whose client, by the time it is given, first asked longer ago than the objective is rejected.
+// Under load a request is rejected if its remaining time shows that its client first asked
+// longer ago than the objective.
 func Example_laterTriesUnderLoad() {
 	f := newFleet(func(t *Config) { t.Classes[0].TimeoutSeconds = 1 })
 	f.run(40, 2, fine) // first attempts are given 0.8 s
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,11 +1,12 @@
 package policy
 
-// Slow start (rule 4): an endpoint that has just started never gets, from all routers together, more than its allowance. Each router spends a
-// share of it that goes by what it sends to a warm endpoint; as each one's is often less than one request, it is kept in tokens that
-// begin at a random part of one. There is no smallest allowance, for those of many routers would add up.
-const slowStartBudget = 0.6 // part of the allowance that is used if all warm endpoints are full
+// Slow start (rule 4): all routers together never send an endpoint that has just started more than its allowance. Each
+// router spends a share of the allowance in proportion to the traffic it sends to a warm endpoint. As that is often
+// less than one request, it accumulates as tokens, starting at a random fraction of one. There is no minimum allowance
+// per router, because the minimums of many routers would add up.
+const slowStartBudget = 0.6 // share of the allowance that is used when all warm endpoints are at capacity
 
-// slowStartShare is the least share of its capacity that an endpoint has by now.
+// slowStartShare returns the minimum share of its capacity that an endpoint has by now.
 func (b *Balancer) slowStartShare(now float64, e *endpoint) float64 {
 	if e.startedAt <= 0 || now-e.startedAt >= b.config.SlowStartSeconds {
 		return 1
@@ -14,19 +15,19 @@
 	return initial + (1-initial)*max(0, now-e.startedAt)/b.config.SlowStartSeconds
 }
 
-// hasSlowStartToken refills an endpoint's tokens and tells whether it may get another request as far as slow start goes. send takes the
-// request's work from them.
+// hasSlowStartToken refills an endpoint's tokens and reports whether slow start permits
+// another request; send deducts the request's work.
 func (b *Balancer) hasSlowStartToken(now float64, e *endpoint) bool {
 	share := b.slowStartShare(now, e)
 	if share >= 1 {
 		return true
 	}
-	subsetSize := float64(len(b.subset[baseline]) + len(b.subset[canary])) // other routers use other endpoints
+	subsetSize := float64(len(b.subset[baseline]) + len(b.subset[canary])) // other routers use other subsets
 	tokensPerSecond := slowStartBudget * b.config.SlowStartOverloadFactor * share * b.requestRate(now) / subsetSize
 	e.slowStartTokens = min(e.slowStartTokens+tokensPerSecond*(now-e.slowStartTokensAt), max(1, tokensPerSecond*b.config.SlowStartOverloadSeconds))
 	e.slowStartTokensAt = now
 	return e.slowStartTokens >= 1
 }
 
-// firstSlowStartTokens is what an endpoint has when it starts.
+// firstSlowStartTokens returns the tokens that an endpoint starts with.
 func (b *Balancer) firstSlowStartTokens() float64 { return b.leasedShare * b.random.next() }
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Each router uses a subset of the endpoints, those that rank first by its own hash: as many as its traffic keeps connections open to,
-// and knows something of. More would cost a handshake for each request.
+// Each router uses a subset of the endpoints: those that rank first by its own hash, as many as its traffic keeps
+// connections open to and learns anything about. A larger subset would cost a handshake for each request.
 const (
 	minSubset       = 8    // endpoints
-	subsetIdleShare = 0.08 // an endpoint should be used again within this share of the time after which idle connections close
+	subsetIdleShare = 0.08 // share of the idle timeout within which each endpoint should be used again
 )
 
-// regroupEndpoints keeps what each request and vote needs, so that none of them walks the whole fleet: the subset of either side, the
-// capacity of both sides, and whether both builds run side by side.
+// regroupEndpoints precomputes what each request and vote needs, so that none of them scans the whole fleet: the subset
+// and the capacity of each side, and whether both builds run side by side.
 func (b *Balancer) regroupEndpoints(now float64) {
 	baselineServes := b.countReadyEndpoints(now)
 	manyConnsFail := b.manyConnsFail(now)
@@ -21,8 +21,8 @@
 	b.chooseSubset(now)
 }
 
-// countReadyEndpoints counts the ready endpoints by side, and tells whether a baseline endpoint answers: one that only a stale list
-// names is nothing to compare with.
+// countReadyEndpoints counts the ready endpoints by side, and reports whether any baseline endpoint answers: endpoints
+// that only a stale list names can't be compared with.
 func (b *Balancer) countReadyEndpoints(now float64) (baselineServes bool) {
 	b.oldestBuild, b.readyCount, b.baselineReady, b.canaryReady, b.newestCanary = math.MaxInt, 0, 0, 0, 0
 	for _, e := range b.endpoints {
@@ -43,7 +43,7 @@
 	return baselineServes
 }
 
-// chooseSubset fills subset and readyCapacity.
+// chooseSubset sets subset and readyCapacity.
 func (b *Balancer) chooseSubset(now float64) {
 	share := min(1, max(minSubset, b.requestRate(now)*b.config.ConnIdleSeconds*subsetIdleShare)/float64(max(1, b.readyCount)))
 	for side := range b.subset {
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// When a vote is cast, and which. The reasons are in docs/design.md, exceptions 0, 8 and 11.
+// When a vote is cast, and which. docs/design.md gives the reasons (exceptions 0, 8 and 11).
 const (
-	voteRetrySeconds         = 0.5  // until a vote that did not count is cast again
-	holdThreshold            = 0.75 // part of the rollback threshold from which the clock is held
-	doubtThreshold           = 0.5  // part of it above which nothing is promoted and a vote to roll back is kept
-	promoteWaitSeconds       = 3.7  // after the start of the newest canary endpoint and of the stage, with enough outcomes
-	promoteWaitFewSeconds    = 5.0  // with fewer, where that may bring them
-	promoteUnseenWaitSeconds = 9.0  // of a stage after which a list that does not show it is no reason to wait; age of a list in doubt
+	voteRetrySeconds         = 0.5  // time until a vote that did not count is cast again
+	holdThreshold            = 0.75 // fraction of the rollback threshold above which automatic stages are held
+	doubtThreshold           = 0.5  // fraction of it above which nothing is promoted and a vote to roll back is kept
+	promoteWaitSeconds       = 3.7  // time since the newest canary endpoint and the stage started, with enough outcomes
+	promoteWaitFewSeconds    = 5.0  // the same with fewer outcomes, if waiting can provide them
+	promoteUnseenWaitSeconds = 9.0  // stage age from which the list need not show it; list age above which it is in doubt
 )
 
 // Verdict is a vote on a release. The numbers are those of the platform's and the controller's protocols.
 type Verdict uint8
 
-// The votes.
+// The verdicts.
 const (
 	VoteNone Verdict = iota
 	VotePromote
@@ -23,7 +23,7 @@
 	VoteRollback
 )
 
-// VoteReply is what became of a vote.
+// VoteReply is the outcome of casting a vote.
 type VoteReply uint8
 
 // The replies to a vote.
@@ -39,13 +39,13 @@
 	verdict      Verdict
 }
 
-// CurrentVote gives the vote that stands.
+// CurrentVote returns the vote in force and the build it is on.
 func (b *Balancer) CurrentVote() (build int, verdict Verdict) {
 	return b.currentVote.build, b.currentVote.verdict
 }
 
-// RestoreVote enters, at a start, the vote that the process before cast age seconds ago. One that may or may not have counted (not
-// sure) is taken to be half through its life, so that it is renewed or withdrawn at once.
+// RestoreVote restores, at a start, the vote that the previous process cast age seconds ago. If it is not sure that the
+// vote counted, it is treated as at least half through its lifetime, so that it is renewed or withdrawn at once.
 func (b *Balancer) RestoreVote(now float64, build, stage int, verdict Verdict, age float64, sure bool) {
 	if !sure {
 		age = max(age, b.config.VoteLifetimeSeconds/2)
@@ -53,7 +53,7 @@
 	b.currentVote, b.voteCastAt = vote{build, stage, verdict}, now-age
 }
 
-// OnVoteReply enters what became of the vote that was cast last.
+// OnVoteReply records the reply to the vote that was cast last.
 func (b *Balancer) OnVoteReply(now float64, reply VoteReply) {
 	if !b.votePending {
 		return
@@ -66,18 +66,18 @@
 	}
 }
 
-// rollbackVotes is how many votes send a release back.
+// rollbackVotes returns the number of votes needed to roll a release back.
 func (b *Balancer) rollbackVotes() int { return max(1, b.config.RollbackVotes) }
 
-// votedRollback tells whether this balancer's vote to roll the present release back stands.
+// votedRollback reports whether this balancer's current vote is to roll the present release back.
 func (b *Balancer) votedRollback() bool {
 	return b.currentVote.verdict == VoteRollback && b.currentVote.build == b.release.build
 }
 
-// rollsBackAlone tells whether this balancer's vote, which stands, is enough to send the release back.
+// rollsBackAlone reports whether this balancer's current vote suffices to roll the release back.
 func (b *Balancer) rollsBackAlone() bool { return b.config.RollbackVotes <= 1 && b.votedRollback() }
 
-// voteDue gives the vote that the evidence calls for, and tells whether it is to be cast now.
+// voteDue returns the vote that the evidence calls for, and whether to cast it now.
 func (b *Balancer) voteDue(now float64) (wanted vote, due bool) {
 	if b.votePending && now-b.voteSentAt > b.config.VoteTimeoutSeconds+2*voteRetrySeconds {
 		b.votePending = false
@@ -93,8 +93,8 @@
 	return wanted, wanted.verdict == VoteRollback || !tooSoon
 }
 
-// changesVote tells whether a vote has to be cast: it is not the one that stands, or that one needs renewal. No vote is cast to withdraw
-// one that has run out, is on another build, or promotes.
+// changesVote reports whether a vote must be cast because it differs from the current one or that one needs renewal. A
+// vote that has expired, is on another build, or promotes is never withdrawn.
 func (b *Balancer) changesVote(now float64, wanted vote) bool {
 	stands := b.currentVote.verdict != VoteNone && now-b.voteCastAt < b.config.VoteLifetimeSeconds
 	fresh := stands && now-b.voteCastAt < b.config.VoteLifetimeSeconds/2
@@ -107,7 +107,7 @@
 	return wanted != b.currentVote || !fresh
 }
 
-// verdict is the vote that the evidence calls for.
+// verdict returns the verdict that the evidence calls for.
 func (b *Balancer) verdict(now float64) Verdict {
 	if !b.release.known || b.release.over() {
 		return VoteNone
@@ -121,16 +121,16 @@
 	case b.config.AutomaticStages && evidence > holdThreshold && b.release.phase != PhaseReleased:
 		return VoteHold
 	case b.config.AutomaticStages || b.release.phase == PhaseReleased:
-		return VoteNone // there is nothing to promote, or it needs no vote
+		return VoteNone // nothing to promote, or promotion needs no vote
 	case evidence > doubtThreshold || b.endpointListAge > promoteUnseenWaitSeconds:
-		return VoteNone // in doubt nothing is promoted
+		return VoteNone // nothing is promoted while in doubt
 	case b.mayPromote(now, counts):
 		return VotePromote
 	}
 	return VoteNone
 }
 
-// evidenceOverThreshold is the strongest evidence against the canary, over the threshold of its kind.
+// evidenceOverThreshold returns the strongest evidence against the canary, relative to the threshold of its kind.
 func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) (strongest float64) {
 	metrics := b.metricsCounts(counts)
 	for kind := range failureKinds {
@@ -140,10 +140,10 @@
 	return strongest
 }
 
-// thresholdFor is the log-likelihood ratio, in nats, from which a kind of failure calls for a rollback. ln(routers) guards against the
-// one of many that crosses by chance. Where k votes are needed, any k of n have to: the threshold is where that is as unlikely.
-// Wrong answers are found by each client for itself; what fails or is late troubles many routers at once, so that there they
-// only share the guard.
+// thresholdFor returns the log-likelihood ratio, in nats, from which a kind of failure calls for a rollback. The term
+// ln(routers) guards against the one router of many that crosses by chance. Where k votes are needed, any k of n
+// routers must cross: the threshold is set so that this is as unlikely. Wrong answers are observed by each router
+// independently; errors and lateness affect many routers at once, so that k routers only share the guard.
 func (b *Balancer) thresholdFor(kind int) float64 {
 	n, k := float64(b.config.Routers), float64(b.rollbackVotes())
 	if kind == wrongAnswer {
@@ -152,7 +152,8 @@
 	return rollbackThreshold + math.Log(n/k)
 }
 
-// mayPromote tells whether the list shows the stage, and the newest canary endpoint and the stage have been watched for long enough.
+// mayPromote reports whether the endpoint list shows the stage, and both the newest canary endpoint and
+// the stage have been observed for long enough.
 func (b *Balancer) mayPromote(now float64, counts []*endpointCounts) bool {
 	wait := b.promoteWait(now, counts)
 	if b.canaryReady == 0 || now-max(b.newestCanary, b.release.stageStartedAt) < wait {
@@ -161,7 +162,7 @@
 	return b.stageIsShown() || now-b.release.stageStartedAt >= promoteUnseenWaitSeconds
 }
 
-// stageIsShown tells whether the list shows as many canary endpoints as the stage has, in whole endpoints.
+// stageIsShown reports whether the endpoint list shows as many canary endpoints as the stage calls for, rounded up.
 func (b *Balancer) stageIsShown() bool {
 	places := float64(b.baselineReady)
 	if b.config.ReplaceInPlace {
@@ -171,8 +172,8 @@
 	return float64(b.canaryReady) >= math.Ceil(places*share-1e-6)
 }
 
-// promoteWait is how long the canary is watched before it is promoted. More time is taken where it would bring the outcomes that are lacking; a
-// router with little traffic would wait in vain.
+// promoteWait returns how long to observe the canary before promoting it. It is longer if that would provide the
+// missing outcomes; a router with little traffic would wait in vain.
 func (b *Balancer) promoteWait(now float64, counts []*endpointCounts) float64 {
 	outcomes := 0.0
 	for _, c := range counts {
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// startCanary puts n endpoints of build 8 on the list, started age ago, and announces the second stage.
+// startCanary lists n endpoints of build 8, started age seconds ago, and announces the second stage.
 func (f *fleet) startCanary(n int, age float64) {
 	for i := 0; i < n; i++ {
 		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, since: f.now - age})
@@ -13,7 +13,7 @@
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, age)
 }
 
-// When to roll back: errors on all canary endpoints.
+// Errors on all canary endpoints call for a rollback.
 func Example_rollback() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
@@ -23,12 +23,12 @@
 		}
 		return Succeeded, 0.05
 	})
-	f.vote(1, VoteRefused) // cast again when it came back refused
+	f.vote(1, VoteRefused) // cast again after it was refused
 	f.vote(2, VoteCounted)
-	f.vote(4, VoteCounted) // it stands
-	f.vote(4, VoteCounted) // renewed before it lapses
+	f.vote(4, VoteCounted) // it is in force and not repeated
+	f.vote(4, VoteCounted) // renewed before it expires
 	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
-	f.vote(6, VoteCounted) // also after a release
+	f.vote(6, VoteCounted) // also once the build is released
 	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
 	f.vote(6, VoteCounted)
 	// Output:
@@ -40,7 +40,7 @@
 	// no vote
 }
 
-// The trouble is in one endpoint, on either side, or in all alike: no vote to roll back.
+// Failures of single endpoints, on either side, or of all alike do not call for a rollback.
 func Example_faultsOfOtherCauses() {
 	play := func(name string, n int, age, secs float64, r Outcome, took float64, ids ...uint32) {
 		f := newFleet(func(t *Config) { t.AutomaticStages = true })
@@ -73,8 +73,7 @@
 	// canary endpoints are slow: vote rollback on build 8 stage 1
 }
 
-// After the release nothing but errors and wrong answers speak against a build: a burst has no earlier endpoint to be
-// compared with.
+// After the release only errors and wrong answers count against a build: a burst finds no baseline to compare with.
 func Example_afterRelease() {
 	for _, r := range []Outcome{TimedOut, NotConnected, ServerError} {
 		f := newFleet(nil)
@@ -91,7 +90,8 @@
 	// vote rollback on build 8 stage 2
 }
 
-// Wrong answers are seen only by clients' reports, in part and late; reports on an endpoint's earlier process are not the canary's.
+// Wrong answers are visible only through clients' reports, partially and late; reports on an endpoint's
+// previous process do not count against the canary.
 func Example_wrongAnswers() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
@@ -109,12 +109,12 @@
 	// vote rollback on build 8 stage 1
 }
 
-// When to promote: the stage's share listed, 3 s after the newest start with 20 outcomes, else 5 s; none where the clock
-// moves stages.
+// A stage is promoted once its share is listed, 3 s after the newest start with 20 outcomes, else after
+// 5 s; never where stages advance automatically.
 func Example_promote() {
 	f := newFleet(nil)
 	f.startCanary(1, 0)
-	f.vote(8, VoteCounted) // the stage wants two endpoints
+	f.vote(8, VoteCounted) // the stage calls for two endpoints
 	f.list(false, endpointEntry{id: 12, build: 8, since: f.now})
 	start := f.now
 	f.vote(8, VoteCounted)
@@ -142,7 +142,7 @@
 	// no vote
 }
 
-// Under the clock a doubt holds the stage; a vote to roll back is withdrawn when its evidence fades.
+// With automatic stages, doubt holds the stage, and a vote to roll back is withdrawn when its evidence fades.
 func Example_hold() {
 	f := newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.startCanary(2, 10)
@@ -162,7 +162,7 @@
 	// {9000 8} no vote
 }
 
-// A request that a client repeats at once is one failure, not many.
+// A request that a client retries at once is one failure, not many.
 func Example_clientRepeats() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
@@ -179,7 +179,7 @@
 	// Output: counted: true
 }
 
-// Many routers and endpoints: each endpoint is met once or twice, and a release is rolled back by many votes.
+// With many routers and endpoints, each endpoint is met once or twice, and a rollback takes many votes.
 func Example_manyEndpoints() {
 	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
 		f := newFleet(func(t *Config) { t.Routers, t.RollbackVotes = 300, 45 })
