--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -16,7 +16,7 @@
 // through ApplyAssignment. The controller calls TickController, and receives the routers' counts through ApplyReport
 // and DropReport. A router without a controller calls TickController itself.
 //
-// The caller must serialize all calls; none of them blocks. Equal sequences of calls return equal results: random
-// choices are drawn from the seed. All instants are seconds on one monotonic clock of the caller; all durations are
-// seconds.
+// The caller must serialize all calls; none of them blocks. Equal sequences of calls return equal
+// results: random choices are drawn from the seed. All instants are seconds on one monotonic
+// clock of the caller; all durations are seconds.
 package policy
