--- a/internal/loadshed/connections_test.go
+++ b/internal/loadshed/connections_test.go
@@ -7,7 +7,8 @@
 	"flintspread/internal/loadshed"
 )
 
-// The order of eviction: silent clients first, then the longest idle, newcomers, those whose first request is on its way.
+// The order of eviction: silent clients, then the longest idle, newly connected ones, and
+// those sending a first request.
 func ExampleClientConn_EvictBefore() {
 	const now = 10
 	conns := map[string]loadshed.ClientConn{
--- a/internal/loadshed/controller.go
+++ b/internal/loadshed/controller.go
@@ -1,16 +1,17 @@
 package loadshed
 
-// Lateness of a controller, in report intervals of its routers, from which it leaves out more and more.
+// Lateness of a controller, in report intervals of its routers, above which it skips more and more work.
 const (
-	queriesWaitFrom   = 0.5 // intervals late: queries of metrics wait
-	someReportsFrom   = 2   // intervals late: every third report is read
+	queriesWaitFrom   = 0.5 // intervals; above it, metrics queries wait
+	someReportsFrom   = 2   // intervals; above it, every third report is applied
 	someReportsStride = 3
-	fewReportsFrom    = 8 // intervals late: every eighth report is read
+	fewReportsFrom    = 8 // intervals; above it, every eighth report is applied
 	fewReportsStride  = 8
 )
 
-// ControllerLoadShedding tells what a controller that is late leaves out: it applies every so many-th report of its routers,
-// which loses nothing as each report is cumulative, and its queries wait. Votes and assignments are never left out.
+// ControllerLoadShedding returns what a controller that is late may skip: it applies one in reportStride of
+// its routers' reports, which loses nothing as reports are cumulative, and queries metrics only if mayQuery is
+// set. Votes and assignments are never skipped.
 func ControllerLoadShedding(lateSeconds, reportIntervalSeconds float64) (reportStride int, mayQuery bool) {
 	switch {
 	case lateSeconds > fewReportsFrom*reportIntervalSeconds:
--- a/internal/loadshed/shares.go
+++ b/internal/loadshed/shares.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// Factors of a group's priority.
+// Factors applied to a group's priority.
 const (
-	retryPriority     = 1.0 / 64 // of a client's retry: behind first requests, whatever these are
-	aboveFairPriority = 1.0 / 8  // of what a client asks for above its fair share
+	retryPriority     = 1.0 / 64 // for clients' retries: they come after all first requests
+	aboveFairPriority = 1.0 / 8  // for requests above their client's fair share
 )
 
-// shedGroup is a group of requests that are shed alike.
+// shedGroup identifies requests that are shed alike.
 type shedGroup struct {
 	class                 int
 	retry, aboveFairShare bool
 }
 
-// groupLoad is what a group offered in a window.
+// groupLoad is the work that a group offered in a window.
 type groupLoad struct {
 	group shedGroup
 	work  float64
 	score float64
 }
 
-// score gives a group's priority for its cost.
+// score returns a group's priority over its cost.
 func (s *Shedder) score(group shedGroup) float64 {
 	score := s.classes[group.class].PriorityWeight / s.Cost(group.class)
 	if group.retry {
@@ -37,15 +37,15 @@
 	return score
 }
 
-// shareOf gives how much of a group is shed. A group that the last window did not hold is treated as the nearest with the same
-// score or less, so that what is new does not get in before what is worth more.
+// shareOf returns the share of a group that is shed. A group that was absent from the last window is treated like the
+// nearest group with the same score or less, so that new groups are not admitted ahead of more valuable ones.
 func (s *Shedder) shareOf(group shedGroup) float64 {
 	if share, ok := s.shareByGroup[group]; ok {
 		return share
 	}
 	score := s.score(group)
-	belowScore, belowShare := math.Inf(-1), 0.0 // the nearest with the same score or less
-	aboveScore, aboveShare := math.Inf(1), 0.0  // the nearest with more
+	belowScore, belowShare := math.Inf(-1), 0.0 // the nearest group with the same score or less
+	aboveScore, aboveShare := math.Inf(1), 0.0  // the nearest group with a higher score
 	for other, share := range s.shareByGroup {
 		switch x := s.score(other); {
 		case x <= score && (x > belowScore || x == belowScore && share < belowShare):
@@ -54,14 +54,14 @@
 			aboveScore, aboveShare = x, share
 		}
 	}
-	if math.IsInf(belowScore, -1) { // all that is known scores more
+	if math.IsInf(belowScore, -1) { // all known groups score higher
 		return max(aboveShare, min(1, s.shedShare))
 	}
 	return belowShare
 }
 
-// setShares decides, at the end of a window, how much of each group is shed in the next: what is offered above the limit, from
-// the groups with the lowest score up.
+// setShares sets, at the end of a window, the share of each group that is shed in the next: the work offered above the
+// limit, taken from the groups with the lowest scores.
 func (s *Shedder) setShares(elapsedSeconds float64) {
 	s.shedShare = 0
 	if s.offeredWork > s.limit*elapsedSeconds {
@@ -70,7 +70,7 @@
 	loads := s.loadsByScore()
 	clear(s.shareByGroup)
 	for left, i := s.shedShare*s.offeredWork, 0; i < len(loads); {
-		// Groups with the same score share what is left to shed.
+		// Groups with the same score share the remaining work to shed.
 		end, work := i, 0.0
 		for end < len(loads) && loads[end].score == loads[i].score {
 			work += loads[end].work
@@ -87,7 +87,7 @@
 	}
 }
 
-// loadsByScore lists what the groups offered in the window, the lowest score first.
+// loadsByScore returns the work that each group offered in the window, lowest score first.
 func (s *Shedder) loadsByScore() []groupLoad {
 	loads := make([]groupLoad, 0, len(s.offeredByGroup))
 	for group, work := range s.offeredByGroup {
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	largeBytes      = 8192.0 // bytes of a request and its answer that cost as much as the request itself
+	largeBytes      = 8192.0 // bytes of a request and its answer that cost as much as a small request
 	smoothingWeight = 0.05   // weight of a new sample in a class's typical latency and size
 )
 
-// RequestClass is what the shedder is told of a class of requests.
+// RequestClass describes a class of requests to the shedder.
 type RequestClass struct {
 	LatencyObjectiveSeconds float64
-	PriorityWeight          float64 // relative, above 0
+	PriorityWeight          float64 // relative; must be above 0
 }
 
-// Request is what the shedder is told of a request that has been received.
+// Request describes a received request to the shedder.
 type Request struct {
-	Class            int     // its place in the slice given to New or SetClasses
-	Client           uint64  // identifies the client that sent it
-	Retry            bool    // the client has asked for the same before
+	Class            int     // index into the slice passed to New or SetClasses
+	Client           uint64  // identifies the client
+	Retry            bool    // the client has sent the same request before
 	RemainingSeconds float64 // time until the client gives up
 }
 
@@ -34,28 +34,28 @@
 	typicalBytes             []float64 // of a request and its answer, by class
 
 	// The limit (limit.go).
-	limit           float64 // work per second, infinite: none
-	limitNeededAt   float64 // when there was last a need of it
+	limit           float64 // work per second; +Inf: no limit
+	limitNeededAt   float64 // when the limit was last needed
 	lastCutAt       float64
-	lastCutPressure float64 // pressure at the last cut; 1 once the process is not behind any more
-	overloadRate    float64 // work per second with which the process last fell behind
-	bestRate        float64 // most work per second that was served within its objective lately
-	delaySeconds    float64 // the process's own, as of the last sample
+	lastCutPressure float64 // pressure at the last cut; 1 once the process has caught up
+	overloadRate    float64 // work per second at which the process last fell behind
+	bestRate        float64 // highest recent work per second answered within its objective
+	delaySeconds    float64 // the process's own delay, as of the last sample
 
-	// The window of work that is counted (limit.go).
+	// The current window of counted work (limit.go).
 	windowStartedAt float64
 	offeredWork     float64
 	admittedWork    float64
 	servedWork      float64 // answered within its objective
 
 	// What is shed (shares.go).
-	shedShare      float64               // of the offered work, as of the last window
-	shareByGroup   map[shedGroup]float64 // how much of a group is shed, as of the last window
-	offeredByGroup map[shedGroup]float64 // work in this window
+	shedShare      float64               // share of the offered work, as of the last window
+	shareByGroup   map[shedGroup]float64 // share of each group that is shed, as of the last window
+	offeredByGroup map[shedGroup]float64 // work offered in this window
 
 	// Fairness between clients (fairness.go).
-	workByClient map[uint64]float64 // halved with each window
-	clientWork   float64            // the sum of these
+	workByClient map[uint64]float64 // halved at the end of each window
+	clientWork   float64            // sum of workByClient
 
 	// Random draws.
 	seed      uint64
@@ -63,7 +63,8 @@
 	drawHash  hash.Hash64
 }
 
-// New returns a shedder that sheds nothing yet. Equal seeds and equal calls give equal answers.
+// New returns a shedder that sheds nothing yet. Equal seeds and equal sequences of calls return equal
+// results; now is in seconds on the caller's clock.
 func New(classes []RequestClass, seed uint64, now float64) *Shedder {
 	s := &Shedder{
 		limit:           math.Inf(1),
@@ -80,7 +81,7 @@
 	return s
 }
 
-// SetClasses replaces the classes for the requests from now on. Classes keep their places; further ones may follow.
+// SetClasses replaces the classes for subsequent requests. Classes keep their index, and new ones may be appended.
 func (s *Shedder) SetClasses(classes []RequestClass) {
 	s.classes, s.shortestObjectiveSeconds = classes, math.Inf(1)
 	for i, class := range classes {
@@ -91,13 +92,13 @@
 	}
 }
 
-// Cost gives the work that a request of a class is expected to be; a small one is 1. It goes in steps of a half: a few bytes
-// are no reason to prefer one class to another of the same priority.
+// Cost returns the expected work of a request of a class; a small request costs 1. It is rounded to halves, as a few
+// bytes are no reason to prefer one class over another of the same priority.
 func (s *Shedder) Cost(class int) float64 {
 	return 1 + math.Round(2*s.typicalBytes[class]/largeBytes)/2
 }
 
-// Admit tells whether a request is served. It is to be called once for each request received.
+// Admit reports whether a request is to be served. It must be called once for each request received.
 func (s *Shedder) Admit(now float64, r Request) bool {
 	cost := s.Cost(r.Class)
 	s.offeredWork += cost
@@ -112,19 +113,19 @@
 	return true
 }
 
-// tooLate tells whether a request's client is expected to give up before its answer. While anything is shed such requests go
-// first, whatever their priority: nobody can use their answers.
+// tooLate reports whether a request's client is expected to give up before the answer. While the process sheds, such
+// requests are shed first, whatever their priority: their answers are of no use.
 func (s *Shedder) tooLate(r Request) bool {
 	return r.RemainingSeconds < s.typicalLatencySeconds[r.Class]+s.delaySeconds
 }
 
-// drawShed decides by chance whether a request of a group is among the share of it that is shed.
+// drawShed decides at random whether a request belongs to the share of its group that is shed.
 func (s *Shedder) drawShed(group shedGroup) bool {
 	share := s.shareOf(group)
 	return share >= 1 || share > 0 && s.draw() < share
 }
 
-// OnSuccess enters the latency of a request that succeeded, and the bytes that it took both ways.
+// OnSuccess records the latency of a request that succeeded, and the total bytes of the request and its answer.
 func (s *Shedder) OnSuccess(class int, latencySeconds float64, bytes int) {
 	objective := s.classes[class].LatencyObjectiveSeconds
 	if s.typicalLatencySeconds[class] == 0 {
@@ -137,13 +138,13 @@
 	s.typicalBytes[class] += smoothingWeight * (float64(bytes) - s.typicalBytes[class])
 }
 
-// ShedShare gives the share of the offered work that is shed now.
+// ShedShare returns the share of the offered work that is being shed.
 func (s *Shedder) ShedShare() float64 { return s.shedShare }
 
-// Limit gives the work per second that is admitted at most, infinite where there is no limit.
+// Limit returns the maximum work admitted per second, +Inf if there is no limit.
 func (s *Shedder) Limit() float64 { return s.limit }
 
-// draw gives a number from 0 to 1 that depends on the seed and on how many were drawn before.
+// draw returns a pseudo-random number in [0, 1) determined by the seed and the number of earlier draws.
 func (s *Shedder) draw() float64 {
 	s.drawCount++
 	var buf [16]byte
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -13,16 +13,16 @@
 // capacity is the work per second that a simulated router can do.
 const capacity = 1000.0
 
-// simRouter is a simulated router: requests wait in front of it, as in a kernel's buffers, and are taken in turn. How long they
-// wait is the process's delay, as far as a process can see that.
+// simRouter is a simulated router: requests queue in front of it, as in a kernel's buffers, and are served in order.
+// Their queueing time is the process's delay, as far as a process can measure that.
 type simRouter struct {
 	shedder      *Shedder
 	now          float64
 	waiting      []waitingRequest
-	spareWork    float64 // that could be done by now
+	spareWork    float64 // work that could have been done by now
 	nextSampleAt float64
-	doneWork     float64 // since the last sample
-	shed         [3]int  // requests, by class
+	doneWork     float64 // work done since the last sample
+	shed         [3]int  // requests shed, by class
 	received     [3]int
 	shedShares   []float64 // at each sample
 }
@@ -43,8 +43,8 @@
 	return r.now - r.waiting[0].at
 }
 
-// offer lets one request come, and does the work that there is time for until the next; done is called with what became of
-// each.
+// offer submits one request, and does the work that fits before the next; done is called
+// with the result of each request.
 func (r *simRouter) offer(rate float64, request Request, done func(request Request, admitted bool)) {
 	r.now += 1 / rate
 	r.waiting = append(r.waiting, waitingRequest{request, r.now})
@@ -59,7 +59,7 @@
 			r.doneWork++
 			r.shedder.OnSuccess(next.request.Class, r.now-next.at, 100)
 		} else {
-			r.spareWork -= 0.1 // what it costs to turn one away
+			r.spareWork -= 0.1 // cost of shedding a request
 			r.doneWork += 0.1
 		}
 	}
@@ -76,7 +76,7 @@
 	r.shedShares = append(r.shedShares, r.shedder.ShedShare())
 }
 
-// run offers so many requests per second, of each class in turn, for some seconds.
+// run offers requests of each class in turn, at rate requests per second, for the given seconds.
 func (r *simRouter) run(rate, seconds float64, client func(i int) (id uint64, retry bool)) {
 	r.shed, r.received, r.shedShares = [3]int{}, [3]int{}, nil
 	for i, end := 0, r.now+seconds; r.now < end; i++ {
@@ -90,7 +90,7 @@
 
 func twentyClients(i int) (id uint64, retry bool) { return uint64(i % 20), false }
 
-// The limit finds the capacity, sheds the lowest priority first, and is gone with the load.
+// The limit finds the capacity, sheds the lowest priority first, and is lifted when the load falls.
 func Example_overload() {
 	r := newSimRouter()
 	show := func(name string) {
@@ -113,7 +113,7 @@
 
 func percent(n, of int) float64 { return math.Round(100 * float64(n) / float64(max(1, of))) }
 
-// One client asks for nine tenths of all; the others keep what they ask for. Retries go behind first requests.
+// One client sends nine tenths of the load; the others keep their share. Retries are shed before first requests.
 func Example_fairness() {
 	r := newSimRouter()
 	var shed, received [2]int
@@ -153,7 +153,7 @@
 	// no time left, behind: false
 }
 
-// Under constant load what is shed settles: over the last half of it the share stays within a band of 0.35.
+// Under constant load the shed share settles: over the last half of the run it stays within a band of 0.35.
 func TestShedShareDoesNotOscillate(t *testing.T) {
 	for _, times := range []float64{1.2, 1.5, 2, 3, 4} {
 		r := newSimRouter()
@@ -176,8 +176,8 @@
 	}
 }
 
-// After every sample nothing of a higher score is shed while something of a lower score passes, and a higher load never means
-// that less is shed.
+// After every sample, no group is shed while a group of lower score is admitted, and a
+// higher load never reduces the share that is shed.
 func TestLowestScoreIsShedFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := make([]RequestClass, rapid.IntRange(1, 6).Draw(t, "classes"))
@@ -214,7 +214,7 @@
 		if more := loaded(2); more.ShedShare() < s.ShedShare() {
 			t.Fatalf("shed share %g, with twice the load %g", s.ShedShare(), more.ShedShare())
 		}
-		// From the same state, more pressure never leaves a higher limit.
+		// From the same state, more pressure never leads to a higher limit.
 		delay := rapid.Float64Range(0, 1).Draw(t, "delay")
 		moreDelay := delay + rapid.Float64Range(0, 1).Draw(t, "more delay")
 		calm, hard := loaded(1), loaded(1)
