--- a/internal/loadshed/limit.go
+++ b/internal/loadshed/limit.go
@@ -36,7 +36,7 @@
 
 const (
 	liftSeconds   = 20.0 // time after which a limit that is not needed is lifted
-	windowSeconds = 0.5  // minimum time over which offered work is counted
+	windowSeconds = 0.5  // time over which offered work is counted; the first overload ends the window early
 )
 
 // LoadSample is what the process measured of its own load since the last sample.
