--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -40,19 +40,19 @@
 	leaseSeconds float64
 }
 
-// simulation plays routers with the real policy, a controller, and the messages between them.
+// simulation runs routers with the real policy, a controller, and the messages between them.
 type simulation struct {
 	now              float64
 	lastIncarnation  uint64
 	epoch            uint64
 	leader           *Leader
-	latest           ContentVersions // of the list service and the release service
-	atController     ContentVersions // what the controller has of it; from its disk it may be old
+	latest           ContentVersions // at the list service and the release service
+	atController     ContentVersions // at the controller; old if read from its disk
 	routers          []*simRouter
 	reports          []report     // all that were sent
 	assignments      []assignment // all that were sent
-	receivedAt       []float64    // requests, of all routers
-	canaryAttemptsAt []float64    // of all routers, dead processes included
+	receivedAt       []float64    // requests received by all routers
+	canaryAttemptsAt []float64    // by all routers, including dead processes
 }
 
 func (s *simulation) startRouter(i int) {
@@ -64,7 +64,7 @@
 		WrongAnswerPrice: 1, StaleBuildPrice: 1, WrongAnswerReportShare: 1, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 20, HasController: true}
 	balancer := policy.New(config, s.lastIncarnation, s.now)
 	balancer.BeginEndpointList(true)
-	for id := range uint32(8) { // nearly all run the canary: all is sent there that may be
+	for id := range uint32(8) { // nearly all run the canary: as much is sent there as is allowed
 		balancer.UpdateEndpoint(id+1, 0, 0, 1+min(1, int(id)), policy.Ready, 1, 0)
 	}
 	balancer.EndEndpointList(s.now)
@@ -77,7 +77,7 @@
 	s.atController = ContentVersions{EndpointsAt: max(0, s.latest.EndpointsAt-behind), ReleaseVersion: s.latest.ReleaseVersion / 2}
 }
 
-// request has a router serve one request, and checks the canary limit where it goes to the canary.
+// request lets a router serve one request, and checks the canary limit if it is sent to the canary.
 func (s *simulation) request(t *rapid.T, router *simRouter) {
 	router.requests++
 	request := &policy.Request{ID: router.requests, ReceivedAt: s.now, Deadline: s.now + 1}
@@ -99,7 +99,7 @@
 	}
 }
 
-// inWindow counts the times within the canary window up to now.
+// inWindow counts the instants within the canary window that ends now.
 func (s *simulation) inWindow(times []float64) (n float64) {
 	for _, at := range times {
 		if at > s.now-canaryWindowSeconds {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// deliver hands an assignment to its router, and checks that nothing accepted is older than what the router has.
+// deliver passes an assignment to its router, and checks that nothing accepted is older than what the router has.
 func (s *simulation) deliver(t *rapid.T, a assignment) {
 	var router *simRouter
 	for _, r := range s.routers {
@@ -137,7 +137,7 @@
 	router.balancer.ApplyAssignment(0, policy.VoteNone, a.share, router.follower.LeaseEndsAt(a.leaseSeconds))
 }
 
-// heartbeats is whole round trips of some routers, as without faults.
+// heartbeats performs full round trips for some routers, as without faults.
 func (s *simulation) heartbeats(t *rapid.T, routers []*simRouter, n int) {
 	for range n {
 		s.now += 0.5
@@ -159,11 +159,12 @@
 	return assignment{router.name, header, s.atController, share, seconds}
 }
 
-// The simulation goes through any history of losses, repeats, reorderings, delays, deaths and restarts. After every step it
-// holds that
-//   - the canary attempts of all routers together, of their dead processes too, stay within free + limit x requests received;
-//   - a router never turns from a controller to an earlier one, nor from an assignment, an endpoint list or a release to
-//     older ones.
+// The simulation explores arbitrary histories of losses, repeats, reorderings, delays,
+// deaths and restarts. After every step
+//   - the canary attempts of all routers together, including their dead processes, stay within free + limit x requests
+//     received;
+//   - no router has returned from a controller to an earlier one, nor from an assignment, an endpoint list or a release
+//     to an older one.
 func TestCanaryLimitAndFencingHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{now: 100, routers: make([]*simRouter, 3), latest: ContentVersions{EndpointsAt: 100, ReleaseVersion: 1}}
@@ -172,11 +173,11 @@
 		}
 		s.now -= 10
 		s.startController(0)
-		s.now += 10 // it has been there for long, and grants leases
+		s.now += 10 // it has been running for long, and grants leases
 		anyRouter := func(t *rapid.T) *simRouter { return s.routers[rapid.IntRange(0, 2).Draw(t, "router")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) { s.now += rapid.Float64Range(0, 1.5).Draw(t, "seconds") },
-			"requests": func(t *rapid.T) { // enough to spend what there is
+			"requests": func(t *rapid.T) { // enough to spend the whole allowance
 				router := anyRouter(t)
 				for range rapid.IntRange(1, 12).Draw(t, "n") {
 					s.now += 0.001
@@ -184,7 +185,7 @@
 				}
 			},
 			"heartbeats": func(t *rapid.T) { s.heartbeats(t, s.routers, rapid.IntRange(1, 12).Draw(t, "n")) },
-			"heartbeats of one": func(t *rapid.T) { // the others are cut off, long enough to be taken for dead
+			"heartbeats of one": func(t *rapid.T) { // the others are cut off for long enough to be considered dead
 				s.heartbeats(t, []*simRouter{anyRouter(t)}, 12)
 			},
 			"report is sent": func(t *rapid.T) {
@@ -192,7 +193,7 @@
 				incarnation, sequence, epoch := router.follower.NextReport(s.now)
 				s.reports = append(s.reports, report{router.name, incarnation, sequence, epoch})
 			},
-			"report arrives": func(t *rapid.T) { // any of those ever sent, as often as may be
+			"report arrives": func(t *rapid.T) { // any report ever sent, any number of times
 				if len(s.reports) > 0 {
 					r := s.reports[rapid.IntRange(0, len(s.reports)-1).Draw(t, "which")]
 					s.leader.AcceptReport(s.now, SchemaMajor, r.router, r.incarnation, r.sequence, r.epoch)
@@ -216,16 +217,16 @@
 	})
 }
 
-// Leases of routers that come, renew and die.
+// Leases of routers that start, renew and die.
 func ExampleLedger() {
 	l := NewLedger(1, 4, 0)
 	show := func(now float64, holder string, alive int) {
 		fmt.Printf("%4.1f s, %d alive: %s gets %.2f, out %.2f\n", now, alive, holder, l.Grant(now, holder, alive), l.Outstanding(now))
 	}
-	show(4.9, "a", 1) // what an earlier controller leased may count still
+	show(4.9, "a", 1) // leases of an earlier controller may still count
 	show(5.1, "a", 1)
-	show(5.2, "b", 2) // all is leased to a
-	show(5.3, "a", 2) // renewed for less; the larger lease counts until its window is over
+	show(5.2, "b", 2) // everything is leased to a
+	show(5.3, "a", 2) // renewed with a smaller share; the larger lease counts until it leaves the window
 	show(10.0, "b", 2)
 	show(10.2, "b", 2)
 	show(10.3, "a", 2)
@@ -286,7 +287,7 @@
 	// refused: [0 1 1 1 1 1 0]
 }
 
-// A leader takes reports in order, and stops leading once a router follows a newer epoch.
+// A leader accepts reports in order, and stops leading once a router follows a newer epoch.
 func ExampleLeader() {
 	l := NewLeader(5, 1, 4, 1, 0)
 	report := func(now float64, major uint32, incarnation, sequence, epoch uint64) {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// The version of the message schema. Ends whose major versions differ do not talk; a higher minor version only adds fields.
+// The version of the message schema. Peers whose major versions differ reject each other's
+// messages; a higher minor version only adds fields.
 const (
 	SchemaMajor = 1
 	SchemaMinor = 1
@@ -10,36 +11,36 @@
 
 // AssignmentHeader identifies an assignment.
 type AssignmentHeader struct {
-	Major              uint32 // schema
-	Epoch              uint64 // of the controller process that sent it
-	Sequence           uint64 // within that epoch
-	Incarnation        uint64 // of the router process that it is for
-	AcknowledgedReport uint64 // sequence of the last report of that process that the controller had; 0: none
+	Major              uint32 // major version of the schema
+	Epoch              uint64 // epoch of the controller process that sent it
+	Sequence           uint64 // increases within that epoch
+	Incarnation        uint64 // incarnation of the router process that it is for
+	AcknowledgedReport uint64 // sequence of the last report of that process that the controller accepted; 0: none
 }
 
-// String names the assignment in logs and test failures.
+// String describes the assignment in logs and test failures.
 func (h AssignmentHeader) String() string {
 	return fmt.Sprintf("schema %d, epoch %d, sequence %d, for incarnation %d", h.Major, h.Epoch, h.Sequence, h.Incarnation)
 }
 
-// ContentVersions tells how new the two parts of an assignment's content are.
+// ContentVersions identifies how recent the two parts of an assignment's content are.
 type ContentVersions struct {
-	EndpointsAt    float64 // when the endpoint list was true, in seconds since 1970
+	EndpointsAt    float64 // when the endpoint list was true, in seconds since the Unix epoch
 	ReleaseVersion uint64  // the release service's version of the release; 0: none known yet
 }
 
-// A Reason tells why a message does not count. Its String is the value of a metric's label.
+// A Reason says whether a message counts and, if not, why. Its String is the value of a metric's label.
 type Reason int
 
-// Reasons. All but Accepted mean that the message changes nothing.
+// The reasons. A message with any reason but Accepted changes nothing.
 const (
 	Accepted         Reason = iota // the message counts
-	SchemaMismatch                 // its major version is another
-	OtherIncarnation               // it is for, or from, another process of the router
-	StaleEpoch                     // it is from a controller that another has followed
-	StaleSequence                  // it is a repeat, or a newer one has overtaken it
+	SchemaMismatch                 // the sender's major schema version differs
+	OtherIncarnation               // it is for an earlier process of the router, or from one
+	StaleEpoch                     // it is from a controller that has been succeeded by another
+	StaleSequence                  // it is a duplicate, or a newer message has arrived before it
 	UnknownReport                  // it acknowledges a report that was never sent
-	Superseded                     // the controller that got it is not the newest any more
+	Superseded                     // the controller that received it is no longer the newest
 	reasonCount
 )
 
@@ -56,5 +57,5 @@
 	Superseded:       "superseded",
 }
 
-// String gives the label value that metrics count the reason under.
+// String returns the label value under which metrics count the reason.
 func (r Reason) String() string { return reasonNames[r] }
