--- a/internal/configstate/proposal.go
+++ b/internal/configstate/proposal.go
@@ -7,22 +7,23 @@
 	"strings"
 )
 
-// Proposal is a version that a controller proposes to its routers. It is applied once every router alive has said that it
-// could apply it; one that can't rejects it for all.
+// Proposal is a version that a controller proposes to its routers. It is applied once every live router has reported
+// that it could apply it; a single router that can't rejects it for all.
 type Proposal struct {
 	Version   *Version
 	decideBy  float64
-	accepted  map[string]bool // by name of the router
-	rejection string          // by the first router that can't apply it
+	accepted  map[string]bool // by router name
+	rejection string          // reason of the first router that can't apply it; "" for none
 }
 
-// NewProposal proposes a version; maxWaitSeconds is how long the routers, and the endpoint list that it belongs with, have.
+// NewProposal returns a proposal of a version; maxWaitSeconds is how long it may wait for the
+// routers and for the endpoint list that it requires.
 func NewProposal(v *Version, now, maxWaitSeconds float64) *Proposal {
 	return &Proposal{Version: v, decideBy: now + maxWaitSeconds, accepted: map[string]bool{}}
 }
 
-// OnRouterStatus enters what a router reports of versions: the number of the one in force, of the one that it could apply, and
-// of the one that it can't, with the reason.
+// OnRouterStatus records a router's report on versions: the number of the one in force, of the one that it could apply,
+// and of the one that it can't, with the reason.
 func (p *Proposal) OnRouterStatus(router string, inForce, applicable, rejected uint64, reason string) {
 	switch p.Version.Number {
 	case inForce, applicable:
@@ -34,8 +35,9 @@
 	}
 }
 
-// Decide tells what becomes of the proposal, by the routers alive and the endpoint list's version. Routers that have died have
-// no say; one that has started meanwhile does. The error is not nil exactly where the proposal is rejected.
+// Decide returns the outcome of the proposal, given the live routers and the version of the endpoint
+// list. Routers that have died since don't count; routers that have started since do. The error is
+// non-nil if and only if the proposal is rejected.
 func (p *Proposal) Decide(now float64, alive []string, listVersion uint64) (Outcome, error) {
 	if p.rejection != "" {
 		return Rejected, errors.New(p.rejection)
@@ -53,7 +55,7 @@
 	return Rejected, fmt.Errorf("no word in time from edges %s", strings.Join(missing, ", "))
 }
 
-// withoutAnswer gives the routers that have not accepted the proposal, sorted.
+// withoutAnswer returns the routers that have not accepted the proposal, sorted.
 func (p *Proposal) withoutAnswer(routers []string) (missing []string) {
 	for _, name := range routers {
 		if !p.accepted[name] {
--- a/internal/configstate/proposal_test.go
+++ b/internal/configstate/proposal_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A proposal is decided by what the routers report, or by its time.
+// A proposal is decided by the routers' reports or by its timeout.
 func ExampleProposal() {
 	v := newVersion(5, []string{"a"}, 0)
 	show := func(what string, p *Proposal, now float64, listVersion uint64) {
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -9,62 +9,63 @@
 	"flintspread/internal/policy"
 )
 
-// maxClasses bounds the request classes that one process ever has: those that a version leaves out keep their index.
+// maxClasses bounds the number of request classes over the lifetime of a process: those
+// that a version drops keep their index.
 const maxClasses = 1024
 
-// Conditions is what a version has to fit besides its own text.
+// Conditions describes the present situation that a version must fit.
 type Conditions struct {
-	InFlight    map[string]int // requests by name of their class
-	ClientConns int            // open connections of clients
+	InFlight    map[string]int // requests in flight, by class name
+	ClientConns int            // open client connections
 	HasZones    bool           // some endpoint is in a zone
 	HasCells    bool           // some endpoint is in a cell
 	ListVersion uint64         // version of the endpoint list
 }
 
-// Outcome is what became of a version.
+// Outcome is the result of offering a version.
 type Outcome int
 
-// Outcomes. Their strings are part of acknowledgements and logs.
+// The outcomes. Their strings are part of acknowledgements and logs.
 const (
 	Applied        Outcome = iota
-	AlreadyApplied         // it is in force: its acknowledgement was lost
-	Waiting                // for the endpoint list that it belongs with
-	Rejected               // the error that comes with it tells why
+	AlreadyApplied         // it is already in force, for instance because its acknowledgement was lost
+	Waiting                // it waits for the endpoint list that it requires
+	Rejected               // the accompanying error gives the reason
 )
 
 var outcomeNames = [...]string{Applied: "applied", AlreadyApplied: "again", Waiting: "waits", Rejected: "turned down"}
 
-// String names the outcome in logs and acknowledgements.
+// String returns the outcome's name in logs and acknowledgements.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// State keeps the version in force and the one that waits.
+// State holds the version in force and the one that waits for its endpoint list.
 type State struct {
 	current        *Version
-	classNames     []string // by index in Policy.Classes; an index is never given to another class
+	classNames     []string // by index in Policy.Classes; an index is never reused for another class
 	pending        *Version
 	pendingUntil   float64
 	maxWaitSeconds float64
 }
 
-// NewState begins with the configuration of the program's own file. maxWaitSeconds is how long a version may wait for its
-// endpoint list.
+// NewState returns a state with the configuration of the program's own file in force. maxWaitSeconds is how
+// long a version may wait for its endpoint list.
 func NewState(document *config.Document, text []byte, hash uint64, maxWaitSeconds float64) *State {
 	s := &State{maxWaitSeconds: maxWaitSeconds}
 	s.apply(&Version{Hash: hash, Text: text, Document: document})
 	return s
 }
 
-// Current gives the version in force.
+// Current returns the version in force.
 func (s *State) Current() *Version { return s.current }
 
-// Pending gives the version that waits, nil for none.
+// Pending returns the version that waits, nil for none.
 func (s *State) Pending() *Version { return s.pending }
 
-// ClassName gives the name of the class at an index in Policy.Classes.
+// ClassName returns the name of the class at an index in Policy.Classes.
 func (s *State) ClassName(index int) string { return s.classNames[index] }
 
-// Check tells what Offer would do with a version, and changes nothing. The error is not nil exactly where the version would be
-// rejected.
+// Check returns what Offer would do with a version, and changes nothing. The error is non-nil
+// if and only if the version would be rejected.
 func (s *State) Check(v *Version, c Conditions) (Outcome, error) {
 	switch current := s.current; {
 	case v.Number == current.Number && v.Hash == current.Hash:
@@ -83,8 +84,8 @@
 	return Applied, nil
 }
 
-// Offer applies a version that came, keeps it waiting in place of any that waits, or rejects it. The error is not nil exactly
-// where it is rejected.
+// Offer applies a version, keeps it waiting in place of any earlier one, or rejects it. The
+// error is non-nil if and only if it is rejected.
 func (s *State) Offer(now float64, v *Version, c Conditions) (Outcome, error) {
 	outcome, err := s.Check(v, c)
 	switch outcome {
@@ -99,8 +100,8 @@
 	return outcome, err
 }
 
-// Recheck looks at the version that waits, nil for none: it may apply now, or have waited for too long. It is to be called now
-// and then, and whenever the endpoint list has changed.
+// Recheck re-evaluates the version that waits and returns it, nil for none: it may be applied now, or have waited for
+// too long. It must be called periodically, and whenever the endpoint list has changed.
 func (s *State) Recheck(now float64, c Conditions) (*Version, Outcome, error) {
 	v := s.pending
 	if v == nil {
@@ -118,7 +119,7 @@
 	return v, Waiting, nil
 }
 
-// checkConditions finds what a version's text alone does not show: what it would break for the work in progress.
+// checkConditions returns an error if a version would break work in progress, which its text alone does not show.
 func (s *State) checkConditions(document *config.Document, c Conditions) error {
 	if err := checkDedupGroups(document, c); err != nil {
 		return err
@@ -129,7 +130,7 @@
 	if document.Clients.MaxConns < c.ClientConns {
 		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, c.ClientConns)
 	}
-	// What was counted under these rules would mean something else under others.
+	// Counts that were made under these rules would be misread under others.
 	current := s.current.Document.Rules
 	if document.Rules.CanaryLimitPerClass != current.CanaryLimitPerClass {
 		return errors.New(":rules :count-per-op-type: cannot change while the program runs")
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// checkDedupGroups finds a class whose keys are deduplicated within zones or cells that no endpoint has.
+// checkDedupGroups returns an error for a class whose keys are deduplicated within zones or cells that no endpoint has.
 func checkDedupGroups(document *config.Document, c Conditions) error {
 	for _, class := range document.Classes {
 		if class.DedupScope == "zone" && !c.HasZones || class.DedupScope == "cell" && !c.HasCells {
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// checkInFlight finds a class that is left out while requests of it are in flight; the first by name, so that equal states give
-// equal errors.
+// checkInFlight returns an error for a class that is dropped while requests of it are in flight. It reports the first
+// by name, so that equal states return equal errors.
 func checkInFlight(document *config.Document, inFlight map[string]int) error {
 	kept := map[string]bool{}
 	for _, class := range document.Classes {
@@ -173,8 +174,8 @@
 	return nil
 }
 
-// apply puts a version in force. Classes keep the index that they had, new ones get new ones; the index of a class that is left
-// out stays taken, for requests of it that are still on their way.
+// apply puts a version in force. Known classes keep their index, and new ones get new indexes; the index of a dropped
+// class stays reserved, for requests of it that are still in flight.
 func (s *State) apply(v *Version) {
 	policyConfig := v.Document.Policy()
 	v.classIndex = make(map[string]int, len(v.Document.Classes))
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -22,8 +22,8 @@
 	return "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
 }()
 
-// newVersion gives a version whose parts all bear its number, in the timeout of each class and the size of a body, so that a
-// mix of two versions shows.
+// newVersion returns a version that carries its number in the timeout of each class and in the body
+// size, so that a mix of two versions is detected.
 func newVersion(number uint64, classNames []string, requiredList uint64) *Version {
 	var classes, routes strings.Builder
 	for _, name := range classNames {
@@ -39,7 +39,7 @@
 	return &Version{Number: number, Hash: xxhash.Sum64String(text), Text: []byte(text), Document: document, RequiredListVersion: requiredList}
 }
 
-// checkWhole finds what a reader sees of a version that is not of that version.
+// checkWhole returns an error if a part of a version stems from another version.
 func checkWhole(v *Version) error {
 	if v.Number > 0 && v.Document.Clients.BodyBytes != int64(1000+v.Number) {
 		return fmt.Errorf("version %d has the limits of %d", v.Number, v.Document.Clients.BodyBytes-1000)
@@ -59,7 +59,7 @@
 	class   string
 }
 
-// simulation offers versions in any order while requests come, wait and end, with the real policy.
+// simulation offers versions in any order while requests arrive, wait and end, with the real policy.
 type simulation struct {
 	now         float64
 	state       *State
@@ -89,7 +89,7 @@
 	return c
 }
 
-// checkOutcome checks what became of a version, and configures the policy where it was applied.
+// checkOutcome checks the outcome of a version, and configures the policy if it was applied.
 func (s *simulation) checkOutcome(t *rapid.T, v *Version, outcome Outcome, err error) {
 	if outcome == Applied {
 		if v.Number <= s.inForce {
@@ -131,7 +131,8 @@
 	s.inFlight = append(s.inFlight, requestInFlight{request, v, name})
 }
 
-// checkVersions checks that every version in use is whole, and that each request is under the one that it came under.
+// checkVersions checks that every version in use is consistent, and that each request
+// keeps the version it was received under.
 func (s *simulation) checkVersions(t *rapid.T) {
 	if err := checkWhole(s.state.Current()); err != nil {
 		t.Fatal(err)
@@ -146,8 +147,8 @@
 	}
 }
 
-// A request is served by the version that it came under from start to end, no version that was rejected is seen, numbers never
-// go back, and a class of which a request is in flight never loses its index.
+// A request is served from start to end under the version that it was received under, no rejected version becomes
+// visible, numbers never go back, and a class with a request in flight never loses its index.
 func TestRequestsKeepTheirVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -166,7 +167,7 @@
 			"pick again": func(t *rapid.T) {
 				if len(s.inFlight) > 0 {
 					r := s.inFlight[rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "which")]
-					s.balancer.Pick(s.now, r.request) // its class's index is there whatever was applied meanwhile
+					s.balancer.Pick(s.now, r.request) // its class's index is valid whatever was applied meanwhile
 				}
 			},
 			"end": func(*rapid.T) {
