--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,5 +1,5 @@
-// Package endpoints holds the list of endpoints as the list service sends it, and keeps the last one on disk.
+// Package endpoints holds the list of endpoints as the list service sends it, and stores the last one on disk.
 //
-// The service sends Updates, either the whole list or what has changed. A List applies them and tells what is new, so that only
-// changes are passed on. Instants and ages are float seconds, instants since 1970.
+// The service sends Updates, which contain either the whole list or only changes. A List applies them and returns what
+// has changed, so that only changes are passed on. Instants and ages are float seconds, instants since the Unix epoch.
 package endpoints
--- a/internal/endpoints/file.go
+++ b/internal/endpoints/file.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// Patterns of the names beside a file: of a new version that is being written, and of a broken one that was set aside.
+// Name patterns of the files beside a saved file: a new version that is being written, and
+// a corrupt one that was set aside.
 const (
 	newFileSuffix    = ".new-*"
 	brokenFileSuffix = ".bad-%d"
 )
 
-// Save writes the list to a file.
+// Save writes the list to a file atomically; see ReplaceFile.
 func (l *List) Save(file string) error {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -25,9 +26,9 @@
 	return ReplaceFile(file, text)
 }
 
-// Load reads a saved list; the list that it gives is never nil. It is no error if there is no file: the list is empty then. A
-// broken file is set aside under a name that holds the time, the error tells that name, and the list is empty. What a Save that
-// was killed has left is removed.
+// Load reads a saved list and removes what interrupted calls of Save have left. The returned list is never nil, and may
+// be used even with an error; it is empty if the file does not exist, which is no error, or can't be read or decoded. A
+// corrupt file is renamed, with the time in its new name, and the error contains that name.
 func Load(file string) (*List, error) {
 	leftovers := removeLeftovers(file)
 	text, err := os.ReadFile(file)
@@ -46,7 +47,7 @@
 	return list, leftovers
 }
 
-// removeLeftovers removes what calls of ReplaceFile that were killed have left beside a file.
+// removeLeftovers removes the temporary files that interrupted calls of ReplaceFile have left beside a file.
 func removeLeftovers(file string) error {
 	leftovers, err := filepath.Glob(file + newFileSuffix)
 	for _, leftover := range leftovers {
@@ -55,7 +56,8 @@
 	return err
 }
 
-// ReplaceFile writes a file so that a kill at any point leaves the old one or the new one, whole.
+// ReplaceFile replaces a file's content atomically: a crash at any point leaves either the
+// old file or the new one, complete.
 func ReplaceFile(file string, text []byte) (err error) {
 	folder := filepath.Dir(file)
 	temporary, err := os.CreateTemp(folder, filepath.Base(file)+newFileSuffix)
@@ -77,7 +79,7 @@
 	return syncFolder(folder)
 }
 
-// syncFolder makes a rename within a folder outlast a crash of the machine.
+// syncFolder makes a rename within a folder survive a crash of the machine.
 func syncFolder(folder string) error {
 	d, err := os.Open(folder)
 	if err != nil {
--- a/internal/endpoints/file_test.go
+++ b/internal/endpoints/file_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A kill while saving leaves the old file; a broken file is set aside and the list empty.
+// An interrupted save leaves the old file; a corrupt file is set aside and the list is empty.
 func TestSaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "units.json")
 	if l, err := Load(file); err != nil || l.Len() != 0 {
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -9,18 +9,19 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// endpointMap holds endpoints by id. Its versions share what did not change.
+// endpointMap holds endpoints by id. It is persistent: versions of it share what did not change.
 type endpointMap = immutable.SortedMap[uint32, Endpoint]
 
-// List is what is known of the endpoints; its zero value knows none. A copy costs nothing, and a change of ten endpoints in ten
-// thousand costs ten. It is not safe for concurrent use; a Clone may be read while the list changes.
+// List is the known list of endpoints; the zero value is an empty list. Copying is cheap, and the cost of a partial
+// update is proportional to its entries, not to the size of the list. A List is not safe for concurrent use, but a
+// Clone may be read while the original changes.
 type List struct {
 	Version uint64
-	At      float64      // when it was true
-	byID    *endpointMap // nil: nothing is known
+	At      float64      // when it was true, in seconds since the Unix epoch
+	byID    *endpointMap // nil until the first update
 }
 
-// Len gives the number of endpoints.
+// Len returns the number of endpoints.
 func (l *List) Len() int {
 	if l.byID == nil {
 		return 0
@@ -28,7 +29,7 @@
 	return l.byID.Len()
 }
 
-// Get gives the endpoint with an id.
+// Get returns the endpoint with an id.
 func (l *List) Get(id uint32) (Endpoint, bool) {
 	if l.byID == nil {
 		return Endpoint{}, false
@@ -36,7 +37,7 @@
 	return l.byID.Get(id)
 }
 
-// All gives the endpoints in the order of their ids.
+// All iterates over the endpoints in the order of their ids.
 func (l *List) All() iter.Seq[Endpoint] {
 	return func(yield func(Endpoint) bool) {
 		if l.byID == nil {
@@ -50,12 +51,12 @@
 	}
 }
 
-// Clone gives a list that does not change with this one.
+// Clone returns a copy that does not change with the original.
 func (l *List) Clone() *List { return &List{l.Version, l.At, l.byID} }
 
-// Apply enters a checked update and gives what it changes, which is all that has to be passed on. Changes of an older version
-// than the list's are an error, as the stream went backwards; a full update of an older version is taken, as the service may have
-// started anew. On an error the list stays as it was.
+// Apply applies a checked update and returns the resulting changes, which are all that has to be passed on. A partial
+// update of a version older than the list's is an error, because the stream has gone backwards; a full one is accepted,
+// because the service may have restarted. On an error the list is unchanged.
 func (l *List) Apply(update *Update, now float64) (changes *Update, err error) {
 	if update.Version < l.Version && !update.Full {
 		return nil, fmt.Errorf("changes of version %d after version %d", update.Version, l.Version)
@@ -76,7 +77,8 @@
 	return changes, nil
 }
 
-// setEntries sets and deletes what an update names, notes what that changes, and counts the entries that are not gone.
+// setEntries applies the entries of an update, appends those that change anything to
+// changes, and counts the entries that are not gone.
 func setEntries(byID *endpointMap, update, changes *Update) (_ *endpointMap, present int) {
 	for _, e := range update.Endpoints {
 		gone := e.State == StateGone
@@ -97,7 +99,7 @@
 	return byID, present
 }
 
-// deleteUnnamed deletes the endpoints that a full update does not name, and notes them as gone.
+// deleteUnnamed deletes the endpoints that a full update does not name, and appends them to changes as gone.
 func deleteUnnamed(byID *endpointMap, update *Update, present int, changes *Update) *endpointMap {
 	named := make(map[uint32]bool, present)
 	for _, e := range update.Endpoints {
@@ -112,8 +114,8 @@
 	return byID
 }
 
-// CheckNewer tells why a full update is not to be taken after this list: it is older, or it has the same version and other
-// endpoints.
+// CheckNewer returns an error if a full update must not replace this list: it is older, or
+// it has the same version but other endpoints.
 func (l *List) CheckNewer(update *Update) error {
 	if update.Version < l.Version {
 		return fmt.Errorf("list version %d is older than %d, which is in force", update.Version, l.Version)
@@ -128,7 +130,7 @@
 	return err
 }
 
-// FullUpdate gives the whole list as one update, as for a start from disk.
+// FullUpdate returns the whole list as one update, for instance after a start from disk.
 func (l *List) FullUpdate(now float64) *Update {
 	return &Update{Version: l.Version, Full: true, AgeSeconds: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
 }
@@ -140,12 +142,12 @@
 	Endpoints []Endpoint `json:"units"`
 }
 
-// MarshalJSON gives the stored form.
+// MarshalJSON returns the stored form.
 func (l *List) MarshalJSON() ([]byte, error) {
 	return json.Marshal(savedList{l.Version, l.At, slices.Collect(l.All())})
 }
 
-// UnmarshalJSON reads the stored form, and checks it as it checks an update.
+// UnmarshalJSON reads the stored form, and validates it like an update.
 func (l *List) UnmarshalJSON(text []byte) error {
 	var saved savedList
 	if err := json.Unmarshal(text, &saved); err != nil {
--- a/internal/endpoints/list_test.go
+++ b/internal/endpoints/list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each update gives what it changes.
+// Each update returns what it changes.
 func ExampleList_Apply() {
 	l := &List{}
 	apply := func(update Update) {
@@ -23,7 +23,7 @@
 	apply(Update{Version: 6, AgeSeconds: 2, Endpoints: []Endpoint{{ID: 1, State: "gone"}, {ID: 3, State: "draining"}}})
 	apply(Update{Version: 4, Endpoints: []Endpoint{a}})
 	apply(Update{Version: 6})
-	apply(Update{Version: 1, Full: true, Endpoints: []Endpoint{b}}) // the service has started anew
+	apply(Update{Version: 1, Full: true, Endpoints: []Endpoint{b}}) // the service has restarted
 	// Output:
 	// version 5 at 100 endpoints 2 1 ready 2 ready <nil>
 	// version 6 at 98 endpoints 2 1 gone 3 draining <nil>
@@ -32,7 +32,7 @@
 	// version 1 at 100 endpoints 1 3 gone <nil>
 }
 
-// BenchmarkApply applies a new full version of a list of which one endpoint in a hundred changed.
+// BenchmarkApply applies a full update of a new version in which one endpoint in a hundred has changed.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("endpoints-", n), func(b *testing.B) {
--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -10,7 +10,7 @@
 // The values of Endpoint.State.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // it takes no more requests
+	StateDraining = "draining" // it accepts no more requests
 	StateGone     = "gone"     // it has left the list
 )
 
@@ -21,20 +21,20 @@
 	maxBuilds    = 1 << 16
 )
 
-// Endpoint is one entry of an update or a list. Addr is empty only where State is StateGone.
+// Endpoint is one entry of an update or a list. Addr may be empty only if State is StateGone.
 type Endpoint struct {
-	ID        uint32  `json:"id"`    // above 0, never given to another endpoint
+	ID        uint32  `json:"id"`    // above 0, never reused for another endpoint
 	Addr      string  `json:"addr"`  // HOST:PORT
 	State     string  `json:"state"` // StateReady, StateDraining or StateGone
 	Build     int     `json:"build"`
 	Zone      uint16  `json:"zone,omitempty"`
 	Cell      uint16  `json:"cell,omitempty"`
-	Weight    float64 `json:"heft,omitempty"`  // relative capacity, 1 if left out
-	StartedAt float64 `json:"start,omitempty"` // when its process started; 0: long ago
+	Weight    float64 `json:"heft,omitempty"`  // relative capacity; 1 if omitted
+	StartedAt float64 `json:"start,omitempty"` // when its process started, in seconds since the Unix epoch; 0: long ago
 }
 
-// Update is one message of the list service. A full one names every endpoint there is, any other only those that have changed.
-// One without endpoints tells that nothing has changed.
+// Update is one message of the list service. A full update names every endpoint, any other only those that have
+// changed; one that is not full and has no endpoints says that nothing has changed.
 type Update struct {
 	Version    uint64     `json:"version"`
 	Full       bool       `json:"full,omitempty"`
@@ -42,7 +42,7 @@
 	Endpoints  []Endpoint `json:"units,omitempty"`
 }
 
-// Check refuses an update that can't be meant. Only a checked update may be applied.
+// Check returns an error if an update is invalid. Only a checked update may be applied.
 func (u *Update) Check() error {
 	if len(u.Endpoints) > maxEndpoints {
 		return tooManyError(len(u.Endpoints))
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// defect tells what is wrong with an entry, "" for nothing; seen holds the ids of the entries before it.
+// defect describes what is wrong with an entry, "" if nothing; seen holds the ids of the entries before it.
 func (e *Endpoint) defect(seen map[uint32]bool) string {
 	_, knownState := policyStates[e.State]
 	switch {
@@ -86,7 +86,7 @@
 
 func tooManyError(n int) error { return fmt.Errorf("%d units; %d at most", n, maxEndpoints) }
 
-// ApplyTo enters a checked update into a policy.
+// ApplyTo applies a checked update to a policy's endpoint list.
 func (u *Update) ApplyTo(b *policy.Balancer, now float64) {
 	b.SetEndpointListAge(u.AgeSeconds)
 	if !u.Full && len(u.Endpoints) == 0 {
