--- a/internal/watch/backoff.go
+++ b/internal/watch/backoff.go
@@ -1,11 +1,11 @@
 package watch
 
-// maxDoublings bounds the exponent of Backoff, whose number of tries is not bounded.
+// maxDoublings bounds the exponent in Backoff, as the number of tries is unbounded.
 const maxDoublings = 40
 
-// Backoff gives the pause in seconds before a try of a service that may be coming back to many clients at once: exponential
-// with jitter. Try 0 is the first; the pause doubles with each from minSeconds up to maxSeconds, and chance, from 0 to 1, says
-// how much of a half of it is taken away.
+// Backoff returns the pause in seconds before reconnecting to a service to which many clients may reconnect at once:
+// exponential backoff with jitter. try counts from 0; the pause doubles with each from minSeconds up to maxSeconds.
+// chance, a random number from 0 to 1, shortens it by up to a half.
 func Backoff(try int, minSeconds, maxSeconds, chance float64) float64 {
 	pause := maxSeconds
 	if try < maxDoublings {
--- a/internal/watch/doc.go
+++ b/internal/watch/doc.go
@@ -1,2 +1,3 @@
-// Package watch follows JSON objects over a streamed HTTP response, and connects again when it breaks.
+// Package watch reads a stream of JSON objects from an HTTP response, and reconnects with
+// backoff when the stream breaks.
 package watch
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -13,30 +13,31 @@
 	"time"
 )
 
-// defaultMaxObjectBytes is used where Source.MaxObjectBytes is 0.
+// defaultMaxObjectBytes is used if Source.MaxObjectBytes is 0.
 const defaultMaxObjectBytes = 64 << 20
 
 var errStreamEnded = errors.New("ended by the service")
 
-// Source tells where a stream comes from, and when it is taken for broken.
+// Source describes a stream and when it is considered broken.
 type Source struct {
 	URL               string
-	SilenceSeconds    float64      // time without a byte after which the stream is taken for broken
-	OpenSeconds       float64      // time in which the service must begin to answer; 0: SilenceSeconds
-	MaxObjectBytes    int64        // of one object; 0: 64 MiB
-	BackoffMinSeconds float64      // pause before the first further try
-	BackoffMaxSeconds float64      // longest pause
-	Client            *http.Client // without a timeout of its own
+	SilenceSeconds    float64      // time without a byte after which the stream is considered broken
+	OpenSeconds       float64      // time in which the response must begin; 0: SilenceSeconds
+	MaxObjectBytes    int64        // maximum size of one object; 0: 64 MiB
+	BackoffMinSeconds float64      // longest pause before the first retry
+	BackoffMaxSeconds float64      // longest pause before any retry
+	Client            *http.Client // must have no timeout of its own
 	Log               *slog.Logger
 
-	NextURL     func() string // optional: gives the URL of each try, in place of URL
-	OnHeartbeat func()        // optional: called at each heartbeat between objects, which says that nothing has changed
+	NextURL     func() string // optional: returns the URL for each try, in place of URL
+	OnHeartbeat func()        // optional: called at each heartbeat between objects, which means that nothing has changed
 }
 
-// Follow passes each object of a stream to handle until ctx ends, however objects are laid out in lines and pieces. An object
-// that can't be read, or for which handle gives an error, breaks the stream: what follows might build on it, so the stream is
-// asked for again from its start. lost is called each time when a stream that had objects has broken. Both are called on the
-// caller's goroutine; Follow returns when ctx has ended.
+// Follow passes each object of a stream to handle until ctx ends; objects may be split or grouped in any
+// way. An object that can't be decoded, or for which handle returns an error, breaks the stream: later
+// objects might build on it, so Follow reconnects and reads the stream from its start. lost is called
+// whenever a stream from which objects were handled breaks before ctx has ended. Follow blocks until ctx
+// ends, and calls both functions on the caller's goroutine.
 func Follow[T any](ctx context.Context, source Source, handle func(*T) error, lost func()) {
 	for try := 0; ctx.Err() == nil; try++ {
 		if source.NextURL != nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// followOnce reads one stream to its end, and gives the number of objects that were handled and why it ended.
+// followOnce reads one stream to its end, and returns the number of objects handled and why the stream ended.
 func followOnce[T any](ctx context.Context, source Source, handle func(*T) error) (objects int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -98,7 +99,7 @@
 	}
 }
 
-// get asks for the stream; the caller closes the response's body.
+// get requests the stream; the caller must close the response's body.
 func get(ctx context.Context, source Source) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.URL, nil)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return response, nil
 }
 
-// causeOr gives why ctx was cancelled where it was, and else err.
+// causeOr returns the cause of ctx's cancellation, or err if ctx is not cancelled.
 func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -133,10 +134,11 @@
 	return s.MaxObjectBytes
 }
 
-// silenceTimer cancels a stream on which nothing comes for too long. Its methods are called by the stream's goroutine alone.
+// silenceTimer cancels a stream that has been silent for too long. Its methods must be
+// called only by the stream's goroutine.
 type silenceTimer struct {
 	timer          *time.Timer
-	allowedSeconds float64 // written only while the timer is stopped, so that its function reads it safely
+	allowedSeconds float64 // written only while the timer is stopped, so that its function can read it without a lock
 }
 
 func startSilenceTimer(allowedSeconds float64, cancel context.CancelCauseFunc) *silenceTimer {
@@ -145,7 +147,8 @@
 	return s
 }
 
-// reset lets the silence begin anew. A timer that has fired stays so: it has cancelled the stream, and the next read tells.
+// reset restarts the timer. A timer that has fired is not restarted: it has cancelled the
+// stream, and the next read fails.
 func (s *silenceTimer) reset(allowedSeconds float64) {
 	if s.timer.Stop() {
 		s.allowedSeconds = allowedSeconds
@@ -157,19 +160,19 @@
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// objectReader reads a stream's bytes; it reports signs of life and heartbeats, and stops an object without end before it fills
-// the memory.
+// objectReader reads a stream's bytes. It reports received bytes and heartbeats, and fails on an object above
+// maxObjectBytes, so that an endless one can't exhaust memory.
 type objectReader struct {
 	body           io.Reader
 	onBytes        func()
 	onHeartbeat    func() // may be nil
 	maxObjectBytes int64
 
-	objectBytes int64 // read since the last whole object
-	inObject    bool  // the next object has begun
+	objectBytes int64 // bytes read since the last complete object
+	inObject    bool  // the next object has started
 }
 
-// startObject notes that an object was read whole; buffered is what the decoder has read beyond it.
+// startObject records that an object was read completely; buffered is what the decoder has read beyond it.
 func (r *objectReader) startObject(buffered io.Reader) error {
 	rest, err := io.ReadAll(buffered)
 	if err != nil {
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// Read reads from the stream. White space between objects is a heartbeat.
+// Read implements io.Reader. White space between objects is a heartbeat.
 func (r *objectReader) Read(buf []byte) (int, error) {
 	n, err := r.body.Read(buf)
 	if n == 0 {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -32,41 +32,41 @@
 
 type object struct{ N int }
 
-// write sends text to a client. It is no fault if the client has gone by then.
+// write sends text to a client. It is not an error if the client has gone by then.
 func write(t *testing.T, w http.ResponseWriter, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		t.Log("client has gone:", err)
 	}
 }
 
-// flush sends what was written to a client. It is no fault if the client has gone by then.
+// flush sends buffered text to a client. It is not an error if the client has gone by then.
 func flush(t *testing.T, w http.ResponseWriter) {
 	if err := http.NewResponseController(w).Flush(); err != nil {
 		t.Log("client has gone:", err)
 	}
 }
 
-// Every way a stream can break: it is told, and the stream is asked for again.
+// However a stream breaks, Follow reports it and reconnects.
 func TestFollow(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var try atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		switch try.Add(1) {
-		case 1: // an error
+		case 1: // error status
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		case 2: // ends after an object
 			write(t, w, "{\"n\":1}\n\n")
-		case 3: // an object cut off
+		case 3: // ends within an object
 			write(t, w, "{\"n\":2}\n{\"n\":")
-		case 4: // no JSON
+		case 4: // invalid JSON
 			write(t, w, "{\"n\":3}\nhello\n{\"n\":99}\n")
-		case 5: // refused by the handler
+		case 5: // rejected by the handler
 			write(t, w, "{\"n\":-1}\n{\"n\":99}\n")
 		case 6: // falls silent
 			write(t, w, "{\"n\":4}\n")
 			flush(t, w)
 			<-req.Context().Done()
-		case 7: // broken off
+		case 7: // connection aborted
 			write(t, w, "{\"n\":5}\n")
 			flush(t, w)
 			panic(http.ErrAbortHandler)
@@ -100,7 +100,8 @@
 	}
 }
 
-// follow plays what a service does with each try, until the object numbered 9 is handled; it gives the objects handled, and the log.
+// follow runs a service that handles each try as given, until the object numbered 9 is
+// handled; it returns the objects handled, and the log.
 func follow(t *testing.T, edit func(*Source), tries ...func(send func(string), gone <-chan struct{})) (got, log string) {
 	t.Helper()
 	var try atomic.Int64
@@ -138,7 +139,7 @@
 	return strings.Join(all, " "), out.String()
 }
 
-// An object may come over several lines and in any pieces, and several may come at once.
+// An object may span several lines and arrive in any pieces, and several may arrive at once.
 func TestLayout(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	got, _ := follow(t, nil, func(send func(string), _ <-chan struct{}) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// A stream that falls silent is broken wherever that is, and asked for again; heartbeats keep it, and none counts within an object.
+// A stream that falls silent anywhere is broken and requested again; heartbeats keep it alive, except within an object.
 func TestSilence(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	silentAfter := func(before string) func(func(string), <-chan struct{}) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// An object without end is refused before it fills the memory, and the log says so.
+// An endless object is rejected before it exhausts memory, and the log says so.
 func TestTooLarge(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	got, log := follow(t, func(s *Source) { s.MaxObjectBytes = 1000 }, func(send func(string), gone <-chan struct{}) {
