--- a/internal/releases/doc.go
+++ b/internal/releases/doc.go
@@ -1,3 +1,3 @@
-// Package releases speaks the release service's protocol: updates about the newest build, and votes on it. The mapping between
-// the protocol's words and the policy's values stands in wire.go.
+// Package releases implements the release service's protocol: updates about the newest build, and votes on it.
+// wire.go maps the protocol's values to the policy's.
 package releases
--- a/internal/releases/update.go
+++ b/internal/releases/update.go
@@ -6,22 +6,22 @@
 	"flintspread/internal/policy"
 )
 
-// Update is one message of the release service's stream, and its reply to a vote.
+// Update is one message of the release service's stream, or its reply to a vote.
 type Update struct {
-	Version     uint64  `json:"version"` // grows with every change, also over restarts of the service
+	Version     uint64  `json:"version"` // increases with every change, even across restarts of the service
 	Build       int     `json:"build"`
 	Stage       int     `json:"stage"`           // rollout stage, from 0
 	Phase       string  `json:"phase"`           // a key of phases
-	CanaryLimit float64 `json:"cap"`             // share of requests that the canary may get in this stage, 0 to 1
-	AgeSeconds  float64 `json:"age"`             // seconds that build, stage and phase have lasted
+	CanaryLimit float64 `json:"cap"`             // share of requests that the canary may receive in this stage, 0 to 1
+	AgeSeconds  float64 `json:"age"`             // seconds since build, stage or phase last changed
 	Vote        string  `json:"vote,omitempty"`  // in a reply: a key of replies
-	Heartbeat   bool    `json:"quiet,omitempty"` // nothing is new; it only shows that the stream lives
+	Heartbeat   bool    `json:"quiet,omitempty"` // nothing has changed; it only shows that the stream is alive
 }
 
-// PolicyPhase gives the phase of a checked update.
+// PolicyPhase returns the policy's value for the phase of a checked update.
 func (u *Update) PolicyPhase() policy.Phase { return phases[u.Phase] }
 
-// Check refuses an update that can't be meant, where a rollout has so many stages.
+// Check returns an error if an update is invalid for a rollout with the given number of stages.
 func (u *Update) Check(stages int) error {
 	if _, known := phases[u.Phase]; !known {
 		return fmt.Errorf("unknown phase %q", u.Phase)
--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/policy"
 )
 
-// maxReplyBytes bounds what is read of a reply.
+// maxReplyBytes bounds the bytes read of a reply.
 const maxReplyBytes = 64 << 10
 
 // Vote is a vote that the policy wants cast.
@@ -23,36 +23,36 @@
 	Verdict      policy.Verdict
 }
 
-// VoteMessage is a vote as the release service gets it.
+// VoteMessage is a vote in the release service's protocol.
 type VoteMessage struct {
 	Relay   string `json:"relay"`
 	Build   int    `json:"build"`
 	Stage   int    `json:"stage"`
-	Verdict string `json:"verdict"` // one of verdicts
+	Verdict string `json:"verdict"` // a value of verdicts
 }
 
-// VoteSender sends votes to the release service, one after the other. Call Open, then Run on a goroutine of its own; Cast may
-// be called from any other.
+// VoteSender sends votes to the release service, one at a time. Call Open first, then Run on a goroutine of
+// its own; Cast may be called from any goroutine.
 type VoteSender struct {
 	Router         string
-	URL            string  // of the release service
-	TimeoutSeconds float64 // seconds that a reply is waited for
+	URL            string  // URL of the release service
+	TimeoutSeconds float64 // time to wait for a reply
 	Client         *http.Client
 	Log            *slog.Logger
 
-	// OnSend is called before each vote is sent, OnReply with what became of it and, where the reply tells the release's new
-	// state, that. Both are called by Run.
+	// OnSend is called before each vote is sent, OnReply with its reply and, if the reply contains the release's new
+	// state, that state, else nil. Run calls both on its own goroutine; both must be set.
 	OnSend  func(Vote)
 	OnReply func(Vote, policy.VoteReply, *Update)
 
 	votes chan Vote
 }
 
-// Open makes the sender ready. It is to be called once, before Cast and Run.
+// Open prepares the sender. It must be called once, before Cast and Run.
 func (s *VoteSender) Open() { s.votes = make(chan Vote, 1) }
 
-// Cast passes a vote on without waiting. The policy has one vote out at a time, so that there is always room, except for one
-// that it casts after it gave up waiting for the last.
+// Cast queues a vote without blocking. The queue holds one vote, which suffices because the policy has one vote pending
+// at a time; a vote is dropped only if the policy stopped waiting for a reply while an earlier vote is still queued.
 func (s *VoteSender) Cast(v Vote) {
 	select {
 	case s.votes <- v:
@@ -76,7 +76,8 @@
 	}
 }
 
-// send sends one vote. Where there is no whole reply in time the vote may have counted: the reply is VoteUnknown.
+// send sends one vote and waits for the reply. Without a complete reply in time the vote
+// may have counted: the reply is VoteUnknown.
 func (s *VoteSender) send(ctx context.Context, v Vote) (policy.VoteReply, *Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.TimeoutSeconds*float64(time.Second)))
 	defer cancel()
@@ -107,7 +108,7 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/vote", bytes.NewReader(text))
 }
 
-// parseReply reads the reply to a vote. Only the reply to one that counted tells the release's new state.
+// parseReply parses the reply to a vote. Only the reply to a vote that counted contains the release's new state.
 func parseReply(text []byte) (policy.VoteReply, *Update, error) {
 	var update Update
 	if err := json.Unmarshal(text, &update); err != nil {
--- a/internal/releases/wire.go
+++ b/internal/releases/wire.go
@@ -2,7 +2,7 @@
 
 import "flintspread/internal/policy"
 
-// phases are the protocol's words for the phases of a release.
+// phases maps the protocol's values to the phases of a release.
 var phases = map[string]policy.Phase{
 	"on-trial":   policy.PhaseCanary,
 	"going-back": policy.PhaseRollingBack,
@@ -10,7 +10,7 @@
 	"withdrawn":  policy.PhaseWithdrawn,
 }
 
-// verdicts are its words for verdicts.
+// verdicts holds the protocol's values for verdicts.
 var verdicts = [...]string{
 	policy.VoteNone:     "none",
 	policy.VotePromote:  "on",
@@ -18,14 +18,14 @@
 	policy.VoteRollback: "back",
 }
 
-// replies are its words for what became of a vote.
+// replies maps the protocol's values to the replies to a vote.
 var replies = map[string]policy.VoteReply{
 	"counted": policy.VoteCounted,
 	"moot":    policy.VoteMoot,
 	"refused": policy.VoteRefused,
 }
 
-// replyNames name in logs what became of a vote.
+// replyNames holds the names of replies in logs.
 var replyNames = [...]string{
 	policy.VoteCounted: "counted",
 	policy.VoteMoot:    "moot",
