--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -36,7 +36,7 @@
 const (
 	Accepted         Reason = iota // the message counts
 	SchemaMismatch                 // the sender's major schema version differs
-	OtherIncarnation               // it is for an earlier process of the router, or from one
+	OtherIncarnation               // it is for another process of the router, or from an earlier one
 	StaleEpoch                     // it is from a controller that has been succeeded by another
 	StaleSequence                  // it is a duplicate, or a newer message has arrived before it
 	UnknownReport                  // it acknowledges a report that was never sent
