--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -40,7 +40,8 @@
 	// no vote
 }
 
-// Failures of single endpoints, on either side, or of all alike do not call for a rollback.
+// Failures of single endpoints among others, on either side, or of all alike call for no rollback. Those of a whole
+// canary do, except for lateness while it is a single endpoint or in slow start.
 func Example_faultsOfOtherCauses() {
 	play := func(name string, n int, age, secs float64, r Outcome, took float64, ids ...uint32) {
 		f := newFleet(func(t *Config) { t.AutomaticStages = true })
@@ -109,8 +110,8 @@
 	// vote rollback on build 8 stage 1
 }
 
-// A stage is promoted once its share is listed, 3 s after the newest start with 20 outcomes, else after
-// 5 s; never where stages advance automatically.
+// A stage is promoted once its share is listed and promoteWaitSeconds have passed since the newest start, or
+// promoteWaitFewSeconds if the longer wait can bring missing outcomes; never where stages advance automatically.
 func Example_promote() {
 	f := newFleet(nil)
 	f.startCanary(1, 0)
