--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -9,9 +9,10 @@
 	"flintspread/internal/policy"
 )
 
-// accept takes a message as a request, decides its first step and carries it out. It returns nil if a request with the
-// message's id is in flight; all others get a final answer, unless abandonRequest comes first. pending is the answer's place
-// where the protocol keeps a queue of them. The caller does not hold p.mu.
+// accept turns a message into a request, asks for its first decision and carries it out. It returns nil if a request
+// with the same id is in flight. Every other request gets exactly one final answer, unless abandonRequest is called
+// first. pending is the answer's place in the client's queue, nil if the protocol keeps none. The caller must not hold
+// p.mu.
 func (p *Proxy) accept(conn *clientConn, message *message, config *configstate.Version, class int, pending *pendingAnswer) *request {
 	p.mu.Lock()
 	if _, duplicate := p.requestIDs[message.id]; duplicate && message.id != "" {
@@ -34,8 +35,9 @@
 	return request
 }
 
-// newRequest makes the request of a message. Its deadline is the earliest of its class's timeout, the client's, and the
-// proxy's own answer deadline; the client's time began when the kernel got the message. The caller holds p.mu.
+// newRequest creates the request for a message. Its deadline is the earliest of its class's timeout, the client's
+// timeout and the proxy's answer deadline. Both timeouts count from when the kernel received the message. The caller
+// holds p.mu.
 func (p *Proxy) newRequest(now float64, conn *clientConn, message *message, config *configstate.Version, class int, pending *pendingAnswer) *request {
 	deadline := now + config.Policy.Classes[class].TimeoutSeconds
 	if message.timeoutSeconds > 0 {
@@ -65,8 +67,9 @@
 	}
 }
 
-// admits tells whether this process can take a request at all, before the balancer is asked where it goes. What is not
-// admitted was never sent, so that a rejection, which says that a retry is harmless, is right. The caller holds p.mu.
+// admits reports whether this process has the capacity to serve a request. It is called before the balancer picks an
+// endpoint: a request that is not admitted was never sent, so rejecting it as safe to retry is correct. The caller
+// holds p.mu.
 func (p *Proxy) admits(now float64, request *request) bool {
 	if request.message.admitted {
 		return true
@@ -82,8 +85,8 @@
 	})
 }
 
-// shedAnswerFor is the answer to requests that are shed. It is kept for as long as a configuration version holds: it is
-// given when there is no time to write others. The caller holds p.mu.
+// shedAnswerFor returns the answer to requests that are shed. It is cached per configuration version, because it is
+// needed most when there is no CPU time to encode it. The caller holds p.mu.
 func (p *Proxy) shedAnswerFor(config *configstate.Version) answer {
 	if p.shedAnswer.bytes == nil || p.shedAnswerConfig != config {
 		p.shedAnswerConfig = config
@@ -92,7 +95,8 @@
 	return p.shedAnswer
 }
 
-// observeSuccess tells the shedder what a request took. The caller holds p.mu.
+// observeSuccess reports to the shedder the latency and the message bytes of a request that succeeded. The caller holds
+// p.mu.
 func (p *Proxy) observeSuccess(request *request, now float64, bytes int) {
 	if p.shedder != nil {
 		p.shedder.OnSuccess(request.Class, now-request.ReceivedAt, bytes)
@@ -106,7 +110,7 @@
 	}
 }
 
-// shedderClasses gives what the shedder needs to know of a policy's classes, in their order.
+// shedderClasses returns the shedder's view of a policy's classes, in the same order.
 func shedderClasses(config *policy.Config) (classes []loadshed.RequestClass) {
 	for _, class := range config.Classes {
 		classes = append(classes, loadshed.RequestClass{LatencyObjectiveSeconds: class.LatencyObjectiveSeconds, PriorityWeight: class.PriorityWeight})
@@ -114,7 +118,7 @@
 	return classes
 }
 
-// hashHost hashes an address without its port: to the shedder, the connections of one host are one client.
+// hashHost hashes an address without its port: the shedder treats all connections from one host as one client.
 func hashHost(addr string) uint64 {
 	if i := strings.LastIndexByte(addr, ':'); i >= 0 {
 		addr = addr[:i]
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -12,7 +12,7 @@
 	"flintspread/internal/loadshed"
 )
 
-// forceOverload makes a proxy shed as much as its shedder may.
+// forceOverload makes a proxy shed as much as its shedder allows.
 func (h *harness) forceOverload() {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
@@ -34,8 +34,8 @@
 	h.proxy.policyTickAt = now + 1000 // no load sample of the real process
 }
 
-// A proxy that sheds rejects requests, each once and in order, whether they are answered unparsed or parsed first; nothing of
-// them reaches an endpoint, and invalid requests get their usual answer.
+// A proxy under overload rejects each request once and in order, whether it is answered before or after parsing. No
+// rejected request reaches an endpoint, and invalid requests get their usual answer.
 func TestShedding(t *testing.T) {
 	h := newHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerPath)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Slow endpoints and a small memory budget: reading pauses, requests are rejected, connections are refused with an answer, the
-// budget is not exceeded by more than one message a connection, and all of it is given back.
+// With slow endpoints and a small memory budget, reading pauses, requests are rejected and connections are refused with
+// an answer. The budget is exceeded by at most one message per connection, and all of it is released.
 func TestMemoryBudget(t *testing.T) {
 	const budget = 1 << 20
 	h := newHarness(t, func(s *config.Router) {
@@ -133,7 +133,7 @@
 	h.wantEqual("after", h.ask(idempotentRequest), "200 acked: ")
 }
 
-// A slow reader holds memory only as long as it holds its connection.
+// A slow client holds memory only as long as its connection.
 func TestSlowReadersMemory(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) {
 		s.Overload = &config.Overload{MemoryBytes: 64 << 20}
--- a/internal/proxy/answer_queue.go
+++ b/internal/proxy/answer_queue.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// answerChunkBytes is written to a slow client at a time; each has a write deadline of its own.
+	// answerChunkBytes is the size of one write to a slow client. Each chunk has its own write deadline.
 	answerChunkBytes = 64 << 10
 
-	// keptAnswerBytes is the largest buffer that a connection keeps between answers.
+	// keptAnswerBytes is the largest buffer that a connection keeps for reuse between answers.
 	keptAnswerBytes = 16 << 10
 )
 
-// pendingAnswer is the place of an answer in its client's order.
+// pendingAnswer is an answer's place in its connection's answerQueue.
 type pendingAnswer struct {
 	bytes     []byte
 	completed bool
 }
 
-// answerQueue holds the answers that a client of a pipelined protocol waits for, in the order of its requests: an answer
-// that comes early waits for those before it.
+// answerQueue holds the outstanding answers of a pipelined connection in request order. An answer that completes early
+// waits for those before it.
 type answerQueue struct {
 	mu        sync.Mutex
-	pending   []*pendingAnswer // the oldest first
-	unwritten []byte           // answers whose turn has come, as far as the kernel has not taken them
-	writing   bool             // a goroutine of its own writes
-	broken    bool             // a write failed: the client has gone
+	pending   []*pendingAnswer // oldest first
+	unwritten []byte           // completed answers, in order, that the kernel has not accepted yet
+	writing   bool             // a writeRemaining goroutine is running
+	broken    bool             // a write failed: the client is gone
 }
 
-// queueState is how an answerQueue is at a moment.
+// queueState is a snapshot of an answerQueue.
 type queueState struct {
-	outstanding bool // an answer is pending, or is not yet taken by the kernel
+	outstanding bool // an answer is pending, or the kernel has not accepted all of it
 	mayPipeline bool // further requests may be read
 	broken      bool
 }
 
-// enqueue gives the next request's answer its place.
+// enqueue reserves the place of the next request's answer.
 func (q *answerQueue) enqueue() *pendingAnswer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// collectCompleted moves the answers whose turn has come to unwritten. The caller holds q.mu.
+// collectCompleted moves completed answers at the head of the queue to unwritten. The caller holds q.mu.
 func (q *answerQueue) collectCompleted() {
 	for len(q.pending) > 0 && q.pending[0].completed {
 		q.unwritten = append(q.unwritten, q.pending[0].bytes...)
@@ -66,10 +66,10 @@
 	}
 }
 
-// completeAnswer sets an answer, and writes those whose turn has come by that, without waiting; what the kernel does not
-// take at once is written by a goroutine of its own.
+// completeAnswer sets an answer and writes every answer that may now be sent, without blocking. A separate goroutine
+// writes what the kernel does not accept at once.
 func (conn *clientConn) completeAnswer(pending *pendingAnswer, bytes []byte) {
-	defer conn.wakeReader() // after the lock is given back
+	defer conn.wakeReader() // runs after the unlock
 	queue := &conn.answers
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// writeRemaining writes to a client that reads slowly until the queue has nothing unwritten. It goes on for as long as the
-// client takes a chunk within the longest request timeout: half an answer is no answer.
+// writeRemaining writes to a slow client until nothing is left unwritten. It continues as long as the client accepts
+// each chunk within the longest request timeout, since a truncated answer is useless.
 func (conn *clientConn) writeRemaining() {
 	defer conn.proxy.goroutines.Done()
 	queue := &conn.answers
@@ -121,7 +121,7 @@
 	}
 }
 
-// writeChunks writes all of buf, and waits for each chunk as long as a request may take at most.
+// writeChunks writes all of buf. It blocks for each chunk up to the longest request timeout.
 func (conn *clientConn) writeChunks(buf []byte) (err error) {
 	for rest := buf; len(rest) > 0 && err == nil; rest = rest[min(answerChunkBytes, len(rest)):] {
 		conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(conn.proxy.longestTimeoutSeconds())))
@@ -131,7 +131,7 @@
 	return err
 }
 
-// longestTimeoutSeconds is the longest request timeout of the configuration in force.
+// longestTimeoutSeconds returns the longest request timeout of the configuration in force.
 func (p *Proxy) longestTimeoutSeconds() float64 {
 	longest := 0.0
 	for _, class := range p.currentConfig.Load().Policy.Classes {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -7,46 +7,46 @@
 	"flintspread/internal/policy"
 )
 
-// minSentTimeoutSeconds is the least remaining time that an endpoint is told: 0 would mean that none is told.
+// minSentTimeoutSeconds is the smallest remaining time that is sent to an endpoint, since 0 would mean "not set".
 const minSentTimeoutSeconds = 0.001
 
-// attempt is one sending of a request to an endpoint. Its fields are guarded by Proxy.mu, but for writeState and for those
-// that are set before it is handed out and never changed: request, index, endpointID, startedAt, assignedConn. The deadline
-// is also read, without the lock, to tell the endpoint how much time is left.
+// attempt is one try of a request at one endpoint. Its fields are guarded by Proxy.mu, except writeState and the fields
+// that never change once the attempt is assigned a connection: request, index, endpointID, startedAt and assignedConn.
+// writeAttempt also reads the deadline without the lock, to send the endpoint the remaining time.
 type attempt struct {
 	request      *request
-	index        int // its place in request.Attempts
+	index        int // in request.Attempts
 	endpointID   uint32
 	startedAt    float64
 	deadline     float64
-	conn         *endpointConn // nil once it ended
-	assignedConn *endpointConn // the connection it was given, also after its end
+	conn         *endpointConn // nil once the attempt has ended
+	assignedConn *endpointConn // the same, but kept after the end
 	outcome      policy.Outcome
 	writeState   atomic.Int32
 }
 
-// The states of an attempt's writing. Whether its last byte may leave is settled once, by who changes notWritten (or
-// lastByteHeld, where endpoints begin a request only with its last byte): to written by the writer, to dropped by who ends
-// the attempt. A dropped attempt provably never ran; one that is written may have run.
+// The write states of an attempt. Whether its last byte may be sent is settled once, by a compare-and-swap from
+// notWritten (or from lastByteHeld, where endpoints start a request only on its last byte): the writer sets written,
+// whoever ends the attempt sets dropped. A dropped attempt provably never ran; a written one may have run.
 const (
 	notWritten   int32 = iota
-	lastByteHeld       // the kernel took a part; the last byte is held back until the rest is taken
-	written            // the last byte leaves, or has left
+	lastByteHeld       // the kernel accepted a part; the last byte is held back until it has accepted the rest
+	written            // the last byte is being sent, or was sent
 	dropped
 )
 
-// drop keeps an attempt's last byte from leaving. It returns false if that is too late.
+// drop prevents an attempt's last byte from being sent. It returns false if it is too late for that.
 func (a *attempt) drop() bool {
 	return a.writeState.CompareAndSwap(notWritten, dropped) || a.writeState.CompareAndSwap(lastByteHeld, dropped)
 }
 
-// claimWrite takes the right to write an attempt. It returns false if it was dropped.
+// claimWrite claims the right to write the attempt. It returns false if the attempt was dropped.
 func (a *attempt) claimWrite() bool { return a.writeState.CompareAndSwap(notWritten, written) }
 
-// inFlight tells whether the attempt has not ended. The caller holds Proxy.mu.
+// inFlight reports whether the attempt has not ended. The caller holds Proxy.mu.
 func (a *attempt) inFlight() bool { return a.request.Attempts[a.index].InFlight }
 
-// startAttempt enters a further attempt of a request. The caller holds p.mu.
+// startAttempt records a new attempt of a request. The caller holds p.mu.
 func (p *Proxy) startAttempt(now float64, request *request, decision policy.Decision) *attempt {
 	p.stats.Attempts++
 	attempt := &attempt{
@@ -61,7 +61,7 @@
 	return attempt
 }
 
-// cancelAttempts ends what a request has in flight. The caller holds p.mu.
+// cancelAttempts cancels a request's attempts in flight. The caller holds p.mu.
 func (p *Proxy) cancelAttempts(now float64, request *request, effects *effects) {
 	for _, attempt := range request.attempts {
 		if attempt.inFlight() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// endAttempt enters an attempt's outcome, tells the balancer, and carries out what it decides next. An attempt that has
-// ended before stays as it is. The caller holds p.mu.
+// endAttempt records an attempt's outcome, reports it to the balancer and carries out the balancer's next decision. It
+// does nothing if the attempt has already ended. The caller holds p.mu.
 func (p *Proxy) endAttempt(now float64, attempt *attempt, outcome policy.Outcome, effects *effects) {
 	if !attempt.inFlight() {
 		return
@@ -88,14 +88,14 @@
 		attempt.conn = nil
 		if conn.attempt == attempt {
 			conn.attempt = nil
-			p.removeConn(conn, effects) // something of the attempt may still be on it
+			p.removeConn(conn, effects) // bytes of the attempt may still be in transit on it
 		}
 	}
 	decision := p.onAttemptDone(now, attempt)
 	p.applyDecision(now, request, decision, effects)
 }
 
-// onAttemptDone tells the balancer of an attempt's outcome. The caller holds p.mu.
+// onAttemptDone reports an attempt's outcome to the balancer and returns the next decision. The caller holds p.mu.
 func (p *Proxy) onAttemptDone(now float64, attempt *attempt) policy.Decision {
 	from := time.Now()
 	decision := p.balancer.OnAttemptDone(now, &attempt.request.Request, attempt.endpointID, attempt.outcome, now-attempt.startedAt)
@@ -103,9 +103,9 @@
 	return decision
 }
 
-// settleOutcome drops an attempt that has no answer, where that is not too late, and gives the outcome to be entered: one
-// that was dropped is known never to have run, whatever ended it. It counts against the endpoint only where there was time
-// to make a connection, or to write to one, and none came of it.
+// settleOutcome drops an attempt that has no answer, unless it is too late, and returns the outcome to record. A
+// dropped attempt never ran, whatever ended it. It counts against the endpoint (NotConnected) only if the attempt
+// ended, with its request still open, while dialing or partly written.
 func (a *attempt) settleOutcome(outcome policy.Outcome) policy.Outcome {
 	partlyWritten := a.writeState.Load() == lastByteHeld
 	if outcome.IsAnswer() || !a.drop() || outcome == policy.NotConnected {
@@ -117,8 +117,8 @@
 	return policy.NotSent
 }
 
-// writeAttempt writes an attempt to its connection without waiting, unless it was dropped meanwhile. The caller does not
-// hold p.mu.
+// writeAttempt writes an attempt to its connection without blocking, unless it was dropped meanwhile. The caller must
+// not hold p.mu.
 func (p *Proxy) writeAttempt(attempt *attempt) {
 	if !attempt.claimWrite() {
 		return
@@ -130,7 +130,7 @@
 	case err != nil && (n == 0 || p.protocol.startsAtLastByte()):
 		p.failUnwritten(attempt, n, err)
 	case err != nil:
-		socket.Close() // its reader enters the end
+		socket.Close() // its reader handles the end
 	case n < len(buf):
 		// The endpoint does not read. The attempt's end closes the connection, and with it ends the goroutine.
 		if p.protocol.startsAtLastByte() {
@@ -160,7 +160,7 @@
 	case err != nil && p.protocol.startsAtLastByte():
 		p.failUnwritten(attempt, n, err)
 	case err != nil:
-		socket.Close() // its reader enters the end
+		socket.Close() // its reader handles the end
 	}
 }
 
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -26,12 +26,12 @@
 	"flintspread/internal/policy"
 )
 
-// The benchmarks' clients and endpoints parse as little as they can and allocate nothing, so that what is measured is what
-// lies between them.
+// The benchmarks' clients and endpoints parse as little as possible and allocate nothing, so that the proxy between
+// them is what is measured.
 
 var plainAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 8\r\n\r\nchute 17")
 
-// newQuickEndpoint answers each request without a body at once.
+// newQuickEndpoint starts an endpoint that answers each request without a body at once.
 func newQuickEndpoint(b *testing.B) net.Listener {
 	l, err := fakes.Serve(func(c net.Conn) {
 		br := bufio.NewReaderSize(c, 4096)
@@ -48,7 +48,7 @@
 	return l
 }
 
-// skipHead reads to a blank line and gives the length of the body that follows, -1 at the end.
+// skipHead reads up to a blank line and returns the length of the body that follows, or -1 at the end of the stream.
 func skipHead(br *bufio.Reader) int {
 	length := 0
 	for {
@@ -65,7 +65,8 @@
 	}
 }
 
-// runLoad sends b.N requests over so many connections, each one request at a time, and reports throughput and latency.
+// runLoad sends b.N requests over a number of connections, one request at a time on each, and reports throughput and
+// latency.
 func runLoad(b *testing.B, addr string, conns int) {
 	hist := make([]*hdrhistogram.Histogram, conns)
 	var left atomic.Int64
@@ -93,7 +94,7 @@
 				_, err := br.Discard(n)
 				return err == nil
 			}
-			once() // connections are made and warm
+			once() // open and warm up the connections
 			started.Done()
 			<-begin
 			for left.Add(-1) >= 0 {
@@ -124,7 +125,7 @@
 	b.ReportMetric(float64(hist[0].ValueAtQuantile(99)), "p99-µs")
 }
 
-// newBenchHarness starts a proxy in front of so many quick endpoints.
+// newBenchHarness starts a proxy in front of a number of quick endpoints.
 func newBenchHarness(b *testing.B, units int) *harness {
 	h := newHarness(b, func(s *config.Router) {
 		s.Endpoints.MaxConnsPerEndpoint, s.Clients.MaxConns, s.Rules.Routers = 1024, 4096, 1
@@ -137,7 +138,8 @@
 	return h
 }
 
-// BenchmarkProxies compares, with the same clients and endpoint: no proxy, the standard library's, this one.
+// BenchmarkProxies compares no proxy, the standard library's reverse proxy and this one, with the same clients and
+// endpoint.
 func BenchmarkProxies(b *testing.B) {
 	const conns = 256
 	b.Run("direct", func(b *testing.B) { runLoad(b, newQuickEndpoint(b).Addr().String(), conns) })
@@ -177,8 +179,8 @@
 	b.ReportMetric(float64(n.Rejected-before.Rejected)/float64(b.N), "nacked/op")
 }
 
-// BenchmarkLongLife measures a proxy whose endpoint list and keys keep changing; one operation is a day's worth: 200 endpoints replaced,
-// 2,000 keys met once. Memory is reported at the end, and is to stay flat as b.N grows.
+// BenchmarkLongLife measures a proxy whose endpoint list and keys keep changing. One operation is a day's worth: 200
+// endpoints replaced and 2,000 keys seen once. The memory reported at the end must stay flat as b.N grows.
 func BenchmarkLongLife(b *testing.B) {
 	h := newHarness(b, func(s *config.Router) {
 		s.Rules.OneWayKeys, s.Rules.MaxRememberedKeys, s.Rules.ForgetEndpointSeconds = true, 10000, 1.6
@@ -207,8 +209,8 @@
 	b.ReportMetric(float64(h.proxy.Stats().Endpoints), "units")
 }
 
-// BenchmarkOrder compares two ways to order the balancer's calls, for the two calls of a request from many goroutines: a
-// lock that the caller takes, and an owner goroutine that it asks over a channel.
+// BenchmarkOrder compares two ways to serialize the two balancer calls of a request from many goroutines: a mutex, and
+// an owner goroutine that is called over a channel.
 func BenchmarkOrder(b *testing.B) {
 	set := newHarness(b, nil).proxy.settings
 	fresh := func() *policy.Balancer {
--- a/internal/proxy/config_versions.go
+++ b/internal/proxy/config_versions.go
@@ -2,8 +2,9 @@
 
 import "flintspread/internal/configstate"
 
-// OfferConfig applies a configuration version, keeps it waiting, or rejects it, and says which. An applied version is in force
-// for every request accepted from then on, in one step; those in flight are served by their own to the end.
+// OfferConfig applies a configuration version, keeps it waiting or rejects it, and returns which. Applying is atomic:
+// every request accepted afterwards uses the new version, and requests in flight keep the version they were accepted
+// under.
 func (p *Proxy) OfferConfig(version *configstate.Version) (configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -14,14 +15,14 @@
 	return outcome, err
 }
 
-// CheckConfig says what OfferConfig would do with a version now.
+// CheckConfig returns what OfferConfig would do with a version now, without applying it.
 func (p *Proxy) CheckConfig(version *configstate.Version) (configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.configState.Check(version, p.configConditions())
 }
 
-// RecheckConfig looks again at the version that waits, and gives it with what became of it; nil: none waited.
+// RecheckConfig re-evaluates the waiting version and returns it with the outcome. The version is nil if none waited.
 func (p *Proxy) RecheckConfig() (*configstate.Version, configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,11 +33,11 @@
 	return version, outcome, err
 }
 
-// ConfigVersion is the version in force.
+// ConfigVersion returns the version in force.
 func (p *Proxy) ConfigVersion() *configstate.Version { return p.currentConfig.Load() }
 
-// useCurrentConfig puts the configuration state's version in force. The balancer gets it first, so that no request comes
-// under a version that it does not know. The caller holds p.mu.
+// useCurrentConfig puts the configuration state's current version in force. The balancer gets it first, so that no
+// request is accepted under a version that the balancer does not know. The caller holds p.mu.
 func (p *Proxy) useCurrentConfig() {
 	version := p.configState.Current()
 	p.balancer.SetConfig(version.Policy)
@@ -47,7 +48,7 @@
 	p.currentConfig.Store(version)
 }
 
-// configConditions is what a version would meet now. The caller holds p.mu.
+// configConditions returns the state that a new version is checked against. The caller holds p.mu.
 func (p *Proxy) configConditions() configstate.Conditions {
 	conditions := configstate.Conditions{InFlight: map[string]int{}, ClientConns: len(p.clients), ListVersion: p.endpointListVersion}
 	for class, n := range p.inFlightByClass {
--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkReader measures how a client's goroutine finds its request's configuration version and class, while versions are
-// swapped and while they are not.
+// BenchmarkReader measures how long a client's goroutine takes to find its request's configuration version and class,
+// with and without concurrent swaps of the version.
 func BenchmarkReader(b *testing.B) {
 	for _, swaps := range []bool{false, true} {
 		b.Run(fmt.Sprint("swaps-", swaps), func(b *testing.B) {
@@ -74,7 +74,8 @@
 	}
 }
 
-// BenchmarkApplyList measures a full endpoint list of which one in a hundred changed, from its arrival to the balancer.
+// BenchmarkApplyList measures applying a full endpoint list, of which one entry in a hundred changed, to the list, the
+// pools and the balancer.
 func BenchmarkApplyList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("endpoints-", n), func(b *testing.B) {
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// deadlineBatch is how many requests are looked at before the lock is offered to others.
+	// deadlineBatch is the number of due requests that are handled before the lock is released.
 	deadlineBatch = 64
 
-	// Idle endpoint connections are looked at so many times in their idle time, and at least so often.
+	// Idle endpoint connections are checked sweepsPerIdleTime times per idle timeout, and at least every
+	// maxIdleSweepSeconds.
 	sweepsPerIdleTime   = 4
 	maxIdleSweepSeconds = 1
 )
 
-// deadlineQueue orders requests by nextCheckAt, as a heap. A request stands in it once at most, so that it holds no more
-// than is in flight, and one timer serves all.
+// deadlineQueue is a heap of requests ordered by nextCheckAt. It holds each request at most once, and one timer serves
+// all of them.
 type deadlineQueue []*request
 
 // Len implements sort.Interface.
@@ -50,7 +51,7 @@
 	return request
 }
 
-// update puts a request where its next check belongs; 0 takes it out.
+// update sets a request's next check, and adds, moves or (for 0) removes the request accordingly.
 func (q *deadlineQueue) update(request *request, nextCheckAt float64) {
 	request.nextCheckAt = nextCheckAt
 	switch {
@@ -64,12 +65,12 @@
 	}
 }
 
-// due tells whether a request is to be looked at.
+// due reports whether the first request's check is due.
 func (q deadlineQueue) due(now float64) bool { return len(q) > 0 && q[0].nextCheckAt <= now }
 
-// scheduleCheck puts a request in the queue by what comes first: its balancer's wish to be asked again, or the deadline of an
-// attempt in flight. The latter counts also for completed requests: an endpoint that never answers must not hold its
-// connection for ever. The caller holds p.mu.
+// scheduleCheck queues a request for its next event: the instant at which the balancer wants to be asked again, or the
+// deadline of an attempt in flight. The latter also applies to completed requests, so that an endpoint that never
+// answers does not hold its connection forever. The caller holds p.mu.
 func (p *Proxy) scheduleCheck(request *request) {
 	next := 0.0
 	if !request.Completed {
@@ -89,7 +90,8 @@
 	}
 }
 
-// runTimer runs the one timer, for the balancer's periodic work and every request's deadlines, until Close.
+// runTimer runs the proxy's single timer, for the balancer's ticks, every request's deadlines and the idle sweep, until
+// Close.
 func (p *Proxy) runTimer() {
 	defer p.goroutines.Done()
 	timer := time.NewTimer(0)
@@ -105,7 +107,7 @@
 	}
 }
 
-// tick does all that is due, and gives the time until the next.
+// tick does everything that is due and returns the time until the next event.
 func (p *Proxy) tick() time.Duration {
 	for {
 		p.mu.Lock()
@@ -136,7 +138,7 @@
 	}
 }
 
-// checkDeadlines looks at the requests that are due, a batch at most. The caller holds p.mu.
+// checkDeadlines handles the requests that are due, at most deadlineBatch of them. The caller holds p.mu.
 func (p *Proxy) checkDeadlines(now float64) (batch []effects) {
 	for p.deadlines.due(now) && len(batch) < deadlineBatch {
 		request := heap.Pop(&p.deadlines).(*request)
@@ -147,8 +149,8 @@
 	return batch
 }
 
-// onDeadline looks at a request that is due: first at attempts past their deadline, then at the balancer's wish to be asked
-// again. The caller holds p.mu.
+// onDeadline handles a request whose check is due: it ends an attempt past its deadline or, failing that, asks the
+// balancer again if it wanted to be asked by now. The caller holds p.mu.
 func (p *Proxy) onDeadline(now float64, request *request, effects *effects) {
 	pickAgainAt := request.pickAgainAt
 	if pickAgainAt <= now {
@@ -156,7 +158,7 @@
 	}
 	for _, attempt := range request.attempts {
 		if attempt.inFlight() && attempt.deadline <= now {
-			p.endAttempt(now, attempt, policy.TimedOut, effects) // which asks the balancer
+			p.endAttempt(now, attempt, policy.TimedOut, effects) // which also asks the balancer
 			return
 		}
 	}
@@ -167,7 +169,7 @@
 	p.scheduleCheck(request)
 }
 
-// tickPolicy does the balancer's periodic work, and gives the vote to cast, if any. The caller holds p.mu.
+// tickPolicy samples the load, ticks the balancer and returns the vote to cast, or nil. The caller holds p.mu.
 func (p *Proxy) tickPolicy(now float64) *releases.Vote {
 	p.sampleLoad(now)
 	from := time.Now()
@@ -186,7 +188,7 @@
 	return &releases.Vote{Build: result.Build, Stage: result.Stage, Verdict: result.Verdict}
 }
 
-// nextTickAt is when something is due next. The caller holds p.mu.
+// nextTickAt returns the instant at which something is due next. The caller holds p.mu.
 func (p *Proxy) nextTickAt() float64 {
 	next := min(p.policyTickAt, p.idleSweepAt)
 	if len(p.deadlines) > 0 {
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -1,15 +1,16 @@
 package proxy
 
-// effects is what is left to do once the lock is given back: connections to close, attempts to write, an answer to deliver.
+// effects collects the work to do after Proxy.mu is released: connections to close, attempts to write, an answer to
+// deliver.
 type effects struct {
 	connsToClose    []*endpointConn
 	attemptsToWrite []*attempt
 	answer          answer
-	answeredRequest *request // the answer's; nil: there is no answer to deliver
+	answeredRequest *request // the request that answer is for; nil: there is none to deliver
 }
 
-// runEffects carries effects out. The caller does not hold p.mu. A connection is closed before the answer that makes it
-// needless goes out, so that nothing of a request reaches an endpoint after its answer reached the client.
+// runEffects carries out effects. The caller must not hold p.mu. Connections are closed before the answer is delivered,
+// so that no byte of a request reaches an endpoint after the client got its answer.
 func (p *Proxy) runEffects(effects *effects) {
 	for _, conn := range effects.connsToClose {
 		conn.close()
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -10,21 +10,21 @@
 	"flintspread/internal/policy"
 )
 
-// endpointConn is one connection to an endpoint, for one attempt at a time. Its goroutine dials and reads; attempts are
-// written by whoever assigned or sent them.
+// endpointConn is a connection to an endpoint that serves one attempt at a time. Its own goroutine dials and reads; any
+// goroutine may write an attempt.
 type endpointConn struct {
 	pool   *endpointPool
-	socket atomic.Pointer[socket] // nil until the connection is made
+	socket atomic.Pointer[socket] // nil until connected
 	closed atomic.Bool
 
 	// Guarded by Proxy.mu.
-	attempt   *attempt // whose answer is next; nil: it is idle, or removed
+	attempt   *attempt // the one whose answer is awaited; nil: idle or removed
 	dialing   bool
-	removed   bool    // from its pool, for good
-	idleSince float64 // when it got its last answer
+	removed   bool    // from its pool, permanently
+	idleSince float64 // when its last answer arrived
 }
 
-// close ends the connection, also one that is still to be made.
+// close closes the connection. One that is still being dialed is closed once the dial completes.
 func (conn *endpointConn) close() {
 	conn.closed.Store(true)
 	if s := conn.socket.Load(); s != nil {
@@ -32,14 +32,14 @@
 	}
 }
 
-// unusable tells whether an idle connection's endpoint has closed it, or sent what nobody asked for: an attempt written to
-// it would be lost, or get another one's answer.
+// unusable reports whether the endpoint has closed an idle connection or sent unsolicited bytes on it. An attempt
+// written to it would be lost, or receive another attempt's answer.
 func (conn *endpointConn) unusable() bool {
 	s := conn.socket.Load()
 	return s == nil || s.hasUnreadOrClosed()
 }
 
-// dial has a new connection of a pool made, for an attempt. The caller holds p.mu.
+// dial starts a new connection of a pool for an attempt, in its own goroutine. The caller holds p.mu.
 func (p *Proxy) dial(pool *endpointPool, attempt *attempt) {
 	pool.connCount++
 	p.stats.Dials++
@@ -50,7 +50,7 @@
 	go p.serveEndpointConn(conn)
 }
 
-// serveEndpointConn makes a connection, and reads answers from it until it ends.
+// serveEndpointConn dials a connection and reads answers from it until it ends.
 func (p *Proxy) serveEndpointConn(conn *endpointConn) {
 	defer p.goroutines.Done()
 	timeout := secondsToDuration(p.currentConfig.Load().Document.Endpoints.DialTimeoutSeconds)
@@ -60,8 +60,8 @@
 	}
 }
 
-// onDialed enters the end of a dial, and has the attempt written that waits for it. It returns nil if there is no connection
-// to go on with: the dial failed, or nobody wants it any more.
+// onDialed records the result of a dial and writes the attempt that waits for it. It returns nil if there is no
+// connection to serve: the dial failed, or the connection is no longer needed.
 func (p *Proxy) onDialed(conn *endpointConn, netConn net.Conn, err error) *socket {
 	p.mu.Lock()
 	conn.dialing = false
@@ -92,9 +92,9 @@
 	return &sock
 }
 
-// dialOutcome is the outcome of an attempt that got no connection. It counts against the endpoint only if the dial failed
-// there: not where the endpoint left, drains or was replaced meanwhile (err is nil), nor where this process has no
-// descriptors left.
+// dialOutcome returns the outcome of an attempt that got no connection. It counts against the endpoint (NotConnected)
+// unless the endpoint left, drained or was replaced meanwhile (err is nil), or the host or this process ran out of file
+// descriptors.
 func dialOutcome(err error) policy.Outcome {
 	if err == nil || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent
@@ -102,7 +102,7 @@
 	return policy.NotConnected
 }
 
-// readAnswers reads and enters the answers on a connection until it ends.
+// readAnswers reads and handles the answers on a connection until it ends.
 func (p *Proxy) readAnswers(conn *endpointConn, socket *socket) {
 	p.memory.add(connOverheadBytes)
 	defer p.memory.add(-connOverheadBytes)
@@ -114,15 +114,15 @@
 	}
 }
 
-// readNextAnswer waits for an answer, reads and enters it, and tells whether the connection goes on.
+// readNextAnswer blocks for the next answer and handles it. It reports whether the connection can be used further.
 func (p *Proxy) readNextAnswer(conn *endpointConn, socket *socket, reader *limitedReader, br *bufio.Reader) bool {
-	// Bytes stay in the kernel until it is known whose they are. Taken before, they would be hidden from unusable, and pass
-	// for the answer to an attempt that is sent in that moment.
+	// Bytes stay in the kernel until the attempt they belong to is known. If they were read earlier, unusable would not
+	// see them, and they could pass for the answer to an attempt that is written at that moment.
 	err := socket.waitReadable()
 	p.mu.Lock()
 	attempt := conn.attempt
 	p.mu.Unlock()
-	if err != nil || attempt == nil { // closed, or an answer nobody asked for
+	if err != nil || attempt == nil { // closed, or an unsolicited answer
 		p.onConnLost(conn, attempt)
 		return false
 	}
@@ -140,18 +140,19 @@
 	return true
 }
 
-// onAnswer enters an attempt's whole answer, and tells whether the connection goes on.
+// onAnswer handles an attempt's complete answer. It reports whether the connection can be used further.
 func (p *Proxy) onAnswer(conn *endpointConn, attempt *attempt, reply endpointAnswer) bool {
 	p.mu.Lock()
 	now := p.Now()
-	if conn.attempt != attempt { // it was given up while the answer was read
+	if conn.attempt != attempt { // the attempt ended while its answer was read
 		p.stats.LateAnswers++
 		p.mu.Unlock()
 		return false
 	}
 	var effects effects
 	conn.attempt, attempt.conn = nil, nil
-	// Where an endpoint answered before the attempt was written whole, the rest of it may still be on the connection.
+	// If the endpoint answered before the attempt was fully written, the rest may still be in transit on the
+	// connection.
 	goesOn := reply.reusable && !conn.removed && conn.pool.usable && attempt.writeState.Load() == written
 	if goesOn {
 		conn.idleSince = now
@@ -171,7 +172,7 @@
 	return goesOn
 }
 
-// onConnLost enters the end of a connection; attempt is the one whose answer was to come, or nil.
+// onConnLost handles the end of a connection. attempt is the one whose answer was awaited, or nil.
 func (p *Proxy) onConnLost(conn *endpointConn, attempt *attempt) {
 	p.mu.Lock()
 	var effects effects
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -8,20 +8,20 @@
 // The states of an endpoint as its list names them.
 const ()
 
-// endpointPool is the connections to one endpoint process. It is guarded by Proxy.mu.
+// endpointPool holds the connections to one endpoint process. It is guarded by Proxy.mu.
 type endpointPool struct {
 	id        uint32
 	addr      string
-	usable    bool // attempts may be sent: the list has the endpoint as this process, and it does not drain
+	usable    bool // attempts may be sent: the process is in the endpoint list and is not draining
 	build     int
 	startedAt float64
 	zone      uint16
 	cell      uint16
-	idle      []*endpointConn // the longest idle first; the last one is used first
-	connCount int             // idle ones, those with an attempt, and those being dialled
+	idle      []*endpointConn // longest idle first; the last one is reused first
+	connCount int             // idle, busy and dialing connections
 }
 
-// updatePool brings the pools in step with an entry of the endpoint list. The caller holds p.mu.
+// updatePool updates an endpoint's pool to match its entry in the endpoint list. The caller holds p.mu.
 func (p *Proxy) updatePool(endpoint endpoints.Endpoint, effects *effects) {
 	pool := p.pools[endpoint.ID]
 	if endpoint.State == endpoints.StateGone {
@@ -31,7 +31,7 @@
 		return
 	}
 	if pool != nil && !pool.sameProcess(endpoint) {
-		// Attempts in flight at the earlier process end there, and their connections with them.
+		// Attempts in flight at the previous process run to their end; their connections are not reused.
 		pool.usable = false
 		for len(pool.idle) > 0 {
 			p.removeConn(pool.idle[0], effects)
@@ -49,7 +49,7 @@
 	return pool.addr == endpoint.Addr && pool.build == endpoint.Build && pool.startedAt == endpoint.StartedAt
 }
 
-// removeUnusedPools forgets endpoints that are not usable and have no connection any more. The caller holds p.mu.
+// removeUnusedPools removes the pools that are not usable and have no connections left. The caller holds p.mu.
 func (p *Proxy) removeUnusedPools() {
 	for id, pool := range p.pools {
 		if !pool.usable && pool.connCount == 0 {
@@ -58,7 +58,8 @@
 	}
 }
 
-// closeIdleConns closes connections that have been idle for too long, or whose endpoint is not usable. The caller holds p.mu.
+// closeIdleConns closes connections that exceeded the idle timeout or whose endpoint is no longer usable. The caller
+// holds p.mu.
 func (p *Proxy) closeIdleConns(now float64, effects *effects) {
 	idleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds
 	for _, pool := range p.pools {
@@ -73,7 +74,7 @@
 	p.removeUnusedPools()
 }
 
-// removeConn takes a connection out of its pool, and has it closed. The caller holds p.mu.
+// removeConn removes a connection from its pool and adds it to the connections to close. The caller holds p.mu.
 func (p *Proxy) removeConn(conn *endpointConn, effects *effects) {
 	if conn.removed {
 		return
@@ -91,8 +92,8 @@
 	effects.connsToClose = append(effects.connsToClose, conn)
 }
 
-// assignConn gives an attempt a connection: an idle one or, within the limits, a new one. It returns false if there is
-// none, or the endpoint is not usable any more. The caller holds p.mu.
+// assignConn assigns a connection to an attempt: an idle one or, within the limits, a new one. It returns false if
+// there is none or the endpoint is no longer usable. The caller holds p.mu.
 func (p *Proxy) assignConn(attempt *attempt, effects *effects) bool {
 	pool := p.pools[attempt.endpointID]
 	if pool == nil || !pool.usable {
@@ -111,9 +112,9 @@
 	return true
 }
 
-// takeIdleConn takes the connection that was used last out of a pool's idle ones, and closes those that it meets and that
-// are of no more use. One that is within its reuse delay stays: what else its endpoint sends would be taken for this
-// attempt's answer. The caller holds p.mu.
+// takeIdleConn removes the most recently used connection from the pool's idle list and returns it, or nil. On the way
+// it closes connections that are no longer usable. It skips one that is within its reuse delay: anything else that the
+// endpoint sends would be taken for the new attempt's answer. The caller holds p.mu.
 func (p *Proxy) takeIdleConn(pool *endpointPool, now, maxIdleSeconds float64, effects *effects) *endpointConn {
 	for n := len(pool.idle); n > 0; n-- {
 		conn := pool.idle[n-1]
@@ -121,7 +122,7 @@
 		if idleSeconds < p.connReuseDelaySeconds {
 			continue
 		}
-		// Neither the sweep of idle connections nor the connection's reader may have come to it yet.
+		// The idle sweep and the connection's reader may not have noticed this yet.
 		if idleSeconds > maxIdleSeconds || conn.unusable() {
 			p.removeConn(conn, effects)
 			continue
@@ -132,14 +133,14 @@
 	return nil
 }
 
-// mayDial tells whether the limit on all endpoint connections allows one more, closing an idle one where needed. The
+// mayDial reports whether the limit on all endpoint connections allows one more. It closes an idle one if needed. The
 // caller holds p.mu.
 func (p *Proxy) mayDial(limits *config.Endpoints, effects *effects) bool {
 	return limits.MaxConns <= 0 || len(p.endpointConns) < limits.MaxConns || p.removeLongestIdle(effects)
 }
 
-// removeLongestIdle closes the connection that has been idle longest of all. It returns false if none is idle. The caller
-// holds p.mu.
+// removeLongestIdle closes the connection that has been idle longest in any pool. It returns false if none is idle. The
+// caller holds p.mu.
 func (p *Proxy) removeLongestIdle(effects *effects) bool {
 	var longest *endpointConn
 	for _, pool := range p.pools {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -28,7 +28,7 @@
 	done      chan error
 }
 
-// scriptedEndpoint is an endpoint that plays a script on each connection, and records the requests that it read.
+// scriptedEndpoint is an endpoint that runs a script on each connection and records the requests that it reads.
 type scriptedEndpoint struct {
 	id       uint32
 	listener net.Listener
@@ -58,7 +58,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// startHarness has a proxy serve a listener until the test ends.
+// startHarness serves a proxy on a listener until the test ends.
 func startHarness(t testing.TB, r *Proxy) *harness {
 	h := &harness{t: t, proxy: r, endpoints: map[uint32]*scriptedEndpoint{}, done: make(chan error, 1)}
 	var err error
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, false
 	}
-	_, err = io.Copy(io.Discard, req.Body) // one that is cut counts, too
+	_, err = io.Copy(io.Discard, req.Body) // a truncated body counts, too
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
 	endpoint.requests = append(endpoint.requests, req.Method+" "+req.RequestURI)
@@ -118,7 +118,7 @@
 	return strings.Join(endpoint.requests, "\n")
 }
 
-// answerPath answers everything with the path.
+// answerPath answers every request with its path.
 func answerPath(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 	for {
 		req, ok := endpoint.readRequest(br)
@@ -129,7 +129,7 @@
 	}
 }
 
-// answerHTTP answers everything with a text.
+// answerHTTP answers every request with a fixed text.
 func answerHTTP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
 	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for {
@@ -141,28 +141,28 @@
 	}
 }
 
-// writeText writes to a peer that may have closed: tests check what the peer got.
+// writeText writes to a peer that may have closed, and ignores errors: tests check what the peer received.
 func writeText(w io.Writer, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		return
 	}
 }
 
-// resetOnClose has a connection end with a reset.
+// resetOnClose makes a connection's Close send a reset.
 func resetOnClose(c net.Conn) {
 	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 		panic(err)
 	}
 }
 
-// setReadBuffer bounds what the kernel takes for a connection that is not read.
+// setReadBuffer bounds what the kernel buffers for a connection that is not read.
 func setReadBuffer(c net.Conn, bytes int) {
 	if err := c.(*net.TCPConn).SetReadBuffer(bytes); err != nil {
 		panic(err)
 	}
 }
 
-// testClient is a client's connection.
+// testClient is a client connection.
 type testClient struct {
 	net.Conn
 	br *bufio.Reader
@@ -179,7 +179,7 @@
 	return &testClient{c, bufio.NewReader(c), h.t}
 }
 
-// Requests of each idempotency by the example settings' routes.
+// Requests of each idempotency, as routed by the example settings.
 const (
 	idempotentRequest    = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
 	keyedRequest         = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
@@ -194,7 +194,7 @@
 	writeText(c, head+"\r\n"+body)
 }
 
-// readAnswer reads one answer: status, kind and body.
+// readAnswer reads one answer and returns its status, kind and body.
 func (c *testClient) readAnswer() string {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -217,7 +217,7 @@
 	return c.readAnswer()
 }
 
-// eventually waits for something to become true.
+// eventually waits until a condition becomes true.
 func (h *harness) eventually(what string, is func() bool) {
 	h.t.Helper()
 	for range 500 {
--- a/internal/proxy/http.go
+++ b/internal/proxy/http.go
@@ -10,8 +10,8 @@
 	"flintspread/internal/policy"
 )
 
-// http1 is HTTP/1.1 to clients and endpoints, as docs/protocol.md describes it. A client connection has one request in
-// flight; further ones wait in the kernel.
+// http1 is HTTP/1.1 to clients and endpoints, as described in docs/protocol.md. A client connection has one request in
+// flight at a time; further ones wait in the kernel.
 type http1 struct{}
 
 const (
@@ -20,7 +20,7 @@
 )
 
 func (http1) wakeReader(conn *clientConn) {
-	if !conn.reading { // a message that has begun to come may come whole
+	if !conn.reading { // a message that is being read may still complete
 		conn.socket.SetReadDeadline(time.Now())
 	}
 }
@@ -56,7 +56,7 @@
 	return append(buf, message.body...)
 }
 
-// readAnswer reads an endpoint's response. One that says that the request never ran is an overload, other 5xx are errors.
+// readAnswer reads an endpoint's response. One marked as never run counts as Overloaded, any other 5xx as ServerError.
 func (http1) readAnswer(br *bufio.Reader, reader *limitedReader, attempt *attempt) (endpointAnswer, error) {
 	config := attempt.request.config
 	response, err := readHTTPAnswer(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.MaxAnswerBytes)
--- a/internal/proxy/http_conn.go
+++ b/internal/proxy/http_conn.go
@@ -12,10 +12,10 @@
 	"flintspread/internal/policy"
 )
 
-// noReadLimit lets a limitedReader read on.
+// noReadLimit lifts a limitedReader's bound.
 const noReadLimit = math.MaxInt64
 
-// serveClient serves one request after the other.
+// serveClient serves a connection's requests one at a time.
 func (proto http1) serveClient(conn *clientConn) {
 	reader := &limitedReader{source: conn.socket.Conn, memory: &conn.proxy.memory}
 	defer reader.release()
@@ -25,13 +25,13 @@
 	}
 }
 
-// serveRequest waits for a request, serves it, and tells whether the connection goes on.
+// serveRequest waits for a request and serves it. It reports whether the connection stays open.
 func (proto http1) serveRequest(conn *clientConn, br *bufio.Reader, reader *limitedReader) bool {
 	p := conn.proxy
 	limits := &p.currentConfig.Load().Document.Clients
 	reader.remaining = noReadLimit
 	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTimeoutSeconds)))
-	// A shutdown ends this wait by the clock; what had come by then is served.
+	// A shutdown ends this wait with a read deadline; a request that has arrived by then is still served.
 	if _, err := br.Peek(1); err != nil && !conn.socket.hasUnread() {
 		return false
 	}
@@ -45,7 +45,7 @@
 		return false
 	}
 	p.mu.Lock()
-	conn.reading = true // a shutdown lets the message come whole
+	conn.reading = true // a shutdown lets the message complete
 	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.ReadTimeoutSeconds)))
 	p.mu.Unlock()
 	message, err := readHTTPMessage(br, reader, limits.HeadBytes, limits.BodyBytes, func() {
@@ -59,7 +59,7 @@
 	return proto.handleMessage(conn, br, reader, message) && !conn.closeAfterAnswer
 }
 
-// handleMessage has a message served, and tells whether the connection goes on.
+// handleMessage serves a message and waits for its answer. It reports whether the connection stays open.
 func (proto http1) handleMessage(conn *clientConn, br *bufio.Reader, reader *limitedReader, message *message) bool {
 	p := conn.proxy
 	if message.closeAfter {
@@ -76,7 +76,8 @@
 	conn.socket.SetReadDeadline(time.Time{})
 	reader.remaining = noReadLimit
 	request := p.accept(conn, message, config, class, nil)
-	// Watches for the client's leaving while the request is in flight. More bytes are its next request; they wait.
+	// Detects a client that disconnects while its request is in flight. Bytes that arrive are its next request; they
+	// wait.
 	_, gone := br.Peek(1)
 	if gone != nil && p.abandonRequest(request) {
 		return false
@@ -85,8 +86,8 @@
 	return gone == nil && !conn.writeFailed
 }
 
-// checkClass gives the answer to a message that can't be served as a request of a class (negative: there is no such class),
-// or an empty one.
+// checkClass returns the error answer to a message that can't be served as a request of a class, or an empty answer. A
+// negative class means that no route matches.
 func checkClass(config *configstate.Version, class int, message *message) answer {
 	if class < 0 {
 		return newHTTPAnswer(http.StatusNotFound, "", "no route for "+message.method+" "+message.path, 0)
@@ -104,8 +105,8 @@
 	return newHTTPAnswer(http.StatusOK, "", "noted", 0)
 }
 
-// rejectUnreadable answers a message that can't be read, and lets its sender see the answer. An err of the connection itself
-// gets none.
+// rejectUnreadable answers a message that can't be read, and lingers so that the client sees the answer. A failure of
+// the connection itself gets no answer.
 func (http1) rejectUnreadable(conn *clientConn, err error) {
 	p := conn.proxy
 	var invalid *requestError
@@ -124,7 +125,8 @@
 	conn.linger()
 }
 
-// answerDirectly answers a message that is no request, waits until that is written, and tells whether the connection goes on.
+// answerDirectly answers a message that is not forwarded and waits until the answer is written. It reports whether the
+// write succeeded.
 func (proto http1) answerDirectly(conn *clientConn, answer answer) bool {
 	conn.proxy.mu.Lock()
 	conn.proxy.stats.InvalidRequests++
@@ -135,11 +137,12 @@
 	return !conn.writeFailed
 }
 
-// writeAnswer writes an answer without waiting. What the kernel does not take at once is written by a goroutine of its own,
-// for as long as a message may take to come.
+// writeAnswer writes an answer without blocking. A separate goroutine writes what the kernel does not accept at once,
+// within the clients' read timeout.
 func (proto http1) writeAnswer(conn *clientConn, answer answer) {
 	p := conn.proxy
-	// From here on the connection is idle, also for the read that watches it; or that read is to end.
+	// From here on the connection is idle, so the pending Peek in handleMessage gets the idle timeout. If the
+	// connection is to close, the Peek ends at once.
 	until := time.Now()
 	if conn.closeAfterAnswer {
 		answer = answer.withConnectionClose()
@@ -157,7 +160,7 @@
 	proto.onAnswerWritten(conn, err)
 }
 
-// writeRemaining writes an answer from byte n on, to a client that reads slowly.
+// writeRemaining writes an answer from byte n on, to a slow client.
 func (proto http1) writeRemaining(conn *clientConn, buf []byte, n int) {
 	p := conn.proxy
 	defer p.goroutines.Done()
@@ -168,7 +171,7 @@
 	proto.onAnswerWritten(conn, err)
 }
 
-// onAnswerWritten lets the connection's reader go on, or end where the answer could not be written.
+// onAnswerWritten signals the connection's goroutine that the answer was written or, if err is set, failed to be.
 func (http1) onAnswerWritten(conn *clientConn, err error) {
 	conn.writeFailed = err != nil
 	if conn.writeFailed {
--- a/internal/proxy/http_message.go
+++ b/internal/proxy/http_message.go
@@ -16,16 +16,16 @@
 	"flintspread/internal/configstate"
 )
 
-// The headers and paths of the HTTP protocol; docs/protocol.md describes them to users.
+// The headers and paths of the HTTP protocol, documented for users in docs/protocol.md.
 const (
 	headerTime           = "Flint-Time"   // from clients: seconds until they give up; to endpoints: seconds left
-	headerWork           = "Flint-Work"   // from clients: seconds that the request is expected to take
-	headerKey            = "Flint-Key"    // from clients: what the request concerns
+	headerWork           = "Flint-Work"   // from clients: expected work in seconds
+	headerKey            = "Flint-Key"    // from clients: the key that the request is about
 	headerRepeat         = "Flint-Repeat" // from clients: it is a retry
 	headerIdempotencyKey = "Idempotency-Key"
 	headerAnswer         = "Flint-Answer"    // to clients: the kind of answer
-	headerReceipt        = "Flint-Receipt"   // to clients: names the attempt; from clients: of which a wrong answer is reported
-	headerPause          = "Flint-Pause"     // to clients: as Retry-After, with fractions
+	headerReceipt        = "Flint-Receipt"   // identifies an attempt; clients send it back to report a wrong answer
+	headerPause          = "Flint-Pause"     // to clients: like Retry-After, with fractions of a second
 	headerVersion        = "Flint-Version"   // to clients: the configuration version that served the request
 	headerNeverRan       = "Flint-Never-Ran" // from endpoints, with 503: they have not begun the request
 
@@ -34,13 +34,13 @@
 )
 
 const (
-	maxHeaderSeconds = 1e6 // a time header from here on is no number of seconds
+	maxHeaderSeconds = 1e6 // a time header must be below this
 
-	answerHeadBytes  = 64 << 10 // of an endpoint's response, besides its body
-	encodedHeadBytes = 512      // that most heads fit in
+	answerHeadBytes  = 64 << 10 // bound on the head of an endpoint's response
+	encodedHeadBytes = 512      // initial buffer size; most heads fit
 )
 
-// requestError is the answer to a message that can't be a request.
+// requestError is the status and reason that answer an invalid message.
 type requestError struct {
 	status int
 	reason string
@@ -49,8 +49,9 @@
 // Error implements error.
 func (e *requestError) Error() string { return e.reason }
 
-// readHTTPMessage reads one request, and encodes it for endpoints. A *requestError says which answer its sender gets; any other
-// error is the connection's. onContinue is called where the sender waits for a 100 before it sends the body.
+// readHTTPMessage reads one request and encodes it for endpoints. A *requestError holds the answer for the client; any
+// other error is a failure of the connection. onContinue is called if the client waits for a 100 status before it sends
+// the body.
 func readHTTPMessage(br *bufio.Reader, reader *limitedReader, headBytes, bodyBytes int64, onContinue func()) (*message, error) {
 	reader.remaining, reader.limitReached = headBytes, false
 	request, err := http.ReadRequest(br)
@@ -87,7 +88,7 @@
 	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body above %d bytes", bodyBytes)}
 }
 
-// checkExpectation calls onContinue where a sender waits for it, and refuses other expectations.
+// checkExpectation calls onContinue if the client waits for it, and rejects unknown expectations.
 func checkExpectation(request *http.Request, br *bufio.Reader, onContinue func()) error {
 	expectation := request.Header.Get("Expect")
 	if expectation == "" {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// readHTTPBody reads a body. It grows as bytes come: a length that is only claimed reserves nothing.
+// readHTTPBody reads a body. Its buffer grows as bytes arrive, so that a claimed length alone allocates nothing.
 func readHTTPBody(request *http.Request, reader *limitedReader, bodyBytes int64) ([]byte, error) {
 	if request.ContentLength == 0 {
 		return nil, nil
@@ -117,7 +118,7 @@
 	return body, nil
 }
 
-// setHeaders takes from the headers what concerns the proxy.
+// setHeaders sets the fields that come from the headers the proxy interprets.
 func (m *message) setHeaders(headers http.Header) (err error) {
 	if m.timeoutSeconds, err = parseSecondsHeader(headers, headerTime); err != nil {
 		return err
@@ -126,7 +127,7 @@
 		return err
 	}
 	if key := headers.Get(headerKey); key != "" {
-		m.keyHash = max(1, xxhash.Sum64String(key)) // 0 is none
+		m.keyHash = max(1, xxhash.Sum64String(key)) // 0 means no key
 	}
 	m.hasIdempotencyKey = headers.Get(headerIdempotencyKey) != ""
 	m.clientRetry = headers.Get(headerRepeat) != ""
@@ -134,21 +135,21 @@
 	return nil
 }
 
-// parseSecondsHeader reads a time header, 0 if it is absent. An absurd value is refused, not trimmed: its sender counts in
-// other units.
+// parseSecondsHeader parses a header in seconds and returns 0 if it is absent. An implausible value is rejected rather
+// than clamped: its sender probably uses another unit.
 func parseSecondsHeader(headers http.Header, name string) (float64, error) {
 	text := headers.Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(value > 0 && value < maxHeaderSeconds) { // also where it is no number
+	if err != nil || !(value > 0 && value < maxHeaderSeconds) { // rejects NaN, too
 		return 0, &requestError{http.StatusBadRequest, fmt.Sprintf("%s: %q is no number of seconds above 0", name, text)}
 	}
 	return value, nil
 }
 
-// encodeHead gives a request's head as endpoints get it, but for the remaining time and the blank line.
+// encodeHead encodes a request's head for endpoints, without the remaining time and the final blank line.
 func encodeHead(request *http.Request, bodyBytes int) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Grow(encodedHeadBytes)
@@ -162,14 +163,14 @@
 	return buf.Bytes(), nil
 }
 
-// hopByHopHeaders are not passed on: they concern one connection only, or are written anew.
+// hopByHopHeaders are not forwarded: they apply to one connection only, or the proxy writes its own.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Host": true,
 	headerTime: true, headerVersion: true, headerAnswer: true, headerReceipt: true, headerPause: true,
 }
 
-// writeHeaders writes the headers that are passed on: all but the hop-by-hop ones, and those that Connection names.
+// writeHeaders writes the headers to forward: all but the hop-by-hop ones and those listed in Connection.
 func writeHeaders(buf *bytes.Buffer, headers http.Header) error {
 	skip := hopByHopHeaders
 	if connection := headers["Connection"]; connection != nil {
@@ -189,15 +190,16 @@
 	return nil
 }
 
-// httpResponse is an endpoint's response in the form that clients get.
+// httpResponse is an endpoint's response, encoded for the client.
 type httpResponse struct {
 	answer    answer
 	status    int
-	neverRan  bool // the endpoint says that it has not begun the request
-	keepAlive bool // the connection may be used again
+	neverRan  bool // the endpoint reports that it has not started the request
+	keepAlive bool // the connection may be reused
 }
 
-// readHTTPAnswer reads an endpoint's response to a request of a method, with a body of so many bytes at most.
+// readHTTPAnswer reads an endpoint's response to a request with the given method. A body above maxBodyBytes is an
+// error.
 func readHTTPAnswer(br *bufio.Reader, reader *limitedReader, method, receipt string, maxBodyBytes int64) (httpResponse, error) {
 	reader.remaining = maxBodyBytes + answerHeadBytes
 	response, err := readFinalResponse(br, &http.Request{Method: method})
@@ -223,7 +225,7 @@
 	}, nil
 }
 
-// readFinalResponse reads a response's head, and skips informational ones before it.
+// readFinalResponse reads a response's head, skipping informational (1xx) responses before it.
 func readFinalResponse(br *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(br, request)
@@ -239,7 +241,7 @@
 	}
 }
 
-// encodeResponse gives an endpoint's response as clients get it, but for the configuration version.
+// encodeResponse encodes an endpoint's response for the client, without the configuration version.
 func encodeResponse(response *http.Response, body []byte, method, receipt string) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Grow(encodedHeadBytes + len(body))
@@ -259,8 +261,8 @@
 	return buf.Bytes(), nil
 }
 
-// newHTTPAnswer makes an answer of the proxy's own. kind is empty for answers to what was no request; retryAfterSeconds goes
-// with rejections only.
+// newHTTPAnswer creates an answer of the proxy's own. kind is empty if the message was not accepted as a request.
+// retryAfterSeconds is used for rejections only.
 func newHTTPAnswer(status int, kind, text string, retryAfterSeconds float64) answer {
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n",
@@ -275,15 +277,15 @@
 	return answer{bytes: buf.Bytes(), kind: kind}
 }
 
-// withConnectionClose adds that the connection ends with this answer.
+// withConnectionClose adds a Connection: close header.
 func (a answer) withConnectionClose() answer { return a.withHeaderLine("Connection: close\r\n") }
 
-// withConfigVersion adds the configuration version that served the request.
+// withConfigVersion adds a header with the configuration version that served the request.
 func (a answer) withConfigVersion(config *configstate.Version) answer {
 	return a.withHeaderLine(headerVersion + ": " + strconv.FormatUint(config.Number, 10) + "\r\n")
 }
 
-// withHeaderLine gives a copy of an HTTP answer with a header line behind the status line.
+// withHeaderLine returns a copy of an HTTP answer with a header line inserted after the status line.
 func (a answer) withHeaderLine(line string) answer {
 	statusEnd := bytes.Index(a.bytes, []byte("\r\n")) + len("\r\n")
 	out := make([]byte, 0, len(a.bytes)+len(line))
--- a/internal/proxy/http_message_test.go
+++ b/internal/proxy/http_message_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// FuzzReadRequest checks that an endpoint reads what the proxy passes on as the proxy did: one message, with the same method,
-// target and body. A proxy and a server that split a stream differently allow request smuggling.
+// FuzzReadRequest checks that an endpoint parses a forwarded request as the proxy did: one message with the same
+// method, target and body. A proxy and a server that split a stream differently allow request smuggling.
 func FuzzReadRequest(f *testing.F) {
 	for _, s := range []string{
 		idempotentRequest + "\r\n", keyedRequest + "\r\nok", nonIdempotentRequest + "\r\nok", "GET / HTTP/1.0\r\n\r\n",
--- a/internal/proxy/http_receipt.go
+++ b/internal/proxy/http_receipt.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// receiptOf names an attempt to the client that gets its answer, for a report of a wrong answer.
+// receiptOf returns an attempt's receipt, which the client sends back to report a wrong answer.
 func receiptOf(attempt *attempt) string {
 	return fmt.Sprintf("%d-%.3f", attempt.endpointID, attempt.startedAt)
 }
 
-// reportWrongAnswerByReceipt enters a client's report of a wrong answer by the receipt that came with it. The error is for
-// the client: it says what is wrong with the receipt.
+// reportWrongAnswerByReceipt records a client's report of a wrong answer, identified by the receipt of that answer. An
+// error says what is wrong with the receipt; its text is sent to the client.
 func (p *Proxy) reportWrongAnswerByReceipt(receipt string) error {
 	var endpointID uint32
 	var startedAt float64
@@ -19,7 +19,7 @@
 	defer p.mu.Unlock()
 	age := p.Now() - startedAt
 	longest := p.currentConfig.Load().Document.Rules.ForgetEndpointSeconds
-	if !(age >= 0 && age < longest) { // also where age is no number
+	if !(age >= 0 && age < longest) { // rejects NaN, too
 		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, longest)
 	}
 	p.countWrongAnswer(endpointID, age)
--- a/internal/proxy/http_shed.go
+++ b/internal/proxy/http_shed.go
@@ -10,17 +10,17 @@
 	"flintspread/internal/policy"
 )
 
-// shedResult is what shedUnparsed did with a request.
+// shedResult is the outcome of shedUnparsed.
 type shedResult int
 
 const (
-	shedUndecided shedResult = iota // the request is to be read, and asked about
-	shedAdmitted                    // it is to be read, and not to be asked about again
-	shedKeepConn                    // it was answered, and the connection goes on
-	shedEndConn                     // it was answered, and the connection is to end
+	shedUndecided shedResult = iota // parse the request, then ask for admission
+	shedAdmitted                    // parse the request; it is admitted already
+	shedKeepConn                    // the request was answered; the connection stays open
+	shedEndConn                     // the request was answered; the connection must close
 )
 
-// scannedRequest is what load shedding needs to know of a request.
+// scannedRequest holds what load shedding needs to know of a request.
 type scannedRequest struct {
 	class          int
 	timeoutSeconds float64
@@ -29,9 +29,9 @@
 	contentLength  int
 }
 
-// shedUnparsed asks the shedder about a request before it is read as one, and answers it if it is to be shed: under
-// overload, what is shed must cost far less than what is served. It looks only at requests that lie whole in the buffer, and
-// leaves all that are in any way unusual to be read.
+// shedUnparsed asks the shedder about a request before it is parsed, and answers it if it is shed: under overload,
+// shedding a request must cost far less than serving it. It considers only requests that are completely buffered and of
+// the simplest form; all others are left to the parser.
 func (proto http1) shedUnparsed(conn *clientConn, br *bufio.Reader, queuedSeconds float64) shedResult {
 	p := conn.proxy
 	if !p.shedding.Load() {
@@ -61,7 +61,7 @@
 	conn.reading = false
 	answer := p.shedAnswerFor(config)
 	p.mu.Unlock()
-	if _, err := br.Discard(size); err != nil { // all of it is in the buffer
+	if _, err := br.Discard(size); err != nil { // can't fail: the request is completely buffered
 		return shedEndConn
 	}
 	proto.writeAnswer(conn, answer)
@@ -72,7 +72,8 @@
 	return shedKeepConn
 }
 
-// admitsScanned is as admits. The caller holds p.mu, and has seen that the proxy sheds.
+// admitsScanned is admits for a scanned request. The caller holds p.mu and has checked p.shedding, so that p.shedder is
+// set.
 func (p *Proxy) admitsScanned(conn *clientConn, scanned scannedRequest, queuedSeconds float64) bool {
 	return !p.memory.wouldExceed(0) && p.shedder.Admit(p.Now(), loadshed.Request{
 		Class:            scanned.class,
@@ -82,8 +83,8 @@
 	})
 }
 
-// scanRequest looks at the request at the beginning of buffered bytes. It returns false unless the request lies there whole,
-// is of the plainest form, and may be served; size is its bytes.
+// scanRequest scans the request at the start of buffered. It returns false unless the request is complete, of the
+// simplest form and valid. size is the request's length in bytes.
 func scanRequest(buffered []byte, config *configstate.Version) (scanned scannedRequest, size int, ok bool) {
 	headEnd := bytes.Index(buffered, []byte("\r\n\r\n"))
 	if headEnd < 0 {
@@ -108,7 +109,8 @@
 	return scanned, size, size <= len(buffered) && !lacksKey
 }
 
-// scanRequestLine gives the class of a request line, -1 where it has none or is unusual.
+// scanRequestLine returns the class of a request line, or a negative value if it has none or the line is not of the
+// simplest form.
 func scanRequestLine(line []byte, config *configstate.Version) int {
 	method, line, hasPath := bytes.Cut(line, []byte(" "))
 	path, version, hasVersion := bytes.Cut(line, []byte(" "))
@@ -118,7 +120,7 @@
 	return config.ClassOf(string(method), string(path))
 }
 
-// scanHeader notes a header line. It returns false where the request has to be read to know what it means.
+// scanHeader records a header line. It returns false if the header needs the full parser.
 func (s *scannedRequest) scanHeader(line []byte) bool {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimSpace(value)
@@ -133,7 +135,7 @@
 		s.contentLength = int(length)
 	case headerNameIs(name, headerTime):
 		timeoutSeconds, err := strconv.ParseFloat(string(value), 64)
-		if err != nil || !(timeoutSeconds > 0) { // also where it is no number
+		if err != nil || !(timeoutSeconds > 0) { // rejects NaN, too
 			return false
 		}
 		s.timeoutSeconds = min(s.timeoutSeconds, timeoutSeconds)
@@ -145,7 +147,7 @@
 	return true
 }
 
-// headerNameIs compares a header's name, in any case.
+// headerNameIs compares a header's name, ignoring case.
 func headerNameIs(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %s", head, got)
 		}
 	}
-	// Two in one write are answered in order.
+	// Two requests in one write are answered in order.
 	writeText(c, "GET /chute/a HTTP/1.1\r\nHost: x\r\n\r\nGET /chute/b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	h.wantEqual("first of two", c.readAnswer(), "200 acked: /chute/a")
 	h.wantEqual("second of two", c.readAnswer(), "200 acked: /chute/b")
@@ -50,8 +50,8 @@
 	}
 }
 
-// Which requests are retried after each way in which an attempt can end: the first endpoint ends it so, the second one answers
-// well. The request is sent until the first endpoint has got one.
+// Which requests are retried after each way in which an attempt can end: the first endpoint ends it in that way, the
+// second one answers successfully. Requests are sent until the first endpoint has received one.
 func TestRetryByOutcome(t *testing.T) {
 	cut := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) { endpoint.readRequest(br) } // closes the connection unanswered
 	half := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// A connection that was never made proves that nothing ran.
+// A connection that was never established proves that nothing ran.
 func TestRefusedConnectionIsRetried(t *testing.T) {
 	h := newHarness(t, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,8 +125,8 @@
 	}
 }
 
-// An endpoint closes its idle connections. If that is seen before the next request, the request is not affected; a request that
-// crosses the close may have run.
+// An endpoint closes its idle connections. If the proxy notices before the next request, that request is not affected;
+// a request that crosses the close may have run.
 func TestIdleConnectionClosed(t *testing.T) {
 	h := newHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -184,8 +184,8 @@
 	}
 }
 
-// An endpoint that answers too late: the client gets one answer in time and none after it, and a non-idempotent request is not
-// sent again.
+// If an endpoint answers too late, the client gets one answer in time and none after it, and a non-idempotent request
+// is not sent again.
 func TestAnswerAfterTimeout(t *testing.T) {
 	h := newHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Where both attempts of a hedged request are answered, the client gets one answer.
+// If both attempts of a hedged request are answered, the client gets one answer.
 func TestHedgedRequestGetsOneAnswer(t *testing.T) {
 	h := newHarness(t, nil)
 	slow := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -293,7 +293,7 @@
 			}
 		})
 	}
-	// A client that stops in the middle of a head, and one that leaves there, affect nobody else.
+	// A client that stalls in the middle of a head, and one that disconnects there, affect no other client.
 	c := h.dial()
 	c.send("GET /chute/1 HTTP/1.1\r\nHost: x\r\nA: ")
 	h.dial().send(nonIdempotentRequest[:20])
@@ -350,7 +350,7 @@
 	}
 }
 
-// A client that does not read its answer holds up nobody else, not even on the same endpoint connection.
+// A client that does not read its answer blocks no other client, not even on the same endpoint connection.
 func TestSlowReader(t *testing.T) {
 	big := strings.Repeat("x", 4000000)
 	h := newHarness(t, func(s *config.Router) { s.Endpoints.MaxConnsPerEndpoint, s.Clients.ReadTimeoutSeconds = 1, 0.5 })
@@ -419,7 +419,7 @@
 	h.wantEqual("second", b.readAnswer(), "200 acked: /chute/7")
 }
 
-// An endpoint that does not read holds up neither the timer nor other requests.
+// An endpoint that does not read blocks neither the timer nor other requests.
 func TestEndpointThatDoesNotRead(t *testing.T) {
 	h := newHarness(t, func(s *config.Router) { s.Clients.BodyBytes = 16 << 20 })
 	over := make(chan struct{})
@@ -435,7 +435,7 @@
 	h.eventually("nothing is left", func() bool { n := h.proxy.Stats(); return n.InFlight == 0 && n.EndpointConns == 0 })
 }
 
-// TestCloseDuringAdmission guards against a connection that is admitted after Close: nobody would end it.
+// TestCloseDuringAdmission guards against a connection that is admitted after Close, which would never be closed.
 func TestCloseDuringAdmission(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -454,7 +454,7 @@
 	h := newHarness(t, nil)
 	closed := NewHTTP(h.proxy.settings, 1, discardLogger(), func(releases.Vote) {})
 	closed.Close()
-	closed.startClient(accepted) // as Serve does that was in admission meanwhile
+	closed.startClient(accepted) // as a Serve that was admitting the connection does
 	if err := client.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/limited_reader.go
+++ b/internal/proxy/limited_reader.go
@@ -5,18 +5,18 @@
 	"net/http"
 )
 
-// limitedReader bounds what one message may take from a connection, without which a peer could send a head without end, and
-// counts what was read to the memory budget until it is released. It is used by the connection's reader only.
+// limitedReader bounds the bytes that one message may read from a connection, so that a peer can't send an endless
+// head, and counts them against the memory budget until release. Only the connection's reader goroutine uses it.
 type limitedReader struct {
 	source       io.Reader
 	remaining    int64 // bytes that may still be read; set by the reader before each part of a message
-	limitReached bool  // a read met the bound
+	limitReached bool  // a read hit the bound
 	sourceErr    error // the connection's own error, if the last read had one
 	memory       *memoryBudget
-	countedBytes int // counted to memory since the last release
+	countedBytes int // counted against memory since the last release
 }
 
-// release gives back what was counted, once nothing of it is kept.
+// release returns the counted bytes to the memory budget. It is called once the message's bytes are no longer held.
 func (l *limitedReader) release() {
 	if l.countedBytes > 0 {
 		l.memory.add(-l.countedBytes)
@@ -24,7 +24,7 @@
 	}
 }
 
-// Read implements io.Reader. It ends with io.EOF at the bound.
+// Read implements io.Reader. It returns io.EOF at the bound.
 func (l *limitedReader) Read(p []byte) (int, error) {
 	if l.remaining <= 0 {
 		l.limitReached = true
@@ -40,8 +40,8 @@
 	return n, err
 }
 
-// classifyError tells a malformed message from a broken connection, which parsers report as the former. section is what was
-// being read.
+// classifyError distinguishes a broken connection from a malformed message, since parsers report both alike. It returns
+// the connection's error, or a *requestError. section names the part that was being read.
 func (l *limitedReader) classifyError(section string, err error) error {
 	if l.sourceErr != nil {
 		return l.sourceErr
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// acceptRetryDelay passes before accepting goes on after an error such as a want of file descriptors.
+	// acceptRetryDelay is the pause after a temporary accept error, such as running out of file descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
 
-	// Beyond the hard limit of connections, a new one waits for evicted ones to close: so many times for so long.
+	// Above the hard limit of connections, admission of a new one polls for evicted ones to close.
 	evictionPollTries    = 20
 	evictionPollInterval = time.Millisecond
 
-	// CloseListener waits for the kernel's queue to be empty, looking so many times: a process that accepts nothing for
-	// a second accepts nothing any more.
+	// CloseListener polls for an empty accept queue, for about one second in all: a process that has not accepted by
+	// then is stuck.
 	closePollTries    = 1000
 	closePollInterval = time.Millisecond
 )
 
-// Serve accepts client connections until the listener is closed, and then returns nil. Connections that are open then go on.
+// Serve accepts client connections until the listener is closed, and then returns nil. Open connections stay open.
 func (p *Proxy) Serve(listener net.Listener) error {
 	for {
 		netConn, err := listener.Accept()
@@ -49,7 +49,7 @@
 	return errors.As(err, &temporary) && temporary.Temporary()
 }
 
-// startClient has a new connection served, or answers that there are too many.
+// startClient serves a new connection in its own goroutine, or answers that there are too many and closes it.
 func (p *Proxy) startClient(netConn net.Conn) {
 	conn := &clientConn{
 		proxy:         p,
@@ -66,7 +66,8 @@
 	go p.serveClient(conn)
 }
 
-// admitClient enters a connection if the limits on connections and memory allow it, evicting another one where needed.
+// admitClient registers a connection if the limits on connections and memory allow it, evicting another one if needed.
+// Above the hard limit it blocks for up to evictionPollTries * evictionPollInterval.
 func (p *Proxy) admitClient(conn *clientConn) bool {
 	outOfMemory := p.memory.wouldExceed(connOverheadBytes)
 	p.mu.Lock()
@@ -77,7 +78,7 @@
 		time.Sleep(evictionPollInterval)
 		p.mu.Lock()
 	}
-	// After Close nobody would end the connection, nor wait for its goroutine.
+	// A connection admitted after Close would never be closed, and its goroutine not waited for.
 	if p.closed || outOfMemory || p.overCapacity(limits) || !p.findPlace(limits) {
 		p.stats.ClientsRefused++
 		if outOfMemory {
@@ -92,21 +93,23 @@
 	return true
 }
 
-// overCapacity tells whether so many connections are open, evicted ones included, that descriptors would run out. The
-// caller holds p.mu.
+// overCapacity reports whether so many connections are open, including evicted ones, that file descriptors could run
+// out. The caller holds p.mu.
 func (p *Proxy) overCapacity(limits *config.Clients) bool {
 	return limits.EvictIdleAbove > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
 }
 
-// findPlace tells whether one more connection may be admitted: below the limit, or because another one could be evicted.
-// From limits.EvictIdleAbove connections on, one is evicted for each that comes. The caller holds p.mu.
+// findPlace reports whether one more connection may be admitted: because the count is below the limit, or because
+// another connection could be evicted. From limits.EvictIdleAbove connections on, each new one evicts one. The caller
+// holds p.mu.
 func (p *Proxy) findPlace(limits *config.Clients) bool {
 	evicts := limits.EvictIdleAbove > 0 && len(p.clients) >= limits.EvictIdleAbove
 	return evicts && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
-// evictClient has the connection close that the shedding rules choose, and returns false if they choose none. Its reader
-// closes it; what it has begun to read meanwhile is served. The caller holds p.mu.
+// evictClient marks the connection that loadshed's eviction order selects and wakes its reader, which closes it. It
+// returns false if no connection may be evicted. A request that it starts to read meanwhile is still served. The caller
+// holds p.mu.
 func (p *Proxy) evictClient() bool {
 	now := p.Now()
 	var victim *clientConn
@@ -128,7 +131,7 @@
 	return true
 }
 
-// serveClient serves an admitted connection to its end.
+// serveClient serves an admitted connection until it ends.
 func (p *Proxy) serveClient(conn *clientConn) {
 	defer p.goroutines.Done()
 	defer p.removeClient(conn)
@@ -143,8 +146,9 @@
 	p.memory.add(-connOverheadBytes)
 }
 
-// CloseListener closes a listener once Serve, which is to go on meanwhile, has accepted what the kernel holds for it: closing
-// it before would reset those connections, with the requests that they brought. It waits for a second at most.
+// CloseListener closes a listener once Serve, which must still be running, has accepted every connection in the
+// kernel's accept queue. Closing it earlier would reset those connections and lose their requests. It blocks for about
+// one second at most.
 func CloseListener(listener net.Listener) {
 	defer listener.Close()
 	conn, ok := listener.(syscall.Conn)
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -6,8 +6,8 @@
 	"flintspread/internal/loadshed"
 )
 
-// sampleLoad measures this process, and tells the balancer (what this process is late with is no endpoint's fault) and the
-// shedder. The caller holds p.mu.
+// sampleLoad measures this process and passes the result to the shedder and the balancer, so that delays of this
+// process are not blamed on endpoints. The caller holds p.mu.
 func (p *Proxy) sampleLoad(now float64) {
 	p.timerDelaySeconds = max(0, now-p.policyTickAt)
 	p.processSample = p.sampler.Sample()
@@ -22,7 +22,7 @@
 	p.measureQueueing.Store(p.shedder.ShouldMeasureQueueing(sample))
 }
 
-// loadSample puts the last measurements together for the shedder, and begins a new span for queued requests.
+// loadSample combines the last measurements for the shedder and resets maxQueuedMillis.
 func (p *Proxy) loadSample() loadshed.LoadSample {
 	process := &p.processSample
 	heapShare := 0.0
@@ -39,7 +39,8 @@
 	}
 }
 
-// queuedSecondsIfMeasured is queuedSeconds while this process is near its limits, else 0: it costs a system call a request.
+// queuedSecondsIfMeasured returns queuedSeconds while this process is near its limits, else 0, because measuring costs
+// one system call per request.
 func (conn *clientConn) queuedSecondsIfMeasured() float64 {
 	if !conn.proxy.measureQueueing.Load() {
 		return 0
@@ -47,8 +48,8 @@
 	return conn.queuedSeconds()
 }
 
-// queuedSeconds is how long the message that is about to be read lay in the kernel: the time since the kernel last got
-// something from the client. The client's time began then.
+// queuedSeconds returns how long the message that is about to be read has waited in the kernel: the time since the
+// kernel last received data from the client. The client's timeout counts from then.
 func (conn *clientConn) queuedSeconds() float64 {
 	if conn.socket.raw == nil {
 		return 0
@@ -59,14 +60,14 @@
 			millis = info.Last_data_recv
 		}
 	})
-	if err != nil { // the connection is closed; its next read says so
+	if err != nil { // the connection is closed; its next read reports that
 		return 0
 	}
 	conn.proxy.noteQueuedMillis(millis)
 	return float64(millis) / 1e3
 }
 
-// noteQueuedMillis raises maxQueuedMillis to a value.
+// noteQueuedMillis raises maxQueuedMillis to millis if that is larger.
 func (p *Proxy) noteQueuedMillis(millis uint32) {
 	for {
 		longest := p.maxQueuedMillis.Load()
--- a/internal/proxy/memory_budget.go
+++ b/internal/proxy/memory_budget.go
@@ -8,22 +8,22 @@
 	"flintspread/internal/loadshed"
 )
 
-// connOverheadBytes is what a connection holds besides messages: its buffers and its goroutine's stack.
+// connOverheadBytes is the memory of a connection without its messages: buffers and its goroutine's stack.
 const connOverheadBytes = 12 << 10
 
-// memoryBudget counts the bytes that connections and messages hold against a limit. The runtime's own overhead is not
-// counted; the operators' page says how to allow for it. Its methods may be called from any goroutine.
+// memoryBudget counts the bytes held by connections and messages against a limit. The runtime's own overhead is not
+// counted; docs/overload.md says how to allow for it. It is safe for concurrent use.
 type memoryBudget struct {
-	limitBytes  int64 // 0: none
+	limitBytes  int64 // 0: no limit
 	usedBytes   atomic.Int64
 	peakBytes   atomic.Int64
 	readsPaused atomic.Uint64 // reads that waited for memory
 
 	mu        sync.Mutex
-	available chan struct{} // closed, and forgotten, once the budget is not under pressure; nil: nobody waits
+	available chan struct{} // closed and set to nil once the budget is not under pressure; nil: no reader waits
 }
 
-// add counts n more bytes; negative gives bytes back.
+// add counts n more bytes. A negative n releases bytes and may wake waiting readers.
 func (m *memoryBudget) add(n int) {
 	m.notePeak(m.usedBytes.Add(int64(n)))
 	if n < 0 && m.limitBytes > 0 && !m.underPressure() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// usedShare is the used share of the budget, 0 if there is none.
+// usedShare returns the used share of the budget, or 0 without a limit.
 func (m *memoryBudget) usedShare() float64 {
 	if m.limitBytes <= 0 {
 		return 0
@@ -57,15 +57,15 @@
 	return float64(m.usedBytes.Load()) / float64(m.limitBytes)
 }
 
-// underPressure tells whether so much is used that reading is to pause.
+// underPressure reports whether so much is used that readers must pause.
 func (m *memoryBudget) underPressure() bool { return loadshed.ReadPauseSeconds(m.usedShare()) > 0 }
 
-// wouldExceed tells whether n more bytes would exceed the budget.
+// wouldExceed reports whether n more bytes would exceed the budget.
 func (m *memoryBudget) wouldExceed(n int) bool {
 	return m.limitBytes > 0 && m.usedBytes.Load()+int64(n) > m.limitBytes
 }
 
-// beginPause gives the seconds for which a reader is to pause at most, 0: it need not. It counts pauses.
+// beginPause returns the maximum pause of a reader in seconds, 0 if it need not pause. It counts pauses in readsPaused.
 func (m *memoryBudget) beginPause() float64 {
 	seconds := loadshed.ReadPauseSeconds(m.usedShare())
 	if seconds > 0 {
@@ -74,15 +74,15 @@
 	return seconds
 }
 
-// waitAvailable holds up a reader while the budget is under pressure, for a bounded time: its client's bytes stay in the
-// kernel, and its client's kernel stops sending. It ends early when stop is closed.
+// waitAvailable blocks a reader while the budget is under pressure, for a bounded time. The client's bytes stay in the
+// kernel, so that TCP flow control slows the client down. It returns early when stop is closed.
 func (m *memoryBudget) waitAvailable(stop <-chan struct{}) {
 	seconds := m.beginPause()
 	if seconds == 0 {
 		return
 	}
 	available := m.availableChan()
-	if !m.underPressure() { // given back meanwhile, and nobody else may close the channel
+	if !m.underPressure() { // released meanwhile; the channel may never be closed
 		return
 	}
 	timer := time.NewTimer(secondsToDuration(seconds))
--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -16,17 +16,17 @@
 	"flintspread/internal/policy"
 )
 
-// Events that meet outstanding answers: shutdown, leaving clients and endpoints, slow readers. Their order is forced: an
-// endpoint or a client holds its next byte until the other end is where the test wants it.
+// Events while answers are outstanding: shutdown, clients and endpoints that disconnect, slow readers. Their order is
+// forced: an endpoint or a client holds its next byte until the other end is in the state that the test needs.
 
-// allowLongRequests gives every class so much time that no request times out in a test.
+// allowLongRequests gives every class a timeout that no test reaches.
 func allowLongRequests(t *policy.Config) {
 	for i := range t.Classes {
 		t.Classes[i].TimeoutSeconds, t.Classes[i].LatencyObjectiveSeconds, t.Classes[i].DedupWindowSeconds = 60, 60, 100
 	}
 }
 
-// newLongCommand makes a command whose client waits for a minute.
+// newLongCommand returns a command whose client waits for a minute.
 func newLongCommand(c string) (text, id string) { return newCommandWithTimeout(c, 60_000) }
 
 // answerIDWhenOpen answers attempts once gate is closed.
@@ -39,7 +39,8 @@
 	}
 }
 
-// unacceptingEndpoint is an endpoint whose accept queue is full, so that connections to it are not made until the test accepts.
+// unacceptingEndpoint is an endpoint whose accept queue is full, so that dials to it block until the test accepts
+// connections.
 type unacceptingEndpoint struct {
 	*scriptedEndpoint
 	fd   int
@@ -85,7 +86,8 @@
 	}
 }
 
-// acceptAndRead accepts connections until one that is not its own filling, and gives what that one sent first, or its error.
+// acceptAndRead accepts connections until one that is not a filler of the accept queue, and returns the first bytes
+// that it sent, or its error.
 func (endpoint *unacceptingEndpoint) acceptAndRead(t *testing.T) (said string) {
 	own := map[int]bool{}
 	for _, c := range endpoint.fill {
@@ -126,7 +128,8 @@
 	}
 }
 
-// A command that has come in part when the shutdown begins is served if the rest comes, and answered with an error if not.
+// A command that has partly arrived when the shutdown begins is served if the rest arrives, and answered with an error
+// if not.
 func TestPartialCommandAtShutdown(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds = 60 })
@@ -148,7 +151,7 @@
 	}
 }
 
-// anyClient tells whether a client connection fulfils a condition.
+// anyClient reports whether any client connection fulfils a condition.
 func (h *harness) anyClient(is func(*clientConn) bool) bool {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
@@ -160,7 +163,8 @@
 	return false
 }
 
-// A connection that is made during a shutdown is not closed before its first command: its client could not know better.
+// A connection opened during a shutdown is not closed before its first command: its client could not know of the
+// shutdown.
 func TestNewConnectionDuringShutdown(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
@@ -177,7 +181,8 @@
 	h.wantEqual("and then", c.readLine(), "closed")
 }
 
-// A client's leaving is noticed in every state of its connection: no further attempt of its commands is sent afterwards.
+// A client's disconnect is noticed in every state of its connection: no further attempt of its commands is sent
+// afterwards.
 func TestClientClosesWhileAnswersPending(t *testing.T) {
 	cases := []struct {
 		name string
@@ -237,7 +242,8 @@
 	}
 }
 
-// A client leaves while the endpoint connection is being dialled: the endpoint gets nothing, also where cancelling is not allowed.
+// A client disconnects while the endpoint connection is being dialed: the endpoint receives nothing, even if cancelling
+// is not allowed.
 func TestClientClosesDuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		endpoint := newUnacceptingEndpoint(t)
@@ -255,7 +261,7 @@
 	}
 }
 
-// An endpoint that drains, leaves the list or restarts while it is being dialled gets nothing on that connection.
+// An endpoint that drains, leaves the list or restarts while it is being dialed receives nothing on that connection.
 func TestEndpointLeavesDuringDial(t *testing.T) {
 	for _, how := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
 		endpoint := newUnacceptingEndpoint(t)
@@ -283,7 +289,7 @@
 	}
 }
 
-// An attempt whose connection breaks before its last byte has left never ran: a non-idempotent command is retried.
+// An attempt whose connection breaks before its last byte is sent never ran: a non-idempotent command is retried.
 func TestAttemptCutBeforeLastByteIsRetried(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
 	var once sync.Once
@@ -297,7 +303,7 @@
 			if !cut {
 				continue
 			}
-			// Of the next attempt only a part is taken, and then the connection is reset.
+			// Only a part of the next attempt is accepted before the connection is reset.
 			var part [1000]byte
 			if _, err := io.ReadFull(br, part[:]); err != nil {
 				return
@@ -310,7 +316,7 @@
 	c := h.dial()
 	c.wantServed("seal")
 	h.proxy.mu.Lock()
-	for conn := range h.proxy.endpointConns { // so small a buffer that a large command is not written at once
+	for conn := range h.proxy.endpointConns { // a buffer too small for a large command to be written at once
 		if err := conn.socket.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 10); err != nil {
 			t.Error(err)
 		}
@@ -332,7 +338,7 @@
 	h.wantEqual("large", c.readLine(), "vbig")
 }
 
-// CloseListener has connections served that the kernel has accepted, but not yet the program.
+// CloseListener lets Serve accept the connections in the kernel's accept queue.
 func TestCloseListenerServesAcceptQueue(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
@@ -364,7 +370,7 @@
 	}
 }
 
-// A client that reads slowly gets its answers whole, whatever the read and idle timeouts.
+// A slow client gets its answers complete, whatever the read and idle timeouts.
 func TestSlowReaderGetsWholeAnswers(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds, s.Clients.IdleTimeoutSeconds = 0.05, 0.05 })
 	big := strings.Repeat("x", 1_000_000)
@@ -390,7 +396,7 @@
 	}
 }
 
-// A connection that is made after the dial timeout is not used, and the attempt that waited for it never ran.
+// A connection that is established after the dial timeout is not used, and the attempt that waited for it never ran.
 func TestDialTimeoutNeverRan(t *testing.T) {
 	endpoint := newUnacceptingEndpoint(t)
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 0.05 })
@@ -414,7 +420,7 @@
 	}
 }
 
-// Endpoints are sent the time that the client has left, also with a retry.
+// Endpoints are sent the time that the client has left, also on a retry.
 func TestRemainingTimeSentToEndpoints(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
 	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
--- a/internal/proxy/read_waiter.go
+++ b/internal/proxy/read_waiter.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// readWaiter is where the reader of a pipelined client connection waits between requests. Whoever changes what it waits for
-// wakes it; a wake that comes while it does not wait is kept, so that none is lost. The reading of a request that has begun
-// to come is not disturbed.
+// readWaiter lets the reader of a pipelined client connection wait between requests. Code that changes a condition the
+// reader waits for calls wakeReader. A wake-up while the reader is not waiting is kept for its next wait, so that none
+// is lost; it does not interrupt a request that is being read.
 type readWaiter struct {
 	mu      sync.Mutex
 	waiting bool
 	woken   bool
 }
 
-// errWoken is what waitForReader returns where wakeReader ended the wait.
+// errWoken is returned by waitForReader if wakeReader ended the wait.
 var errWoken = errors.New("reader woken")
 
-// pastDeadline ends a read that waits.
+// pastDeadline is a read deadline that interrupts a blocked read.
 var pastDeadline = time.Unix(1, 0)
 
-// wakeReader has the reader look again at what it waits for. It does not wait.
+// wakeReader makes the reader check its conditions again. It does not block.
 func (conn *clientConn) wakeReader() {
 	conn.waiter.mu.Lock()
 	defer conn.waiter.mu.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// waitForReader runs wait, a read that ends by the connection's read deadline: at the time given (zero: none), or when
-// woken. It returns errWoken if nothing came before that, else what wait returned.
+// waitForReader runs wait, a read that respects the connection's read deadline, until the given time (zero: no limit)
+// or until it is woken. It returns errWoken if it was woken before anything arrived, else the result of wait.
 func (conn *clientConn) waitForReader(until time.Time, wait func() error) error {
 	waiter := &conn.waiter
 	waiter.mu.Lock()
@@ -53,7 +53,7 @@
 		return errWoken
 	}
 	if woken {
-		conn.wakeReader() // what came goes first; the wake is kept for the next wait
+		conn.wakeReader() // handle what arrived first; keep the wake-up for the next wait
 	}
 	return err
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -7,55 +7,56 @@
 	"flintspread/internal/policy"
 )
 
-// request is an accepted request, from accept until its last attempt has ended. It is guarded by Proxy.mu.
+// request is an accepted request. It lives until its last attempt has ended. It is guarded by Proxy.mu.
 type request struct {
 	policy.Request
 	conn        *clientConn
 	message     *message
-	config      *configstate.Version // it is served by this version to its end
+	config      *configstate.Version // the version it was accepted under, which serves it to its end
 	attempts    []*attempt           // attempts[i] is the proxy's side of Request.Attempts[i]
-	pickAgainAt float64              // when the balancer is to be asked again, 0: not
-	nextCheckAt float64              // the earliest of pickAgainAt and the attempts' deadlines
-	heapIndex   int                  // in the deadline queue, -1: not in it
-	pending     *pendingAnswer       // its place among its client's answers; nil where the protocol keeps no queue of them
+	pickAgainAt float64              // when to ask the balancer again; 0: never
+	nextCheckAt float64              // earliest of pickAgainAt and the attempts' deadlines
+	heapIndex   int                  // index in the deadline queue; -1: not queued
+	pending     *pendingAnswer       // the answer's place in the client's queue; nil if the protocol has none
 }
 
-// message is a request as a protocol read it.
+// message is a request as read by a protocol.
 type message struct {
 	method, path string
-	head         []byte // what endpoints get before the remaining time
-	body         []byte // what they get after it
+	head         []byte // sent to endpoints before the remaining time
+	body         []byte // sent to endpoints after it
 
-	id                string  // where the protocol names requests
-	keyHash           uint64  // of what the request concerns, 0: not told
-	timeoutSeconds    float64 // that its client waits from its arrival, 0: not told
-	workSeconds       float64 // that its client expects it to take, 0: not told
+	id                string  // empty if the protocol has no request ids
+	keyHash           uint64  // hash of the request's key; 0: none given
+	timeoutSeconds    float64 // the client's timeout, from arrival; 0: none given
+	workSeconds       float64 // expected work; 0: none given
 	hasIdempotencyKey bool
-	clientRetry       bool // the client asked before
+	clientRetry       bool // the client marked it as a retry
 	closeAfter        bool // the client wants the connection closed after the answer
 	receipt           string
 
-	options       []byte // RESP2: the option list without the value of d, which belongs at timeoutOffset
+	options       []byte // RESP2: the option list without the value of d, to be inserted at timeoutOffset
 	timeoutOffset int
 
-	queuedSeconds float64 // that it lay in the kernel before it was read, as far as that was measured
-	admitted      bool    // it passed load shedding already
+	queuedSeconds float64 // time in the kernel before it was read; 0 if not measured
+	admitted      bool    // it has already passed load shedding
 }
 
-// The kinds of final answers, as OnFinalAnswer and the HTTP header give them.
+// The kinds of final answers, as passed to OnFinalAnswer and sent in the HTTP header.
 const (
 	kindSucceeded = "acked"
-	kindRejected  = "nacked" // not done, a retry is harmless
-	kindFailed    = "failed" // may have been done
+	kindRejected  = "nacked" // never ran; a retry is safe
+	kindFailed    = "failed" // may have run
 )
 
-// answer is what a client gets: bytes for the wire, and its kind; the kind is empty for answers to what was no request.
+// answer is an encoded answer for a client, and its kind. The kind is empty if the message was not accepted as a
+// request.
 type answer struct {
 	bytes []byte
 	kind  string
 }
 
-// pick asks the balancer what comes next for a request. The caller holds p.mu.
+// pick asks the balancer for a request's next step. The caller holds p.mu.
 func (p *Proxy) pick(now float64, request *request) policy.Decision {
 	from := time.Now()
 	decision := p.balancer.Pick(now, &request.Request)
@@ -63,7 +64,7 @@
 	return decision
 }
 
-// applyDecision carries out a decision, and what the balancer decides on what comes of that at once. The caller holds p.mu.
+// applyDecision carries out a decision, and any further decisions that follow from it at once. The caller holds p.mu.
 func (p *Proxy) applyDecision(now float64, request *request, decision policy.Decision, effects *effects) {
 	if again := decision.PickAgainAt; again > 0 && again < request.Deadline && (request.pickAgainAt == 0 || again < request.pickAgainAt) {
 		request.pickAgainAt = again
@@ -93,7 +94,7 @@
 	return n > 0 && r.attempts[n-1].outcome == policy.TimedOut
 }
 
-// finishRequest ends a request with its final answer. The caller holds p.mu.
+// finishRequest completes a request with its final answer. The caller holds p.mu.
 func (p *Proxy) finishRequest(request *request, answer answer, effects *effects) {
 	p.removeInFlight(request)
 	effects.answer, effects.answeredRequest = answer, request
@@ -105,8 +106,8 @@
 	}
 }
 
-// abandonRequest ends a request whose client has gone. It returns false if the request had its final answer already. What
-// has begun to reach an endpoint goes on unless the balancer cancels it.
+// abandonRequest ends a request whose client disconnected. It returns false if the request already had its final
+// answer. An attempt that may have reached its endpoint continues unless the balancer cancels it.
 func (p *Proxy) abandonRequest(request *request) bool {
 	p.mu.Lock()
 	if request.Completed {
@@ -128,7 +129,7 @@
 	return true
 }
 
-// addInFlight enters a new request in the counts. The caller holds p.mu.
+// addInFlight counts a new request as in flight. The caller holds p.mu.
 func (p *Proxy) addInFlight(request *request) {
 	if request.message.id != "" {
 		p.requestIDs[request.message.id] = struct{}{}
@@ -140,7 +141,7 @@
 	p.inFlightByClass[request.Class]++
 }
 
-// removeInFlight undoes addInFlight: the request is answered, or its client has gone. The caller holds p.mu.
+// removeInFlight undoes addInFlight: the request was answered, or its client disconnected. The caller holds p.mu.
 func (p *Proxy) removeInFlight(request *request) {
 	request.Completed = true
 	p.inFlight--
@@ -150,7 +151,7 @@
 	delete(p.requestIDs, request.message.id)
 }
 
-// withoutCompleted drops, in place, the requests that have their final answer.
+// withoutCompleted removes completed requests from a slice, in place. The caller must not hold p.mu.
 func (p *Proxy) withoutCompleted(requests []*request) []*request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/resp.go
+++ b/internal/proxy/resp.go
@@ -12,7 +12,7 @@
 	"flintspread/internal/policy"
 )
 
-// resp2 is the platform's protocol: RESP2, requests pipelined, each named by an id. Answers follow the order of a
+// resp2 is the platform's protocol: RESP2 with pipelined requests, each with an id. Answers are sent in the order of a
 // connection's requests.
 type resp2 struct{}
 
@@ -49,10 +49,10 @@
 	return append(buf, message.body...)
 }
 
-// readAnswer takes the value from an endpoint's reply. A reply that can't be read, or is none that an endpoint gives, ends
-// the connection: the attempt may have run.
+// readAnswer reads an endpoint's reply and extracts the value. A malformed or unexpected reply is an error: the
+// connection must be closed, and the attempt may have run.
 func (resp2) readAnswer(br *bufio.Reader, reader *limitedReader, _ *attempt) (endpointAnswer, error) {
-	reader.remaining = noReadLimit // the framing has its own bounds
+	reader.remaining = noReadLimit // package resp has its own bounds
 	reply, err := resp.ReadReply(br)
 	switch {
 	case err != nil:
@@ -69,7 +69,7 @@
 	return endpointAnswer{}, fmt.Errorf("unexpected reply %.60q", reply.Error)
 }
 
-// hasErrorCode tells whether an error reply is a code, alone or with a report behind it.
+// hasErrorCode reports whether an error reply has a code, alone or followed by a space and a load report.
 func hasErrorCode(text, code string) bool {
 	return text == code || len(text) > len(code)+1 && text[:len(code)] == code && text[len(code)] == ' '
 }
--- a/internal/proxy/resp_command.go
+++ b/internal/proxy/resp_command.go
@@ -13,7 +13,7 @@
 	"flintspread/internal/policy"
 )
 
-// The platform's commands, each with a key, an id and options; a write has a body, too.
+// The platform's commands. Reads and writes have a key, an id and options; a write also has a body.
 const (
 	commandRead  = "API.READ"  // of idempotent classes
 	commandWrite = "API.WRITE" // of the others
@@ -26,7 +26,8 @@
 	maxWordBytes = 256
 )
 
-// parseCommand makes a message of the words of a client's command, and gives its class. The error is for the client.
+// parseCommand turns the words of a client's command into a message, and returns it with its class. The error's text is
+// sent to the client.
 func (resp2) parseCommand(config *configstate.Version, words [][]byte) (*message, int, error) {
 	write := string(words[0]) == commandWrite
 	switch {
@@ -57,8 +58,8 @@
 	return parsed, class, nil
 }
 
-// parseOptions reads the list of options, such as "c=lookup,d=500": the class, the client's timeout in milliseconds, an
-// idempotency key, and whether it is a retry. A class that is not known is negative.
+// parseOptions parses the options, such as "c=lookup,d=500": the class (c), the client's timeout in milliseconds (d),
+// an idempotency key (k) and whether it is a retry (r). The class is negative if it is missing or unknown.
 func (m *message) parseOptions(config *configstate.Version, options []byte) (class int, err error) {
 	class = -1
 	for at, rest := 0, options; len(rest) > 0; {
@@ -89,7 +90,7 @@
 	return class, nil
 }
 
-// checkOptions tells whether the options are complete, and fit the class and the command.
+// checkOptions checks that the options are complete and match the class and the command.
 func (m *message) checkOptions(config *configstate.Version, class int, command []byte, write bool) error {
 	if class < 0 {
 		return errors.New("no such class")
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// isWord tells whether a word can stand for something: not empty, not long, nothing that ends a line.
+// isWord reports whether a word is a valid key, id or value: 1 to maxWordBytes printable ASCII characters without
+// spaces.
 func isWord(word []byte) bool {
 	for _, c := range word {
 		if c <= ' ' || c >= 127 {
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -9,21 +9,21 @@
 	"flintspread/internal/platform/resp"
 )
 
-// memoryPollSeconds passes between two looks of a paused reader at the memory budget.
+// memoryPollSeconds is the interval at which a paused reader checks the memory budget.
 const memoryPollSeconds = 0.02
 
-// serveClient takes commands as they come, each with its own deadline; answers follow their order.
+// serveClient accepts pipelined commands, each with its own deadline. Answers are sent in the same order.
 func (proto resp2) serveClient(conn *clientConn) {
 	p := conn.proxy
 	reader := &limitedReader{source: conn.socket.Conn, memory: &p.memory, remaining: noReadLimit}
 	defer reader.release()
 	br := bufio.NewReaderSize(reader, readBufferBytes)
-	var unanswered []*request // with some that were answered since the last look
+	var unanswered []*request // may hold requests answered since the last cleanup
 	defer func() { proto.abandonRequests(conn, unanswered) }()
 	for first := true; proto.waitForCommand(conn, br, first); first = false {
-		queuedSeconds := conn.queuedSeconds() // always: the time that a command tells counts from its sending
+		queuedSeconds := conn.queuedSeconds() // always: a command's timeout counts from when it was sent
 		p.mu.Lock()
-		conn.reading = true // a shutdown lets the command come whole
+		conn.reading = true // a shutdown lets the command complete
 		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
 		p.mu.Unlock()
 		words, err := resp.ReadCommand(br)
@@ -39,7 +39,8 @@
 	}
 }
 
-// handleCommand has a command served, and returns its request. It returns nil for what is no request, which it answers.
+// handleCommand accepts a command and returns its request. It answers anything that is not accepted as a request, and
+// returns nil.
 func (proto resp2) handleCommand(conn *clientConn, words [][]byte, queuedSeconds float64) *request {
 	p := conn.proxy
 	config := p.currentConfig.Load()
@@ -61,8 +62,8 @@
 	return request
 }
 
-// wakeReader also bounds the reading of a command that has begun to come: half a command must outlast neither the shutdown
-// nor, on an evicted connection, the wait of others for its place.
+// wakeReader also bounds the reading of a partly received command, which must not outlast the shutdown nor, on an
+// evicted connection, delay the client that waits for its place.
 func (proto resp2) wakeReader(conn *clientConn) {
 	switch {
 	case conn.reading && conn.evicted:
@@ -73,7 +74,7 @@
 	conn.wakeReader()
 }
 
-// readTimeoutSeconds is how long a command may take to come. The caller holds Proxy.mu.
+// readTimeoutSeconds returns how long a command may take to arrive completely. The caller holds Proxy.mu.
 func (resp2) readTimeoutSeconds(conn *clientConn) float64 {
 	p := conn.proxy
 	timeout := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds, conn.evicted)
@@ -83,8 +84,8 @@
 	return timeout
 }
 
-// firstByteTimeoutSeconds is how long a connection may stay idle before a command: one that has just come and says nothing
-// only for as long as a command may take to come.
+// firstByteTimeoutSeconds returns how long a connection may stay idle before its next command. A new connection that
+// has sent nothing yet (first) gets only the read timeout.
 func (proto resp2) firstByteTimeoutSeconds(conn *clientConn, first bool) float64 {
 	p := conn.proxy
 	if !first {
@@ -95,9 +96,9 @@
 	return proto.readTimeoutSeconds(conn)
 }
 
-// waitForCommand waits for a command's first byte, and for memory to read it. It returns false if the connection is to end:
-// the client has gone, or no answer is outstanding and it was idle for too long or is to be closed. A client's leaving is
-// seen at any time, also while answers are outstanding and while nothing more is read.
+// waitForCommand blocks for a command's first byte, and for memory to read it. It returns false if the connection must
+// close: the client disconnected, or no answer is outstanding and the connection was idle for too long or should close.
+// A disconnect is noticed at any time, also while answers are outstanding and while reading is paused.
 func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, first bool) bool {
 	p := conn.proxy
 	peekByte := func() error { _, err := br.Peek(1); return err }
@@ -117,7 +118,7 @@
 			until = idleSince.Add(secondsToDuration(timeout))
 		}
 		wait := peekByte
-		onlyHangUp := !state.mayPipeline || pauseSeconds > 0 // nothing is to be read now
+		onlyHangUp := !state.mayPipeline || pauseSeconds > 0 // nothing may be read now
 		if onlyHangUp {
 			wait = conn.socket.waitHangUp
 		}
@@ -134,7 +135,7 @@
 		case errors.Is(err, errWoken):
 		case !isTimeout(err):
 			return false
-		case pauseSeconds > 0: // what has come is read once there is memory, or the pause is over
+		case pauseSeconds > 0: // the command is read once there is memory, or the pause is over
 			if pauseSeconds -= memoryPollSeconds; pauseSeconds <= 0 || !p.memory.underPressure() {
 				return true
 			}
@@ -142,12 +143,12 @@
 		case !conn.socket.hasUnread():
 			return false // idle for too long
 		default:
-			idleSince = time.Now() // a command came at the last moment
+			idleSince = time.Now() // a command arrived at the last moment
 		}
 	}
 }
 
-// flushAnswers waits until every outstanding answer has gone out. It returns false if the client has gone before.
+// flushAnswers blocks until every outstanding answer is written. It returns false if the client disconnects before.
 func (resp2) flushAnswers(conn *clientConn) bool {
 	for {
 		state := conn.answers.state()
@@ -163,7 +164,7 @@
 	}
 }
 
-// answerDirectly answers what is no request, at its place among the answers.
+// answerDirectly answers a command that is not accepted as a request, in its place among the answers.
 func (resp2) answerDirectly(conn *clientConn, pending *pendingAnswer, text []byte) {
 	p := conn.proxy
 	p.mu.Lock()
@@ -173,8 +174,8 @@
 	conn.completeAnswer(pending, text)
 }
 
-// rejectUnreadable answers what can't be read, behind the outstanding answers, and lets its sender see the answer. An err of
-// the connection itself gets none.
+// rejectUnreadable answers a command that can't be read, after the outstanding answers, and lingers so that the client
+// sees the answer. A failure of the connection itself gets no answer.
 func (proto resp2) rejectUnreadable(conn *clientConn, err error) {
 	text := "ERR the command did not come whole in time"
 	switch {
@@ -190,7 +191,7 @@
 	conn.linger()
 }
 
-// placeIsWanted tells whether other clients wait for the connection's place, so that it must end without lingering.
+// placeIsWanted reports whether other clients need the connection's place, so that it must close without lingering.
 func (conn *clientConn) placeIsWanted() bool {
 	p := conn.proxy
 	p.mu.Lock()
@@ -198,7 +199,7 @@
 	return conn.evicted || len(p.clients) >= p.currentConfig.Load().Document.Clients.MaxConns
 }
 
-// abandonRequests ends what a client that has gone has in flight.
+// abandonRequests abandons the requests in flight of a client that disconnected.
 func (resp2) abandonRequests(conn *clientConn, unanswered []*request) {
 	for _, request := range unanswered {
 		conn.proxy.abandonRequest(request)
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -21,7 +21,7 @@
 	return newRESPHarnessWith(t, nil, edit)
 }
 
-// newRESPHarnessWith is as newRESPHarness; editPolicy changes the policy, too.
+// newRESPHarnessWith is like newRESPHarness; editPolicy also changes the policy.
 func newRESPHarnessWith(t testing.TB, editPolicy func(*policy.Config), edit func(*config.Router)) *harness {
 	policyConfig := policy.Config{Routers: 1, RollbackVotes: 1, TimerResolutionSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
 		MaxAttempts: 4, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.5, 1},
@@ -61,7 +61,7 @@
 	return list, true
 }
 
-// valueReply is an endpoint's reply with a value made of the command's id.
+// valueReply returns an endpoint's reply with a value derived from the command's id.
 func valueReply(id string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id)
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// answerRESP answers everything with a text.
+// answerRESP answers every attempt with a fixed text.
 func answerRESP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
 	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		for _, ok := endpoint.readCommand(br); ok; _, ok = endpoint.readCommand(br) {
@@ -92,7 +92,7 @@
 
 var lastID int
 
-// newCommand makes a command of class c with an id of its own. Its client waits for half a second.
+// newCommand returns a command of class c with a unique id. Its client waits for half a second.
 func newCommand(c string) (text, id string) { return newCommandWithTimeout(c, 500) }
 
 func newCommandWithTimeout(c string, ms int) (text, id string) {
@@ -116,7 +116,7 @@
 	return string(buf)
 }
 
-// readLine reads one answer: a bulk string's value, any other reply's line, or "closed".
+// readLine reads one answer and returns a bulk string's value, any other reply's line, or "closed".
 func (c *testClient) readLine() string {
 	text, err := c.br.ReadString('\n')
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// dialBusy gives a connection with a command in flight.
+// dialBusy returns a connection with a command in flight.
 func (h *harness) dialBusy() (c *testClient, id string) {
 	text, id := newCommand("seal")
 	c = h.dial()
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -15,7 +15,7 @@
 	"flintspread/internal/endpoints"
 )
 
-// Endpoints get a command as its client sent it, but for the remaining time.
+// Endpoints receive a command as its client sent it, except for the remaining time.
 func TestRESPOrdinaryPath(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerID)
@@ -52,7 +52,7 @@
 	ends := []struct {
 		name                string
 		play                func(*scriptedEndpoint, net.Conn, *bufio.Reader)
-		lookup, order, seal string // v: served by the endpoint that is well
+		lookup, order, seal string // v: served by the healthy endpoint
 	}{
 		{"error", answerRESP("-ERR failed\r\n"), "v", "v", "-ERR"},
 		{"error with a report", answerRESP("-ERR failed inflight=7,util=0.61\r\n"), "v", "v", "-ERR"},
@@ -115,8 +115,8 @@
 	}
 }
 
-// An endpoint sends a second reply behind an answer. It is taken for no other command's answer: neither where it lies there when
-// the connection would be used again, nor where it comes later, within the reuse delay.
+// An endpoint sends a second reply after an answer. It is not taken for another command's answer: neither if it is
+// already there when the connection would be reused, nor if it arrives later, within the reuse delay.
 func TestRESPSurplusBytes(t *testing.T) {
 	for _, rest := range []float64{0, 1000} {
 		h := newRESPHarness(t, nil)
@@ -153,7 +153,8 @@
 	}
 }
 
-// Invalid commands get an error or a close, and never reach an endpoint; other clients are served meanwhile.
+// Invalid commands are answered with an error or a closed connection and never reach an endpoint. Other clients are
+// served meanwhile.
 func TestRESPBadClients(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerID)
@@ -193,7 +194,7 @@
 	}
 }
 
-// Pipelined commands are each sent as they come; answers follow their order. An id in flight can't be used again.
+// Pipelined commands are sent as they arrive, and answers keep their order. An id in flight can't be used again.
 func TestRESPPipelining(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
@@ -230,7 +231,7 @@
 	h.wantEqual("the id again", h.askOnce(held), "vsame")
 }
 
-// A rejection names a retry-after time, and comes at once where no endpoint is worth waiting for.
+// A rejection carries a retry-after time, and is immediate if no endpoint is worth waiting for.
 func TestRESPRejectedAtOnce(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.MaxConns, s.Endpoints.MaxConnsPerEndpoint = 1, 1 })
 	h.addEndpoint(1, 1, answerRESP("-BUSY\r\n"))
@@ -242,7 +243,7 @@
 	}
 }
 
-// During a graceful shutdown, new connections are still served, and each connection ends behind its last answer.
+// During a graceful shutdown, new connections are still served, and each connection closes after its last answer.
 func TestRESPGracefulShutdown(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerIDAfter(50*time.Millisecond))
@@ -282,8 +283,8 @@
 	}
 }
 
-// New connections, about to send their first command, are not evicted for each other while older ones are idle, also when
-// several come at once; and however many come, their number stays bounded.
+// New connections that are about to send their first command are not evicted for each other while older ones are idle,
+// even if several arrive at once. However many arrive, their number stays bounded.
 func TestRESPNewConnectionsSurviveEviction(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Clients.MaxConns = 8 })
 	h.addEndpoint(1, 1, answerID)
@@ -324,7 +325,7 @@
 		conn.wakeReader()
 	}
 	h.proxy.mu.Unlock()
-	time.Sleep(20 * time.Millisecond) // its reader waits for the answer by now
+	time.Sleep(20 * time.Millisecond) // by now its reader waits for the answer
 	second, id2 := newCommand("lookup")
 	writeText(c, second)
 	h.wantEqual("the first", c.readLine(), "v"+id)
@@ -348,8 +349,8 @@
 	}
 }
 
-// A connection that has been idle for too long is not used, also where the periodic sweep has not closed it yet: its endpoint
-// closes it, and an attempt written to it may have run.
+// A connection that has been idle for too long is not reused, even if the periodic sweep has not closed it yet: its
+// endpoint may be closing it, and an attempt written to it may have run.
 func TestRESPIdleConnectionNotReused(t *testing.T) {
 	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.IdleTimeoutSeconds = 0.2 })
 	h.addEndpoint(1, 1, answerID)
@@ -366,7 +367,7 @@
 	}
 }
 
-// Nothing is kept of ids, keys, endpoints and connections that are gone.
+// No state is kept for ids, keys, endpoints and connections that are gone.
 func TestRESPKeepsNothing(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	for i := range 30 {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// drainPollInterval passes between two looks of Drain at what is left.
+// drainPollInterval is the interval at which Drain checks what is left.
 const drainPollInterval = 5 * time.Millisecond
 
-// SetReady says that the proxy knows enough to decide where requests go: clients that asked whether it is ready get their
-// answer, as those who ask from then on.
+// SetReady marks the proxy as ready to route requests. Pending readiness probes are answered, and so is every later
+// one. It may be called more than once.
 func (p *Proxy) SetReady() {
 	p.mu.Lock()
 	waiting := p.awaitingReady
@@ -21,7 +21,7 @@
 	}
 }
 
-// answerWhenReady runs answer, which must not wait, now or once the proxy is ready.
+// answerWhenReady runs answer, which must not block, now or once the proxy is ready.
 func (p *Proxy) answerWhenReady(conn *clientConn, answer func()) {
 	p.mu.Lock()
 	conn.reading = false
@@ -35,13 +35,14 @@
 	}
 }
 
-// SetAnswerDeadline has every request in flight, and every further one, answered by a time on the clock of Now, however long
-// its client would wait.
+// SetAnswerDeadline limits the deadline of every request, in flight or accepted later, to an instant on the clock of
+// Now, whatever its client's timeout.
 func (p *Proxy) SetAnswerDeadline(at float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.answerDeadline = at
-	// Every request in flight stands in the queue, for each waits for something. scheduleCheck reorders it: a copy is walked.
+	// Every request in flight is queued, since each waits for an event. scheduleCheck reorders the queue, so iterate
+	// over a copy.
 	for _, request := range append(deadlineQueue(nil), p.deadlines...) {
 		if request.Completed || request.Deadline <= at {
 			continue
@@ -57,8 +58,9 @@
 	}
 }
 
-// StopServing begins a graceful shutdown while the listener goes on: new connections are still served, and each connection
-// ends once nothing is in flight on it. A message that has begun to come may still come whole, until the answer deadline.
+// StopServing begins a graceful shutdown while the listener stays open. A new connection still gets its first request
+// served, and each connection closes once nothing is in flight on it. A message that is being read may still complete,
+// until the answer deadline.
 func (p *Proxy) StopServing() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,8 +72,8 @@
 	}
 }
 
-// Drain stops serving, and waits until every request has its answer and every client connection has ended; the error says
-// what is left if ctx ends before. The listener is to be closed before it is called.
+// Drain calls StopServing and blocks until every request is answered and every client connection has closed. If ctx
+// ends before, it returns an error that wraps ctx.Err() and says what is left. Close the listener before calling it.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.StopServing()
 	ticker := time.NewTicker(drainPollInterval)
@@ -89,7 +91,7 @@
 	}
 }
 
-// wakeIdleClients has connections end that are idle, and counts what is left.
+// wakeIdleClients makes idle connections close, and returns how many requests and connections are left.
 func (p *Proxy) wakeIdleClients() (requests, connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,8 +103,8 @@
 	return p.inFlight, len(p.clients)
 }
 
-// Close ends every connection and the timer, and waits for their goroutines. It may be called once, also while Serve still has a
-// connection in admission: that one is refused.
+// Close closes every connection, stops the timer and blocks until their goroutines have ended. It must be called at
+// most once. A connection that Serve is still admitting is refused.
 func (p *Proxy) Close() {
 	close(p.stop)
 	p.mu.Lock()
--- a/internal/proxy/socket.go
+++ b/internal/proxy/socket.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// socket is a connection that can be written, and looked at, without waiting: whoever decides on a request writes for it, on
-// any goroutine, and must not be held up by a peer that does not read. It may be used by many goroutines at once.
+// socket is a connection with non-blocking writes and peeks. Any goroutine may write to a connection and must not be
+// blocked by a peer that does not read. It is safe for concurrent use.
 type socket struct {
 	net.Conn
-	raw syscall.RawConn // nil where there is none: then nothing is written without waiting
+	raw syscall.RawConn // nil if not available: writeNow then writes nothing
 }
 
 func newSocket(netConn net.Conn) socket {
@@ -26,7 +26,8 @@
 	return s
 }
 
-// writeNow writes what the kernel takes at once. A count below len(buf) without an error means that it would have to wait.
+// writeNow writes as much as the kernel accepts without blocking. If n < len(buf) and err is nil, writing more would
+// block.
 func (s socket) writeNow(buf []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, nil
@@ -55,15 +56,15 @@
 	return n, err
 }
 
-// peek looks at the first byte in the kernel without waiting or taking it. It returns 0 and no error once the peer has
-// closed, and syscall.EAGAIN where there is nothing.
+// peek peeks at the first unread byte in the kernel without blocking. It returns 0 and no error once the peer has
+// closed, and syscall.EAGAIN if there is nothing to read.
 func peek(fd uintptr) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// hasUnread tells whether bytes lie unread in the kernel.
+// hasUnread reports whether the kernel holds unread bytes.
 func (s socket) hasUnread() bool {
 	if s.raw == nil {
 		return false
@@ -76,7 +77,7 @@
 	return err == nil && unread
 }
 
-// hasUnreadOrClosed tells whether bytes lie unread in the kernel, or the peer has closed.
+// hasUnreadOrClosed reports whether the kernel holds unread bytes, or the connection has ended.
 func (s socket) hasUnreadOrClosed() bool {
 	if s.raw == nil {
 		return false
@@ -89,8 +90,8 @@
 	return err == nil && found
 }
 
-// waitReadable waits until there is something to read, or the connection has ended, without taking it. It ends by the
-// connection's read deadline.
+// waitReadable blocks until there is something to read or the connection has ended, without consuming bytes. It
+// respects the connection's read deadline.
 func (s socket) waitReadable() error {
 	if s.raw == nil {
 		return nil
@@ -104,8 +105,8 @@
 	})
 }
 
-// waitHangUp waits until the peer has ended its side, whatever lies unread before that: a reader that takes nothing more
-// would not see it. It ends by the connection's read deadline; nil means that the peer has.
+// waitHangUp blocks until the peer has closed its side, regardless of unread bytes: a reader that is paused would not
+// notice. It returns nil once the peer has closed, and respects the connection's read deadline.
 func (s socket) waitHangUp() error {
 	if s.raw == nil {
 		return os.ErrDeadlineExceeded
@@ -117,7 +118,7 @@
 	})
 }
 
-// isTimeout tells whether an error is a read or write deadline that has passed.
+// isTimeout reports whether an error is a timeout, such as a read or write deadline that passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -7,37 +7,37 @@
 	"flintspread/internal/processstats"
 )
 
-// Stats counts what a proxy did since it was made, and says how it is now.
+// Stats holds a proxy's counters since its creation, and gauges of its current state.
 type Stats struct {
-	// Requests: accepted ones by how they ended (Abandoned: the client closed first), and messages that were none.
+	// Requests received, and those completed by how they ended (Abandoned: the client disconnected first).
 	Received, Succeeded, Rejected, Failed, Abandoned uint64
-	InvalidRequests                                  uint64 // with messages that are answered without a request, such as PING
+	InvalidRequests                                  uint64 // messages not accepted as requests; includes PING
 
-	// Client connections by what became of them when they came; MemoryRefused are those refused for want of memory.
+	// Client connections accepted and refused; MemoryRefused are those refused because the memory budget was used up.
 	ClientsAccepted, ClientsRefused, MemoryRefused uint64
 
-	// Attempts sent and cancelled, connections dialled, answers to attempts that had been given up, wrong answers reported by
-	// clients, and attempts by outcome.
+	// Attempts started, connections dialed, attempts cancelled, answers to attempts that had already ended, wrong
+	// answers reported, and attempts by outcome.
 	Attempts, Dials, Cancels, LateAnswers, WrongAnswers uint64
 	Outcomes                                            [policy.OutcomeCount]uint64
 
-	InFlight, ClientConns, EndpointConns, Endpoints int // now
+	InFlight, ClientConns, EndpointConns, Endpoints int // gauges
 
-	Shed              uint64  // rejected requests that were rejected for this process's own load
-	ShedShare         float64 // share of the offered work that is shed now
+	Shed              uint64  // rejected requests that load shedding rejected
+	ShedShare         float64 // share of the offered work that is being shed
 	TimerDelaySeconds float64 // how late the timer was at the last load sample
 	Process           processstats.Sample
 
-	MemoryBytes, MemoryPeakBytes int64  // counted to the memory budget
+	MemoryBytes, MemoryPeakBytes int64  // counted against the memory budget
 	ReadsPaused                  uint64 // reads that waited for the memory budget
 
 	EndpointListAgeSeconds float64
 
 	PolicyCalls   uint64
-	PolicySeconds float64 // spent in them
+	PolicySeconds float64 // spent in these calls
 }
 
-// Stats gives the counts as of now.
+// Stats returns the current counters and gauges.
 func (p *Proxy) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 	return stats
 }
 
-// countPolicyCall counts a call into the balancer that began at a time. The caller holds p.mu.
+// countPolicyCall counts a call into the balancer that started at from, and its duration. The caller holds p.mu.
 func (p *Proxy) countPolicyCall(from time.Time) {
 	p.stats.PolicyCalls++
 	p.stats.PolicySeconds += time.Since(from).Seconds()
