--- a/internal/processstats/accept_queue.go
+++ b/internal/processstats/accept_queue.go
@@ -9,12 +9,12 @@
 
 const (
 	netstatFile      = "/proc/net/netstat"
-	netstatPrefix    = "TcpExt:" // of a line of names, and of the line of their values behind it
+	netstatPrefix    = "TcpExt:" // starts a line of counter names and the line of their values after it
 	overflowsCounter = "ListenOverflows"
 )
 
-// AcceptQueueOverflows reads how many connections this host's kernel dropped because an accept queue was full; it does not say
-// whose. It returns false where the kernel does not tell.
+// AcceptQueueOverflows returns how many connections this host's kernel has dropped in total because an accept queue, of
+// any process, was full. It returns false if the kernel does not provide the counter.
 func AcceptQueueOverflows() (count uint64, ok bool) {
 	file, err := os.Open(netstatFile)
 	if err != nil {
--- a/internal/processstats/process.go
+++ b/internal/processstats/process.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Sample is what a Sampler measured between two calls.
+// Sample holds the measurements since a Sampler's previous sample.
 type Sample struct {
-	SchedulerDelaySeconds float64 // 99th percentile of the time that goroutines waited for a processor
-	GCShare               float64 // share of the processors' time that garbage collection took
-	CPUShare              float64 // share of the processors that this process used
-	HeapBytes             uint64  // now: live objects, and those not yet swept
-	HeapLimitBytes        uint64  // now: the runtime's memory limit, 0: none
+	SchedulerDelaySeconds float64 // 99th percentile of the time that runnable goroutines waited to run
+	GCShare               float64 // share of the available CPU time spent on garbage collection
+	CPUShare              float64 // share of GOMAXPROCS CPUs that this process used
+	HeapBytes             uint64  // current: live objects and dead ones not yet swept
+	HeapLimitBytes        uint64  // current: the runtime's memory limit; 0: none
 }
 
 const (
-	// schedulerDelayQuantile is the quantile of the scheduler delays of a sample that is reported.
+	// schedulerDelayQuantile is the reported quantile of a sample's scheduler delays.
 	schedulerDelayQuantile = 0.99
 )
 
-// The runtime metrics that are read, and their places in Sampler.metrics.
+// The runtime metrics to read, by their index in Sampler.metrics.
 const (
 	schedulerLatencies = iota
 	gcSeconds
@@ -39,18 +39,17 @@
 	heapLimitBytes:     "/gc/gomemlimit:bytes",
 }
 
-// Sampler measures the process that it is in, and remembers the counters as of its last sample. It is for one goroutine at a
-// time.
+// Sampler measures its own process and keeps the counters of its last sample. It is not safe for concurrent use.
 type Sampler struct {
 	metrics          []metrics.Sample
 	latencyCounts    []uint64 // buckets of the scheduler latencies at the last sample
 	gcSeconds        float64
-	totalSeconds     float64 // of all processors
-	processorSeconds float64 // of this process
+	totalSeconds     float64 // of all CPUs
+	processorSeconds float64 // CPU time used by this process
 	sampledAt        time.Time
 }
 
-// New makes a sampler; its first sample counts from here.
+// New returns a sampler. Its first sample covers the time since New.
 func New() *Sampler {
 	s := &Sampler{}
 	for _, name := range metricNames {
@@ -60,7 +59,7 @@
 	return s
 }
 
-// Sample measures what happened since the last call. It takes some microseconds.
+// Sample returns the measurements since the last call, or since New. It takes a few microseconds.
 func (s *Sampler) Sample() Sample {
 	var sample Sample
 	metrics.Read(s.metrics)
@@ -107,8 +106,9 @@
 	return share
 }
 
-// quantileSince is a quantile of what a histogram gained since its buckets had the counts of before: the upper bound of the
-// bucket that it falls in, or the lower one where there is no finite upper bound. It is 0 where nothing was gained.
+// quantileSince returns a quantile of the values that a histogram has gained since its bucket counts were before: the
+// upper bound of the bucket that contains it, or the lower bound if the upper one is infinite. It returns 0 if nothing
+// was gained.
 func quantileSince(histogram *metrics.Float64Histogram, before []uint64, quantile float64) float64 {
 	total := uint64(0)
 	for i, n := range histogram.Counts {
