--- a/internal/platform/resp/read.go
+++ b/internal/platform/resp/read.go
@@ -1,6 +1,6 @@
-// Package resp reads and writes RESP2 messages within fixed limits: requests, which are arrays of bulk strings, and replies, which are
-// such arrays or error lines. Memory grows as bytes arrive, not by the length that a message claims, and a malformed message is reported
-// at the first byte that shows it.
+// Package resp reads and writes the platform's RESP2 messages within fixed limits: requests, which are arrays of bulk
+// strings, and replies, which are such arrays or error lines. Memory grows with the bytes that arrive, not with the
+// length that a message claims, and a malformed message is reported at the first byte that reveals it.
 package resp
 
 import (
@@ -16,12 +16,12 @@
 	MaxReplyBytes   = 1 << 20   // of all values in a reply; endpoints send far larger values than they accept
 	maxRequestBytes = 160 << 10 // of all values in a request
 	maxValues       = 8         // of one message
-	maxErrorBytes   = 1 << 10   // of an error line
-	maxLengthDigits = 10        // of a length
-	minGrowBytes    = 4 << 10   // the least by which a value's buffer grows
+	maxErrorBytes   = 1 << 10   // length of an error line
+	maxLengthDigits = 10        // length of a length field
+	minGrowBytes    = 4 << 10   // minimum by which a value's buffer grows
 )
 
-// The bytes that begin each kind of message.
+// The first byte of each kind of element.
 const (
 	arrayMark = '*'
 	bulkMark  = '$'
@@ -31,7 +31,8 @@
 // nullLength is the length of a null value.
 const nullLength = -1
 
-// MalformedError says what is wrong with a message. What follows it on the connection can't be told apart any more.
+// MalformedError reports what is wrong with a message. The connection must be closed, since the start of the next
+// message is unknown.
 type MalformedError struct{ Reason string }
 
 // Error implements error.
@@ -41,13 +42,14 @@
 	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// IsMalformed reports whether an error is a malformed message rather than a broken connection.
+// IsMalformed reports whether an error is due to a malformed message rather than a broken connection.
 func IsMalformed(err error) bool {
 	var malformed *MalformedError
 	return errors.As(err, &malformed)
 }
 
-// ReadCommand reads one request: an array of bulk strings, the first of them the command's name.
+// ReadCommand reads one request: an array of bulk strings, the first of which is the command's name. A malformed
+// request is a *MalformedError; other errors are those of the reader.
 func ReadCommand(reader *bufio.Reader) ([][]byte, error) {
 	if err := expect(reader, arrayMark); err != nil {
 		return nil, err
@@ -72,13 +74,13 @@
 	return args, nil
 }
 
-// Reply is an endpoint's reply: an error line, or the values of an array.
+// Reply is an endpoint's reply: an error line or the values of an array.
 type Reply struct {
 	Error  string
-	Values [][]byte // nil among them: null
+	Values [][]byte // nil for a null value
 }
 
-// ReadReply reads an endpoint's reply.
+// ReadReply reads an endpoint's reply. Errors are as for ReadCommand.
 func ReadReply(reader *bufio.Reader) (Reply, error) {
 	mark, err := reader.ReadByte()
 	if err != nil {
@@ -95,7 +97,7 @@
 	return Reply{}, malformed("%q begins no answer", mark)
 }
 
-// readReplyValues reads the rest of a reply's array.
+// readReplyValues reads the rest of an array reply, after its first byte.
 func readReplyValues(reader *bufio.Reader) ([][]byte, error) {
 	count, err := readLength(reader, maxValues)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return values, nil
 }
 
-// readBulk reads a bulk string of at most so many bytes; nil is null.
+// readBulk reads a bulk string of at most maxBytes bytes. It returns nil for a null value.
 func readBulk(reader *bufio.Reader, maxBytes int) ([]byte, error) {
 	if err := expect(reader, bulkMark); err != nil {
 		return nil, err
@@ -137,7 +139,8 @@
 	return value, nil
 }
 
-// readValue reads length bytes. The buffer doubles as they arrive: a claimed length alone reserves minGrowBytes at most.
+// readValue reads length bytes. Its buffer doubles as they arrive, so that a claimed length alone allocates at most
+// minGrowBytes.
 func readValue(reader *bufio.Reader, length int) ([]byte, error) {
 	value := make([]byte, 0, min(length, minGrowBytes))
 	for len(value) < length {
@@ -154,7 +157,7 @@
 	return value, nil
 }
 
-// readLength reads the rest of a line that holds a length, nullLength included.
+// readLength reads the rest of a line that holds a length up to most, or nullLength.
 func readLength(reader *bufio.Reader, most int) (int, error) {
 	text, err := readLine(reader, maxLengthDigits)
 	if err != nil {
@@ -175,10 +178,11 @@
 	return length, nil
 }
 
-// readLine reads what stands before CRLF, maxBytes at most. The result is valid until the next read.
+// readLine reads a line of at most maxBytes bytes and returns it without its CRLF. The result is valid until the next
+// read.
 func readLine(reader *bufio.Reader, maxBytes int) ([]byte, error) {
 	for length := 0; ; {
-		// The end is looked for in what has arrived, so that a line without one is not read further than the limit.
+		// Search only the bytes that have arrived, so that a line without an end is not read beyond the limit.
 		if _, err := reader.Peek(length + 1); err != nil {
 			return nil, err
 		}
--- a/internal/platform/resp/resp_test.go
+++ b/internal/platform/resp/resp_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestAnswer(t *testing.T) {
-	big := strings.Repeat("x", 400_000) // endpoints send such, whatever they accept
+	big := strings.Repeat("x", 400_000) // endpoints send values this large, whatever they accept
 	for text, want := range map[string]string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n": `"" ["v" "" "a=1"]`,
 		"-ERR failed inflight=1\r\n":            `"ERR failed inflight=1" []`,
@@ -75,7 +75,7 @@
 	}
 }
 
-// counter counts what was read of an endless sender.
+// counter is an endless sender that counts the bytes read from it.
 type counter struct{ n int }
 
 func (c *counter) Read(p []byte) (int, error) {
@@ -86,7 +86,7 @@
 	return len(p), nil
 }
 
-// A message that only claims a length, or has no end, is read no further than its first bytes.
+// A message that only claims a length, or has no end, is not read beyond a fixed bound.
 func TestBounds(t *testing.T) {
 	for _, head := range []string{"*", "*1\r\n$", "*1\r\n$60000000\r\n", "-", "*1\r\n$3000000000\r\n", "*4\r\n$65536\r\n"} {
 		c := &counter{}
@@ -107,7 +107,8 @@
 	}
 }
 
-// What is read as a request is written as the same bytes again, and nothing behind it is read.
+// A request that was read is encoded and read again as the same words, and its encoding is no longer than the bytes
+// that were consumed.
 func FuzzCommand(f *testing.F) {
 	for _, s := range []string{"*1\r\n$4\r\nPING\r\n", "*2\r\n$1\r\na\r\n$0\r\n\r\nrest", "*1\r\n$-1\r\n", "*8\r\n$65536\r\n", "*01\r\n$01\r\na\r\n"} {
 		f.Add([]byte(s))
--- a/internal/platform/resp/write.go
+++ b/internal/platform/resp/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendArray appends the head of an array of count values.
+// AppendArray appends the header of an array of count values.
 func AppendArray(buf []byte, count int) []byte { return appendLength(buf, arrayMark, count) }
 
 // AppendBulk appends a bulk string.
@@ -12,7 +12,7 @@
 	return append(buf, '\r', '\n')
 }
 
-// AppendError appends an error line; characters that can't stand in a line are left out.
+// AppendError appends an error line. Bytes other than printable ASCII are dropped.
 func AppendError(buf []byte, text string) []byte {
 	buf = append(buf, errorMark)
 	for _, c := range []byte(text) {
