--- a/internal/platform/discovery/message.go
+++ b/internal/platform/discovery/message.go
@@ -1,5 +1,6 @@
-// Package discovery reads the endpoint list in the form of the platform's discovery service, and numbers its hosts and zones for the policy.
-// Times are seconds unless a name says otherwise.
+// Package discovery parses the endpoint list as sent by the platform's discovery service, and assigns the numeric ids
+// of hosts and zones that the policy uses. It does no I/O and has no locks. Times are seconds unless a name says
+// otherwise.
 package discovery
 
 import (
@@ -11,14 +12,14 @@
 	"flintspread/internal/endpoints"
 )
 
-// Message is one message of the discovery service: the whole list, or the members that changed.
+// Message is one message of the discovery service: the full list, or the members that changed.
 type Message struct {
 	Version uint64   `json:"seq"`
 	Full    bool     `json:"whole"`
 	Members []Member `json:"hosts"`
 }
 
-// Member is one endpoint as the discovery service names it.
+// Member is one endpoint as described by the discovery service.
 type Member struct {
 	Host                  string  `json:"host"`
 	Address               string  `json:"dial"` // HOST:PORT
@@ -26,20 +27,20 @@
 	Cell                  float64 `json:"block"`
 	Health                string  `json:"health"` // SERVING, DRAINING or DELETED
 	Weight                float64 `json:"share"`
-	StartedAtMilliseconds float64 `json:"born_ms"` // since 1970
+	StartedAtMilliseconds float64 `json:"born_ms"` // Unix time
 	Build                 float64 `json:"image_id"`
 }
 
-const maxHostBytes = 256 // of a host's name
+const maxHostBytes = 256 // length of a host's name
 
-// states gives an endpoint's state by the service's word.
+// states maps the service's health words to endpoint states.
 var states = map[string]string{
 	"SERVING":  endpoints.StateReady,
 	"DRAINING": endpoints.StateDraining,
 	"DELETED":  endpoints.StateGone,
 }
 
-// Parse reads and checks a message.
+// Parse decodes and checks a message.
 func Parse(text []byte) (*Message, error) {
 	message := &Message{}
 	if err := json.Unmarshal(text, message); err != nil {
@@ -48,8 +49,8 @@
 	return message, message.Check()
 }
 
-// Check rejects a message with an invalid member as a whole: what is left out of a list might be a drain. It checks what a member shows by
-// itself.
+// Check validates each member on its own. One invalid member rejects the whole message: a member that was skipped might
+// be one that drains.
 func (m *Message) Check() error {
 	seen := make(map[string]bool, len(m.Members))
 	for i := range m.Members {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// check finds what is wrong with a member, given the hosts before it in the message.
+// check validates a member; seen holds the hosts before it in the message.
 func (m *Member) check(seen map[string]bool) error {
 	switch {
 	case m.Host == "" || len(m.Host) > maxHostBytes:
@@ -79,12 +80,13 @@
 	return update.Check()
 }
 
-// hasValidBuildAndCell reports whether build and cell are whole numbers and the cell is one that an endpoint can hold, NaN excluded.
+// hasValidBuildAndCell reports whether build and cell are whole numbers, not NaN, and the cell fits an endpoint's
+// field.
 func (m *Member) hasValidBuildAndCell() bool {
 	return m.Build == math.Trunc(m.Build) && m.Cell == math.Trunc(m.Cell) && m.Cell >= 0 && m.Cell < math.MaxUint16
 }
 
-// endpoint gives a member as an endpoint of the list. Cells count from 1 there: 0 is none.
+// endpoint converts a member to an endpoint of the list. Cells are numbered from 1 there: 0 means none.
 func (m *Member) endpoint(id uint32, zone uint16) endpoints.Endpoint {
 	endpoint := endpoints.Endpoint{
 		ID:        id,
--- a/internal/platform/discovery/registry.go
+++ b/internal/platform/discovery/registry.go
@@ -6,8 +6,9 @@
 	"flintspread/internal/endpoints"
 )
 
-// Registry gives hosts and zones the numbers that the policy knows them by. A host keeps its number for as long as it is listed and
-// KeepSeconds more; then its name is forgotten. A number is never given to another host. It is not safe for concurrent use.
+// Registry assigns the numeric ids by which the policy knows hosts and zones. A host keeps its id while it is listed
+// and for KeepSeconds after that; then its name is forgotten. An id is never reused for another host. It is not safe
+// for concurrent use.
 type Registry struct {
 	KeepSeconds float64
 
@@ -18,10 +19,10 @@
 
 type host struct {
 	id     uint32
-	leftAt float64 // when it left the list, 0 while it is listed
+	leftAt float64 // when it left the list; 0 while it is listed
 }
 
-// EndpointID gives a host's number, 0 where it is not known.
+// EndpointID returns a host's id, or 0 if the host is not known.
 func (r *Registry) EndpointID(name string) uint32 {
 	if known := r.hosts[name]; known != nil {
 		return known.id
@@ -29,10 +30,11 @@
 	return 0
 }
 
-// Len is how many hosts are known.
+// Len returns the number of known hosts.
 func (r *Registry) Len() int { return len(r.hosts) }
 
-// Update turns a message into an update of the endpoint list. now is in seconds, on any clock that does not go back.
+// Update converts a checked message to an update of the endpoint list, and assigns ids to new hosts and zones. now is
+// in seconds on any monotonic clock.
 func (r *Registry) Update(message *Message, now float64) *endpoints.Update {
 	if r.hosts == nil {
 		r.hosts, r.zones = map[string]*host{}, map[string]uint16{}
@@ -54,7 +56,7 @@
 	return update
 }
 
-// markAllLeft notes that every listed host left; those of a full list are listed again after it.
+// markAllLeft marks every listed host as left, before the members of a full list are marked as listed again.
 func (r *Registry) markAllLeft(now float64) {
 	for _, known := range r.hosts {
 		if known.leftAt == 0 {
@@ -63,7 +65,7 @@
 	}
 }
 
-// host gives a host by its name, with a new number where it is not known.
+// host returns a host by name, and registers it with a new id if it is not known.
 func (r *Registry) host(name string) *host {
 	known := r.hosts[name]
 	if known == nil {
@@ -74,7 +76,7 @@
 	return known
 }
 
-// zone gives a zone's number, 0 for one without a name and for those beyond what a number can hold.
+// zone returns a zone's id. It returns 0 for an empty name, and for new zones once the ids are used up.
 func (r *Registry) zone(name string) uint16 {
 	if _, known := r.zones[name]; !known && name != "" && len(r.zones) < math.MaxUint16 {
 		r.zones[name] = uint16(len(r.zones) + 1)
--- a/internal/platform/discovery/versionguard.go
+++ b/internal/platform/discovery/versionguard.go
@@ -1,14 +1,14 @@
 package discovery
 
-// VersionGuard decides which full lists to accept by their versions. A list with an older version than the one in force would bring back
-// endpoints that drained or left since, as an outdated replica of the service sends it for a while. Where nothing else comes, the
-// service has begun its versions anew.
+// VersionGuard decides by version which full lists to accept. A list that is older than the one in force, such as an
+// outdated replica of the service sends for a while, would bring back endpoints that have drained or left since. If
+// only older lists arrive for long enough, the service has restarted its version numbers.
 type VersionGuard struct {
-	outdatedSince float64 // when the first of the outdated lists came, 0: the last list was none
+	outdatedSince float64 // when the first of consecutive outdated lists arrived; 0: the last list was current
 }
 
-// Accepts reports whether a full list may replace the one in force: it is no older, or only older ones came for resetSeconds. now is in
-// seconds.
+// Accepts reports whether a full list may replace the one in force: it is not older, or only older lists have arrived
+// for resetSeconds. now is in seconds on a monotonic clock.
 func (g *VersionGuard) Accepts(version, inForce uint64, now, resetSeconds float64) bool {
 	switch {
 	case version >= inForce:
