--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -15,24 +15,24 @@
 	"flintspread/internal/releases"
 )
 
-// Config is what the platform gives a router in one file.
+// Config is a router's configuration, as read from the file that the platform provides.
 type Config struct {
-	Name             string // the router's name to the platform
-	ListenAddress    string // HOST:PORT, as the two below
+	Name             string // the router's name on the platform
+	ListenAddress    string // HOST:PORT, like the two below
 	DiscoveryAddress string
 	PlatformAddress  string
 	Seed             uint64
-	Cores            float64            // processors' time that the process may use, in cores
-	MemoryBytes      int64              // that the process may use
-	Sockets          int                // descriptors that the process may have open
-	Release          *releases.Update   // nil: there is none yet
-	KnownEndpoints   *discovery.Message // nil: there is no list yet
+	Cores            float64            // CPU limit of the process, in cores
+	MemoryBytes      int64              // memory limit of the process
+	Sockets          int                // limit on open file descriptors
+	Release          *releases.Update   // nil: none yet
+	KnownEndpoints   *discovery.Message // nil: none yet
 	Policy           policy.Config
-	ClassNames       []string // of Policy.Classes, in their order
-	DialSeconds      float64  // that a connection to an endpoint may take
+	ClassNames       []string // of Policy.Classes, in the same order
+	DialSeconds      float64  // timeout for dialing an endpoint
 }
 
-// configFile is the form of the file.
+// configFile is the file's JSON format.
 type configFile struct {
 	Name      string `json:"name" validate:"required"`
 	Listen    string `json:"listen" validate:"hostname_port"`
@@ -53,7 +53,7 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// ReadConfig reads and checks the whole file. An error names file and key.
+// ReadConfig reads and validates the file. An error of its content names the file and the key.
 func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return settings, nil
 }
 
-// ParseConfig reads and checks the file's text. An error names the key.
+// ParseConfig parses and validates the file's text. An error names the key.
 func ParseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -98,7 +98,7 @@
 	return settings, nil
 }
 
-// parsePolicy reads the settings of the policy.
+// parsePolicy parses the policy's settings.
 func (c *Config) parsePolicy(text json.RawMessage) error {
 	values, err := policyconfig.ParseJSON(text)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return err
 }
 
-// parseState reads what the platform knew when it wrote the file: the release, and the endpoint list.
+// parseState parses the state that the platform knew when it wrote the file: the release and the endpoint list.
 func (c *Config) parseState(file *configFile) (err error) {
 	if c.Release, err = control.ParseRelease(file.Platform.Release, len(c.Policy.StageShares)); err != nil {
 		return fmt.Errorf("platform.news: %w", err)
@@ -128,8 +128,9 @@
 	return nil
 }
 
-// needsRestart reports whether other settings differ in what a running router does not change: all but the addresses that it connects to.
-// The seed, the release and the endpoint list count only at a start.
+// needsRestart reports whether other differs from c in a setting that takes effect only at a restart: any but the
+// addresses that the router connects to. It ignores the seed, the release and the endpoint list, which are initial
+// values only.
 func (c *Config) needsRestart(other *Config) bool {
 	rest := *other
 	rest.DiscoveryAddress, rest.PlatformAddress = c.DiscoveryAddress, c.PlatformAddress
--- a/internal/platform/node/config_test.go
+++ b/internal/platform/node/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A malformed file is rejected with file and key.
+// A malformed file is rejected with an error that names the file and the key.
 func TestConfig(t *testing.T) {
 	s := newSite(t, 0)
 	good := s.Config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -9,9 +9,9 @@
 	"flintspread/internal/watch"
 )
 
-// Limits of a watch of discovery, in seconds. Discovery's agent runs on the same machine and sends a heartbeat every 2 s. The platform
-// takes a change for known 6 s after it was sent, or as soon as the agent is back, and counts the grace of drains from then on: two
-// silent watches and the way back fit in.
+// Limits of a discovery watch, in seconds. The discovery agent runs on the same machine and sends a heartbeat every 2
+// s. The platform considers a change known 6 s after it was sent, or as soon as the agent is back, and counts the drain
+// grace period from then. Two silent watches and a reconnect fit into that time.
 const (
 	discoverySilenceSeconds    = 2.5
 	discoveryOpenSeconds       = 1.0
@@ -19,20 +19,23 @@
 	discoveryBackoffMaxSeconds = 0.25
 )
 
-// After a change of address the old one is followed until the new one says something, for handoverTimeout at most.
+// After a change of address, the old address is followed until the new one sends something, at most for
+// handoverTimeout.
 const (
 	handoverTimeout = 1500 * time.Millisecond
 	handoverCheck   = 100 * time.Millisecond
 )
 
-// follower is one watch of discovery at one address. After a change of address two of them run for a while.
+// follower is a watch of discovery at one address. After a change of address, the old and the new follower run in
+// parallel for a while.
 type follower struct {
 	node    *Node
-	number  int // grows with each follower
+	number  int // increases with each follower
 	address string
 }
 
-// followDiscovery starts to follow discovery at its present address. The follower before it ends once this one had time to connect.
+// followDiscovery starts a follower at the current discovery address, with two goroutines in n.running. Earlier
+// followers end once this one has connected or has had time to. It does nothing while the node stops.
 func (n *Node) followDiscovery() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,7 +67,7 @@
 	}
 }
 
-// nextURL asks for the changes since the list in force.
+// nextURL returns the URL that requests the changes since the list in force.
 func (f *follower) nextURL() string {
 	n := f.node
 	n.mu.Lock()
@@ -82,7 +85,7 @@
 		return err
 	}
 	if replaced := f.noteConnected(); replaced && message.Full {
-		return nil // the newer follower's full list counts
+		return nil // only the newest follower's full lists count
 	}
 	if err := f.node.applyDiscovery(message); err != nil {
 		return err
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// noteConnected notes that discovery said something to this follower, and reports whether there is a newer one.
+// noteConnected records that discovery sent something to this follower, and reports whether there is a newer one.
 func (f *follower) noteConnected() (replaced bool) {
 	n := f.node
 	n.mu.Lock()
@@ -102,8 +105,8 @@
 	return n.currentFollower != f.number
 }
 
-// waitForHandover returns when this follower is not needed any more: discovery said something to a newer one or had the time to, or
-// everything stops.
+// waitForHandover blocks until this follower is no longer needed: a newer one has connected or has had handoverTimeout
+// to do so, or the node stops.
 func (f *follower) waitForHandover() {
 	n := f.node
 	ticker := time.NewTicker(handoverCheck)
@@ -125,8 +128,8 @@
 	}
 }
 
-// applyDiscovery applies a message of discovery to the endpoint list. Changes that came already from another follower are skipped; an
-// outdated full list is an error.
+// applyDiscovery applies a checked message of discovery to the endpoint list. Changes older than the list in force,
+// which another follower has already delivered, are skipped. An outdated full list is an error.
 func (n *Node) applyDiscovery(message *discovery.Message) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/platform/node/discovery_test.go
+++ b/internal/platform/node/discovery_test.go
@@ -8,7 +8,7 @@
 	"flintspread/internal/platform/discovery"
 )
 
-// Overtaken changes and invalid messages leave the endpoint list as it is; names of hosts are forgotten in time.
+// Overtaken changes and invalid messages do not change the endpoint list, and host names are eventually forgotten.
 func TestOvertakenAndInvalidDiscoveryMessages(t *testing.T) {
 	s := startNode(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.stopNode()
@@ -23,7 +23,7 @@
 	}
 	apply(&discovery.Message{Version: 5, Full: true, Members: []discovery.Member{member("a", "SERVING", 1), member("b", "SERVING", 1)}})
 	apply(&discovery.Message{Version: 7, Members: []discovery.Member{member("b", "DELETED", 1), member("c", "DRAINING", 2)}})
-	apply(&discovery.Message{Version: 6, Members: []discovery.Member{member("b", "SERVING", 1)}}) // from the follower before
+	apply(&discovery.Message{Version: 6, Members: []discovery.Member{member("b", "SERVING", 1)}}) // from the previous follower
 	if got := fmt.Sprint(n.endpointList.Len(), n.endpointList.Version); got != "2 7" {
 		t.Error(got)
 	}
@@ -47,7 +47,8 @@
 	}
 }
 
-// An outdated list is rejected: it would bring back endpoints that left. A service that began its versions anew is believed in the end.
+// An outdated list is rejected: it would bring back endpoints that left. A service that restarted its versions is
+// eventually accepted.
 func TestOutdatedListRejected(t *testing.T) {
 	s := startNode(t, "127.0.0.1:1", "127.0.0.1:1", 0, newSite(t, 0))
 	defer s.stopNode()
@@ -74,7 +75,7 @@
 	}
 }
 
-// Silent addresses, then others: the last ones count, and none after the router stopped.
+// After several reloads with silent addresses, the last addresses are used, and none after the router has stopped.
 func TestAddressChanges(t *testing.T) {
 	silent, accepted := silentListener(t)
 	s := newSite(t, 0, 1)
--- a/internal/platform/node/main.go
+++ b/internal/platform/node/main.go
@@ -14,13 +14,14 @@
 // configVariable is the environment variable that names the configuration file.
 const configVariable = "LB_CONFIG"
 
-// Main runs the router that the platform's environment describes until SIGTERM. SIGHUP has it read its configuration file again.
+// Main runs a router, configured by the file that the environment variable LB_CONFIG names, until SIGTERM or an
+// interrupt. On SIGHUP it reads the file again.
 func Main() error {
 	file := os.Getenv(configVariable)
 	if file == "" {
 		return errors.New(configVariable + ": not set; it names the configuration")
 	}
-	// From here on SIGHUP does not end the process; one that comes early is handled once the router serves.
+	// From here on SIGHUP does not end the process. One that arrives early is handled once the router starts.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -44,7 +45,7 @@
 	return err
 }
 
-// reloadOn reads the configuration file at each signal until stopped is closed. A file that can't be read changes nothing.
+// reloadOn reloads the configuration file on each signal until stopped is closed. An invalid file changes nothing.
 func (n *Node) reloadOn(signals <-chan os.Signal, file string, stopped <-chan struct{}) {
 	for {
 		select {
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs a router on the platform's sockets: it puts the proxy, the platform's control service and its discovery service
-// together from one configuration file, and follows the platform's signals. Times in float64 are seconds; instants in them are on the
-// proxy's clock.
+// Package node runs a router on the platform: it connects the proxy with the platform's control service and discovery
+// service, as one configuration file describes, and handles the platform's signals. Main is the program's entry point;
+// Node.Run waits for all goroutines. Times in float64 are seconds; instants are on the proxy's clock.
 package node
 
 import (
@@ -24,13 +24,13 @@
 	"flintspread/internal/releases"
 )
 
-// What the platform's description gives, and the configuration file does not.
+// Values that the platform's description prescribes and the configuration file does not contain.
 const (
-	clientReadSeconds     = 2.3                       // for a client's first byte, and for a request from its first byte to its last
-	clientIdleSeconds     = 2.2                       // of a client's connection; the platform allows closing one that was idle for 2 s
-	forgetEndpointSeconds = 60.0                      // after it left the list
-	maxRememberedKeys     = 50_000                    // for one-way keys
-	keepHostSeconds       = 2 * forgetEndpointSeconds // so that a host that comes back meanwhile is the same endpoint
+	clientReadSeconds     = 2.3                       // for a client's first byte, then for the rest of a request
+	clientIdleSeconds     = 2.2                       // of a client connection; the platform allows closing after 2 s
+	forgetEndpointSeconds = 60.0                      // time to remember an endpoint after it left the list
+	maxRememberedKeys     = 50_000                    // bound on one-way keys
+	keepHostSeconds       = 2 * forgetEndpointSeconds // a host that returns meanwhile keeps its endpoint id
 )
 
 // Node is one router on the platform.
@@ -41,26 +41,26 @@
 	platform   *control.Client
 	httpClient *http.Client // for discovery
 
-	mu               sync.Mutex // guards what follows, and orders changes of the endpoint list
+	mu               sync.Mutex // guards the fields up to stopping, and serializes changes of the endpoint list
 	registry         discovery.Registry
 	endpointList     endpoints.List
 	versionGuard     discovery.VersionGuard
 	discoveryAddress string
-	currentFollower  int  // the follower whose full lists count; earlier ones may still bring changes
-	newestConnected  int  // the newest follower that discovery said something to
-	stopping         bool // no follower is started any more
+	currentFollower  int  // the follower whose full lists count; earlier ones may still deliver changes
+	newestConnected  int  // the newest follower that received something
+	stopping         bool // no more followers are started
 
 	shutdownPlan   loadshed.ShutdownPlan
-	readinessDelay time.Duration // after which the router calls itself ready though discovery said nothing
-	maxListBytes   int64         // of one message of discovery
+	readinessDelay time.Duration // after which the router is ready even if discovery sent nothing
+	maxListBytes   int64         // limit of one discovery message
 
-	watches     context.Context // of what the router follows; it outlasts the listener
+	watches     context.Context // context of all watches; it outlives the listener
 	stopWatches context.CancelFunc
 	running     sync.WaitGroup
 }
 
-// New makes a router from its configuration, and sets the process's processors and memory limit by it. It starts on the release and the
-// endpoint list that the configuration holds.
+// New creates a router from its configuration, with the release and the endpoint list in it as initial state. It also
+// sets the process-wide GOMAXPROCS and memory limit. The proxy's timer runs from here on; Run ends it.
 func New(settings *Config, log *slog.Logger) *Node {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(settings.Cores))))
 	limits := loadshed.SplitLimits(settings.Sockets, settings.MemoryBytes)
@@ -91,18 +91,18 @@
 	}
 	if settings.KnownEndpoints != nil {
 		if err := n.applyDiscovery(settings.KnownEndpoints); err != nil {
-			log.Error("endpoint list of the configuration rejected", "error", err) // discovery sends it anew
+			log.Error("endpoint list of the configuration rejected", "error", err) // discovery will send a new one
 		}
 	}
 	n.readinessDelay = seconds(loadshed.ReadinessDelaySeconds(n.endpointCount() > 0))
 	return n
 }
 
-// routerPolicy completes the platform's policy settings by what they leave to the router.
+// routerPolicy adds the settings that the platform leaves to the router.
 func routerPolicy(settings policy.Config) policy.Config {
 	settings.ForgetEndpointSeconds = forgetEndpointSeconds
 	settings.MaxRememberedKeys = maxRememberedKeys
-	settings.RequestsPerConn = 1 // whatever endpoints allow: this router has one attempt in flight on a connection
+	settings.RequestsPerConn = 1 // whatever endpoints allow: the proxy has one attempt in flight per connection
 	return settings
 }
 
@@ -130,8 +130,8 @@
 	return longest
 }
 
-// Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every goroutine that it
-// started has ended. It is called once.
+// Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every
+// goroutine that it started has ended. It must be called only once.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
 	defer n.stopWatches()
 	n.running.Go(func() { n.platform.Run(n.watches) })
@@ -155,9 +155,10 @@
 	return err
 }
 
-// stopAccepting goes through the shutdown plan up to the point from which no request is accepted. Clients may not know of the shutdown
-// yet, or have nowhere else to go: they are served as long as there is time to answer them. With timeouts below 0.6 s ServeUntil comes
-// before AcceptUntil, else after it; the negative sleep ends at once.
+// stopAccepting follows the shutdown plan up to the point from which no more requests are accepted. It blocks
+// meanwhile. Clients may not know of the shutdown yet, or have no other router, so they are served as long as there is
+// time to answer them. If the longest timeout is below 0.6 s, ServeUntil is before AcceptUntil; otherwise the second
+// sleep is not positive and returns at once.
 func (n *Node) stopAccepting(listener net.Listener) {
 	plan := n.shutdownPlan
 	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
@@ -168,7 +169,7 @@
 	closing.Stop()
 }
 
-// drain closes the listener and waits for what is in flight, up to the end of the shutdown plan.
+// drain closes the listener and waits for the requests in flight, up to the end of the shutdown plan.
 func (n *Node) drain(listener net.Listener) {
 	plan := n.shutdownPlan
 	proxy.CloseListener(listener)
@@ -179,7 +180,7 @@
 	}
 }
 
-// stop ends what the router follows and waits for it. A reload that comes from now on starts nothing.
+// stop stops the watches and the proxy, and waits for all goroutines. A later Reload starts no follower.
 func (n *Node) stop() {
 	n.mu.Lock()
 	n.stopping = true
@@ -189,8 +190,8 @@
 	n.running.Wait()
 }
 
-// Reload takes the addresses of a configuration that was replaced. It does not block; the old addresses are left once the new ones
-// answer.
+// Reload applies the addresses of a new configuration; other changes are logged and take effect at the next start. It
+// does not block. An old address stays in use until the new one answers; for discovery, at most for handoverTimeout.
 func (n *Node) Reload(settings *Config) {
 	if n.settings.needsRestart(settings) {
 		n.log.Warn("the configuration has other settings or limits than those in force; they count from the next start")
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -20,15 +20,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A short scenario: endpoints that fail in every way, a release that goes through its stages by votes, some malformed messages of
-// discovery, an endpoint that drains, addresses that change under load. The invariants are checked from what was seen on the sockets.
+// A short scenario: endpoints that fail in every way, a release that advances through its stages by votes, malformed
+// messages of discovery, an endpoint that drains, and addresses that change under load. The invariants are checked
+// against the traffic seen on the sockets.
 func TestScenarioWithReleaseAndMoves(t *testing.T) {
 	s := newSite(t, 0.05, 1, 1, 1, 1, fakes.PlatformSiteCanary, fakes.PlatformSiteCanary)
 	var malformed atomic.Int32
 	discovery, platform, endOld := s.startServices(t, func() bool { return malformed.Add(1) <= 3 })
 	startNode(t, discovery, platform, 12, s)
 	eventually(t, "the first vote", func() bool { return s.Votes() > 0 })
-	// New addresses, twice at once; the old ones are gone a little later.
+	// New addresses, twice in quick succession; the old ones go away a little later.
 	settings := *s.node.settings
 	settings.DiscoveryAddress, settings.PlatformAddress, _ = s.startServices(t, nil)
 	s.node.Reload(&settings)
@@ -48,14 +49,14 @@
 	}
 }
 
-// From the signal on clients are served on their connections for as long as there is time to answer them; whatever was accepted is
-// answered, unresponsive endpoints or not, and the router ends before it would be killed.
+// After the signal, clients are served on their connections as long as there is time to answer them. Every accepted
+// request is answered, even with unresponsive endpoints, and the router ends before it would be killed.
 func TestGracefulShutdown(t *testing.T) {
 	s := newSite(t, 0.2, 1, 1, 1)
 	discovery, platform, _ := s.startServices(t, nil)
 	startNode(t, discovery, platform, 6, s)
 	eventually(t, "traffic", func() bool { return s.node.proxy.Stats().Succeeded > 50 })
-	s.node.shutdownPlan = loadshed.PlanShutdown(2) // as where clients wait longer than here
+	s.node.shutdownPlan = loadshed.PlanShutdown(2) // a plan for longer request timeouts than this test has
 	from := s.Clock()
 	s.stopNode()
 	if took := s.Clock() - from; took < s.node.shutdownPlan.ServeUntil || took > s.node.shutdownPlan.KillAfter {
@@ -73,8 +74,8 @@
 	}
 }
 
-// A router is ready once it knows endpoints: at once when discovery's list comes, and after a short time where discovery says nothing, with
-// an old list, an empty one or none.
+// A router is ready once it knows endpoints: as soon as discovery's list arrives, or after a short time if discovery
+// sends nothing, with an old list, an empty one or none.
 func TestReady(t *testing.T) {
 	silent, accepted := silentListener(t)
 	for _, builds := range [][]int{{1}, nil} {
@@ -89,7 +90,7 @@
 	if accepted() == 0 {
 		t.Error("no connection to discovery")
 	}
-	// Here the list comes only once the PING waits; the time-out is off, so that nothing else can answer.
+	// Here the list arrives only while the PING waits. The timeout is off, so that nothing else can answer it.
 	gate := make(chan struct{})
 	site := newSite(t, 0)
 	srv := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
@@ -131,7 +132,8 @@
 	}
 }
 
-// A signal to stop that comes before the router serves, and a reload during the shutdown: clients that connect are answered.
+// With a stop signal before the router serves and a reload during the shutdown, clients that connect are still
+// answered.
 func TestStopBeforeStart(t *testing.T) {
 	s := newSite(t, 0, 1)
 	discovery, platform, _ := s.startServices(t, nil)
@@ -139,7 +141,7 @@
 	s.t, s.address = t, l.Addr().String()
 	settings := must[*Config](t)(ParseConfig([]byte(s.Config(s.address, discovery, platform))))
 	s.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c := s.dial() // the kernel accepted it, the program has not
+	c := s.dial() // accepted by the kernel, not yet by the program
 	c.send("API.READ", "k", fmt.Sprintf("%016x", 1), "c=lookup,d=500")
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
--- a/internal/platform/node/release.go
+++ b/internal/platform/node/release.go
@@ -9,7 +9,8 @@
 	n.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds)
 }
 
-// reportWrongAnswer passes on that an endpoint gave a wrong answer some time ago. One that is not known any more is ignored.
+// reportWrongAnswer reports to the proxy that an endpoint gave a wrong answer ageSeconds ago. An unknown host is
+// ignored.
 func (n *Node) reportWrongAnswer(host string, ageSeconds float64) {
 	n.mu.Lock()
 	id := n.registry.EndpointID(host)
@@ -19,7 +20,7 @@
 	}
 }
 
-// castVote casts a vote of the policy without waiting for its reply.
+// castVote casts a vote of the policy. It does not wait for the reply.
 func (n *Node) castVote(vote releases.Vote) {
 	if vote.Verdict == policy.VoteRollback {
 		n.logEvidence(vote.Build)
@@ -27,12 +28,12 @@
 	n.platform.Cast(vote)
 }
 
-// buildEvidence sums up the samples of one build by failure kind.
+// buildEvidence is the sum of one build's samples, by failure kind.
 type buildEvidence struct {
 	failingEndpoints, outcomes, failures [len(policy.FailureKinds)]float64
 }
 
-// logEvidence logs what a vote to roll back rests on: the samples of the canary and of the builds before it.
+// logEvidence logs the evidence for a vote to roll back: the samples of the canary and of the other builds.
 func (n *Node) logEvidence(canary int) {
 	byBuild := map[int]*buildEvidence{}
 	for _, sample := range n.proxy.LocalEvidence().Samples {
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -18,7 +18,7 @@
 	"flintspread/internal/platform/resp"
 )
 
-// testSite is a fake site with a router that runs on it until the test stops it.
+// testSite is a fake site with a router that runs until the test stops it.
 type testSite struct {
 	*fakes.PlatformSite
 	t           *testing.T
@@ -39,12 +39,12 @@
 	}
 }
 
-// startNode runs a router on a site, and so many clients of it.
+// startNode runs a router on a site, and the given number of clients.
 func startNode(t *testing.T, discovery, platform string, clients int, site *testSite) *testSite {
 	return startEditedNode(t, discovery, platform, clients, site, func(*Node) {})
 }
 
-// startEditedNode edits the router before it runs.
+// startEditedNode is like startNode; edit changes the router before it runs.
 func startEditedNode(t *testing.T, discovery, platform string, clients int, site *testSite, edit func(*Node)) *testSite {
 	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	site.t, site.address, site.stopClients = t, l.Addr().String(), make(chan struct{})
@@ -69,7 +69,7 @@
 	return site
 }
 
-// checkInvariants checks the first so many invariants once the clients have ended.
+// checkInvariants checks the first rules invariants once the clients have ended.
 func (s *testSite) checkInvariants(rules int) *invariants.Report {
 	s.clients.Wait()
 	s.life.To = s.Clock()
@@ -82,7 +82,7 @@
 	return report
 }
 
-// newSite makes a site with an endpoint of each build; a share of the attempts at those of the baseline ends badly.
+// newSite returns a site with an endpoint of each build. A share of the attempts at baseline endpoints fails.
 func newSite(t *testing.T, badShare float64, builds ...int) *testSite {
 	s := &testSite{PlatformSite: fakes.NewPlatformSite("n1")}
 	t.Cleanup(s.Close)
@@ -98,7 +98,7 @@
 	return s
 }
 
-// startServices starts discovery and a control service.
+// startServices starts a discovery service and a control service.
 func (s *testSite) startServices(t *testing.T, spoil func() bool) (discovery, platform string, end func()) {
 	discovery, endDiscovery, discoveryErr := s.Discovery(spoil)
 	platform, endPlatform, platformErr := s.StartControlService()
@@ -123,7 +123,7 @@
 	t.Fatal("not within 30 s:", what)
 }
 
-// silentListener is an address that accepts connections and never says anything; accepted counts them.
+// silentListener accepts connections and never sends anything; accepted counts them.
 func silentListener(t *testing.T) (address string, accepted func() int) {
 	var n atomic.Int32
 	l, err := fakes.Serve(func(c net.Conn) {
@@ -139,7 +139,7 @@
 	return l.Addr().String(), func() int { return int(n.Load()) }
 }
 
-// respClient sends requests and reads lines.
+// respClient sends requests and reads reply lines.
 type respClient struct {
 	net.Conn
 	t      *testing.T
--- a/internal/platform/node/statslog.go
+++ b/internal/platform/node/statslog.go
@@ -9,7 +9,7 @@
 
 const statsInterval = 5 * time.Second
 
-// logStats logs the proxy's counts and the process's memory every statsInterval until ctx ends.
+// logStats logs the proxy's counters and the process's memory every statsInterval until ctx ends.
 func (n *Node) logStats(ctx context.Context) {
 	ticker := time.NewTicker(statsInterval)
 	defer ticker.Stop()
