--- a/internal/platform/control/client.go
+++ b/internal/platform/control/client.go
@@ -1,5 +1,6 @@
-// Package control speaks the platform's line protocol: one connection on which the platform pushes release states and wrong answers, and
-// on which votes are cast.
+// Package control is the client of the platform's control service. It speaks a line protocol on one connection, on
+// which the platform pushes release states and wrong answers, and on which votes are cast. Client.Run owns the
+// connection and reconnects; Client.Cast may be called from any goroutine.
 package control
 
 import (
@@ -21,40 +22,41 @@
 
 const (
 	maxLineBytes = 8 << 10
-	silenceLimit = 3 * time.Second // without a line; one is due every second
+	silenceLimit = 3 * time.Second // maximum time without a line; the platform sends one every second
 	dialTimeout  = time.Second
 
-	// Pauses between connections, in seconds.
+	// Backoff between connections, in seconds.
 	backoffMinSeconds = 0.05
 	backoffMaxSeconds = 1.0
-	// A connection that lasted so long was a working one: the pauses begin anew after it.
+	// A connection that lasted longer than this was a working one, so the backoff starts again from its minimum.
 	backoffResetAfter = 2 * silenceLimit
 )
 
-// Client is a router's connection to the platform. Its callbacks must not block; they come from several goroutines, since a vote's time-out
-// has its own.
+// Client is a router's connection to the platform. Its exported fields must be set before Run or Cast. The callbacks
+// must not block. They are called from several goroutines, since a vote's timeout has its own.
 type Client struct {
-	Stages        int           // how many rollout stages there are
-	VoteTimeout   time.Duration // for which the reply to a vote is waited for
+	Stages        int           // number of rollout stages
+	VoteTimeout   time.Duration // maximum wait for the reply to a vote
 	Log           *slog.Logger
 	OnRelease     func(*releases.Update)
-	OnWrongAnswer func(host string, ageSeconds float64) // an endpoint gave a wrong answer some time ago
-	OnVoteReply   func(releases.Vote, policy.VoteReply) // called once for each vote
+	OnWrongAnswer func(host string, ageSeconds float64) // an endpoint gave a wrong answer ageSeconds ago
+	OnVoteReply   func(releases.Vote, policy.VoteReply) // called exactly once per vote
 
 	mu             sync.Mutex
 	address        string
 	addressChanged chan struct{}
-	conn           *connection // the one in use, nil: none
-	following      bool        // the platform accepted the call to follow on conn
-	calls          []*call     // that wait for their replies on conn, the oldest first
+	conn           *connection // the one in use; nil: none
+	following      bool        // the platform accepted the follow call on conn
+	calls          []*call     // awaiting replies on conn, oldest first
 }
 
-// Open gives the platform's address. It is called once, before all else.
+// Open sets the platform's address. It must be called once, before any other method.
 func (c *Client) Open(address string) {
 	c.address, c.addressChanged = address, make(chan struct{}, 1)
 }
 
-// SetAddress moves the client to another address: the new connection is established before the present one is closed. It does not block.
+// SetAddress moves the client to another address: the new connection is established before the current one is closed.
+// It does not block.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	same := c.address == address
@@ -65,11 +67,11 @@
 	}
 	select {
 	case c.addressChanged <- struct{}{}:
-	default: // a change is pending already; it will find this address
+	default: // a change is already pending and will use this address
 	}
 }
 
-// Run follows the platform until ctx ends, and reconnects with backoff.
+// Run follows the platform until ctx ends, reconnecting with backoff. It must be called once.
 func (c *Client) Run(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		startedAt := time.Now()
@@ -90,12 +92,12 @@
 	}
 }
 
-// connection is one on which the client asked to follow.
+// connection is a connection on which the client has sent the follow call.
 type connection struct {
 	net.Conn
 	reader    *bufio.Reader
-	firstByte chan error    // gets nil once something came, or why nothing did
-	ended     chan struct{} // closed when reading it has ended
+	firstByte chan error    // receives nil once data arrived, or the error
+	ended     chan struct{} // closed when reading has ended
 	err       error         // why reading ended; set before ended is closed
 }
 
@@ -119,14 +121,14 @@
 		ended:     make(chan struct{}),
 	}
 	conn.SetReadDeadline(time.Now().Add(silenceLimit))
-	go func() { // ends with the connection, or at the deadline
+	go func() { // ends with the connection or at the read deadline
 		_, err := opened.reader.Peek(1)
 		opened.firstByte <- err
 	}()
 	return opened, nil
 }
 
-// serve follows on one connection until it ends, and on those that replace it where the address changes.
+// serve follows the platform on one connection, and on those that replace it after a change of address, until one ends.
 func (c *Client) serve(ctx context.Context) error {
 	current, err := c.connect(ctx)
 	if err != nil {
@@ -155,12 +157,12 @@
 	return err
 }
 
-// replacement waits for a change of address and returns the connection there once something came on it. Until then the present connection
-// is read: what the platform pushes meanwhile must not be lost. An error says that the present connection ended, that a new one can't be
-// had, or that ctx ended.
+// replacement blocks until the address changes, and returns a connection to the new address once data arrived on it.
+// The current connection is read until then, so that no push is lost. It returns an error if the current connection
+// ends without a replacement, if connecting to the new address fails, or if ctx ends.
 func (c *Client) replacement(ctx context.Context, current *connection) (*connection, error) {
 	var next *connection
-	var firstByte chan error // of next; nil blocks
+	var firstByte chan error // of next; nil blocks forever
 	ended := current.ended
 	for {
 		select {
@@ -173,7 +175,7 @@
 			if next == nil {
 				return nil, current.err
 			}
-			ended = nil // next is waited for
+			ended = nil // still wait for next
 		case err := <-firstByte:
 			if err != nil {
 				next.Close()
@@ -193,14 +195,15 @@
 	}
 }
 
-// use makes a connection the one on which votes are cast, once its call to follow has its reply.
+// use makes a connection the current one. Votes are cast on it once its follow call is accepted.
 func (c *Client) use(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn, c.following, c.calls = conn, false, []*call{{follow: true}}
 }
 
-// abandon closes a connection. The votes on it that have no reply may have been counted.
+// abandon closes a connection. Votes on it without a reply are reported as VoteUnknown, since they may have been
+// counted.
 func (c *Client) abandon(conn *connection) {
 	conn.Close()
 	c.mu.Lock()
@@ -214,7 +217,8 @@
 	}
 }
 
-// read handles the lines of a connection until it ends. A malformed line ends it: what follows can't be told apart.
+// read handles a connection's lines until it ends. A malformed line ends it, since later replies could be matched to
+// the wrong calls.
 func (c *Client) read(conn *connection) error {
 	for {
 		line, err := readLine(conn)
@@ -240,7 +244,7 @@
 	return line, nil
 }
 
-// handle passes on what a line says.
+// handle parses a line and calls the callbacks for what it contains.
 func (c *Client) handle(conn *connection, line string) error {
 	oldest := c.oldestCall(conn)
 	message, err := Parse(line, c.Stages, oldest != nil && oldest.follow)
--- a/internal/platform/control/client_test.go
+++ b/internal/platform/control/client_test.go
@@ -16,7 +16,7 @@
 	"flintspread/internal/releases"
 )
 
-// fakePlatform is a platform that replies as a test says.
+// fakePlatform is a platform with scripted replies.
 type fakePlatform struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -50,7 +50,7 @@
 	return n
 }
 
-// startClient runs a client and returns it with its callbacks' calls, in order.
+// startClient runs a client and returns it with a channel of its callbacks' calls, in order.
 func startClient(t *testing.T, platform *fakePlatform) (*Client, chan string) {
 	events := make(chan string, 1000)
 	client := &Client{Stages: 2, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -85,15 +85,15 @@
 	}
 }
 
-// stateFields is a release state as lines end with it.
+// stateFields is a release state, as it appears at the end of lines.
 const stateFields = "42 1 trial 0.28 310\r\n"
 
-// What each reply to a vote means, and that the client goes on: on a new connection where a line was malformed.
+// Each reply to a vote is interpreted correctly and the client continues, on a new connection if a line was malformed.
 func TestVoteReplies(t *testing.T) {
 	for _, c := range []struct {
 		reply      string
 		want       string
-		reconnects bool // the connection is of no further use
+		reconnects bool // the connection can't be used further
 	}{
 		{"OK " + stateFields, "release 42 1 on-trial/vote 0", false},
 		{"* progress " + stateFields + "OK " + stateFields, "release 42 1 on-trial/release 42 1 on-trial/vote 0", false},
@@ -104,7 +104,7 @@
 		{"%&/\r\n", "vote 3", true},
 		{"OK 42 1 trial 0.28 310\n", "vote 3", true},
 		{strings.Repeat("x", 9000), "vote 3", true},
-		{"", "vote 3", false}, // no reply in time; a late one is not taken for the next one's
+		{"", "vote 3", false}, // no reply in time; a late one is not taken for the next vote's
 	} {
 		platform := startPlatform(t, func(conn net.Conn, line string) {
 			if line == "follow" {
@@ -170,7 +170,8 @@
 	}
 }
 
-// At a change of address the new connection is established before the old one is closed, also when it changes again at once.
+// At a change of address the new connection is established before the old one is closed, even if the address changes
+// again immediately.
 func TestAddressChange(t *testing.T) {
 	follow := func(build int) func(net.Conn, string) {
 		return func(conn net.Conn, line string) {
@@ -189,15 +190,15 @@
 	}
 	client.SetAddress(c.listener.Addr().String())
 	client.SetAddress(a.listener.Addr().String())
-	for got := ""; got != "release 1 0 on-trial"; { // that of the third may come twice: it was connected to for either change
+	for got := ""; got != "release 1 0 on-trial"; { // "release 3" may arrive twice: either change connects to c
 		if got = next(t, events); got == "release 2 0 on-trial" {
 			t.Error("back at the second")
 		}
 	}
 }
 
-// What comes on the present connection counts until something came on the next one; where nothing does, or the present one ends
-// meanwhile, the client reconnects. So it does on a connection that has gone silent.
+// The current connection is used until data arrives on the next one, which the client still waits for if the current
+// one ends. A connection that goes silent is closed, and the client reconnects.
 func TestAddressChangeToSilentPlatform(t *testing.T) {
 	var mu sync.Mutex
 	var present net.Conn
@@ -233,7 +234,7 @@
 	if got := next(t, events); got != "release 3 0 on-trial" {
 		t.Error(got)
 	}
-	// Nothing more comes: the client closes the silent connection and reconnects.
+	// Nothing more arrives: the client closes the silent connection and reconnects.
 	if got := next(t, events); got != "release 3 0 on-trial" || silent.count("follow") < 2 {
 		t.Errorf("%s on connection %d", got, silent.count("follow"))
 	}
--- a/internal/platform/control/protocol.go
+++ b/internal/platform/control/protocol.go
@@ -11,8 +11,8 @@
 	"flintspread/internal/releases"
 )
 
-// The platform's lines end in CRLF; their fields are separated by one space. A line that begins with pushMark is pushed, any other one
-// is the reply to the oldest call without one.
+// The platform's lines end in CRLF, and their fields are separated by one space. A line that starts with pushMark is a
+// push; any other line is the reply to the oldest pending call.
 const (
 	pushMark        = "*"
 	progressPush    = "progress"  // * progress BUILD STAGE PHASE CAP AGE_MS
@@ -21,18 +21,18 @@
 	okReply         = "OK"
 	errorReply      = "ERR"
 
-	progressFields    = 5 // of a release state
+	progressFields    = 5 // number of fields of a release state
 	wrongAnswerFields = 3
 	metricsFields     = 6
 )
 
-// phaseNames gives the phase of a releases.Update by the platform's word.
+// phaseNames maps the platform's words to the phases of a releases.Update.
 var phaseNames = map[string]string{"trial": "on-trial", "rolling_back": "going-back", "released": "released", "withdrawn": "withdrawn"}
 
-// verdictWords gives the platform's word by policy.Verdict.
+// verdictWords holds the platform's words, indexed by policy.Verdict.
 var verdictWords = [...]string{"WITHDRAW", "PROCEED", "HOLD", "ROLLBACK"}
 
-// errorReplies gives what each error of the platform means for a vote.
+// errorReplies maps the platform's errors to their meaning for a vote.
 var errorReplies = map[string]policy.VoteReply{
 	"Throttling":      policy.VoteRefused,
 	"ConditionFailed": policy.VoteMoot,
@@ -40,8 +40,8 @@
 	"ValidationError": policy.VoteRefused,
 }
 
-// ParseRelease reads a release state as the platform's configuration file holds it; nil: there is none. stages is how many rollout stages
-// there are.
+// ParseRelease parses a release state in the JSON form of the platform's configuration file. It returns nil without an
+// error if there is none. stages is the number of rollout stages.
 func ParseRelease(text []byte, stages int) (*releases.Update, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
@@ -68,7 +68,7 @@
 	return update, update.Check(stages)
 }
 
-// parseProgress reads the fields BUILD STAGE PHASE CAP AGE_MS of a release state.
+// parseProgress parses the fields BUILD STAGE PHASE CAP AGE_MS of a release state.
 func parseProgress(fields []string, stages int) (*releases.Update, error) {
 	if len(fields) != progressFields {
 		return nil, fmt.Errorf("a release state of %d fields", len(fields))
@@ -83,18 +83,18 @@
 	return newUpdate(int(build), stage, fields[2], canaryLimit, age, stages)
 }
 
-// Message is one line of the platform. The zero message is a heartbeat, or a push that the router has no use for.
+// Message is a parsed line of the platform. The zero Message is a heartbeat, or a push that the router does not use.
 type Message struct {
-	Release                    *releases.Update // the state of the newest build, nil: not in this line
-	WrongAnswerHost            string           // the endpoint that gave a wrong answer, "": not in this line
+	Release                    *releases.Update // state of the newest build; nil: not in this line
+	WrongAnswerHost            string           // endpoint that gave a wrong answer; "": not in this line
 	WrongAnswerAgeMilliseconds float64
-	IsReply                    bool             // to the oldest call without one
-	VoteReply                  policy.VoteReply // of a reply to a vote
-	FollowAccepted             bool             // a reply to the call to follow
+	IsReply                    bool             // the line replies to the oldest pending call
+	VoteReply                  policy.VoteReply // valid for the reply to a vote
+	FollowAccepted             bool             // the line accepts the follow call
 }
 
-// Parse reads one line without its CRLF. expectFollow: the oldest call without a reply is the one to follow. An error says that the line is
-// malformed.
+// Parse parses one line without its CRLF. expectFollow says that the oldest pending call is the follow call. An error
+// means that the line is malformed or unexpected.
 func Parse(line string, stages int, expectFollow bool) (Message, error) {
 	fields := strings.Split(line, " ")
 	switch {
@@ -141,13 +141,13 @@
 
 func parseAge(field string) (float64, error) {
 	age, err := strconv.ParseFloat(field, 64)
-	if err == nil && !(age >= 0) { // NaN included
+	if err == nil && !(age >= 0) { // rejects NaN, too
 		err = fmt.Errorf("age %v", age)
 	}
 	return age, err
 }
 
-// checkMetrics checks the platform's own counts, which are not used: the policy counts for itself.
+// checkMetrics validates the platform's own counts. They are not used, since the policy keeps its own.
 func checkMetrics(fields []string) error {
 	for i, field := range fields {
 		if i == 1 { // the request class
--- a/internal/platform/control/votes.go
+++ b/internal/platform/control/votes.go
@@ -10,22 +10,24 @@
 	"flintspread/internal/releases"
 )
 
-// voteWriteTimeout bounds the write of a vote: the kernel takes a few bytes at once on a connection that the platform reads.
+// voteWriteTimeout bounds the write of a vote, which happens under Client.mu. The kernel accepts a few bytes at once if
+// the platform reads.
 const voteWriteTimeout = 100 * time.Millisecond
 
-// replyNames gives the log's word by policy.VoteReply.
+// replyNames holds the log values, indexed by policy.VoteReply.
 var replyNames = [...]string{"counted", "moot", "refused", "unknown"}
 
-// call is one request to the platform that waits for its reply: to follow, or a vote.
+// call is a pending request to the platform: the follow call or a vote.
 type call struct {
 	follow   bool
 	vote     releases.Vote
-	timeout  *time.Timer // nil for the one to follow
-	reported bool        // what became of the vote was passed on
+	timeout  *time.Timer // nil for the follow call
+	reported bool        // OnVoteReply was called for it
 }
 
-// Cast casts a vote without waiting for its reply. Where the client follows on no connection, the vote is refused: the policy casts it
-// again.
+// Cast casts a vote and does not wait for its reply; OnVoteReply receives it. Without a connection on which the
+// platform accepted the follow call, the vote is refused, and the policy casts it again. The write may block for
+// voteWriteTimeout.
 func (c *Client) Cast(vote releases.Vote) {
 	cast := &call{vote: vote}
 	cast.timeout = time.AfterFunc(c.VoteTimeout, func() {
@@ -42,7 +44,7 @@
 	err := writeVote(conn, vote)
 	c.mu.Unlock()
 	if err != nil {
-		conn.Close() // ends the reading, which reports the votes without a reply
+		conn.Close() // ends read, which leads to abandon and VoteUnknown
 	}
 }
 
@@ -52,7 +54,7 @@
 	return err
 }
 
-// oldestCall is the call that the next reply on a connection belongs to; nil: there is none.
+// oldestCall returns the call that the next reply on a connection belongs to, or nil if there is none.
 func (c *Client) oldestCall(conn *connection) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +64,8 @@
 	return c.calls[0]
 }
 
-// removeOldestCall notes that a call got its reply. The first one is that to follow: from then on votes may be cast.
+// removeOldestCall removes the call that got its reply. The first one is the follow call, after which votes may be
+// cast.
 func (c *Client) removeOldestCall(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +75,8 @@
 	}
 }
 
-// finish passes on what became of a vote, once: a reply may come after the time-out. It does nothing for the call to follow.
+// finish calls OnVoteReply for a vote. Later calls for the same vote do nothing, since a reply may arrive after the
+// timeout. It does nothing for the follow call.
 func (c *Client) finish(ended *call, reply policy.VoteReply, reason string) {
 	c.mu.Lock()
 	ignore := ended.reported || ended.follow
