--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// writeRemaining writes what the kernel did not take at once, from byte n on.
+// writeRemaining writes what the kernel did not accept at once, from byte n on.
 func (p *Proxy) writeRemaining(attempt *attempt, socket *socket, buf []byte, n int) {
 	defer p.goroutines.Done()
 	held := len(buf)
--- a/internal/proxy/http_conn.go
+++ b/internal/proxy/http_conn.go
@@ -171,7 +171,7 @@
 	proto.onAnswerWritten(conn, err)
 }
 
-// onAnswerWritten signals the connection's goroutine that the answer was written or, if err is set, failed to be.
+// onAnswerWritten signals the connection's goroutine that the answer was written, or that the write failed with err.
 func (http1) onAnswerWritten(conn *clientConn, err error) {
 	conn.writeFailed = err != nil
 	if conn.writeFailed {
