--- a/internal/loadshed/limit.go
+++ b/internal/loadshed/limit.go
@@ -11,27 +11,27 @@
 
 // The limit is cut while the pressure is above 1.
 const (
-	cutPerPressure = 0.05    // share of the admitted work removed by a cut, per unit of pressure
-	deepestCut     = 0.7     // minimum share of the admitted work that a cut leaves
-	cutFloor       = 1.0 / 2 // minimum share of the best rate that a cut leaves: below it, admitted work is not the cause
-	settleSeconds  = 0.3     // minimum time between cuts, plus twice the process's delay
-	worsening      = 1.5     // multiple of the last cut's pressure above which the next cut does not wait
-	episodeSeconds = 2.0     // time after a cut in which further cuts belong to the same overload
+	cutPerPressure      = 0.05    // share of the admitted work removed by a cut, per unit of pressure
+	minKeptByCut        = 0.7     // minimum share of the admitted work that a cut leaves
+	cutFloor            = 1.0 / 2 // minimum share of the best rate that a cut leaves: below it, admitted work is not the cause
+	settleSeconds       = 0.3     // minimum time between cuts, plus twice the process's delay
+	worsePressureFactor = 1.5     // multiple of the last cut's pressure above which the next cut does not wait
+	episodeSeconds      = 2.0     // time after a cut in which further cuts belong to the same overload
 )
 
 // The limit grows while the pressure is low and most of the limit is used.
 const (
-	lowPressure       = 0.4     // below it the limit may grow
-	usedShare         = 0.8     // share of the limit that must be admitted for it to grow
-	fastGrowth        = 1.03    // growth factor per sample, well below the rate of the last overload
-	nearOverload      = 0.95    // share of that rate above which growth is slow
-	slowGrowth        = 0.004   // initial slow growth per sample, as a fraction of the limit,
-	maxSlowGrowth     = 0.02    // and its maximum
-	calmSquare        = 8       // square of the seconds since the last cut at which slow growth has doubled
-	maxCPUShare       = 0.9     // target share of the processors in use
-	idleCPUGrowth     = 0.3     // growth per sample, as a fraction of the limit, per unit of CPU share below maxCPUShare
-	minLimitShare     = 1.0 / 4 // minimum of the limit, as a share of the best rate
-	keptBestRateShare = 0.999   // share of the best rate that is kept from sample to sample
+	lowPressure        = 0.4     // below it the limit may grow
+	usedShare          = 0.8     // share of the limit that must be admitted for it to grow
+	fastGrowth         = 1.03    // growth factor per sample, well below the rate of the last overload
+	nearOverload       = 0.95    // share of that rate above which growth is slow
+	slowGrowth         = 0.004   // initial slow growth per sample, as a fraction of the limit,
+	maxSlowGrowth      = 0.02    // and its maximum
+	calmSecondsSquared = 8       // square of the seconds since the last cut at which slow growth has doubled
+	maxCPUShare        = 0.9     // target share of the processors in use
+	idleCPUGrowth      = 0.3     // growth per sample, as a fraction of the limit, per unit of CPU share below maxCPUShare
+	minLimitShare      = 1.0 / 4 // minimum of the limit, as a share of the best rate
+	keptBestRateShare  = 0.999   // share of the best rate that is kept from sample to sample
 )
 
 const (
@@ -99,20 +99,20 @@
 	default:
 		// The longer the process has kept up, the further away an overload is assumed to be.
 		calm := now - s.lastCutAt
-		s.limit *= 1 + min(maxSlowGrowth, slowGrowth*(1+calm*calm/calmSquare))
+		s.limit *= 1 + min(maxSlowGrowth, slowGrowth*(1+calm*calm/calmSecondsSquared))
 	}
 }
 
 // mayCut reports whether the limit may be cut again. A backlog takes a while to drain: cutting on
 // every sample meanwhile would go far too deep.
 func (s *Shedder) mayCut(now, pressure float64) bool {
-	return now >= s.lastCutAt+settleSeconds+2*s.delaySeconds || pressure > worsening*s.lastCutPressure
+	return now >= s.lastCutAt+settleSeconds+2*s.delaySeconds || pressure > worsePressureFactor*s.lastCutPressure
 }
 
 // cutLimit cuts the limit below the admitted rate.
 func (s *Shedder) cutLimit(now, pressure, admittedRate float64) {
 	before := min(s.limit, admittedRate)
-	s.limit = max(before*max(deepestCut, 1-cutPerPressure*pressure), min(before, s.bestRate*cutFloor))
+	s.limit = max(before*max(minKeptByCut, 1-cutPerPressure*pressure), min(before, s.bestRate*cutFloor))
 	if now > s.lastCutAt+episodeSeconds {
 		s.overloadRate = before
 	}
--- a/internal/policy/metrics_test.go
+++ b/internal/policy/metrics_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// said returns evidence from metrics with the given outcomes and failures of one kind for each endpoint.
-func said(kind int, n, earlier, trial float64) MetricsEvidence {
+// evidenceFromMetrics returns evidence from metrics with the given outcomes and failures of one kind for each endpoint.
+func evidenceFromMetrics(kind int, n, earlier, trial float64) MetricsEvidence {
 	s := MetricsEvidence{Evidence: Evidence{Build: 8}}
 	for _, u := range []uint32{1, 2, 3, 4, 11, 12} {
 		t := EndpointSample{Endpoint: u, Build: 7}
@@ -35,7 +35,7 @@
 		fmt.Print(name, ": ")
 		f.vote(1, VoteCounted)
 	}
-	bad, good := said(wrongAnswer, 400, 0.01, 0.3), said(wrongAnswer, 400, 0.01, 0.01)
+	bad, good := evidenceFromMetrics(wrongAnswer, 400, 0.01, 0.3), evidenceFromMetrics(wrongAnswer, 400, 0.01, 0.01)
 	play("two reports", 0.3, 120, 2, MetricsEvidence{})
 	play("two reports, and the metrics say so", 0.3, 120, 2, bad)
 	play("two reports, and the metrics say all is well", 0.3, 120, 2, good)
@@ -43,8 +43,8 @@
 	play("no report, and the metrics say so", 0.3, 120, 0, bad)
 	play("nothing seen, and the metrics say so", 0.3, 0, 0, bad)
 	play("nothing can be seen, and the metrics say so", 0, 120, 0, bad)
-	play("answers come, and the metrics say they fail", 0.3, 120, 0, said(serverError, 400, 0, 0.5))
-	few := said(wrongAnswer, 12, 0, 0.3)
+	play("answers come, and the metrics say they fail", 0.3, 120, 0, evidenceFromMetrics(serverError, 400, 0, 0.5))
+	few := evidenceFromMetrics(wrongAnswer, 12, 0, 0.3)
 	play("two reports, the metrics know little more than what came from here", 0.3, 120, 2, few)
 	few.Independent[wrongAnswer] = true
 	play("the same, and it is of others' requests", 0.3, 120, 2, few)
@@ -160,7 +160,7 @@
 					}
 					return Succeeded, 0.05
 				})
-				s := said(serverError, 1000, rate, lie)
+				s := evidenceFromMetrics(serverError, 1000, rate, lie)
 				s.Independent[serverError] = true
 				f.b.SetMetricsEvidence(s)
 				if f.b.verdict(f.now) == VoteRollback {
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -5,9 +5,6 @@
 	"flintspread/internal/endpoints"
 )
 
-// The states of an endpoint as its list names them.
-const ()
-
 // endpointPool holds the connections to one endpoint process. It is guarded by Proxy.mu.
 type endpointPool struct {
 	id        uint32
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -7,7 +7,7 @@
 	"flintspread/internal/policy"
 )
 
-func TestCheckRefusesWhatCannotBeMeant(t *testing.T) {
+func TestCheckRejectsInvalidUpdates(t *testing.T) {
 	valid := Update{Version: 1, Build: 2, Stage: 1, Phase: "on-trial", CanaryLimit: 0.5, AgeSeconds: 3}
 	with := func(edit func(*Update)) Update { u := valid; edit(&u); return u }
 	if err := valid.Check(2); err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestReplyTellsWhatBecameOfVote(t *testing.T) {
+func TestVoteReplies(t *testing.T) {
 	for _, test := range []struct {
 		text      string
 		reply     policy.VoteReply
