--- /dev/null
+++ b/internal/router/releases_test.go
@@ -0,0 +1,37 @@
+package router
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"flintspread/internal/releases"
+)
+
+// TestReadReleaseOfEarlierVersion reads the release that the program of commit abfd351 saved, and encodes it again: routers of either
+// version start on what the other left (internal/storedformats/testdata/abfd351/README.md).
+func TestReadReleaseOfEarlierVersion(t *testing.T) {
+	const file = "../storedformats/testdata/abfd351/news.json"
+	saved, err := readRelease(file, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := savedRelease{
+		Update:      releases.Update{Version: 6, Build: 3, Stage: 1, Phase: "released", CanaryLimit: 1, AgeSeconds: 3.1958558559417725},
+		ConfirmedAt: 1796282833.1496031,
+	}
+	if saved != want {
+		t.Errorf("%+v, want %+v", saved, want)
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded, err := json.Marshal(saved)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(encoded) != string(text) {
+		t.Errorf("%s, want %s", encoded, text)
+	}
+}
