--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -5,9 +5,9 @@
 	"flintspread/internal/lease"
 )
 
-// nextAssignment makes the next assignment (on the wire: a View) for a router that has the given version of the endpoint
-// list. An assignment holds all that binds the router; of the large parts it carries only those that the router lacks. It is
-// called by the gRPC server when there is room to send, and does not block on disk or network.
+// nextAssignment builds the next assignment (a View on the wire) for a router that holds listVersion of the endpoint
+// list. An assignment carries everything that binds the router, but includes the large parts only if the router lacks
+// them. The gRPC server calls it when it can send; it does not block on disk or network.
 func (c *Controller) nextAssignment(router string, listVersion uint64) *linkpb.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -14,9 +14,10 @@
 	"flintspread/internal/lease"
 )
 
-// BenchmarkBeat is one report interval of a controller's routers, without sockets: each router's report on all endpoints under
-// two builds is encoded, decoded and accepted, the controller ticks, and each router gets its assignment. Reported is what that
-// is a second at the example's interval of 0.1 s: bytes of reports and of assignments, and the share of a core.
+// BenchmarkBeat measures one report interval of a controller and its routers, without sockets: each router's report on
+// all endpoints under two builds is encoded, decoded and accepted, the controller ticks, and each router gets its
+// assignment. It reports bytes of reports and assignments per second at the example's interval of 0.1 s, and the share
+// of a core used.
 func BenchmarkBeat(b *testing.B) {
 	for _, endpointCount := range []int{100, 300, 1000} {
 		for _, routers := range []int{1, 4, 16} {
@@ -78,8 +79,8 @@
 	}
 }
 
-// BenchmarkFirstView is the time from a controller's start, on the state it left, to the first assignment with endpoint list and
-// release that a router applies, over a socket.
+// BenchmarkFirstView measures the time from a controller's start with saved state until a router applies its first
+// assignment with endpoint list and release, over a socket.
 func BenchmarkFirstView(b *testing.B) {
 	settings := exampleSettings(b)
 	settings.StateDir = b.TempDir()
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -12,20 +12,22 @@
 	"flintspread/internal/xds"
 )
 
-// errVersionOvertaken rejects a version that a newer one replaced while it waited for the routers. Its text goes out in a NACK.
+// errVersionOvertaken rejects a version that was replaced by a newer one while waiting for the routers. Its text is
+// sent in a NACK.
 var errVersionOvertaken = errors.New("overtaken by another version while it waited")
 
-// configVersions takes configuration versions from control services, proposes each to the routers, and puts it into force
-// once all of them could take it. Only one version is proposed at a time: a newer one replaces it.
+// configVersions receives configuration versions from control services, proposes each to the routers, and puts it into
+// force once all of them report that they can apply it. Only one version is proposed at a time; a newer one replaces
+// it.
 type configVersions struct {
 	controller *Controller
 	store      *revisions.Store
 	state      *configstate.State    // guarded by the controller's lock
 	proposal   *configstate.Proposal // guarded by the controller's lock; nil without one
-	listMu     sync.Mutex            // orders the endpoint lists of several control services; taken before the controller's lock
+	listMu     sync.Mutex            // serializes endpoint lists of control services; taken before the controller's lock
 }
 
-// openConfigVersions opens the revision history and goes on with the version that was in force last.
+// openConfigVersions opens the revision history and reapplies the version that was last in force.
 func (c *Controller) openConfigVersions() (v *configVersions, err error) {
 	v = &configVersions{controller: c, state: configstate.NewState(c.settings.Document(), nil, 0, 0)}
 	v.store, err = revisions.Resume(c.settings.StateDir, c.log, func(version *configstate.Version) error {
@@ -44,7 +46,7 @@
 		xds.Handler{OnEndpoints: v.applyEndpointUpdate, OnConfig: v.propose, Recheck: v.recheck})
 }
 
-// applyEndpointUpdate enters an endpoint list of a control service, unless another service has sent a newer one.
+// applyEndpointUpdate applies an endpoint list from a control service, unless another service has sent a newer one.
 func (v *configVersions) applyEndpointUpdate(update *endpoints.Update) error {
 	v.listMu.Lock()
 	defer v.listMu.Unlock()
@@ -58,7 +60,8 @@
 	return c.applyEndpointUpdate(update)
 }
 
-// conditions are what a version has to fit to here; the routers report on theirs. The caller holds the controller's lock.
+// conditions returns what a version must fit at the controller; routers check their own and report the result. The
+// caller holds the controller's lock.
 func (v *configVersions) conditions(version *configstate.Version) configstate.Conditions {
 	conditions := configstate.Conditions{ListVersion: version.RequiredListVersion}
 	for endpoint := range v.controller.endpointList.All() {
@@ -68,8 +71,8 @@
 	return conditions
 }
 
-// propose proposes a version to the routers, which decide by their next reports; recheck ends that. A version that this
-// controller itself can't take is rejected at once.
+// propose proposes a version to the routers, which answer in their next reports; recheck then settles the proposal. A
+// version that the controller itself cannot apply is rejected immediately.
 func (v *configVersions) propose(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, err := v.startProposal(version)
 	if outcome == configstate.Waiting {
@@ -78,7 +81,7 @@
 	return outcome, err
 }
 
-// startProposal replaces the proposal by a version's, if the controller can take it.
+// startProposal replaces the current proposal with one for version, if the controller can apply it.
 func (v *configVersions) startProposal(version *configstate.Version) (configstate.Outcome, error) {
 	c := v.controller
 	c.mu.Lock()
@@ -91,7 +94,7 @@
 	return configstate.Waiting, nil
 }
 
-// recheck tells what became of a version that was proposed, and puts it into force when all routers could take it.
+// recheck returns the outcome of a proposed version, and puts the version into force once all routers can apply it.
 func (v *configVersions) recheck(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, decided, err := v.decide(version)
 	if decided {
@@ -100,8 +103,8 @@
 	return outcome, err
 }
 
-// decide ends the proposal of a version if its time has come; decided tells that this call did. A version that gets into force
-// is saved under the lock: no later one may overtake it in the history.
+// decide settles the proposal of a version if its outcome is known; decided reports whether this call settled it. A
+// version that takes effect is saved while the lock is held, so that a later one cannot precede it in the history.
 func (v *configVersions) decide(version *configstate.Version) (outcome configstate.Outcome, decided bool, err error) {
 	c := v.controller
 	c.mu.Lock()
@@ -124,7 +127,7 @@
 	return outcome, true, err
 }
 
-// putInForce applies a version that all routers could take, and saves it. The caller holds the controller's lock.
+// putInForce applies a version that all routers can apply, and saves it. The caller holds the controller's lock.
 func (v *configVersions) putInForce(version *configstate.Version) (configstate.Outcome, error) {
 	c := v.controller
 	before := v.state.Current().Number
@@ -143,7 +146,8 @@
 	return outcome, err
 }
 
-// apply puts a version into force here; the routers follow with their next assignment. The caller holds the controller's lock.
+// apply puts a version into force at the controller; routers learn of it from their next assignment. The caller holds
+// the controller's lock.
 func (v *configVersions) apply(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, err := v.state.Offer(v.controller.now(), version, v.conditions(version))
 	if outcome == configstate.Applied {
@@ -152,15 +156,16 @@
 	return outcome, err
 }
 
-// onReport enters what a router's report says of the proposal. The caller holds the controller's lock.
+// onReport records a router's answer to the proposal. The caller holds the controller's lock.
 func (v *configVersions) onReport(report *linkpb.Digest) {
 	if v.proposal != nil {
 		v.proposal.OnRouterStatus(report.Edge, report.ConfigNo, report.ConfigFits, report.ConfigRefused, report.ConfigReason)
 	}
 }
 
-// addConfig adds to an assignment the version in force, the proposed one, and the text of whichever the router needs next and
-// lacks. A router is shown a proposal only once it is on the version in force. The caller holds the controller's lock.
+// addConfig adds the version in force and the proposed one to an assignment, with the text of whichever the router
+// needs next and lacks. A router receives a proposal only once it runs the version in force. The caller holds the
+// controller's lock.
 func (v *configVersions) addConfig(assignment *linkpb.View, status routerStatus) {
 	current := v.state.Current()
 	assignment.ConfigNo = current.Number
@@ -175,9 +180,9 @@
 	}
 }
 
-// routerStatus is what a router's last accepted report said of the configuration and the health marks that it has.
+// routerStatus is the configuration and health marks that a router holds, as of its last accepted report.
 type routerStatus struct {
 	configInForce    uint64 // version number
-	configAcceptable uint64 // number of the proposed version that it could take, 0: none
+	configAcceptable uint64 // number of the proposed version that it can apply, 0: none
 	marksVersion     uint64
 }
--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -12,8 +12,8 @@
 	"flintspread/internal/lease"
 )
 
-// A version that the controller could take and a router could not is rejected for all; one that all could take is in force at the
-// controller and goes along to the routers; a router that starts later is led to it.
+// A version that the controller accepts but a router rejects is rejected for all; one that all accept takes effect at
+// the controller and is sent to the routers, including one that starts later.
 func TestVersionNeedsAllRouters(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller runs the control plane of one relay. A controller follows the endpoint list, the release service and,
-// where configured, configuration versions and query servers; merges them with the reports of the relay's routers in a
-// policy.Balancer; votes on the canary; and leads every router by assignments over gRPC (package controlrpc).
+// Package controller runs the control plane of one relay. A controller follows the endpoint list, the release service
+// and, if configured, control services and query servers; merges them with the routers' reports in a policy.Balancer;
+// votes on the canary; and sends assignments to every router over gRPC (package controlrpc).
 //
 // Instants are float64 seconds since 1970 on the controller's clock and are named ...At; durations are float64 seconds.
-// One mutex orders all calls of the policy; a method that needs it held says so in its comment. Disk and network are used
-// outside of it, but for the saving of a configuration version that gets into force (configVersions.decide).
+// One mutex serializes all calls to the policy; methods that require it say so. No disk or network I/O happens while it
+// is held, except to save a configuration version as it takes effect (configVersions.decide).
 package controller
 
 import (
@@ -30,10 +30,10 @@
 	"flintspread/internal/watch"
 )
 
-// adminHeaderTimeout bounds how long a client of the metrics address may take to send its request header.
+// adminHeaderTimeout bounds the time in which a client of the metrics address must send its request header.
 const adminHeaderTimeout = 5 * time.Second
 
-// Controller is one running control plane process. Run makes and runs it.
+// Controller is one running control plane process, created by Run.
 type Controller struct {
 	settings   *config.Controller
 	log        *slog.Logger
@@ -43,21 +43,21 @@
 
 	startedAt        time.Time // monotonic origin of now
 	startedAtSeconds float64   // the same instant, seconds since 1970
-	configHash       uint64    // of the settings that routers and controller must share
+	configHash       uint64    // of the settings that must match those of the routers
 	saveRequests     chan struct{}
 
-	mu                sync.Mutex // orders the policy's calls; guards every field below that is not atomic
+	mu                sync.Mutex // serializes calls to the policy; guards the non-atomic fields below
 	balancer          *policy.Balancer
 	leader            *lease.Leader
 	endpointList      endpoints.List
-	release           releases.Update // Version 0: none received yet; Age as of releaseReceivedAt
+	release           releases.Update // Version 0: none received yet; AgeSeconds as of releaseReceivedAt
 	releaseReceivedAt float64
 	lastNotified      notifiedVote
 	configVersions    *configVersions
 	metricsEvidence   *metricsEvidence        // nil without query servers
 	routerStatuses    map[string]routerStatus // by router
 	mismatchLogged    map[string]bool         // routers whose configuration hash differs, logged once each
-	supersededLogged  bool                    // the newer controller was logged
+	supersededLogged  bool                    // whether the newer controller was logged
 	nextTickAt        float64                 // 0: no tick yet
 	reportStride      atomic.Uint64           // one report in this many is read; 0 counts as 1
 	reportsSkipped    atomic.Uint64
@@ -65,8 +65,8 @@
 	assignmentsMade   uint64
 }
 
-// Run runs a controller until ctx ends, then stops every part of it and waits for them; it gives nil for an ordinary stop.
-// An error before anything was served is a reason not to start; later it is the failure that ended the run.
+// Run runs a controller until ctx ends or a component fails, then stops every component and waits for it. It returns
+// nil after an orderly stop, and otherwise the error that prevented the start or ended the run.
 func Run(ctx context.Context, settings *config.Controller, log *slog.Logger) error {
 	store, saved, err := openStateStore(settings.StateDir, log)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return err
 }
 
-// openStateStore opens the state folder and logs when a broken file had to be set aside.
+// openStateStore opens the state folder and logs if a broken file had to be set aside.
 func openStateStore(dir string, log *slog.Logger) (*StateStore, SavedState, error) {
 	store, saved, aside, err := OpenStateStore(dir)
 	if err != nil {
@@ -103,14 +103,14 @@
 	return store, saved, nil
 }
 
-// closeStore closes a store at the end of a run. What was acknowledged is synced already, so that an error is only logged.
+// closeStore closes a store at the end of a run. Acknowledged writes are already synced, so an error is only logged.
 func closeStore(log *slog.Logger, name string, store io.Closer) {
 	if err := store.Close(); err != nil {
 		log.Error("store not closed", "store", name, "error", err)
 	}
 }
 
-// newController makes a controller without state, feeds or listeners.
+// newController returns a controller without state, feeds or listeners.
 func newController(settings *config.Controller, log *slog.Logger, store *StateStore) *Controller {
 	now := time.Now()
 	c := &Controller{
@@ -129,10 +129,10 @@
 	return c
 }
 
-// now is the controller's clock: seconds since 1970 at the start, going forward with the monotonic clock from there.
+// now returns seconds since 1970: the wall clock at startup, advanced by the monotonic clock.
 func (c *Controller) now() float64 { return c.startedAtSeconds + time.Since(c.startedAt).Seconds() }
 
-// resume begins a new epoch on the state of the process before, and opens what goes on from it.
+// resume begins a new epoch, restores the state saved by the previous process, and opens the configuration history.
 func (c *Controller) resume(saved SavedState) error {
 	epoch, err := c.store.BeginEpoch(saved.Epoch, c.now())
 	if err != nil {
@@ -148,7 +148,7 @@
 	return err
 }
 
-// restore gives the policy the endpoint list, the release and the vote that the process before saved.
+// restore loads the endpoint list, the release and the vote saved by the previous process into the policy.
 func (c *Controller) restore(epoch uint64, saved SavedState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// listeners are the controller's open addresses.
+// listeners are the controller's open listeners.
 type listeners struct {
 	routers net.Listener // gRPC
 	admin   net.Listener // HTTP, metrics
@@ -188,12 +188,12 @@
 	return l, nil
 }
 
-// serve runs every part of the controller until ctx ends or one of them fails, and waits for all of them.
+// serve runs every component of the controller until ctx ends or one of them fails, and waits for all of them.
 func (c *Controller) serve(ctx context.Context, client *http.Client, l listeners) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var running sync.WaitGroup
-	failed := make(chan error, 2) // has room for both senders: the control services and the gRPC server
+	failed := make(chan error, 2) // one slot each for the control services and the gRPC server
 	c.startFeeds(ctx, &running, client, failed)
 	running.Go(func() { c.voteSender.Run(ctx) })
 	running.Go(func() { c.saveEndpoints(ctx) })
@@ -215,7 +215,8 @@
 	return err
 }
 
-// startFeeds follows the endpoint list, the release service and, where configured, control services and query servers.
+// startFeeds starts following the endpoint list, the release service and, if configured, control services and query
+// servers. An error of the control services is sent to failed.
 func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,8 +10,8 @@
 	"flintspread/internal/releases"
 )
 
-// A controller without state gives an assignment that binds as soon as it has received the endpoint list and the release, and the
-// list goes along only to routers that lack it.
+// A controller without state sends complete assignments as soon as it has received the endpoint list and the release,
+// and includes the list only for routers that lack it.
 func TestFirstAssignmentOfEmptyController(t *testing.T) {
 	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", CanaryLimit: 0.5, AgeSeconds: 3}}
 	settings := testSettings(t, t.TempDir(), services.serve(t), 1)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A metrics address in use is an error that names its setting.
+// A metrics address that is in use results in an error that names the setting.
 func TestAddressTaken(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -22,15 +22,16 @@
 	"flintspread/internal/releases"
 )
 
-// fakeServices are the services around a controller: an endpoint list, and a release service in a fixed state that records votes.
+// fakeServices are the services that a controller uses: an endpoint list, and a release service in a fixed state that
+// records votes.
 type fakeServices struct {
 	mu          sync.Mutex
 	votes       []releases.VoteMessage
 	release     releases.Update
-	holdReplies bool // votes are recorded and not answered
+	holdReplies bool // votes are recorded but not answered
 }
 
-// serve serves them until the test ends, and gives their URL.
+// serve serves them until the test ends, and returns their URL.
 func (f *fakeServices) serve(t testing.TB) string {
 	mux := http.NewServeMux()
 	stream := func(w http.ResponseWriter, req *http.Request, next func() any) {
@@ -77,7 +78,7 @@
 	return server.URL
 }
 
-// verdicts gives the votes so far, as "back on 2".
+// verdicts returns the votes so far, such as "back on 2".
 func (f *fakeServices) verdicts() (verdicts []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,7 +88,7 @@
 	return verdicts
 }
 
-// exampleSettings gives the settings of the example file after some replacements in its text.
+// exampleSettings returns the settings of the example file after some replacements in its text.
 func exampleSettings(t testing.TB, changes ...string) *config.Controller {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
@@ -100,7 +101,7 @@
 	return settings
 }
 
-// testSettings gives the example's settings with a state folder and services of the test.
+// testSettings returns the example's settings with the test's own state folder and services.
 func testSettings(t *testing.T, dir, url string, rollbackVotes int) *config.Controller {
 	settings := exampleSettings(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", rollbackVotes))
 	settings.StateDir, settings.MetricsAddress, settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = dir, "127.0.0.1:0", url+"/list", url
@@ -118,7 +119,7 @@
 	return report
 }
 
-// startController runs a controller until stop is called, which gives the run's error.
+// startController runs a controller until stop is called, which returns Run's error.
 func startController(settings *config.Controller) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -126,7 +127,7 @@
 	return func() error { cancel(); return <-done }
 }
 
-// eventually fails the test when a condition does not come true within 5 s.
+// eventually fails the test if a condition does not become true within 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -141,7 +142,7 @@
 // discardLog is a logger that drops everything.
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// mustClose closes what has to close without an error.
+// mustClose closes closer and fails the test on an error.
 func mustClose(t testing.TB, closer io.Closer) {
 	t.Helper()
 	if err := closer.Close(); err != nil {
--- a/internal/controller/feeds.go
+++ b/internal/controller/feeds.go
@@ -7,7 +7,8 @@
 	"flintspread/internal/releases"
 )
 
-// applyEndpointUpdate enters one message of the endpoint list's stream and notifies the routers. An error refuses the message.
+// applyEndpointUpdate applies one endpoint list update and notifies the routers. An error means that the update was
+// rejected.
 func (c *Controller) applyEndpointUpdate(update *endpoints.Update) error {
 	if err := update.Check(); err != nil {
 		return err
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// mergeEndpoints applies a checked update to the list and to the policy, and tells whether an endpoint changed.
+// mergeEndpoints applies a checked update to the list and to the policy, and reports whether any endpoint changed.
 func (c *Controller) mergeEndpoints(update *endpoints.Update) (changed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,14 +41,14 @@
 	return changed, nil
 }
 
-// endpointsChanged passes a changed endpoint list on to the metrics' side. The caller holds the controller's lock.
+// endpointsChanged passes a changed endpoint list on to the metrics evidence. The caller holds the controller's lock.
 func (c *Controller) endpointsChanged() {
 	if c.metricsEvidence != nil {
 		c.metricsEvidence.setEndpoints()
 	}
 }
 
-// requestSave has saveEndpoints write the list; requests that come before it begins are one.
+// requestSave makes saveEndpoints write the list. It does not block; pending requests are coalesced.
 func (c *Controller) requestSave() {
 	select {
 	case c.saveRequests <- struct{}{}:
@@ -55,7 +56,8 @@
 	}
 }
 
-// saveEndpoints keeps the last endpoint list on disk until ctx ends. Changes that arrive during a write are written together.
+// saveEndpoints writes the endpoint list to disk whenever it changed, until ctx ends. Changes during a write are
+// coalesced.
 func (c *Controller) saveEndpoints(ctx context.Context) {
 	for {
 		select {
@@ -72,8 +74,9 @@
 	}
 }
 
-// applyReleaseUpdate enters one message of the release service, from its stream or in reply to a vote, and notifies the
-// routers. A message older than the release in force is dropped, so that a late reply can't widen a canary's limit again.
+// applyReleaseUpdate applies one release update, from the service's stream or from a vote reply, and notifies the
+// routers. An update older than the release in force is dropped, so that a late reply cannot raise the canary traffic
+// limit again.
 func (c *Controller) applyReleaseUpdate(update *releases.Update) error {
 	if update.Heartbeat {
 		return nil
@@ -91,7 +94,8 @@
 	now := c.now()
 	c.applyRelease(*update, now)
 	c.mu.Unlock()
-	// Drains and lower limits bind from when the relay received them, so that the routers come before the disk.
+	// Drains and lower limits bind as soon as the relay has received them, so notify the routers before writing to
+	// disk.
 	c.server.NotifyAll()
 	if changed {
 		if err := c.store.SaveRelease(*update, now); err != nil {
@@ -101,7 +105,7 @@
 	return nil
 }
 
-// applyRelease puts a release into force whose Age was right at receivedAt. The caller holds the controller's lock.
+// applyRelease puts a release into force. Its AgeSeconds is as of receivedAt. The caller holds the controller's lock.
 func (c *Controller) applyRelease(update releases.Update, receivedAt float64) {
 	c.release, c.releaseReceivedAt = update, receivedAt
 	now := c.now()
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -9,7 +9,8 @@
 	"flintspread/internal/releases"
 )
 
-// A late controller reads one report in several and sends no queries; it still knows which routers live, and votes.
+// A controller that runs late reads only one report in several and sends no queries, but still tracks live routers and
+// votes.
 func TestLateControllerSkipsReportsAndQueries(t *testing.T) {
 	c := newController(exampleSettings(t), discardLog(), nil)
 	c.restore(1, SavedState{})
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -9,7 +9,8 @@
 	"flintspread/internal/lease"
 )
 
-// metric describes one metric of the controller. Names and labels are fixed; docs/glossary.md maps them to the code's terms.
+// metric returns the descriptor of one controller metric. Names and labels are fixed; docs/glossary.md maps them to the
+// code's terms.
 func metric(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("flintplan_"+name, help, labels, nil)
 }
@@ -31,7 +32,7 @@
 	verdictDesc           = metric("verdict", "The vote in force: 0 none, 1 promote, 2 hold, 3 roll back.")
 )
 
-// metricsCollector reads a controller's metrics under its lock when they are scraped.
+// metricsCollector collects a controller's metrics, under the controller's lock, on each scrape.
 type metricsCollector struct{ controller *Controller }
 
 // gaugeFunc emits one gauge's value.
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -11,24 +11,24 @@
 	"flintspread/internal/promclient"
 )
 
-// goneState is an endpoint's state once it has left the list.
+// goneState is the state of an endpoint that has left the list.
 const goneState = "gone"
 
-// metricsEvidence joins the controller to its query servers: it gives the policy the counts merged from their answers, and
-// the routers the health marks.
+// metricsEvidence connects the controller to its query servers: it feeds the counts merged from their answers to the
+// policy, and health marks to the routers.
 type metricsEvidence struct {
 	controller *Controller
 	poller     *promclient.Poller
 
-	mu           sync.Mutex // orders the analysis's calls; may be taken under the controller's lock, never the other way round
+	mu           sync.Mutex // guards the fields below; taken after the controller's lock, never before it
 	analysis     *metricsanalysis.Analyzer
-	updated      bool // an answer came since the counts were given to the policy
+	updated      bool // an answer arrived since the policy last got the counts
 	marks        []policy.HealthMark
-	marksVersion uint64 // grows when the routers have to get the marks again
+	marksVersion uint64 // incremented when the routers need the marks again
 	marksAt      float64
 }
 
-// newMetricsEvidence makes the evidence from the configured query servers; run starts it.
+// newMetricsEvidence sets up polling of the configured query servers; run starts it.
 func (c *Controller) newMetricsEvidence() (m *metricsEvidence, err error) {
 	health := c.settings.Health
 	m = &metricsEvidence{controller: c, analysis: metricsanalysis.New(health.Questions(), len(health.Servers))}
@@ -39,7 +39,7 @@
 // run queries the servers until ctx ends.
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
-// applyAnswer enters one answer; the poller calls it from several goroutines.
+// applyAnswer records one answer. The poller calls it from several goroutines.
 func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.Answer) metricsanalysis.AnswerResult {
 	now := m.controller.now()
 	m.mu.Lock()
@@ -48,7 +48,8 @@
 	return m.analysis.ApplyAnswer(now, answer)
 }
 
-// setEndpoints gives the analysis and the poller the controller's endpoint list. The caller holds the controller's lock.
+// setEndpoints passes the controller's endpoint list to the analysis and the poller. The caller holds the controller's
+// lock.
 func (m *metricsEvidence) setEndpoints() {
 	var analysed []metricsanalysis.Endpoint
 	var fleet promclient.Fleet
@@ -68,20 +69,20 @@
 	m.poller.SetFleet(fleet)
 }
 
-// setRelease tells the analysis which build is the newest. The caller holds the controller's lock.
+// setRelease sets the newest build in the analysis. The caller holds the controller's lock.
 func (m *metricsEvidence) setRelease(build int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.analysis.SetRelease(build)
 }
 
-// tick gives the policy the counts as of now and renews the marks in their period. It tells whether the routers should get
-// the marks. The caller holds the controller's lock.
+// tick passes the counts as of now to the policy and recomputes the marks when due. It reports whether the routers need
+// new marks. The caller holds the controller's lock.
 func (m *metricsEvidence) tick(now float64) (marksChanged bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	marksDue := now >= m.marksAt+metricsanalysis.MarksIntervalSeconds
-	// Also without a new answer: what a silent server said goes stale.
+	// Refresh even without a new answer: the answers of an unresponsive server go stale.
 	if m.updated || marksDue {
 		m.controller.balancer.SetMetricsEvidence(m.analysis.Evidence(now))
 		m.updated = false
@@ -99,7 +100,8 @@
 	return true
 }
 
-// addMarks adds to an assignment the marks, if the router has another version of them. The caller holds the controller's lock.
+// addMarks adds the marks to an assignment, if the router has a different version of them. The caller holds the
+// controller's lock.
 func (m *metricsEvidence) addMarks(assignment *linkpb.View, now float64, routerVersion uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,7 +116,7 @@
 	}
 }
 
-// collect emits the metrics on marks and servers. The caller holds the controller's lock.
+// collect emits the metrics about marks and query servers. The caller holds the controller's lock.
 func (m *metricsEvidence) collect(now float64, gauge gaugeFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -30,7 +30,7 @@
 	"flintspread/internal/releases"
 )
 
-// queryServerSettings gives the example's settings with query servers.
+// queryServerSettings returns the example's settings with query servers.
 func queryServerSettings(t testing.TB, urls ...string) *config.Controller {
 	var servers []string
 	for i, u := range urls {
@@ -57,8 +57,8 @@
 	return list
 }
 
-// Two query servers beside a router that saw two wrong answers only: their evidence raises that to a rollback vote and marks
-// endpoints for the routers; when both servers die the marks end and the votes rest on the router's reports.
+// Two query servers beside a router that saw only two wrong answers: their evidence leads to a rollback vote and marks
+// endpoints for the routers. When both servers fail, the marks end and votes depend on the router's reports alone.
 func TestMetricsEvidenceRaisesVoteAndMarks(t *testing.T) {
 	var servers []*fakes.QueryServer
 	var urls []string
@@ -198,7 +198,7 @@
 			for _, m := range regexp.MustCompile(`\bflint(?:edge|plan)_([a-z_0-9]+)`).FindAllStringSubmatch(rule.Expr, -1) {
 				name := m[1]
 				if strings.Contains(rule.Expr, ":flintedge_"+name) {
-					continue // a recorded one
+					continue // defined by a recording rule
 				}
 				found++
 				for _, suffix := range []string{"_bucket", "_count", "_sum"} {
@@ -215,7 +215,7 @@
 	}
 }
 
-// sourceFiles gives the Go files of some folders that are no tests.
+// sourceFiles returns the non-test Go files of some folders.
 func sourceFiles(t *testing.T, dirs ...string) (files []string) {
 	for _, dir := range dirs {
 		found, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -231,9 +231,9 @@
 	return files
 }
 
-// BenchmarkHealth is a controller's cost of sending two query servers five queries, each once a second, all in one process.
-// Reported: cores used when the same is queried as often and discarded, which is the servers' cost; what poller, analysis and the
-// controller's ticks use beyond that; heap in use, servers included; p99 of a query's time.
+// BenchmarkHealth measures a controller's cost of sending five queries to two query servers once a second, all in one
+// process. It reports the cores used when the same answers are queried and discarded, which is the servers' cost; the
+// additional cores used by poller, analysis and ticks; the heap in use, servers included; and the p99 query time.
 func BenchmarkHealth(b *testing.B) {
 	for _, endpointCount := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprintf("units-%d", endpointCount), func(b *testing.B) {
@@ -257,7 +257,7 @@
 			if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
 				b.Fatal(err)
 			}
-			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not run: the votes stay in it
+			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not running: votes are never sent
 			c.voteSender.Open()
 			update := &endpoints.Update{Version: 1, Full: true}
 			for id := range endpointCount {
@@ -333,7 +333,7 @@
 	}
 }
 
-// queryAndDiscard sends as many queries as the poller did, over the same seconds, and discards the answers.
+// queryAndDiscard sends as many queries as the poller did, over the same time, and discards the answers.
 func queryAndDiscard(ctx context.Context, n int, urls []string) {
 	queries := []string{"unit_wrong_total[3s]", "unit_answers_total[3s]", "unit_errors_total[3s]", "unit_answers_total[3s]", "unit_probe_success",
 		"unit_busy", "unit_answer_seconds[2s]"}
@@ -358,7 +358,7 @@
 	<-ctx.Done()
 }
 
-// p99 reads the quantile off the poller's histograms: the upper bound of its bucket in seconds, of the slower server.
+// p99 estimates the p99 query time of the slower server, in seconds, as the upper bound of its histogram bucket.
 func p99(c *Controller, b *testing.B) (worst float64) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(c.metricsEvidence.poller.Collectors()...)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -6,11 +6,11 @@
 	"flintspread/internal/policy"
 )
 
-// acceptReport enters a router's report (on the wire: a Digest) and tells whether it counts. It is called by the gRPC server
-// from one goroutine a router; it does not block on disk or network.
+// acceptReport records a router's report (a Digest on the wire) and returns lease.Accepted, or why the report does not
+// count. The gRPC server calls it from one goroutine per router; it does not block on disk or network.
 func (c *Controller) acceptReport(report *linkpb.Digest) lease.Reason {
-	// Every report holds all that its router counted: what a late controller skips, the next one repeats. That the router lives
-	// is entered all the same.
+	// Reports are cumulative, so a controller that runs late can skip the samples of some: a later report repeats them.
+	// A skipped report still shows that its router is alive.
 	read := report.Seq%max(1, c.reportStride.Load()) == 0
 	if !read {
 		c.reportsSkipped.Add(1)
@@ -42,7 +42,7 @@
 	return reason
 }
 
-// evidenceOf maps a report's tallies to the policy's terms. Failure kinds that the router does not send count as zero.
+// evidenceOf converts a report's tallies to policy.Evidence. Failure kinds that the router does not send count as zero.
 func evidenceOf(report *linkpb.Digest) policy.Evidence {
 	evidence := policy.Evidence{
 		Build:             int(report.Build),
--- a/internal/controller/state_store.go
+++ b/internal/controller/state_store.go
@@ -15,38 +15,38 @@
 	"flintspread/internal/releases"
 )
 
-// StateStore is a controller's state on disk: its epoch, the vote in force, the last release and the last endpoint list. Each
-// change is one transaction, synced before the call returns, so that a kill leaves the state before it or after it. Its
-// methods block on the disk and may be called from several goroutines.
+// StateStore is a controller's state on disk: its epoch, the vote in force, the last release and the last endpoint
+// list. Each change is one transaction, synced before the call returns, so that a crash leaves the state either before
+// or after it. Methods block on disk and are safe for concurrent use.
 type StateStore struct {
 	db *bolt.DB
 }
 
-// SavedVote is a vote on disk.
+// SavedVote is a vote as stored on disk.
 type SavedVote struct {
 	Build        int            `json:"build"`
 	Stage        int            `json:"stage"`
 	Verdict      policy.Verdict `json:"verdict"`
 	CastAt       float64        `json:"at"`   // seconds since 1970
-	OutcomeKnown bool           `json:"sure"` // the release service has answered it
+	OutcomeKnown bool           `json:"sure"` // whether the release service has answered it
 }
 
-// SavedState is all that a store holds. What was never saved is nil or 0.
+// SavedState is the content of a store. Fields that were never saved are nil or 0.
 type SavedState struct {
 	Epoch     uint64           `json:"epoch"`
 	Vote      *SavedVote       `json:"vote,omitempty"`
-	Release   *releases.Update `json:"news,omitempty"`    // Age as of ReleaseAt
+	Release   *releases.Update `json:"news,omitempty"`    // AgeSeconds as of ReleaseAt
 	ReleaseAt float64          `json:"news_at,omitempty"` // seconds since 1970
 	Endpoints *endpoints.List  `json:"list,omitempty"`
 }
 
-// savedRelease is a release on disk.
+// savedRelease is a release as stored on disk.
 type savedRelease struct {
 	Release releases.Update `json:"news"`
-	At      float64         `json:"at"` // seconds since 1970, when its Age was right
+	At      float64         `json:"at"` // seconds since 1970; Release.AgeSeconds is as of then
 }
 
-// The stored format: one bucket, a key for each part, JSON values.
+// The stored format: one bucket with a key for each part and JSON values.
 var (
 	stateBucket  = []byte("planner")
 	epochKey     = []byte("epoch")
@@ -55,12 +55,12 @@
 	endpointsKey = []byte("list")
 )
 
-// stateFile is the store's file in a state folder.
+// stateFile returns the path of the store in a state folder.
 func stateFile(dir string) string { return filepath.Join(dir, "planner.db") }
 
-// OpenStateStore opens the store in a folder, which it makes where there is none, and gives what is in it. A file that can't be
-// read is set aside under another name, which aside then gives with the reason, and the store starts empty. A store that
-// another process holds is boltstore.ErrInUse.
+// OpenStateStore opens the store in dir, creating the folder if needed, and returns its content. An unreadable file is
+// renamed, and the store starts empty; aside then holds the new name and the reason. The error wraps boltstore.ErrInUse
+// if another process holds the store.
 func OpenStateStore(dir string) (store *StateStore, saved SavedState, aside string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, SavedState{}, "", err
@@ -72,7 +72,7 @@
 	return &StateStore{db}, saved, aside, nil
 }
 
-// read replaces a state by what a store holds.
+// read replaces s with the content of the store.
 func (s *SavedState) read(tx *bolt.Tx) error {
 	*s = SavedState{}
 	bucket := tx.Bucket(stateBucket)
@@ -118,18 +118,18 @@
 	})
 }
 
-// BeginEpoch saves and gives the epoch of a new process. It is above the one before; counted in milliseconds since 1970 at the
-// least, it is so even where the state was lost. now is seconds since 1970.
+// BeginEpoch saves and returns the epoch of a new process. It is greater than before and at least the milliseconds
+// since 1970, so that epochs keep growing even if the state was lost. now is in seconds since 1970.
 func (s *StateStore) BeginEpoch(before uint64, now float64) (uint64, error) {
 	const epochsPerSecond = 1000
 	epoch := max(before+1, uint64(now*epochsPerSecond))
 	return epoch, s.put(epochKey, epoch)
 }
 
-// SaveVote saves the vote that is about to be sent or that is in force.
+// SaveVote saves the vote that is in force or about to be sent.
 func (s *StateStore) SaveVote(vote SavedVote) error { return s.put(voteKey, vote) }
 
-// SaveRelease saves a release whose Age was right at an instant, seconds since 1970.
+// SaveRelease saves a release whose AgeSeconds is as of at, in seconds since 1970.
 func (s *StateStore) SaveRelease(release releases.Update, at float64) error {
 	return s.put(releaseKey, savedRelease{release, at})
 }
@@ -137,11 +137,11 @@
 // SaveEndpoints saves the endpoint list.
 func (s *StateStore) SaveEndpoints(list *endpoints.List) error { return s.put(endpointsKey, list) }
 
-// Close closes the file; no other method may be called after it.
+// Close closes the store. No other method may be called afterwards.
 func (s *StateStore) Close() error { return s.db.Close() }
 
-// PrintState prints the state in a folder as JSON, without changing it. A folder without one is an error, and so is one that
-// a running controller holds.
+// PrintState prints the state in a folder as JSON without changing it. It fails if there is no state, or if a running
+// controller holds it.
 func PrintState(w io.Writer, dir string) error {
 	if _, err := os.Stat(stateFile(dir)); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	return err
 }
 
-// readState reads the store in a folder without write access.
+// readState reads the store in a folder, opened read-only.
 func readState(dir string) (saved SavedState, err error) {
 	db, err := boltstore.Open(stateFile(dir), true, saved.read)
 	if err != nil {
--- a/internal/controller/state_store_test.go
+++ b/internal/controller/state_store_test.go
@@ -18,7 +18,7 @@
 // saveDirVariable names the state folder of the child process of TestKilledWhileSaving.
 const saveDirVariable = "FLINTSPREAD_TEST_SAVE_DIR"
 
-// TestMain runs, where it is asked to by its environment, the child that saves votes until it is killed.
+// TestMain runs the child that saves votes until it is killed, if saveDirVariable is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(saveDirVariable); dir != "" {
 		store, saved, _, err := OpenStateStore(dir)
@@ -43,7 +43,7 @@
 	os.Exit(m.Run())
 }
 
-// Killed at any moment, the state is whole, and no older than what was acknowledged as saved.
+// After a kill at any moment, the state is intact and no older than the last acknowledged save.
 func TestKilledWhileSaving(t *testing.T) {
 	dir := t.TempDir()
 	last := 0
@@ -89,7 +89,7 @@
 	}
 }
 
-// Whatever the disk gives back, a broken file is set aside by name, and the controller starts empty.
+// However a file is broken, it is set aside under another name, and the controller starts empty.
 func TestBrokenState(t *testing.T) {
 	intact := func(dir string) []byte {
 		store, _, _, err := OpenStateStore(dir)
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -9,7 +9,7 @@
 	"flintspread/internal/releases"
 )
 
-// runTicks does the periodic work until ctx ends, each time when the policy asked for it.
+// runTicks calls tick until ctx ends, at the intervals that the policy asks for.
 func (c *Controller) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -23,8 +23,8 @@
 	}
 }
 
-// tick expires silent routers, lets the policy decide on its vote, casts that, and notifies the routers of what changed. It
-// gives the time until it wants to be called again.
+// tick expires silent routers, casts the policy's vote if there is one, and notifies the routers of changes. It returns
+// the time until the next tick.
 func (c *Controller) tick() time.Duration {
 	result, marksChanged := c.tickPolicy()
 	if result.CastVote {
@@ -37,7 +37,8 @@
 	return time.Duration(result.NextTickSeconds * float64(time.Second))
 }
 
-// tickPolicy is the part of a tick under the lock. A controller that was superseded must not vote: it ticks as a router.
+// tickPolicy is the part of a tick that runs under the lock. A superseded controller must not vote, so it ticks as a
+// router.
 func (c *Controller) tickPolicy() (result policy.TickResult, marksChanged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +56,7 @@
 	return result, marksChanged
 }
 
-// expireRouters forgets the routers that have been silent for too long. The caller holds the lock.
+// expireRouters removes the routers that have been silent for too long. The caller holds the lock.
 func (c *Controller) expireRouters(now float64) {
 	for _, name := range c.leader.ExpireRouters(now) {
 		c.balancer.DropReport(name)
@@ -65,7 +66,7 @@
 	}
 }
 
-// shedLoad leaves out what can wait while this controller's ticks are late: first queries of metrics, then reading every
+// shedLoad reduces optional work while the controller's ticks are late: first the metrics queries, then reading every
 // report. The caller holds the lock.
 func (c *Controller) shedLoad(now float64) {
 	lateSeconds := 0.0
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -7,13 +7,13 @@
 	"flintspread/internal/releases"
 )
 
-// notifiedVote is a vote in force that the routers were notified of.
+// notifiedVote is the vote in force that the routers were last notified of.
 type notifiedVote struct {
 	build   int
 	verdict policy.Verdict
 }
 
-// openVoteSender makes the sender of votes to the release service; its Run sends what the ticks cast.
+// openVoteSender creates the sender of votes to the release service; its Run sends the votes that ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
 		Router: c.settings.Relay, URL: c.settings.Sources.ReleaseServiceURL, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
@@ -22,12 +22,14 @@
 	c.voteSender.Open()
 }
 
-// onVoteSend saves a vote before it leaves: if this process dies now, the next one knows that the vote may have counted.
+// onVoteSend saves a vote before it is sent: if this process dies now, the next one knows that the vote may have
+// counted.
 func (c *Controller) onVoteSend(vote releases.Vote) {
 	c.saveVote(vote, false)
 }
 
-// onVoteReply enters the release service's reply to a vote: its outcome, and the release as of then where the reply held it.
+// onVoteReply records the release service's reply to a vote: its outcome and, if the reply contains it, the current
+// release.
 func (c *Controller) onVoteReply(vote releases.Vote, reply policy.VoteReply, update *releases.Update) {
 	if update != nil {
 		if err := c.applyReleaseUpdate(update); err != nil {
@@ -41,12 +43,12 @@
 	if reply == policy.VoteCounted {
 		c.saveVote(vote, true)
 	} else if reply != policy.VoteUnknown && build >= 0 {
-		c.saveVote(releases.Vote{Build: build, Stage: vote.Stage, Verdict: verdict}, true) // the vote before it stays in force
+		c.saveVote(releases.Vote{Build: build, Stage: vote.Stage, Verdict: verdict}, true) // the previous vote stays in force
 	}
 	c.notifyVerdict()
 }
 
-// saveVote saves a vote; outcomeKnown tells that the release service has answered it.
+// saveVote saves a vote; outcomeKnown says whether the release service has answered it.
 func (c *Controller) saveVote(vote releases.Vote, outcomeKnown bool) {
 	saved := SavedVote{Build: vote.Build, Stage: vote.Stage, Verdict: vote.Verdict, CastAt: c.now(), OutcomeKnown: outcomeKnown}
 	if err := c.store.SaveVote(saved); err != nil {
@@ -54,7 +56,7 @@
 	}
 }
 
-// notifyVerdict notifies the routers when another vote is in force than at the last call.
+// notifyVerdict notifies the routers if the vote in force has changed since the last call.
 func (c *Controller) notifyVerdict() {
 	c.mu.Lock()
 	build, verdict := c.balancer.CurrentVote()
--- a/internal/controller/votes_test.go
+++ b/internal/controller/votes_test.go
@@ -14,12 +14,12 @@
 	"flintspread/internal/releases"
 )
 
-// A vote in flight when the controller died may have counted: the next one casts it again, or withdraws it, at once; a vote whose
-// outcome is known is left alone.
+// A vote in flight when the controller died may have counted: its successor immediately casts it again or withdraws it.
+// A vote whose outcome is known is left alone.
 func TestVoteInFlightAtRestart(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		votes int // needed to roll a build back
+		votes int // needed to roll back a build
 		vote  SavedVote
 		want  string
 	}{
@@ -55,7 +55,8 @@
 	}
 }
 
-// A router's evidence brings a rollback vote; killed before the reply, the vote is on disk with its outcome unknown.
+// A router's evidence leads to a rollback vote. If the controller is killed before the reply, the vote is on disk with
+// its outcome unknown.
 func TestVoteIsSavedBeforeItIsSent(t *testing.T) {
 	services := &fakeServices{holdReplies: true, release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}}
 	dir := t.TempDir()
