--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -21,21 +21,22 @@
 	"flintspread/internal/lease"
 )
 
-// keepAliveIntervals is after how many report intervals a router gets an assignment though nothing asked for one: it shows
-// that the controller lives.
+// keepAliveIntervals is the number of report intervals after which a router gets an assignment without a notification,
+// as proof that the controller is alive.
 const keepAliveIntervals = 2
 
-// ControllerServer is a controller's end of the connections of all its routers. The exported fields are set before Serve and not
-// changed after it.
+// ControllerServer is the controller's end of the connections to all its routers. The exported fields must be set
+// before Serve and not changed afterwards.
 type ControllerServer struct {
 	linkpb.UnimplementedPlannerServer
 	Config *config.Link
 	Log    *slog.Logger
-	Relay  string // the relay that routers and controller must share
-	// AcceptReport enters a report and tells whether it counts. It is called from a goroutine a router and must not block.
+	Relay  string // must match that of every router
+	// AcceptReport records a report and returns whether it was accepted. It is called from one goroutine per router and
+	// must not block.
 	AcceptReport func(report *linkpb.Digest) lease.Reason
-	// NextAssignment makes the next assignment for a router that has the given version of the endpoint list. It is called from a
-	// goroutine a router and must not block.
+	// NextAssignment builds the next assignment for a router that holds listVersion of the endpoint list. It is called
+	// from one goroutine per router and must not block.
 	NextAssignment func(router string, listVersion uint64) *linkpb.View
 
 	mu      sync.Mutex
@@ -45,11 +46,12 @@
 // routerStream is one router's open stream.
 type routerStream struct {
 	wake        chan struct{}
-	listVersion atomic.Uint64 // of the endpoint list that the router has
+	listVersion atomic.Uint64 // of the endpoint list that the router holds
 }
 
-// Listen opens the configured address. A socket file that a killed controller left is taken over: the caller holds the lock of
-// the controller's state, so that no other one listens there. A file that is no socket is left alone and is an error.
+// Listen listens on the configured address. It replaces a socket file left by a killed controller; the caller must hold
+// the lock of the controller's state, so that no other controller is listening there. A file that is not a socket is
+// left alone and results in an error.
 func Listen(link *config.Link) (net.Listener, error) {
 	path, ok := link.SocketPath()
 	if !ok {
@@ -66,7 +68,7 @@
 	return net.Listen("unix", path)
 }
 
-// Serve serves routers until ctx ends, and then gives nil. It owns the listener.
+// Serve serves routers until ctx ends, and then returns nil. It takes ownership of the listener.
 func (s *ControllerServer) Serve(ctx context.Context, listener net.Listener) error {
 	transport, err := Credentials(s.Config, s.Log)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// NotifyAll has every connected router get an assignment soon. It does not block.
+// NotifyAll requests an assignment for every connected router. It does not block.
 func (s *ControllerServer) NotifyAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 }
 
-// notify asks for an assignment; requests that come before it is made are one.
+// notify requests an assignment. It does not block; pending requests are coalesced.
 func (r *routerStream) notify() {
 	select {
 	case r.wake <- struct{}{}:
@@ -102,7 +104,7 @@
 	}
 }
 
-// Follow implements the RPC: it serves one router until its stream breaks.
+// Follow implements the Follow RPC: it serves one router until its stream breaks.
 func (s *ControllerServer) Follow(stream linkpb.Planner_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -116,12 +118,12 @@
 	defer s.unregister(router)
 	s.Log.Info("router connected", "router", first.Edge, "incarnation", first.Life)
 	failed := make(chan error, 1)
-	// Not waited for: its Recv ends when gRPC ends the stream, which is after this method has returned.
+	// Not waited for: Recv returns once gRPC ends the stream, which happens after this method has returned.
 	go func() { failed <- s.receiveReports(stream, router, first) }()
 	return s.sendAssignments(stream, router, first.Edge, failed)
 }
 
-// checkCompatible refuses a router of another schema or relay. The status goes to the router, which logs it.
+// checkCompatible rejects a router with another schema or relay. The status is returned to the router, which logs it.
 func (s *ControllerServer) checkCompatible(report *linkpb.Digest) error {
 	if report.Major != lease.SchemaMajor {
 		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", report.Edge, report.Major,
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// register adds a stream to those that NotifyAll notifies.
+// register adds a router to those that NotifyAll notifies.
 func (s *ControllerServer) register(router *routerStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,7 @@
 	delete(s.streams, router)
 }
 
-// receiveReports enters a stream's reports, the first of which was read already, until the stream breaks.
+// receiveReports processes the reports of a stream until it breaks. The first report was read by the caller.
 func (s *ControllerServer) receiveReports(stream linkpb.Planner_FollowServer, router *routerStream, first *linkpb.Digest) error {
 	for report := first; ; {
 		s.enterReport(router, report)
@@ -158,7 +160,7 @@
 	}
 }
 
-// enterReport enters one report; one that counts is answered by an assignment.
+// enterReport processes one report. An accepted report is answered by an assignment.
 func (s *ControllerServer) enterReport(router *routerStream, report *linkpb.Digest) {
 	if reason := s.AcceptReport(report); reason != lease.Accepted {
 		s.Log.Info("report refused", "router", report.Edge, "reason", reason, "incarnation", report.Life, "sequence", report.Seq)
@@ -168,8 +170,8 @@
 	router.notify()
 }
 
-// sendAssignments sends an assignment on every notification, and now and then without one, until the stream breaks. Each is
-// made when it can be sent: a router that reads slowly gets fewer, never older ones.
+// sendAssignments sends an assignment on every notification and keep-alive interval until the stream breaks. Each is
+// built when it can be sent, so that a slow reader gets fewer assignments, never outdated ones.
 func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
 	keepAlive := time.NewTicker(seconds(s.Config.Beat * keepAliveIntervals))
 	defer keepAlive.Stop()
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -21,7 +21,7 @@
 	"flintspread/internal/lease"
 )
 
-// logBuffer is a log that can be searched.
+// logBuffer is a log whose content can be searched.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -34,19 +34,19 @@
 	return l.buf.Write(p)
 }
 
-// contains tells whether some text was logged.
+// contains reports whether a text was logged.
 func (l *logBuffer) contains(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.buf.String(), s)
 }
 
-// logger logs into the buffer, from debug on.
+// logger returns a logger that writes to the buffer at debug level.
 func (l *logBuffer) logger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(l, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// startController serves assignments of an epoch until stop is called.
+// startController serves assignments for an epoch until stop is called.
 func startController(t *testing.T, link *config.Link, epoch uint64, log *logBuffer) (addr string, stop func()) {
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, link.LeaseSeconds, 0, 1, 0)
@@ -83,7 +83,8 @@
 	}
 }
 
-// startRouter follows a controller until stop is called; assignments counts those applied, lists those with the endpoint list.
+// startRouter follows a controller until stop is called. assignments counts the applied assignments, lists those with
+// an endpoint list.
 func startRouter(t *testing.T, link *config.Link, log *logBuffer) (router *RouterClient, assignments, lists *atomic.Int64, stop func()) {
 	assignments, lists = new(atomic.Int64), new(atomic.Int64)
 	startedAt := time.Now()
@@ -107,7 +108,7 @@
 	}
 }
 
-// eventually fails the test when a condition does not come true within 5 s.
+// eventually fails the test if a condition does not become true within 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -119,12 +120,13 @@
 	t.Errorf("not within 5 s: %s", what)
 }
 
-// unixLink gives settings of a Unix socket in a folder of the test.
+// unixLink returns settings for a Unix socket in a temporary folder of the test.
 func unixLink(t *testing.T) *config.Link {
 	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1}
 }
 
-// A controller that dies and comes back is followed again, also on the socket file that a killed one left; an older one is not.
+// A controller that dies and restarts is followed again, even on a socket file left by a killed one; an older
+// controller is not.
 func TestRestarts(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	link, log := unixLink(t), &logBuffer{}
@@ -165,7 +167,7 @@
 	}
 }
 
-// A connection that breaks every 50 ms still brings assignments, and never an older one.
+// A connection that breaks every 50 ms still delivers assignments, and never an older one.
 func TestFlappingConnectionStillBringsAssignments(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	link, log := unixLink(t), &logBuffer{}
@@ -211,7 +213,7 @@
 	running.Wait()
 }
 
-// forward copies one direction of a connection until it is cut, which is an error of one of the ends, and then closes the other.
+// forward copies one direction of a connection until either end fails, and then closes the other end.
 func forward(t *testing.T, to, from net.Conn) {
 	if _, err := io.Copy(to, from); err != nil {
 		t.Log("cut:", err)
@@ -219,7 +221,7 @@
 	to.Close()
 }
 
-// A controller that says nothing is taken for dead, and does not hold the router up.
+// A silent controller is considered dead and does not block the router.
 func TestSilentControllerIsLeft(t *testing.T) {
 	link, log := unixLink(t), &logBuffer{}
 	path, _ := link.SocketPath()
@@ -228,7 +230,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	_, assignments, _, stop := startRouter(t, link, log) // connects to what never answers
+	_, assignments, _, stop := startRouter(t, link, log) // connects to a listener that never answers
 	eventually(t, "the silence is noticed", func() bool { return log.contains("silent for 0.5 s") || log.contains("Unavailable") })
 	stop()
 	if assignments.Load() != 0 {
@@ -236,7 +238,7 @@
 	}
 }
 
-// A router of another relay or schema is refused, with both named.
+// A router with another relay or schema is rejected, and the error names both values.
 func TestOtherSchemaOrRelay(t *testing.T) {
 	link, log := unixLink(t), &logBuffer{}
 	_, end := startController(t, link, 10, log)
@@ -258,16 +260,16 @@
 	}
 }
 
-// oneReport is a stream that brings one report again and again.
+// oneReport is a stream that delivers the same report repeatedly.
 type oneReport struct {
 	linkpb.Planner_FollowServer
 	report *linkpb.Digest
 }
 
-// Recv gives the report.
+// Recv returns the report.
 func (o *oneReport) Recv() (*linkpb.Digest, error) { return o.report, nil }
 
-// A report that finds the one before it still unsent replaces it.
+// A new report replaces an unsent one.
 func TestNewestReportReplacesUnsent(t *testing.T) {
 	router := &RouterClient{Now: func() float64 { return 1 }, FillReport: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
 	queue := make(chan *linkpb.Digest, 1)
--- a/internal/controlrpc/credentials.go
+++ b/internal/controlrpc/credentials.go
@@ -16,9 +16,9 @@
 	"flintspread/internal/config"
 )
 
-// Credentials gives the transport credentials of an address: mutual TLS 1.3, or none on a Unix socket, where the file's
-// permissions say who may connect. Certificate files may be replaced while the program runs; an error means that they can't be
-// used at the start. A peer that is refused is logged by the name in its certificate.
+// Credentials returns the transport credentials for a link: mutual TLS 1.3, or none on a Unix socket, where file
+// permissions control who may connect. Certificate files may be replaced while the program runs. An error means that
+// they cannot be loaded now. A rejected peer is logged with the name in its certificate.
 func Credentials(link *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
 	if _, ok := link.SocketPath(); ok {
 		return insecure.NewCredentials(), nil
@@ -34,7 +34,7 @@
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ServerName: link.Peer,
-		// VerifyConnection verifies the peer on both ends, in place of the package's own check: it loads replaced files, and its
+		// VerifyConnection verifies the peer on both ends, instead of crypto/tls: it picks up replaced files, and its
 		// error names the peer.
 		ClientAuth:           tls.RequireAnyClientCert,
 		InsecureSkipVerify:   true,
@@ -44,31 +44,31 @@
 	}), nil
 }
 
-// certificateFiles are certificates on disk, loaded again whenever a file changed, so that they are replaced without a restart.
-// A file that can't be used leaves the last good ones in force.
+// certificateFiles are certificates on disk, reloaded whenever a file has changed, so that they can be replaced without
+// a restart. If a file cannot be used, the last good ones stay in use.
 type certificateFiles struct {
 	config *config.Link
 	log    *slog.Logger
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	modifiedAt  [3]time.Time
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
 
-// load gives the program's own certificate and the authorities that vouch for its peers.
+// load returns the program's own certificate and the authorities trusted to sign those of its peers.
 func (f *certificateFiles) load() (*tls.Certificate, *x509.CertPool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	err := f.reload()
 	if f.certificate != nil {
-		// The files may be half replaced: what is loaded stays in force until all of them can be used.
+		// The files may be only partly replaced: keep what is loaded until all of them can be used.
 		err = nil
 	}
 	return f.certificate, f.authorities, err
 }
 
-// reload loads the files if one of them changed. On an error nothing is replaced. The caller holds the lock.
+// reload loads the files if one of them has changed. On an error nothing is replaced. The caller holds the lock.
 func (f *certificateFiles) reload() error {
 	var modifiedAt [3]time.Time
 	for i, name := range []string{f.config.Cert, f.config.Key, f.config.CA} {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// verifyAndLog refuses a peer whose certificate is not good. It logs the reason here too: the peer itself learns only that its
+// verifyAndLog rejects a peer whose certificate is invalid. It logs the reason, because the peer only learns that its
 // certificate is bad.
 func (f *certificateFiles) verifyAndLog(state tls.ConnectionState) error {
 	err := f.verify(state)
@@ -107,7 +107,8 @@
 	return err
 }
 
-// verify checks a peer's certificate: its dates, the authorities that vouch for it, and the name that the settings expect.
+// verify checks a peer's certificate: its validity period, its chain to a trusted authority, and the name expected by
+// the settings.
 func (f *certificateFiles) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("the other end shows no certificate")
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// firstDNSName gives a certificate's first DNS name, for messages.
+// firstDNSName returns a certificate's first DNS name, for error messages.
 func firstDNSName(certificate *x509.Certificate) string {
 	if len(certificate.DNSNames) == 0 {
 		return "no name in it"
--- a/internal/controlrpc/credentials_test.go
+++ b/internal/controlrpc/credentials_test.go
@@ -9,13 +9,14 @@
 	"flintspread/internal/fakes/testca"
 )
 
-// issueLink writes a certificate of a name that ends at an instant, and gives settings that use it and expect peer.
+// issueLink writes a certificate for a name with an expiry time, and returns settings that use it and expect peer.
 func issueLink(authority *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
 	cert, key := authority.Issue(file, name, ends)
 	return &config.Link{Address: address, Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
 }
 
-// Over TCP each end shows a certificate; what is wrong with one is logged by name, and a new one is used without a restart.
+// Over TCP each end presents a certificate; a rejected one is logged by name, and a replaced one is used without a
+// restart.
 func TestCertificates(t *testing.T) {
 	good, other := testca.New(t, "hall"), testca.New(t, "elsewhere")
 	hour := time.Now().Add(time.Hour)
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -18,47 +18,47 @@
 	"flintspread/internal/watch"
 )
 
-// How gRPC spaces its own attempts to connect, between half a report interval and a whole one.
+// Backoff of gRPC's own connection attempts, between half a report interval and a whole one.
 const (
 	connectBackoffMultiplier = 1.2
-	connectBackoffJitter     = 0.3 // share of the pause
+	connectBackoffJitter     = 0.3 // fraction of the pause
 )
 
-// RouterClient is a router's end of the connection to its controller. The exported fields are set before Run and not changed
-// after it.
+// RouterClient is the router's end of the connection to its controller. The exported fields must be set before Run and
+// not changed afterwards.
 type RouterClient struct {
 	Config      *config.Link
 	Log         *slog.Logger
-	Now         func() float64 // seconds since 1970, never going back
-	Relay       string         // the relay that router and controller must share
+	Now         func() float64 // seconds since 1970, monotonic
+	Relay       string         // must match that of the controller
 	Router      string         // this router's name
-	Incarnation uint64         // of this process; higher than that of every process of the router before it
-	ConfigHash  uint64         // of the settings that router and controller must share
-	// FillReport adds to a report what the router counted and has. It is called once a report interval, from one goroutine, and
-	// must not block.
+	Incarnation uint64         // of this process; greater than that of every earlier process of this router
+	ConfigHash  uint64         // of the settings that must match those of the controller
+	// FillReport adds the router's counts and state to a report. It is called once per report interval, from one
+	// goroutine, and must not block.
 	FillReport func(report *linkpb.Digest)
-	// ApplyAssignment enters an assignment that counts. endpoints and release tell which of these parts are new; leaseEndsAt is
-	// when its lease ends on the clock of Now. It is called from one goroutine and must not block.
+	// ApplyAssignment applies an accepted assignment. endpoints and release report whether these parts are new;
+	// leaseEndsAt is the end of its lease on the clock of Now. It is called from one goroutine and must not block.
 	ApplyAssignment func(assignment *linkpb.View, endpoints, release bool, leaseEndsAt float64)
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	follower       *lease.Follower
 	connects       uint64
 	reportsDropped uint64
-	listVersion    uint64 // of the last endpoint list taken from an assignment
+	listVersion    uint64 // of the last endpoint list received in an assignment
 	startedAt      float64
 }
 
-// Stats counts what a RouterClient has seen.
+// Stats is a snapshot of a RouterClient's state and counters.
 type Stats struct {
-	Epoch, Sequence      uint64 // of the assignment in force, 0: none yet
+	Epoch, Sequence      uint64 // of the assignment in force; 0: none yet
 	AssignmentAgeSeconds float64
-	Connects             uint64 // streams on which an assignment came
+	Connects             uint64 // streams on which an assignment arrived
 	ReportsDropped       uint64 // reports that a newer one replaced before they were sent
 	Refused              [lease.ReasonCount]uint64
 }
 
-// Stats gives the counts so far. It may be called at any time from any goroutine.
+// Stats returns the current state and counters. It is safe for concurrent use.
 func (r *RouterClient) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,8 +70,8 @@
 	return stats
 }
 
-// Run keeps a stream to the controller until ctx ends, and then gives nil; an error is one of the settings. endpointsAt is when
-// the endpoint list that the router restored from its disk was true.
+// Run maintains a stream to the controller until ctx ends, and then returns nil; an error means bad settings.
+// endpointsAt is the instant of the endpoint list that the router restored from disk.
 func (r *RouterClient) Run(ctx context.Context, endpointsAt float64) error {
 	r.mu.Lock()
 	r.follower, r.startedAt = lease.NewFollower(r.Incarnation), r.Now()
@@ -97,7 +97,7 @@
 		pauseSeconds := watch.Backoff(failures, r.Config.Beat/2, r.Config.Beat, rand.Float64())
 		level := slog.LevelWarn
 		if failures > 0 {
-			level = slog.LevelDebug // warned of once, not ten times a second
+			level = slog.LevelDebug // warn once, not on every retry
 		}
 		r.Log.Log(ctx, level, "connection to the controller lost", "address", r.Config.Address, "assignments", assignments,
 			"error", err, "retry_in_seconds", pauseSeconds)
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// newConn makes the connection, which gRPC opens when a stream needs it. The controller may know of a drain or a lower canary
-// limit that this router does not: it is tried again within a report interval, which a few routers on one host can afford.
-// Twice the interval is to stay well below the grace of the rules.
+// newConn creates the connection, which gRPC opens when a stream needs it. It is retried within a report interval,
+// because the controller may know of a drain or a lower canary traffic limit that this router does not. Twice the
+// interval must stay well below the grace period of the rules.
 func (r *RouterClient) newConn(transport credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	return grpc.NewClient(dialTarget(r.Config),
 		grpc.WithTransportCredentials(transport),
@@ -127,7 +127,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 }
 
-// dialTarget is the configured address in gRPC's form.
+// dialTarget returns the configured address as a gRPC target.
 func dialTarget(link *config.Link) string {
 	if path, ok := link.SocketPath(); ok {
 		return "unix:" + path
@@ -135,15 +135,15 @@
 	return "passthrough:///" + link.Address
 }
 
-// runStream holds one stream until it breaks, ctx ends or the controller is silent for too long, and tells how many
-// assignments came.
+// runStream runs one stream until it breaks, ctx ends or the controller is silent for too long, and returns the number
+// of assignments received.
 func (r *RouterClient) runStream(ctx context.Context, conn *grpc.ClientConn) (assignments int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := seconds(r.Config.SilenceSeconds)
 	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", r.Config.SilenceSeconds)) })
 	defer silenceTimer.Stop()
-	// A cancelled stream says only that it was cancelled; the cause says why.
+	// A cancelled stream only reports that it was cancelled; the context's cause says why.
 	causeOf := func(err error) error {
 		if cause := context.Cause(ctx); cause != nil {
 			return cause
@@ -175,7 +175,7 @@
 	}
 }
 
-// sendReports sends what is queued until ctx ends or the stream breaks.
+// sendReports sends queued reports until ctx ends or the stream breaks.
 func sendReports(ctx context.Context, stream linkpb.Planner_FollowClient, queue <-chan *linkpb.Digest) {
 	for {
 		select {
@@ -183,13 +183,13 @@
 			return
 		case report := <-queue:
 			if stream.Send(report) != nil {
-				return // Recv gives the reason
+				return // Recv returns the reason
 			}
 		}
 	}
 }
 
-// queueReports queues a report at once and then every report interval, until ctx ends.
+// queueReports queues a report immediately and then every report interval, until ctx ends.
 func (r *RouterClient) queueReports(ctx context.Context, queue chan *linkpb.Digest) {
 	ticker := time.NewTicker(seconds(r.Config.Beat))
 	defer ticker.Stop()
@@ -203,8 +203,8 @@
 	}
 }
 
-// queueReport makes a report and queues it for the stream. One that was not sent in time is replaced: the newer one holds all
-// that it did. It must be the only sender on queue, which has room for one.
+// queueReport builds a report and queues it for the stream. It replaces an unsent report, because reports are
+// cumulative. It must be the only sender on queue, whose capacity is one.
 func (r *RouterClient) queueReport(queue chan *linkpb.Digest) {
 	report := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: r.Relay, Edge: r.Router, Terms: r.ConfigHash}
 	r.FillReport(report)
@@ -222,7 +222,7 @@
 	queue <- report
 }
 
-// acceptAssignment passes on an assignment if it counts.
+// acceptAssignment passes an assignment to ApplyAssignment if the lease rules accept it.
 func (r *RouterClient) acceptAssignment(assignment *linkpb.View) {
 	header := assignmentHeader(assignment)
 	content := lease.ContentVersions{EndpointsAt: assignment.ListAt, ReleaseVersion: assignment.StageNo}
@@ -244,7 +244,7 @@
 	r.ApplyAssignment(assignment, endpoints, release, leaseEndsAt)
 }
 
-// assignmentHeader maps the wire's names of what identifies an assignment to those of package lease.
+// assignmentHeader converts the identification of an assignment from its wire names to those of package lease.
 func assignmentHeader(assignment *linkpb.View) lease.AssignmentHeader {
 	return lease.AssignmentHeader{Major: assignment.Major, Epoch: assignment.Epoch, Sequence: assignment.Number,
 		Incarnation: assignment.Life, AcknowledgedReport: assignment.Echo}
