--- a/internal/revisions/diff.go
+++ b/internal/revisions/diff.go
@@ -8,8 +8,8 @@
 	"olympos.io/encoding/edn"
 )
 
-// Diff tells by key how two EDN texts differ: one line a key and text, - for what the first holds and + for what the second
-// holds, sorted by key.
+// Diff returns the differences between two EDN texts, sorted by key path: "- PATH VALUE" for a value only in first and
+// "+ PATH VALUE" for one only in second. A changed value has both lines. An error means that a text is not EDN.
 func Diff(first, second string) ([]string, error) {
 	before, err := valuesByPath(first)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return lines, nil
 }
 
-// valuesByPath gives every plain value of a text by the keys that lead to it.
+// valuesByPath returns the scalar values of a text by their key paths.
 func valuesByPath(text string) (map[string]string, error) {
 	var root any
 	if err := edn.UnmarshalString(text, &root); err != nil {
@@ -54,7 +54,7 @@
 	return values, nil
 }
 
-// collect adds the plain values below a node to values.
+// collect adds the scalar values below a node to values.
 func collect(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[any]any:
@@ -81,8 +81,8 @@
 	return path + " " + key
 }
 
-// elementName names an element of a vector: by its :name, or its :method and :path, where it has those, so that a further
-// element in front does not change the names of the rest; else by its index.
+// elementName names an element of a vector by its :name, or its :method and :path, if it has them, so that inserting an
+// element does not rename those after it. Otherwise the name is the index.
 func elementName(element any, index int) string {
 	if fields, ok := element.(map[any]any); ok {
 		if name, ok := fields[edn.Keyword("name")]; ok {
--- a/internal/revisions/diff_test.go
+++ b/internal/revisions/diff_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Diff names elements of vectors by their :name or :path, and gives an error for a text that is no EDN.
+// Diff names elements of vectors by their :name or :path, and returns an error for a text that is not EDN.
 func ExampleDiff() {
 	a := `{:a 1 :b {:c [1 2]} :op-types [{:name "x" :target 0.3} {:name "y" :target 1}] :routes [{:method "GET" :path "/x/" :op-type "x"}]}`
 	b := `{:a 1 :b {:c [1 3]} :op-types [{:name "z" :target 2} {:name "x" :target 0.4}] :routes [{:method "GET" :path "/x/" :op-type "z"}]}`
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -11,9 +11,9 @@
 
 const storeFileName = "versions.db"
 
-// Resume opens the history in a state folder, and calls apply with the version that was in force last: without a control service
-// the program runs on that. A version that can't be read or applied is logged and left, and the program starts with its file's
-// configuration. The caller closes the store.
+// Resume opens the history in a state folder and calls apply with the version that was last in force, which the program
+// uses until a control service sends another. If that version cannot be read or applied, this is logged and the program
+// starts with the configuration of its file. The caller must close the store.
 func Resume(stateDir string, log *slog.Logger, apply func(*configstate.Version) error) (*Store, error) {
 	store, aside, err := Open(filepath.Join(stateDir, storeFileName))
 	if err != nil {
--- a/internal/revisions/store.go
+++ b/internal/revisions/store.go
@@ -1,5 +1,5 @@
-// Package revisions keeps the versions of the configuration that were in force, with what each came after, in an embedded store.
-// It works without any service.
+// Package revisions keeps the history of configuration versions that were in force in an embedded store. It depends on
+// no other service, so a program can resume its last version without one.
 package revisions
 
 import (
@@ -13,27 +13,28 @@
 	"flintspread/internal/boltstore"
 )
 
-// Kept is the number of versions that a store holds; the oldest go first.
+// Kept is the maximum number of versions in a store. The oldest are deleted first.
 const Kept = 200
 
-// versionsBucket holds the entries as JSON, by their number in eight bytes, big-endian, so that their order is that of the numbers.
+// versionsBucket holds the entries as JSON. Keys are version numbers as eight big-endian bytes, so that key order is
+// numeric order.
 var versionsBucket = []byte("versions")
 
-// Entry is one version that was in force.
+// Entry is one configuration version that was in force.
 type Entry struct {
 	Number              uint64  `json:"no"`              // its number
-	Previous            uint64  `json:"parent"`          // the version in force before it, 0: the program's file
-	InForceSince        float64 `json:"since"`           // when it came into force, in seconds since 1970
+	Previous            uint64  `json:"parent"`          // the version in force before it; 0: the program's file
+	InForceSince        float64 `json:"since"`           // when it took effect, in seconds since 1970
 	Hash                uint64  `json:"sum"`             // hash of Text
-	RequiredListVersion uint64  `json:"needs,omitempty"` // version of the endpoint list that it belongs with, 0: any
+	RequiredListVersion uint64  `json:"needs,omitempty"` // version of the endpoint list that it requires; 0: any
 	Text                string  `json:"text"`
 }
 
-// Store is a history on disk. Only one process may hold it open to write, and none may read it meanwhile.
+// Store is a history on disk. While one process has it open for writing, no other can open it. Methods block on disk.
 type Store struct{ db *bolt.DB }
 
-// Open opens a store to write, or makes one. A file that can't be read is set aside; aside holds its new name then, and the
-// reason.
+// Open opens a store for writing, creating it if needed. An unreadable file is set aside; aside then holds its new name
+// and the reason. The caller must close the store.
 func Open(file string) (s *Store, aside string, err error) {
 	db, aside, err := boltstore.OpenOrSetAside(file, checkEntries)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return &Store{db}, aside, nil
 }
 
-// Read opens a store to look at it. A running program holds its own, which gives boltstore.ErrInUse; a copy of the file can be
-// read.
+// Read opens a store read-only. The error wraps boltstore.ErrInUse if a running program has it open; read a copy of the
+// file instead. The caller must close the store.
 func Read(file string) (*Store, error) {
 	if _, err := os.Stat(file); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// checkEntries finds an entry that can't be read.
+// checkEntries returns an error if an entry cannot be decoded.
 func checkEntries(tx *bolt.Tx) error {
 	bucket := tx.Bucket(versionsBucket)
 	if bucket == nil {
@@ -69,8 +70,8 @@
 
 func entryKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
-// Add adds a version that came into force, which must be newer than all there are, in one transaction: after a kill it is there
-// whole or not at all.
+// Add adds a version that took effect. Its number must be greater than all in the store. Add is one transaction: after
+// a crash the entry is either complete or absent.
 func (s *Store) Add(e Entry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -91,7 +92,7 @@
 	})
 }
 
-// dropOldest deletes the oldest entries above the number that is kept.
+// dropOldest deletes the oldest entries until Kept are left.
 func dropOldest(bucket *bolt.Bucket) error {
 	count := 0
 	if err := bucket.ForEach(func(_, _ []byte) error { count++; return nil }); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// All gives the versions there are, the oldest first.
+// All returns the versions in the store, oldest first.
 func (s *Store) All() (entries []Entry, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(versionsBucket)
@@ -124,7 +125,7 @@
 	return entries, err
 }
 
-// Last gives the version that was in force last, nil for none.
+// Last returns the version that was last in force, or nil if the store is empty.
 func (s *Store) Last() (*Entry, error) {
 	entries, err := s.All()
 	if err != nil || len(entries) == 0 {
@@ -133,7 +134,7 @@
 	return &entries[len(entries)-1], nil
 }
 
-// Get gives the version with a number.
+// Get returns the version with the given number, or an error if it is not in the store.
 func (s *Store) Get(number uint64) (*Entry, error) {
 	entries, err := s.All()
 	if err != nil {
