--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -1,4 +1,5 @@
-// Package boltstore opens an embedded store so that a broken file shows when it is opened, and costs nothing but itself.
+// Package boltstore opens bbolt databases and verifies them completely, so that a corrupt file is detected when it is
+// opened and can be set aside, instead of failing later.
 package boltstore
 
 import (
@@ -12,24 +13,25 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrInUse tells that another process holds the store.
+// ErrInUse is returned if another process has the store open.
 var ErrInUse = errors.New("in use by another process")
 
 const (
-	// lockTimeout is the time that another process gets to end and free the store.
+	// lockTimeout is how long to wait for another process to release the store.
 	lockTimeout = 500 * time.Millisecond
 
 	fileMode = 0o644
 
-	// brokenFileSuffix is what a broken store's name gets when it is set aside; the number is the time.
+	// brokenFileSuffix is appended to the name of a broken store when it is set aside; the number is the time in
+	// nanoseconds since 1970.
 	brokenFileSuffix = ".bad-%d"
 )
 
-// Open opens a store and reads all of it once, with the store's own check and then the caller's, so that what is broken shows
-// now and not in the middle of a day. It waits for up to half a second for a store that another process holds, and then returns
-// an error that wraps ErrInUse. The caller closes the store.
+// Open opens a store and reads all of it, with bbolt's consistency check and then the caller's check, so that
+// corruption is detected now and not at some later access. It waits up to lockTimeout for a store that another process
+// has open, and then returns an error that wraps ErrInUse. The caller must close the store.
 func Open(file string, readOnly bool, check func(*bolt.Tx) error) (db *bolt.DB, err error) {
-	// Pages that are missing fault and pages that are wrong panic: both come back as an error.
+	// Accessing a missing page faults and a corrupt one panics; both are returned as errors.
 	previous := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(previous)
 	defer func() {
@@ -60,8 +62,8 @@
 	return db, err
 }
 
-// checkPages gives the first error of the store's own check. It reads all of them: the check runs on a goroutine of its own,
-// which would wait for ever on an error that nobody reads.
+// checkPages returns the first error of bbolt's consistency check. It drains the channel, because the check runs in its
+// own goroutine, which would otherwise block forever.
 func checkPages(tx *bolt.Tx) (first error) {
 	for err := range tx.Check() {
 		if first == nil {
@@ -71,7 +73,7 @@
 	return first
 }
 
-// closeBroken closes a broken store, where closing may panic too.
+// closeBroken closes a broken store and turns a panic in Close into an error.
 func closeBroken(db *bolt.DB) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -81,8 +83,8 @@
 	return db.Close()
 }
 
-// OpenOrSetAside opens a store to write, as Open does. A store that can't be read is set aside under a name that holds the time,
-// and an empty one opened in its place; aside holds that name and the reason. A store that is in use is left alone.
+// OpenOrSetAside opens a store for writing, like Open. An unreadable store is renamed and an empty one opened in its
+// place; aside then holds the new name and the reason. A store in use is left alone.
 func OpenOrSetAside(file string, check func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
 	db, err = Open(file, false, check)
 	if err == nil || errors.Is(err, ErrInUse) {
