--- a/internal/xds/backoff_bench_test.go
+++ b/internal/xds/backoff_bench_test.go
@@ -8,8 +8,9 @@
 	"flintspread/internal/watch"
 )
 
-// BenchmarkHerd is a hundred clients that lose a service together and try it until it is back. Reported are the most clients that
-// reconnect within a tenth of a second, with jitter and without, and when the last one has. Times are computed, not waited for.
+// BenchmarkHerd simulates a hundred clients that lose a service together and retry until it is back. It reports the
+// most clients that reconnect within a tenth of a second, with and without jitter, and when the last one does. Times
+// are computed, not waited for.
 func BenchmarkHerd(b *testing.B) {
 	for _, jitter := range []bool{true, false} {
 		name := "half-chance"
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -16,29 +16,29 @@
 	"flintspread/internal/watch"
 )
 
-// minKeepAliveSeconds is the shortest time without traffic after which a service is pinged; gRPC allows no shorter one.
+// minKeepAliveSeconds is the shortest idle time after which a service is pinged; gRPC allows no shorter one.
 const minKeepAliveSeconds = 10
 
-// Client follows one control service. Its fields are set before Run and not changed after it.
+// Client follows one control service. Its fields must be set before Run and not changed afterwards.
 type Client struct {
 	Address     string
 	Credentials credentials.TransportCredentials
 	Log         *slog.Logger
-	Session     *Session // this client's alone
-	Relay       string   // the name of the resources it wants
+	Session     *Session // not shared with other clients
+	Relay       string   // the name of the resources to subscribe to
 	Handler     Handler  // called from Run's goroutine
 
-	BackoffMinSeconds float64 // pause before the first try to reconnect
-	BackoffMaxSeconds float64 // longest pause
-	SilenceSeconds    float64 // that a service may leave a keep-alive ping unanswered, and at least 10 s between those
-	RecheckSeconds    float64 // between two decisions on a version that waits
-	MaxResponseBytes  int     // of one response; a larger one breaks the stream before it is held
+	BackoffMinSeconds float64 // initial backoff between connections
+	BackoffMaxSeconds float64 // maximum backoff between connections
+	SilenceSeconds    float64 // timeout of a keep-alive ping; also the idle time before one, if above 10 s
+	RecheckSeconds    float64 // interval at which a waiting version is rechecked
+	MaxResponseBytes  int     // bounds one response; a larger one breaks the stream before it is buffered
 }
 
-// discoveryStream is the RPC's stream.
+// discoveryStream is the client side of the xDS stream.
 type discoveryStream = discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 
-// Run follows the service until ctx ends, and then gives nil; an error is one of the settings.
+// Run follows the service until ctx ends, and then returns nil; an error means bad settings.
 func (c *Client) Run(ctx context.Context) error {
 	conn, err := grpc.NewClient("passthrough:///"+c.Address,
 		grpc.WithTransportCredentials(c.Credentials),
@@ -60,7 +60,7 @@
 		if responses > 0 {
 			failures = 0
 		}
-		// Half of the pause is random: a hundred relays that lost the service together come back apart.
+		// Jitter keeps relays that lost the service together from reconnecting together.
 		pauseSeconds := watch.Backoff(failures, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
 		c.Log.Warn("control stream lost", "address", c.Address, "responses", responses, "error", err, "retry_in_seconds", pauseSeconds)
 		select {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// runStream holds one stream until it breaks or ctx ends, and tells how many responses came.
+// runStream runs one stream until it breaks or ctx ends, and returns the number of responses received.
 func (c *Client) runStream(ctx context.Context, conn *grpc.ClientConn) (responses int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -87,7 +87,7 @@
 	arrivals := make(chan arrival)
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
-	defer cancel() // ends the receiver, which is then waited for
+	defer cancel() // stops the receiver before receiving.Wait
 	receiving.Go(func() { receive(ctx, rpc, arrivals) })
 	recheck := time.NewTicker(seconds(c.RecheckSeconds))
 	defer recheck.Stop()
@@ -112,7 +112,7 @@
 	}
 }
 
-// streamError finds the stream's own error behind a failed send.
+// streamError returns the stream's own error after a failed send, which gRPC reports only to Recv.
 func streamError(rpc discoveryStream, sendErr error) error {
 	if _, err := rpc.Recv(); err != nil {
 		return err
@@ -120,13 +120,13 @@
 	return sendErr
 }
 
-// arrival is a response, or the error that ended the stream.
+// arrival is a received response, or the error that ended the stream.
 type arrival struct {
 	response *discovery.DiscoveryResponse
 	err      error
 }
 
-// receive passes on what arrives until the stream breaks or ctx ends.
+// receive forwards responses to arrivals until the stream breaks or ctx ends.
 func receive(ctx context.Context, rpc discoveryStream, arrivals chan<- arrival) {
 	for {
 		response, err := rpc.Recv()
@@ -141,20 +141,20 @@
 	}
 }
 
-// clientStream is one open stream, used by one goroutine.
+// clientStream is one open stream. It is used by one goroutine.
 type clientStream struct {
 	client  *Client
 	rpc     discoveryStream
 	waiting *waitingVersion // nil: none
 }
 
-// waitingVersion is a version that can't be answered yet.
+// waitingVersion is a version that cannot be accepted or rejected yet.
 type waitingVersion struct {
 	response *discovery.DiscoveryResponse
 	version  *configstate.Version
 }
 
-// onResponse enters one response, and answers it unless it has to wait. An error breaks the stream.
+// onResponse processes one response, and answers it unless its version has to wait. An error breaks the stream.
 func (s *clientStream) onResponse(response *discovery.DiscoveryResponse) error {
 	isNew, answer, err := s.client.Session.OnResponse(response)
 	if err != nil {
@@ -172,7 +172,7 @@
 	return s.offerVersion(response)
 }
 
-// applyEndpoints passes on an endpoint list; an error rejects it.
+// applyEndpoints passes an endpoint list to the handler; an error rejects it.
 func (s *clientStream) applyEndpoints(response *discovery.DiscoveryResponse) error {
 	update, err := EndpointUpdate(response)
 	if err != nil {
@@ -181,7 +181,8 @@
 	return s.client.Handler.OnEndpoints(update)
 }
 
-// offerVersion passes on a configuration version, and answers it unless it has to wait. It replaces one that waits.
+// offerVersion passes a configuration version to the handler, and answers it unless it has to wait. It replaces a
+// waiting version.
 func (s *clientStream) offerVersion(response *discovery.DiscoveryResponse) error {
 	s.waiting = nil
 	version, err := ReadDocument(response, s.client.Relay)
@@ -197,7 +198,7 @@
 	return s.answer(response, err)
 }
 
-// recheck answers the version that waits, if its outcome is known by now.
+// recheck answers the waiting version, if its outcome is known by now.
 func (s *clientStream) recheck() error {
 	if s.waiting == nil {
 		return nil
@@ -211,7 +212,7 @@
 	return s.answer(response, err)
 }
 
-// answer logs what became of a response and sends it, rejected with a reason or accepted without one.
+// answer logs and sends the outcome of a response: a NACK with reason, or an ACK if reason is nil.
 func (s *clientStream) answer(response *discovery.DiscoveryResponse, reason error) error {
 	log := s.client.Log.With("type", response.TypeUrl, "version", response.VersionInfo, "nonce", response.Nonce)
 	if reason != nil {
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -12,8 +12,8 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// ReadDocument reads the one document of a response as a configuration version of a relay, by the reader that reads a settings
-// file. An error says what to mend; it goes out as the reason of the rejection.
+// ReadDocument reads the single document of a response as a configuration version for a relay, with the checks that a
+// settings file gets. Its error is sent to the service as the reason of the rejection.
 func ReadDocument(response *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
 	if len(response.Resources) != 1 {
 		return nil, fmt.Errorf("%d documents; one is wanted", len(response.Resources))
--- a/internal/xds/endpoints.go
+++ b/internal/xds/endpoints.go
@@ -16,18 +16,18 @@
 	"flintspread/internal/endpoints"
 )
 
-// metadataKey is the filter under which an endpoint's metadata holds what the published form has no field for.
+// metadataKey is the filter metadata key of endpoint attributes for which xDS has no field.
 const metadataKey = "flintspread"
 
-// maxStartedAt bounds an endpoint's start, seconds since 1970: a larger number is a mistake of units.
+// maxStartedAt bounds an endpoint's start, in seconds since 1970. A larger number is in another unit by mistake.
 const maxStartedAt = 1e11
 
-// The states of an endpoint as package endpoints has them.
+// Endpoint states are those of package endpoints.
 const ()
 
-// EndpointUpdate reads endpoint assignments as a full endpoint list. An endpoint's metadata under "flintspread" has to give id and
-// build, and may give zone, cell and start; its health tells ready from draining, and an unhealthy one is left out, which makes
-// it gone.
+// EndpointUpdate converts endpoint assignments to a full endpoint list. The endpoint metadata under "flintspread" must
+// contain id and build, and may contain zone, cell and start. The health status decides between ready and draining; an
+// unhealthy endpoint is left out, which removes it from the list.
 func EndpointUpdate(response *discovery.DiscoveryResponse) (*endpoints.Update, error) {
 	version, err := versionNumber(response.VersionInfo)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return update, update.Check()
 }
 
-// appendEndpoints appends the endpoints of one cluster to a list, but for those that are gone.
+// appendEndpoints appends the endpoints of one cluster to update, except those that are gone.
 func appendEndpoints(update *endpoints.Update, assignment *endpoint.ClusterLoadAssignment) error {
 	for _, locality := range assignment.Endpoints {
 		for i, lbEndpoint := range locality.LbEndpoints {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// endpointOf reads one endpoint.
+// endpointOf converts one endpoint.
 func endpointOf(lbEndpoint *endpoint.LbEndpoint) (e endpoints.Endpoint, err error) {
 	address := lbEndpoint.GetEndpoint().GetAddress().GetSocketAddress()
 	if address == nil {
@@ -85,7 +85,8 @@
 	return e, metadata.err
 }
 
-// stateOf maps the health that a service publishes. Whether a degraded or unknown endpoint serves well is seen by serving.
+// stateOf maps a published health status to an endpoint state. Degraded and unknown endpoints count as ready: the
+// router's own outlier detection judges them.
 func stateOf(health core.HealthStatus) string {
 	switch health {
 	case core.HealthStatus_UNKNOWN, core.HealthStatus_HEALTHY, core.HealthStatus_DEGRADED:
@@ -97,13 +98,13 @@
 	}
 }
 
-// metadataReader reads the numbers of an endpoint's metadata. The first bad one is kept as err.
+// metadataReader reads numbers from an endpoint's metadata and keeps the first error in err.
 type metadataReader struct {
 	fields map[string]*structpb.Value
 	err    error
 }
 
-// required gives a number from 0 to limit that has to be there.
+// required returns a number from 0 to limit, which must be present.
 func (m *metadataReader) required(name string, limit float64) float64 {
 	value, found := m.fields[name]
 	if !found {
@@ -112,21 +113,21 @@
 	return m.number(name, value, limit)
 }
 
-// optional gives a number from 0 to limit, 0 where it is missing.
+// optional returns a number from 0 to limit, or 0 if it is missing.
 func (m *metadataReader) optional(name string, limit float64) float64 {
 	return m.number(name, m.fields[name], limit)
 }
 
-// number gives a value from 0 to limit; one that is no number counts as 0.
+// number returns a value from 0 to limit; a value that is not a number counts as 0.
 func (m *metadataReader) number(name string, value *structpb.Value, limit float64) float64 {
 	number := value.GetNumberValue()
-	if !(number >= 0 && number <= limit) { // also where it is not a number
+	if !(number >= 0 && number <= limit) { // also rejects NaN
 		m.fail(name, value, limit)
 	}
 	return number
 }
 
-// fail keeps the first error.
+// fail records an error unless there is one already.
 func (m *metadataReader) fail(name string, value *structpb.Value, limit float64) {
 	if m.err == nil {
 		m.err = fmt.Errorf("metadata %q: %s: %v is no number from 0 to %.0f", metadataKey, name, value, limit)
--- a/internal/xds/reconnect_bench_test.go
+++ b/internal/xds/reconnect_bench_test.go
@@ -21,8 +21,9 @@
 	"flintspread/internal/xds"
 )
 
-// BenchmarkReturn is a hundred routers that lose a control service, which comes back with a new version two seconds later, over
-// sockets: the time from its return until the last has accepted the version, and the most that did so within a tenth of a second.
+// BenchmarkReturn measures, over sockets, a hundred routers that lose a control service, which returns with a new
+// version two seconds later: the time from its return until the last router has accepted the version, and the most that
+// did so within a tenth of a second.
 func BenchmarkReturn(b *testing.B) {
 	const routers = 100
 	text, err := os.ReadFile("../../deploy/edge.edn")
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -10,14 +10,14 @@
 	"google.golang.org/grpc/codes"
 )
 
-// userAgent is the name that requests give this program.
+// userAgent identifies this program in requests.
 const userAgent = "flintspread"
 
-// Session is the protocol's state for one client: the version accepted of each resource type, over all its streams, and the
-// nonces of the present stream. It does no I/O and is not safe for concurrent use.
+// Session is the xDS protocol state of one client: the accepted version of each resource type, across streams, and the
+// nonces of the current stream. It does no I/O and is not safe for concurrent use.
 //
-// A stream begins with Open. Each response goes to OnResponse; one that is new is applied and then given to Settle, before or
-// after newer responses of its type.
+// Call Open at the start of a stream and OnResponse for each response. A new response is applied and then passed to
+// Settle, before or after newer responses of its type.
 type Session struct {
 	node          *core.Node
 	resourceNames []string
@@ -26,13 +26,13 @@
 
 // subscription is the state of one resource type.
 type subscription struct {
-	accepted string                       // version accepted last, "" none
-	nonce    string                       // of the last response on this stream
-	answer   *discovery.DiscoveryRequest  // to that response, nil before it is settled
-	pending  *discovery.DiscoveryResponse // received and not settled yet
+	accepted string                       // last accepted version; "" if none
+	nonce    string                       // of the last response on the current stream
+	answer   *discovery.DiscoveryRequest  // to that response; nil until it is settled
+	pending  *discovery.DiscoveryResponse // received but not settled yet
 }
 
-// NewSession makes the session of a client that names itself node and wants the resources of a relay.
+// NewSession returns the session of a client that identifies itself as node and subscribes to the resources of a relay.
 func NewSession(node, relay string) *Session {
 	s := &Session{
 		node:          &core.Node{Id: node, Cluster: relay, UserAgentName: userAgent},
@@ -45,8 +45,8 @@
 	return s
 }
 
-// Open gives the requests that begin a stream. They name the versions accepted so far, so that the service need not send those
-// again, and no nonce, since nonces belong to one stream.
+// Open returns the requests that begin a stream. They carry the accepted versions, so that the service need not resend
+// them, but no nonce, because nonces belong to one stream.
 func (s *Session) Open() (requests []*discovery.DiscoveryRequest) {
 	for _, typeURL := range Types {
 		sub := s.subscriptions[typeURL]
@@ -57,9 +57,9 @@
 	return requests
 }
 
-// OnResponse tells whether a response is new, so that its resources have to be applied and Settle to be called; if it is not,
-// answer is what to send, nil for nothing. A nonce that comes again gets its answer again and is not applied twice. An error
-// is a response outside of the protocol: the stream is to be closed.
+// OnResponse reports whether a response is new; if so, the caller must apply its resources and call Settle. Otherwise
+// answer is the request to send, or nil. A repeated nonce gets the same answer and is not applied twice. An error means
+// that the response violates the protocol: the caller must close the stream.
 func (s *Session) OnResponse(response *discovery.DiscoveryResponse) (isNew bool, answer *discovery.DiscoveryRequest, err error) {
 	sub := s.subscriptions[response.TypeUrl]
 	switch {
@@ -68,18 +68,18 @@
 	case response.Nonce == "":
 		return false, nil, fmt.Errorf("a response of type %q without a nonce", response.TypeUrl)
 	case response.Nonce == sub.nonce:
-		return false, sub.answer, nil // nil before it is settled
+		return false, sub.answer, nil // nil until it is settled
 	}
 	sub.nonce, sub.pending, sub.answer = response.Nonce, response, nil
 	return true, nil, nil
 }
 
-// Settle gives the request that accepts a response, or rejects it with a reason. A response that a newer one has overtaken gets
-// none: the newer one's answer speaks for the type.
+// Settle returns the request that accepts a response, or rejects it if reason is not nil. It returns nil if a newer
+// response has arrived, whose answer covers the resource type.
 func (s *Session) Settle(response *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
 	sub := s.subscriptions[response.TypeUrl]
 	if reason == nil {
-		sub.accepted = response.VersionInfo // in force, also where the answer is not sent
+		sub.accepted = response.VersionInfo // in force even if no answer is sent
 	}
 	if sub.pending != response {
 		return nil
@@ -93,7 +93,7 @@
 	return sub.answer
 }
 
-// versionNumber reads a version_info that has to be a whole number.
+// versionNumber parses a version_info, which must be a whole number.
 func versionNumber(versionInfo string) (uint64, error) {
 	number, err := strconv.ParseUint(versionInfo, 10, 64)
 	if err != nil {
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -7,7 +7,7 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// Which request answers which response, over two streams.
+// Responses and their answers over two streams.
 func Example_session() {
 	s := NewSession("edge", "r1")
 	show := func(what string, request *discovery.DiscoveryRequest) {
@@ -33,7 +33,7 @@
 	show("settled", s.Settle(first, nil))
 	receive("v1", "n1")
 	second := receive("v2", "n2")
-	third := receive("v3", "n3") // before the one before was settled
+	third := receive("v3", "n3") // before the previous one is settled
 	show("overtaken", s.Settle(second, nil))
 	show("rejected", s.Settle(third, errors.New("no caps")))
 	show("a new stream", s.Open()[1])
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,5 +1,5 @@
-// Package xds takes configuration versions and endpoint lists from control services: xDS v3, aggregated discovery over one gRPC
-// stream a service, state of the world. This package keeps the protocol; what a version leads to, its Handler decides.
+// Package xds receives configuration versions and endpoint lists from control services over xDS v3: state-of-the-world
+// aggregated discovery, one gRPC stream per service. It implements the protocol only; a Handler decides what to accept.
 //
 // Durations are float64 seconds, as in the settings.
 package xds
@@ -25,22 +25,22 @@
 	TypeDocument  = "type.googleapis.com/flintspread.config.v1.Document"                 // configuration versions
 )
 
-// Types lists the resource types in the order in which they are asked for: one that depends on another comes after it.
+// Types lists the resource types in the order of subscription: a type comes after those that it depends on.
 var Types = [...]string{TypeEndpoints, TypeDocument}
 
-// Handler is what takes endpoint lists and configuration versions. Its calls come from a goroutine for each service that is
-// followed, so that they must be safe for concurrent use. They may write to disk, and should not wait for anything else.
+// Handler receives endpoint lists and configuration versions. Its functions are called from one goroutine per control
+// service, so they must be safe for concurrent use. They may write to disk, but should not block otherwise.
 type Handler struct {
 	// OnEndpoints applies an endpoint list; an error rejects it.
 	OnEndpoints func(*endpoints.Update) error
-	// OnConfig applies a version, rejects it with an error, or says that it has to wait.
+	// OnConfig applies a version, rejects it with an error, or returns configstate.Waiting if it cannot decide yet.
 	OnConfig func(*configstate.Version) (configstate.Outcome, error)
-	// Recheck decides again on a version that had to wait: after each response and once a recheck interval.
+	// Recheck decides again on a waiting version. It is called after each response and once per recheck interval.
 	Recheck func(*configstate.Version) (configstate.Outcome, error)
 }
 
-// FollowAll follows all control services of the settings until ctx ends, and then gives nil. node names this program to them,
-// relay the resources that it wants. An error is one of the settings.
+// FollowAll follows all configured control services until ctx ends, and then returns nil. node identifies this program
+// to them, relay names the resources to subscribe to. An error means bad settings.
 func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, handler Handler) error {
 	transport := insecure.NewCredentials()
 	if control.Cert != "" {
@@ -62,5 +62,5 @@
 	return group.Wait()
 }
 
-// seconds converts a duration of the settings.
+// seconds converts a duration from the settings.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
