--- a/internal/revisions/store_test.go
+++ b/internal/revisions/store_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// testdata/versions-abfd351.db was written by the program of commit abfd351, by a main of there that calls, for n from 3 to 5,
+// testdata/versions-abfd351.db was written by the program of commit abfd351, with a main that calls, for n from 3 to 5,
 //
 //	s.Add(history.Entry{No: n, Parent: n - 1, Since: 1700000000.5 + float64(n), Sum: 1 << 63 / n, Needs: 10 * (n - 3),
 //		Text: fmt.Sprint("{:schema ", n, "}")})
