--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -2,34 +2,34 @@
 
 import "math"
 
-// maxSeries bounds the series that are followed; more is a mistake in the queries, not a fleet.
+// maxSeries bounds the tracked series. More than that is a mistake in the queries, not a large fleet.
 const maxSeries = 1_000_000
 
-// Analyzer is all that is known from the query servers.
+// Analyzer accumulates the answers of all query servers and derives evidence and health marks from them.
 type Analyzer struct {
 	questions   []Question
 	servers     [][]serverState // by question and server
 	endpoints   map[uint32]Endpoint
-	build       int // the newest, -1: none yet
+	build       int // the newest; -1: none yet
 	seriesCount int
-	disputed    map[string]int // by question: endpoints on which servers disagreed when they were compared last
+	disputed    map[string]int // by question name: endpoints on which servers disagreed at the last comparison
 }
 
-// serverState is what one server has answered to one question.
+// serverState holds one server's answers to one question.
 type serverState struct {
 	firstAnswerAt float64
-	newestAt      float64 // of the newest value of any endpoint
+	newestAt      float64 // of the newest value of any series
 	series        map[seriesKey]*seriesState
-	departed      map[int]counts // sums of the processes that left the list, by build
+	departed      map[int]counts // sums of processes that left the endpoint list, by build
 }
 
-// seriesKey names a series.
+// seriesKey identifies a series.
 type seriesKey struct {
 	endpoint uint32
 	build    int
 }
 
-// New makes an analyzer of some questions to a number of servers.
+// New returns an analyzer of questions that are sent to a number of servers.
 func New(questions []Question, servers int) *Analyzer {
 	a := &Analyzer{questions: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, build: -1}
 	for range questions {
@@ -47,8 +47,8 @@
 	return a
 }
 
-// SetEndpoints replaces the endpoint list. What was counted of processes that left it stays, as the counts of one endpoint
-// for each build.
+// SetEndpoints replaces the endpoint list. Counts of processes that left the list are kept, summed per build as if of
+// one endpoint, unless the question's counts decay.
 func (a *Analyzer) SetEndpoints(list []Endpoint) {
 	a.endpoints = make(map[uint32]Endpoint, len(list))
 	for _, endpoint := range list {
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetRelease begins the counts of a new build; the same build again changes nothing.
+// SetRelease resets all counts if build differs from the current newest build, and makes it the newest.
 func (a *Analyzer) SetRelease(build int) {
 	if build == a.build {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// ApplyAnswer enters an answer. Values that were entered before are passed over.
+// ApplyAnswer applies an answer and counts its values. Values that were applied before are skipped.
 func (a *Analyzer) ApplyAnswer(now float64, answer *Answer) AnswerResult {
 	server := &a.servers[answer.Question][answer.Server]
 	server.firstAnswerAt = min(server.firstAnswerAt, now)
@@ -127,7 +127,7 @@
 	return reader.result
 }
 
-// follow gives the state of a series, nil where too many are followed already.
+// follow returns the state of a series, which it creates if needed, or nil if too many series are tracked.
 func (a *Analyzer) follow(server *serverState, key seriesKey) *seriesState {
 	if state := server.series[key]; state != nil {
 		return state
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -13,7 +13,7 @@
 
 const wrongKind, failedKind, slowKind = 0, 1, 3
 
-// driver drives an analyzer of some servers and one question by hand.
+// driver feeds an analyzer of several servers and one question by hand.
 type driver struct {
 	analyzer *Analyzer
 	now      float64
@@ -30,7 +30,7 @@
 	return d
 }
 
-// answer enters an answer on one endpoint; each row is a scrape's time, outcomes and failures.
+// answer applies an answer on one endpoint. Each row is the time, outcomes and failures of a scrape.
 func (d *driver) answer(server int, endpoint uint32, build int, rows ...[3]float64) AnswerResult {
 	outcomes, failures := Series{Endpoint: endpoint, Build: build}, Series{Endpoint: endpoint, Build: build}
 	for _, row := range rows {
@@ -40,7 +40,7 @@
 	return d.analyzer.ApplyAnswer(d.now, &Answer{Server: server, Outcomes: []Series{outcomes}, Failures: []Series{failures}})
 }
 
-// show prints the evidence and the marks as of now.
+// show prints the current evidence and marks.
 func (d *driver) show(name string) {
 	var b strings.Builder
 	for _, sample := range d.analyzer.Evidence(d.now).Samples {
@@ -59,7 +59,7 @@
 	fmt.Printf("%s:%s\n", name, b.String())
 }
 
-// Counters are followed from value to value, by the times that the scrapes bear.
+// Counters are tracked from value to value by the timestamps of the scrapes.
 func Example_counters() {
 	d := newDriver(1, Question{Name: "errors", Kind: failedKind})
 	d.answer(0, 11, 8, [3]float64{998, 100, 50})
@@ -108,7 +108,8 @@
 	// a build is offered: counts begin anew: nothing
 }
 
-// A process that began while its server was watched, one without a counter of failures yet, and one that left the list.
+// A process that started while its server was being queried, one without a failure counter yet, and one that left the
+// list.
 func Example_processes() {
 	d := newDriver(1, Question{Name: "wrong", Kind: wrongKind})
 	d.answer(0, 1, 7, [3]float64{999, 10, 0})
@@ -137,7 +138,7 @@
 	// another of the build comes: endpoint 0 of build 7: 0 of 120 wrong; endpoint 0 of build 8: 10 of 60 wrong; endpoint 14 of build 8: 6 of 20 wrong; mark on 14: wrong 0.27, degraded 0.00;
 }
 
-// Several servers: of two the milder counts, of three the middle; a silent one says nothing.
+// Several servers: of two the milder reading counts, of three the middle one; a silent server is ignored.
 func Example_servers() {
 	run := func(name string, servers int, failures ...float64) *driver {
 		d := newDriver(servers, Question{Name: "errors", Kind: failedKind})
@@ -158,7 +159,7 @@
 	d := run("a pair, both fresh", 2, 0, 50)
 	d.now = 1004
 	d.answer(1, 11, 8, [3]float64{1004, 200, 100})
-	d.now = 1006 // the first answered at 1000 last
+	d.now = 1006 // the first server last answered at 1000
 	d.show("the milder one is silent now")
 	// Output:
 	// a pair agrees: endpoint 11 of build 8: 30 of 100 failed; mark on 11: wrong 0.00, degraded 0.29;
@@ -176,7 +177,7 @@
 	// the milder one is silent now: endpoint 11 of build 8: 100 of 200 failed; mark on 11: wrong 0.00, degraded 0.30;
 }
 
-// Marks from what is no counter, and their end.
+// Marks from gauges, and their expiry.
 func Example_gauges() {
 	mark := func(name string, question Question, value, ageSeconds float64) {
 		d := newDriver(1, question)
@@ -205,12 +206,12 @@
 	// not a number: nothing
 }
 
-// Whatever is answered, in whatever order and however often, nothing is counted that did not happen, nothing twice, and what
-// each endpoint did since it was first seen is counted once its last scrape came.
+// Whatever the answers, their order and repetitions, nothing is counted that did not happen or counted twice, and
+// everything that an endpoint did since it was first seen is counted once its last scrape has arrived.
 func TestCountsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(1, Question{Name: "errors", Kind: failedKind, StaleAfterSeconds: 1e9})
-		// One process after the other at endpoint 11; a scrape each second.
+		// One process after the other at endpoint 11, scraped once a second.
 		type scrape struct{ at, outcomes, failures float64 }
 		var scrapes []scrape
 		outcomes, failures, outcomeSum, failureSum, restarts := 0.0, 0.0, 0.0, 0.0, false
@@ -239,7 +240,7 @@
 		if list := d.analyzer.Evidence(d.now).Samples; len(list) > 0 {
 			got = list[0]
 		}
-		// Unseen restarts may lose what came before them; nothing may be added.
+		// Unseen restarts may lose earlier counts, but must not add any.
 		if got.Outcomes[failedKind] > outcomeSum || got.Failures[failedKind] > failureSum {
 			t.Fatalf("counted %g of %g, happened %g of %g", got.Failures[failedKind], got.Outcomes[failedKind], failureSum, outcomeSum)
 		}
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -8,24 +8,24 @@
 	"flintspread/internal/policy"
 )
 
-// MarksIntervalSeconds is the time between two readings of the marks: what they rest on fades within seconds.
+// MarksIntervalSeconds is the interval at which health marks should be recomputed: their evidence fades within seconds.
 const MarksIntervalSeconds = 0.5
 
 const (
-	minMark            = 1.0 / 32 // a mark below it is none
-	priorSuccesses     = 2.0      // outcomes without failure that every endpoint is taken to have had lately
-	disputeShare       = 0.1      // servers disagree where their shares of failures differ by more,
-	disputeMinOutcomes = 20.0     // with so many outcomes on both sides
+	minMark            = 1.0 / 32 // smaller marks are dropped
+	priorSuccesses     = 2.0      // prior: recent outcomes without failure that are assumed for every endpoint
+	disputeShare       = 0.1      // servers disagree if their failure shares differ by more,
+	disputeMinOutcomes = 20.0     // and both have seen at least this many outcomes
 )
 
-// reading is what one server says of one endpoint, or what several say together.
+// reading is one server's data on a series, or the merged data of several servers.
 type reading struct {
-	share  float64 // of failures, or the mark of what is no counter
+	share  float64 // of failures; for gauges, the mark before weight and decay
 	counts counts
 	mark   float64 // 0 to 1
 }
 
-// Evidence gives the counts of the newest build against earlier ones.
+// Evidence returns the merged counts of the newest build and of earlier ones, by endpoint and build.
 func (a *Analyzer) Evidence(now float64) policy.MetricsEvidence {
 	evidence := policy.MetricsEvidence{Evidence: policy.Evidence{Build: a.build}}
 	indexes := map[seriesKey]int{}
@@ -53,7 +53,7 @@
 	return evidence
 }
 
-// HealthMarks gives the endpoints that are marked, by ID: each with the strongest mark of any question.
+// HealthMarks returns the marked endpoints in order of ID, each with its strongest mark of any question.
 func (a *Analyzer) HealthMarks(now float64) []policy.HealthMark {
 	byEndpoint := map[uint32]*policy.HealthMark{}
 	for i := range a.questions {
@@ -82,10 +82,11 @@
 	return marks
 }
 
-// DisputedEndpoints tells on how many endpoints the servers disagreed about a question when they were compared last.
+// DisputedEndpoints returns the number of endpoints on which the servers disagreed about a question at the last
+// comparison, which Evidence and HealthMarks make.
 func (a *Analyzer) DisputedEndpoints(question string) int { return a.disputed[question] }
 
-// FreshEndpoints tells of how many endpoints a server's answers to a question are not stale.
+// FreshEndpoints returns the number of series for which a server's answers to a question are not stale.
 func (a *Analyzer) FreshEndpoints(now float64, question, server int) (count int) {
 	for _, series := range a.servers[question][server].series {
 		if series.started && series.at >= now-a.questions[question].StaleAfterSeconds {
@@ -95,7 +96,8 @@
 	return count
 }
 
-// forEachSeries visits, by endpoint and build, what the servers say together on a question.
+// forEachSeries calls visit with the servers' merged reading of each series of a question, ordered by endpoint and
+// build.
 func (a *Analyzer) forEachSeries(now float64, question int, visit func(seriesKey, reading)) {
 	q := &a.questions[question]
 	readings := a.readings(now, question)
@@ -116,8 +118,8 @@
 	a.disputed[q.Name] = disputed
 }
 
-// readings gives what each server says on a question that is not silent, by series: a server that is says nothing, nor does
-// what it said before. Counts of endpoints that no server answers on any more, or that left the list, stay.
+// readings returns the readings of a question by series. Servers whose answers are all stale are ignored, including
+// their earlier counts. Counts of endpoints on which no server has fresh values, or that left the list, are kept.
 func (a *Analyzer) readings(now float64, question int) map[seriesKey][]reading {
 	q := &a.questions[question]
 	fresh, past := map[seriesKey][]reading{}, map[seriesKey][]reading{}
@@ -147,7 +149,7 @@
 	return fresh
 }
 
-// read gives what one series says by itself.
+// read converts the state of one series to a reading.
 func (q *Question) read(now float64, series *seriesState) (r reading) {
 	switch q.Meaning {
 	case Counts:
@@ -166,7 +168,8 @@
 	return r
 }
 
-// isDisputed tells whether servers disagree on an endpoint. Counters are compared only where both have seen enough outcomes.
+// isDisputed reports whether servers disagree on an endpoint. Counts are compared only if both servers have seen enough
+// outcomes.
 func (q *Question) isDisputed(readings []reading) bool {
 	lowest, highest := readings[0], readings[0]
 	for _, r := range readings {
@@ -182,8 +185,9 @@
 	return differ && comparable
 }
 
-// lowerMedian picks from what servers say of the same series. Of two that disagree it is the milder one: a failure counts only
-// where both see it. Of three or more it is the one in the middle, so that one wrong server decides nothing.
+// lowerMedian merges the servers' readings of one series by picking the lower median. Of two readings this is the
+// milder one, so a failure counts only if both servers see it. Of three or more it is the middle one, so that a single
+// wrong server decides nothing.
 func lowerMedian(readings []reading) reading {
 	slices.SortStableFunc(readings, func(a, b reading) int { return cmp.Compare(a.share, b.share) })
 	return readings[(len(readings)-1)/2]
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -1,40 +1,41 @@
-// Package metricsanalysis turns the answers of query servers into what the policy takes: counts of the canary against its
-// baseline, and health marks on endpoints, which fade. It also schedules the queries within a budget. It does no I/O and reads
-// no clock; equal answers give equal evidence. Values that can't be trusted are refused and counted by reason: they make
-// evidence absent, never bad.
+// Package metricsanalysis turns the answers of query servers into input for the policy: counts of the canary against
+// its baseline, and health marks on endpoints, which fade over time. It also schedules the queries within a budget. It
+// does no I/O and reads no clock, and equal answers produce equal evidence. Values that cannot be trusted are refused
+// and counted by reason, so that they lead to missing evidence, never to wrong evidence.
 //
 // Instants are float64 seconds since 1970, durations float64 seconds. The types are not safe for concurrent use.
 package metricsanalysis
 
 import "flintspread/internal/policy"
 
-// Meaning is what the values of a question's answers are.
+// Meaning is what the values in the answers to a question measure.
 type Meaning uint8
 
 // The meanings of values.
 const (
-	Counts     Meaning = iota // counters of outcomes and of failures among them
-	Quantile                  // of latencies, seconds
+	Counts     Meaning = iota // counters of outcomes and of the failures among them
+	Quantile                  // of latencies, in seconds
 	Saturation                // 0 to 1
-	Probe                     // 1: passed
+	Probe                     // 1: passed, 0: failed
 )
 
-// Question is one thing that every server is queried for, again and again.
+// Question is one quantity that every server is queried for periodically.
 type Question struct {
 	Name                string
 	Meaning             Meaning
 	Kind                int     // index into policy.FailureKinds, for Counts
-	StaleAfterSeconds   float64 // seconds after which a value says nothing any more
-	MaxClockSkewSeconds float64 // seconds that a server's clock may be ahead
-	Weight              float64 // 0 to 1, of its marks and counts
-	Limit               float64 // a Quantile or a Saturation above it marks an endpoint
-	Independent         bool    // no attempt of this relay is in its counts: they are independent of the routers' reports
+	StaleAfterSeconds   float64 // age above which a value is ignored
+	MaxClockSkewSeconds float64 // how far a server's clock may be ahead
+	Weight              float64 // 0 to 1; scales its marks and counts
+	Limit               float64 // an endpoint with a Quantile or Saturation above it is marked
+	Independent         bool    // its counts include no attempts of this relay, so they are independent of the routers' reports
 }
 
-// decays tells whether a question's counts fade with time: lateness comes and goes with the load.
+// decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
 func (q *Question) decays() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
 
-// marksWrongAnswers tells whether a question's failures are wrong answers, and not a sign of a degraded endpoint.
+// marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
+// endpoint.
 func (q *Question) marksWrongAnswers() bool {
 	return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "wrong"
 }
@@ -42,50 +43,51 @@
 // Point is one value of a series.
 type Point struct{ At, Value float64 }
 
-// Series is what a server holds of an endpoint under a build, oldest first.
+// Series is a server's data on an endpoint under a build, oldest point first.
 type Series struct {
 	Endpoint uint32
 	Build    int
 	Points   []Point
 }
 
-// Answer is what a server answered to a question: the values themselves, or for Counts both counters.
+// Answer is a server's answer to a question. Outcomes holds the values; for Counts, these are the counters of all
+// outcomes.
 type Answer struct {
 	Server, Question int // indexes
 	Outcomes         []Series
-	Failures         []Series // of Counts only; an endpoint that never failed may be missing
+	Failures         []Series // for Counts only; an endpoint that never failed may be missing
 }
 
-// Endpoint is one of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        uint32
 	Build     int
-	StartedAt float64 // of its process
+	StartedAt float64 // start of its process
 }
 
-// Refusal is why a value did not count.
+// Refusal is the reason why a value was refused.
 type Refusal uint8
 
-// The reasons to refuse a value.
+// The reasons for refusing a value.
 const (
 	RefusedStale           Refusal = iota // older than the question allows
-	RefusedFuture                         // newer than now and the allowed skew
-	RefusedNoNumber                       // not a number, infinite or below 0
-	RefusedInconsistent                   // more failures than outcomes, or only the failures' counter ran backwards
-	RefusedUnknownEndpoint                // of an endpoint that is not listed, or of another build's process
-	RefusedTooManySeries                  // above the number of series that are followed
-	RefusedDuplicate                      // a second series of one endpoint and build
+	RefusedFuture                         // newer than now plus the allowed clock skew
+	RefusedNoNumber                       // NaN, infinite or negative
+	RefusedInconsistent                   // more failures than outcomes, or only the failure counter went backwards
+	RefusedUnknownEndpoint                // of an endpoint that is not listed, or that runs another build
+	RefusedTooManySeries                  // above the limit of tracked series
+	RefusedDuplicate                      // a second series for the same endpoint and build
 	RefusalCount           = int(RefusedDuplicate) + 1
 )
 
-// String gives the reason as a metric's label has it.
+// String returns the reason as used in metric labels.
 func (r Refusal) String() string {
 	return [...]string{"stale", "ahead", "no number", "nonsense", "no such unit", "too many", "doubled"}[r]
 }
 
-// AnswerResult counts what became of an answer's values.
+// AnswerResult counts the accepted and refused values of an answer.
 type AnswerResult struct {
 	AcceptedValues int
-	CounterResets  int // counters that began anew
+	CounterResets  int // counters that restarted
 	RefusedValues  [RefusalCount]int
 }
--- a/internal/metricsanalysis/promquery/template.go
+++ b/internal/metricsanalysis/promquery/template.go
@@ -1,5 +1,5 @@
-// Package promquery writes PromQL queries from templates over builds and endpoints, and checks a template by the language's own
-// grammar before anything is sent.
+// Package promquery generates PromQL queries from templates with placeholders for builds and endpoints, and checks the
+// templates with the PromQL parser before anything is sent.
 package promquery
 
 import (
@@ -13,53 +13,53 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// Form is the form of a query's answer.
+// Form is the form of the answer to a query.
 type Form uint8
 
 // The forms of answers.
 const (
-	Samples Form = iota // a range vector at one time: the scraped values themselves, with their own times
-	Instant             // a vector at one time; its values bear the time asked for
-	Range               // values at steps over a span of time
+	Samples Form = iota // a range vector at one instant: the scraped values with their own timestamps
+	Instant             // a vector at one instant; its values have the time of the query
+	Range               // values at regular steps over a time range
 )
 
-// endpointsPerQuery is how many endpoints one query names at the most.
+// endpointsPerQuery is the maximum number of endpoints in one query.
 const endpointsPerQuery = 100
 
 var grammar = parser.NewParser(parser.Options{})
 
-// Template is one query with places for builds and endpoints: {{.Build}}, {{.Builds}}, {{.Unit}} and {{.Units}}. It does not
-// change once it is read and is safe for concurrent use.
+// Template is a query with placeholders for builds and endpoints: {{.Build}}, {{.Builds}}, {{.Unit}} and {{.Units}}. It
+// is immutable and safe for concurrent use.
 type Template struct {
 	text  string
 	query *template.Template
 	names placeholders
 }
 
-// placeholders are the places that a template names.
+// placeholders are the placeholders that a template uses.
 type placeholders struct{ build, builds, endpoint, endpoints bool }
 
-// fill is what the places of a template are filled with. Its methods bear the names that stand in templates and note that they
-// were called. Its own name is part of the error on a place that does not exist.
+// fill holds the values for the placeholders of a template. Its methods have the names used in templates and record
+// that they were called. Its type name appears in the error for an unknown placeholder.
 type fill struct {
 	build, builds, endpoint, endpoints string
 	named                              *placeholders
 }
 
-// Build gives one build.
+// Build returns one build.
 func (f fill) Build() string { f.named.build = true; return f.build }
 
-// Builds gives all builds as alternatives of a regular expression.
+// Builds returns all builds as alternatives of a regular expression.
 func (f fill) Builds() string { f.named.builds = true; return f.builds }
 
-// Unit gives one endpoint's label.
+// Unit returns the label value of one endpoint.
 func (f fill) Unit() string { f.named.endpoint = true; return f.endpoint }
 
-// Units gives the labels of some endpoints as alternatives of a regular expression.
+// Units returns the label values of several endpoints as alternatives of a regular expression.
 func (f fill) Units() string { f.named.endpoints = true; return f.endpoints }
 
-// Read reads a template and checks the query that it makes by the form that its answer is to have. An error is for the one who
-// wrote the template.
+// Read parses a template and checks that the query it generates has answers of the given form. Errors are worded for
+// the author of the template.
 func Read(text string, form Form) (*Template, error) {
 	query, err := template.New("query").Option("missingkey=error").Parse(text)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return t, nil
 }
 
-// checkSamples refuses what is not the bare samples of the present.
+// checkSamples rejects an expression other than a plain range selector at the query time.
 func checkSamples(expression parser.Expr) error {
 	matrix, ok := expression.(*parser.MatrixSelector)
 	if !ok {
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// isPresent tells whether a selector has neither an offset nor a time.
+// isPresent reports whether a selector has neither an offset nor an @ modifier.
 func isPresent(vector *parser.VectorSelector) bool {
 	hasOffset := vector.OriginalOffset != 0 || vector.OriginalOffsetExpr != nil
 	hasTime := vector.Timestamp != nil || vector.StartOrEnd != 0
 	return !hasOffset && !hasTime
 }
 
-// execute writes the query for some values.
+// execute generates the query for the given values.
 func (t *Template) execute(f fill) (string, error) {
 	var b strings.Builder
 	if err := t.query.Execute(&b, f); err != nil {
@@ -117,14 +117,15 @@
 	return b.String(), nil
 }
 
-// withoutPrefix takes the package's name off a template's error, which is shown beside the setting that the template is from.
+// withoutPrefix removes the package name from a template error, which is shown next to the setting that holds the
+// template.
 func withoutPrefix(err error) error {
 	return errors.New(strings.TrimPrefix(err.Error(), "template: "))
 }
 
-// Queries writes the queries about builds and endpoints, which are given by the values of their labels. A template that names
-// one endpoint or one build makes a query for each, one that names several endpoints a query for each hundred, and one that
-// names neither a single query.
+// Queries generates the queries for builds and endpoints, which are given by their label values. A template with .Build
+// or .Unit yields a query for each build or endpoint, one with .Units a query for each endpointsPerQuery endpoints, and
+// any other a single query.
 func (t *Template) Queries(builds []int, endpoints []string) (queries []string, err error) {
 	var buildLabels []string
 	for _, build := range builds {
@@ -148,7 +149,7 @@
 	return queries, nil
 }
 
-// forEndpoints gives the values of each query that the endpoints need.
+// forEndpoints returns the values for each of the queries that cover the endpoints.
 func (t *Template) forEndpoints(f fill, endpoints []string) (list []fill) {
 	switch {
 	case t.names.endpoint:
@@ -171,11 +172,11 @@
 	return list
 }
 
-// escape writes a text as it stands between double quotes.
+// escape escapes a text for use between double quotes.
 func escape(text string) string {
 	quoted := strconv.Quote(text)
 	return quoted[1 : len(quoted)-1]
 }
 
-// String gives the template as it was written.
+// String returns the template's source text.
 func (t *Template) String() string { return t.text }
--- a/internal/metricsanalysis/promquery/template_test.go
+++ b/internal/metricsanalysis/promquery/template_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A template is read where the query that it makes is of the form asked for.
+// Templates are accepted only if their queries have answers of the given form.
 func TestRead(t *testing.T) {
 	for _, test := range []struct {
 		text string
 		form Form
-		err  string // part of it, empty: none
+		err  string // expected substring; empty: no error
 	}{
 		{`unit_errors_total{build=~"{{.Builds}}"}[15s]`, Samples, ""},
 		{`unit_errors_total[15s]`, Samples, ""},
@@ -36,7 +36,7 @@
 	}
 }
 
-// Builds and endpoints are spread over as many queries as the template asks for, and their labels are escaped.
+// Builds and endpoints are split into as many queries as the template requires, and their labels are escaped.
 func TestQueries(t *testing.T) {
 	endpoints := make([]string, 250)
 	for i := range endpoints {
--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -3,39 +3,39 @@
 import "math"
 
 const (
-	minPauseFactor     = 4.0  // a server is queried again no sooner than so many times its answer time after a query was sent
-	answerTimeGain     = 0.25 // weight of a new value in a server's answer time, and in the lateness of jobs
-	budgetBurstSeconds = 0.25 // of the query budget that may be spent at once
-	maxBackoffDoubling = 30   // failures after which a pause is not doubled any more
+	minPauseFactor     = 4.0  // minimum time between the starts of a job, in answer times of its server
+	answerTimeGain     = 0.25 // weight of a new value in the moving averages of answer time and lateness
+	budgetBurstSeconds = 0.25 // of budget that can accumulate for a burst
+	maxBackoffDoubling = 30   // failures after which a pause is no longer doubled
 )
 
-// Bounds limits the cost of queries, all servers together.
+// Bounds limits the cost of queries over all servers together.
 type Bounds struct {
-	QueriesPerSecond  float64 // queries a second
+	QueriesPerSecond  float64 // budget; bursts are limited to budgetBurstSeconds of it
 	MaxInFlight       int     // jobs in flight
-	MaxBackoffSeconds float64 // seconds, the longest pause of a server or a question that fails
+	MaxBackoffSeconds float64 // longest pause of a failing server or question
 }
 
-// Job is one query, or two that go together, that is sent again and again.
+// Job is a query, or a pair of queries, that is sent periodically.
 type Job struct {
 	Server, Question, Chunk int     // indexes; long queries are sent in chunks of endpoints
-	PeriodSeconds           float64 // between two times, at the best
-	Queries                 float64 // that it costs of the budget
+	PeriodSeconds           float64 // minimum time between two starts
+	Queries                 float64 // cost, in queries of the budget
 }
 
-// JobOutcome is how a started job ended.
+// JobOutcome is the outcome of a started job.
 type JobOutcome uint8
 
 // The outcomes of a job.
 const (
 	JobSucceeded JobOutcome = iota
-	JobRefused              // the server answers, but not this
+	JobRefused              // the server is up but refused this question
 	ServerFailed            // the server does not answer
 )
 
-// Scheduler decides which job is started when. The budget holds for all jobs together: where there are more than it pays for,
-// all come less often alike. A slow server is queried less often. One that fails is left alone for longer and longer pauses,
-// and then gets one job at a time.
+// Scheduler decides which job to start when. All jobs share one budget; if it is too small for them, all run less often
+// in proportion to their periods. A slow server is queried less often. A failing one is queried after exponentially
+// growing pauses, one job at a time.
 type Scheduler struct {
 	bounds      Bounds
 	servers     []scheduledServer
@@ -46,35 +46,35 @@
 	latePeriods float64 // moving average
 }
 
-// scheduledServer is one server's part.
+// scheduledServer is the scheduling state of one server.
 type scheduledServer struct {
 	inFlight      int
-	failures      int     // in a row
-	answerSeconds float64 // moving average, 0: none yet
+	failures      int     // consecutive
+	answerSeconds float64 // moving average; 0: none yet
 	pausedUntil   float64
 }
 
-// scheduledJob is a job and when it comes next.
+// scheduledJob is a job with its scheduling state.
 type scheduledJob struct {
 	Job
 	dueAt    float64
 	inFlight bool
-	failures int // in a row, of the question alone
+	failures int // consecutive, of this job while the server is up
 }
 
-// StartedJob is a job in flight, to be given to Done once.
+// StartedJob is a job in flight. It must be passed to Done exactly once.
 type StartedJob struct {
 	Job
 	scheduled *scheduledJob
 	sentAt    float64
 }
 
-// NewScheduler makes a scheduler without jobs for a number of servers.
+// NewScheduler returns a scheduler for a number of servers, without jobs.
 func NewScheduler(bounds Bounds, servers int, now float64) *Scheduler {
 	return &Scheduler{bounds: bounds, servers: make([]scheduledServer, servers), budgetAt: now}
 }
 
-// SetJobs replaces the jobs. Those that stay keep their time; new ones are spread over their period.
+// SetJobs replaces the jobs. Existing jobs keep their schedule; new ones are spread over their period.
 func (s *Scheduler) SetJobs(now float64, jobs []Job) {
 	type key struct{ server, question, chunk int }
 	known := map[key]*scheduledJob{}
@@ -92,8 +92,8 @@
 	}
 }
 
-// Next starts the job that is to be sent now. Without one it gives the time after which to call again; that is infinite where
-// only the end of a job in flight can change it.
+// Next starts the next job that is due. If ok is false, waitSeconds is the time after which to call again; it is
+// infinite if only Done can make another job startable.
 func (s *Scheduler) Next(now float64) (started StartedJob, ok bool, waitSeconds float64) {
 	s.refillBudget(now)
 	if s.inFlight >= s.bounds.MaxInFlight {
@@ -116,13 +116,14 @@
 	return StartedJob{job.Job, job, now}, true, 0
 }
 
-// refillBudget adds what the time since the last call pays for.
+// refillBudget adds the budget for the time since the last call.
 func (s *Scheduler) refillBudget(now float64) {
 	s.budget = min(s.budget+(now-s.budgetAt)*s.bounds.QueriesPerSecond, max(2, budgetBurstSeconds*s.bounds.QueriesPerSecond))
 	s.budgetAt = now
 }
 
-// latest gives the job that is late by the most of its periods, nil where none is due; then waitSeconds is until one will be.
+// latest returns the due job that is late by the most of its periods, or nil if none is due. waitSeconds is then the
+// time until one will be.
 func (s *Scheduler) latest(now float64) (latest *scheduledJob, latePeriods, waitSeconds float64) {
 	waitSeconds = math.Inf(1)
 	for _, job := range s.jobs {
@@ -140,8 +141,8 @@
 	return latest, latePeriods, waitSeconds
 }
 
-// serverLimit gives how many jobs one server may have in flight: half of all, so that none takes up everything, and one where
-// it fails.
+// serverLimit returns the maximum number of jobs in flight at one server: half of the total, so that no server occupies
+// all slots, and one while it is failing.
 func (s *Scheduler) serverLimit(server *scheduledServer) int {
 	if server.failures > 0 {
 		return 1
@@ -149,7 +150,7 @@
 	return max(1, (s.bounds.MaxInFlight+1)/2)
 }
 
-// Done enters how a job ended. retryAfterSeconds is how long the server wants to be left alone, 0: it does not say.
+// Done records the end of a started job. retryAfterSeconds is the pause that the server asked for, 0 if none.
 func (s *Scheduler) Done(now float64, started StartedJob, outcome JobOutcome, retryAfterSeconds float64) {
 	server, job := &s.servers[started.Server], started.scheduled
 	server.inFlight--
@@ -176,17 +177,17 @@
 	job.dueAt = max(job.dueAt, now+s.pauseSeconds(started.PeriodSeconds, job.failures, retryAfterSeconds))
 }
 
-// pauseSeconds gives the pause after so many failures in a row: the period, doubled with each, or what the server wants if that
-// is longer; never above the bound.
+// pauseSeconds returns the pause after a number of consecutive failures: the period, doubled with each further failure,
+// or the pause that the server asked for if that is longer; at most MaxBackoffSeconds.
 func (s *Scheduler) pauseSeconds(periodSeconds float64, failures int, retryAfterSeconds float64) float64 {
 	backoff := periodSeconds * math.Pow(2, float64(min(failures, maxBackoffDoubling)-1))
 	return max(min(s.bounds.MaxBackoffSeconds, backoff), min(retryAfterSeconds, s.bounds.MaxBackoffSeconds))
 }
 
-// LatePeriods tells how many periods late jobs have come lately: what the budget and slow servers cost.
+// LatePeriods returns the recent average lateness of jobs, in their periods, caused by a small budget or slow servers.
 func (s *Scheduler) LatePeriods() float64 { return s.latePeriods }
 
-// BackoffSeconds tells how much longer a server is left alone, 0: it is not.
+// BackoffSeconds returns the remaining pause of a failing server, or 0.
 func (s *Scheduler) BackoffSeconds(now float64, server int) float64 {
 	return max(0, s.servers[server].pausedUntil-now)
 }
--- a/internal/metricsanalysis/scheduler_test.go
+++ b/internal/metricsanalysis/scheduler_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// With servers that are fast, slow or failing the budget and the bounds hold at every moment, no job is in flight twice, and
-// every job of a server that answers comes again.
+// With fast, slow and failing servers, the budget and the bounds always hold, no job is in flight twice, and every job
+// of a responding server is started again.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 4).Draw(t, "servers")
@@ -90,7 +90,8 @@
 			if failing[j.Server] {
 				continue
 			}
-			// Its fair share of the budget, its server's time and its period bound how often it came; a quarter of that is expected.
+			// Its fair share of the budget, its server's answer time and its period bound how often it ran; a quarter
+			// of that is expected.
 			least := 60 / max(1, queries/bounds.QueriesPerSecond, minPauseFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
 			if float64(n) < math.Floor(least) {
 				t.Fatalf("%+v came %d times in 60 s, %g expected at least; answer times %v, failing %v, %+v", j, n, least, answerSeconds, failing, bounds)
@@ -107,7 +108,7 @@
 	})
 }
 
-// One question of a server fails, the others do not: only that one backs off.
+// If only one question fails at a server, only that question backs off.
 func TestOnlyFailingQuestionBacksOff(t *testing.T) {
 	scheduler := NewScheduler(Bounds{QueriesPerSecond: 100, MaxInFlight: 4, MaxBackoffSeconds: 8}, 1, 0)
 	scheduler.SetJobs(0, []Job{{Question: 0, PeriodSeconds: 0.5, Queries: 1}, {Question: 1, PeriodSeconds: 0.5, Queries: 1}})
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -3,26 +3,28 @@
 import "math"
 
 const (
-	// markDecaySeconds is the time in which what a mark rests on fades to 1/e, as the policy forgets an endpoint's failures.
+	// markDecaySeconds is the time constant (decay to 1/e) of the evidence for marks, the same as of outlier scores in
+	// the policy.
 	markDecaySeconds = 4.0
-	// slowCountDecaySeconds is the time in which counts of slow answers fade to 1/e, as the policy's own do: load changes.
+	// slowCountDecaySeconds is the time constant (decay to 1/e) of counts of slow answers, the same as in the policy:
+	// load changes.
 	slowCountDecaySeconds = 8.2
 )
 
-// seriesState is what one server says of one endpoint under one build, followed over time.
+// seriesState is the state of one series of one server, tracked over time.
 type seriesState struct {
 	started  bool
 	at       float64 // of the newest value
 	counters counts  // as of then
-	total    counts  // since the present build is the newest
-	recent   counts  // fading, for the mark
-	gauge    float64 // the newest value of what is no counter
+	total    counts  // since the current newest build was set
+	recent   counts  // decaying, for the mark
+	gauge    float64 // newest value, if not a counter
 }
 
 // counts are outcomes and the failures among them.
 type counts struct{ outcomes, failures float64 }
 
-// failureShare gives the share of failures, 0 without outcomes.
+// failureShare returns the share of failures, or 0 without outcomes.
 func (c counts) failureShare() float64 {
 	if c.outcomes <= 0 {
 		return 0
@@ -40,7 +42,7 @@
 	return counts{c.outcomes - other.outcomes, c.failures - other.failures}
 }
 
-// answerReader reads the series of one answer.
+// answerReader applies the series of one answer.
 type answerReader struct {
 	now      float64
 	question *Question
@@ -48,7 +50,7 @@
 	result   AnswerResult
 }
 
-// accepts tells whether a value may count at all, and counts the reason if not.
+// accepts reports whether a value is valid and recent, and counts the reason if not.
 func (r *answerReader) accepts(point Point) bool {
 	refused := &r.result.RefusedValues
 	switch {
@@ -64,7 +66,7 @@
 	return false
 }
 
-// readGauge takes the newest value of what is no counter.
+// readGauge applies the values of a series that is not a counter.
 func (r *answerReader) readGauge(series *seriesState, points []Point) {
 	for _, point := range points {
 		if series.started && point.At <= series.at || !r.accepts(point) {
@@ -75,7 +77,7 @@
 	}
 }
 
-// readCounters follows the two counters of one process from value to value.
+// readCounters applies the values of the two counters of one process.
 func (r *answerReader) readCounters(endpoint Endpoint, series *seriesState, outcomes []Point, failures *failureCounter) {
 	for _, point := range outcomes {
 		if series.started && point.At <= series.at {
@@ -100,16 +102,16 @@
 	}
 }
 
-// increase gives what the counters grew by since the value before, and whether that is known.
+// increase returns the growth of the counters since the previous value, and whether it is known.
 func (r *answerReader) increase(endpoint Endpoint, before, after *seriesState) (increase counts, known bool) {
 	increase = after.counters.minus(before.counters)
 	switch {
 	case !before.started:
-		// All that a process counted which began while this server was watched is new; what another one counted before it was
-		// first seen is of no known time.
+		// If the process started after the first answer of this server, everything that it counted is new. Otherwise it
+		// is unknown when its first counts were made.
 		beganWatched := endpoint.StartedAt > r.server.firstAnswerAt && endpoint.StartedAt <= after.at
 		return after.counters, beganWatched
-	case increase.outcomes < 0: // the process began anew, and so did its counters
+	case increase.outcomes < 0: // the process restarted, and so did its counters
 		r.result.CounterResets++
 		return after.counters, true
 	case increase.failures < 0 || increase.failures > increase.outcomes:
@@ -119,7 +121,7 @@
 	return increase, true
 }
 
-// add adds an increase since the state before to the sums, which fade over the time between.
+// add adds an increase since the previous state to the sums, after decaying them by the time in between.
 func (s *seriesState) add(increase counts, before *seriesState, decays bool) {
 	remaining := 0.0
 	if before.started {
@@ -132,15 +134,16 @@
 	s.total = s.total.plus(increase)
 }
 
-// failureCounter gives the failures that go with values of the outcomes' counter, which have to be asked for in their order.
+// failureCounter finds the failures that belong to values of the outcome counter. Calls must be in the order of those
+// values.
 type failureCounter struct {
 	points []Point
 	next   int
-	exists bool // an endpoint that has not failed yet may have no such counter
+	exists bool // false for an endpoint that has not failed yet
 }
 
-// at gives the failures of the scrape that an outcomes' value is from: both counters stand in one scrape, so that they bear
-// one time. found is false where that scrape has none.
+// at returns the failures from the same scrape as an outcomes value, which has the same timestamp. found is false if
+// that scrape has none.
 func (f *failureCounter) at(outcome Point, series *seriesState) (failure Point, found bool) {
 	if !f.exists {
 		failure = Point{At: outcome.At}
