--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -1,6 +1,6 @@
-// Package promclient queries Prometheus servers over their HTTP API within bounds of bytes, series and time, and without
-// following redirects. A Client reads one answer into plain series, or refuses it with a cause; a Poller sends all configured
-// queries to all servers, each in its time. What the answers mean, package metricsanalysis decides.
+// Package promclient queries Prometheus servers over their HTTP API, with limits on bytes, series and time, and without
+// following redirects. A Client converts one answer to plain series, or refuses it with a cause; a Poller periodically
+// sends all configured queries to all servers. Package metricsanalysis interprets the answers.
 //
 // Instants are float64 seconds since 1970, durations float64 seconds, as in the settings.
 package promclient
@@ -27,31 +27,31 @@
 const (
 	idleConnsPerServer = 8
 	idleConnTimeout    = time.Minute
-	maxDetailBytes     = 200 // of a server's own words in an error
+	maxDetailBytes     = 200 // of server-provided text in an error
 )
 
-// Cause is why an answer was refused.
+// Cause is the reason why an answer was refused.
 type Cause uint8
 
-// The causes of a refusal.
+// The causes of refusals.
 const (
 	CauseUnreachable   Cause = iota // no connection, or it broke
-	CauseTimedOut                   // no whole answer in time
+	CauseTimedOut                   // no complete answer within the timeout
 	CauseBusy                       // status 429 or 503
-	CauseRedirected                 // to an address that the settings do not name
-	CauseFailed                     // another status, or the server says that the query failed
-	CauseTooBig                     // above the limit of bytes
-	CauseTooManySeries              // above the limit of series
-	CausePartial                    // with warnings
-	CauseMalformed                  // no answer of the API, or not of the form asked for
+	CauseRedirected                 // redirects are not followed
+	CauseFailed                     // another error status, or the server reports that the query failed
+	CauseTooBig                     // above Limits.MaxBytes
+	CauseTooManySeries              // above Limits.MaxSeries
+	CausePartial                    // the server returned warnings
+	CauseMalformed                  // not an API response, or not of the requested form
 )
 
-// String gives the cause as a metric's label has it.
+// String returns the cause as used in metric labels.
 func (c Cause) String() string {
 	return [...]string{"unreachable", "timed out", "busy", "redirected", "failed", "too big", "too many series", "partial", "malformed"}[c]
 }
 
-// jobOutcome tells whether the server is to be left alone for it, or only the one question.
+// jobOutcome returns whether the cause counts as a failure of the server or only of the one question.
 func (c Cause) jobOutcome() metricsanalysis.JobOutcome {
 	switch c {
 	case CauseUnreachable, CauseTimedOut, CauseBusy, CauseRedirected:
@@ -61,11 +61,11 @@
 	}
 }
 
-// RefusedError is an answer that does not count. It is the only error of Client.Query.
+// RefusedError is the error for an answer that was refused. All errors of Client.Query are of type *RefusedError.
 type RefusedError struct {
-	Server            string // by its name in the settings
+	Server            string // its name in the settings
 	Cause             Cause
-	RetryAfterSeconds float64 // that the server wants to be left alone, 0: it does not say
+	RetryAfterSeconds float64 // pause that the server asked for; 0: none
 	Detail            string
 }
 
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("query server %s: %s: %s", r.Server, r.Cause, r.Detail)
 }
 
-// Limits bounds the cost of one answer.
+// Limits bounds the cost of one query.
 type Limits struct {
 	TimeoutSeconds float64
 	MaxBytes       int64
@@ -92,10 +92,10 @@
 // Request is one query.
 type Request struct {
 	Query        string
-	Form         promquery.Form // of the answer
-	At           float64        // the instant as of which it is answered
-	RangeSeconds float64        // of promquery.Range: how far back the answer goes
-	StepSeconds  float64        // of promquery.Range: between two values
+	Form         promquery.Form // expected form of the answer
+	At           float64        // evaluation time, seconds since 1970
+	RangeSeconds float64        // for promquery.Range: how far back the answer goes
+	StepSeconds  float64        // for promquery.Range: time between two values
 }
 
 // Row is one series of an answer, oldest point first.
@@ -104,13 +104,14 @@
 	Points []metricsanalysis.Point
 }
 
-// NewClient makes a client of the server at an address, a URL; name stands for the server in errors. It connects when it is used.
+// NewClient returns a client for the server at address, a URL. name identifies the server in errors. It does not
+// connect until the first query.
 func NewClient(name, address string, limits Limits) (*Client, error) {
 	transport := &boundedTransport{maxBytes: limits.MaxBytes, next: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: seconds(limits.TimeoutSeconds)}).DialContext,
 		MaxIdleConnsPerHost: idleConnsPerServer,
 		IdleConnTimeout:     idleConnTimeout,
-		DisableCompression:  true, // else a small body could hold a large answer
+		DisableCompression:  true, // otherwise a small body could expand to a large answer
 	}}
 	client, err := api.NewClient(api.Config{Address: address, Client: &http.Client{
 		Transport:     transport,
@@ -125,12 +126,13 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.next.CloseIdleConnections() }
 
-// Query sends one query. It blocks until the answer is read, the timeout is over or ctx ends. Its errors are all of type *RefusedError.
+// Query sends one query. It blocks until the answer is read, the timeout expires or ctx ends. All errors are of type
+// *RefusedError.
 func (c *Client) Query(ctx context.Context, request Request) (rows []Row, err error) {
 	head := &responseHead{}
 	ctx, cancel := context.WithTimeout(context.WithValue(ctx, responseHeadKey{}, head), seconds(c.limits.TimeoutSeconds))
 	defer cancel()
-	defer func() { // whatever a server sends must not end the process, also where the decoder panics over it
+	defer func() { // a response that makes the decoder panic must not end the process
 		if r := recover(); r != nil {
 			rows, err = nil, c.refuse(head, CauseMalformed, "%v", r)
 		}
@@ -145,15 +147,15 @@
 		return nil, c.refuse(head, CauseMalformed, "%v", err)
 	case len(rows) > c.limits.MaxSeries:
 		return nil, c.refuse(head, CauseTooManySeries, "above %d: some label has exploded, or the query names too much", c.limits.MaxSeries)
-	case len(warnings) > 0: // what a partial answer lacks may be what went wrong
+	case len(warnings) > 0: // the missing part may hold the failures
 		return nil, c.refuse(head, CausePartial, "warning: %s", truncate(strings.Join(warnings, "; ")))
 	}
 	return rows, nil
 }
 
-// send makes the API's call.
+// send calls the API.
 func (c *Client) send(ctx context.Context, request Request) (value model.Value, warnings v1.Warnings, err error) {
-	// One series more than allowed tells a full answer from one that the server cut.
+	// Ask for one series above the limit, to distinguish a complete answer from a truncated one.
 	options := []v1.Option{v1.WithTimeout(seconds(c.limits.TimeoutSeconds)), v1.WithLimit(uint64(c.limits.MaxSeries) + 1)}
 	if request.Form == promquery.Range {
 		queried := v1.Range{Start: timeOf(request.At - request.RangeSeconds), End: timeOf(request.At), Step: seconds(request.StepSeconds)}
@@ -164,7 +166,8 @@
 	return value, warnings, err
 }
 
-// checkResponse refuses a response by its head, or by the error of the call. It gives nil for an answer that can be read.
+// checkResponse returns a refusal based on the response head or the error of the call, or nil if the answer can be
+// read.
 func (c *Client) checkResponse(ctx context.Context, head *responseHead, err error) error {
 	var apiError *v1.Error
 	switch {
@@ -185,7 +188,7 @@
 	}
 }
 
-// refuseAPIError refuses an answer that says that the query failed, or that is none of the API.
+// refuseAPIError returns the refusal for an API error: the query failed, or the response is not valid.
 func (c *Client) refuseAPIError(head *responseHead, apiError *v1.Error) error {
 	switch apiError.Type {
 	case v1.ErrTimeout:
@@ -197,19 +200,20 @@
 	}
 }
 
-// refuse makes the error of an answer that does not count.
+// refuse returns the error for a refused answer.
 func (c *Client) refuse(head *responseHead, cause Cause, format string, args ...any) error {
 	return &RefusedError{Server: c.name, Cause: cause, RetryAfterSeconds: retryAfterSeconds(head.retryAfter, time.Now()),
 		Detail: fmt.Sprintf(format, args...)}
 }
 
-// isTimeout tells whether an error is a deadline of the network.
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// retryAfterSeconds reads a Retry-After header, which is seconds or a date; 0 where there is none or it makes no sense.
+// retryAfterSeconds parses a Retry-After header, which is seconds or a date. It returns 0 if the header is missing or
+// invalid.
 func retryAfterSeconds(text string, now time.Time) float64 {
 	if n, err := strconv.ParseFloat(text, 64); err == nil && n > 0 && !math.IsInf(n, 0) {
 		return n
@@ -220,7 +224,7 @@
 	return 0
 }
 
-// truncate shortens a server's own words.
+// truncate limits server-provided text to maxDetailBytes.
 func truncate(s string) string {
 	if len(s) > maxDetailBytes {
 		return s[:maxDetailBytes] + "..."
@@ -228,10 +232,10 @@
 	return s
 }
 
-// seconds converts a duration of the settings.
+// seconds converts a duration from the settings.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// timeOf converts an instant, seconds since 1970.
+// timeOf converts an instant from seconds since 1970.
 func timeOf(at float64) time.Time {
 	whole, fraction := math.Modf(at)
 	return time.Unix(int64(whole), int64(fraction*1e9))
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// serveResponse serves one response to every request, and gives the URL.
+// serveResponse serves the same response to every request, and returns the URL.
 func serveResponse(t testing.TB, code int, header map[string]string, body string) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for key, value := range header {
@@ -28,14 +28,14 @@
 		}
 		w.WriteHeader(code)
 		if _, err := io.WriteString(w, body); err != nil {
-			t.Log(err) // the client read enough
+			t.Log(err) // the client has stopped reading
 		}
 	}))
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
-// newTestClient makes a client that is closed with the test.
+// newTestClient returns a client that is closed when the test ends.
 func newTestClient(t testing.TB, url string, limits Limits) *Client {
 	client, err := NewClient("q1", url, limits)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return client
 }
 
-// The response shapes that the API's documentation gives, and what a client makes of each: rows and points, or a cause.
+// The response shapes in the API documentation, and the result of each: rows and points, or a cause.
 func TestResponseShapes(t *testing.T) {
 	ok := func(data string) string { return `{"status":"success","data":` + data + `}` }
 	matrix := `{"resultType":"matrix","result":[{"metric":{"__name__":"up","unit":"7"},"values":[[1000.781,"1"],[1001.781,"2.5"]]}]}`
@@ -126,7 +126,7 @@
 	}
 }
 
-// What a fake server with each fault is refused for, and that it answers again after.
+// Each fault of a fake server leads to its cause, and answers are accepted again afterwards.
 func TestFaults(t *testing.T) {
 	server, err := fakes.StartQueryServer(func() float64 { return 1000 })
 	if err != nil {
@@ -184,7 +184,7 @@
 	}
 }
 
-// FuzzAnswer: whatever a server sends, a client gives rows whose times go forward, or a refusal; it never panics.
+// FuzzAnswer: whatever a server sends, a client returns rows with increasing timestamps, or a refusal; it never panics.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{`{"status":"success","data":{"resultType":"matrix","result":[{"metric":{"a":"b"},"values":[[1,"1"],[2,"NaN"]]}]}}`,
 		`{"status":"success","data":{"resultType":"vector","result":[{"metric":{"a":"b"},"value":[1.5,"1e3"]}]},"warnings":["x"]}`,
@@ -197,7 +197,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(code)
 		if _, err := w.Write(body); err != nil {
-			return // the client read enough
+			return // the client has stopped reading
 		}
 	}))
 	f.Cleanup(server.Close)
--- a/internal/promclient/metrics.go
+++ b/internal/promclient/metrics.go
@@ -12,10 +12,10 @@
 	latePeriods    prometheus.Gauge
 }
 
-// queryBuckets is the number of buckets from a thousandth of a query's timeout to the timeout.
+// queryBuckets is the number of histogram buckets between a thousandth of the query timeout and the timeout.
 const queryBuckets = 13
 
-// newPollerMetrics makes the metrics of queries with a timeout.
+// newPollerMetrics creates the metrics for queries with the given timeout.
 func newPollerMetrics(timeoutSeconds float64) pollerMetrics {
 	return pollerMetrics{
 		querySeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "flintplan_health_query_seconds", Help: "Time that a query took.",
@@ -30,12 +30,12 @@
 	}
 }
 
-// counter makes a counter of the controller, which the poller is part of.
+// counter creates a counter with the controller's prefix, because the poller is part of the controller.
 func counter(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "flintplan_" + name, Help: help}, labels)
 }
 
-// Collectors gives the poller's metrics, to be registered once.
+// Collectors returns the poller's metrics, to be registered once.
 func (p *Poller) Collectors() []prometheus.Collector {
 	m := &p.metrics
 	return []prometheus.Collector{m.querySeconds, m.answersRefused, m.valuesAccepted, m.valuesRefused, m.backoffSeconds, m.latePeriods}
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// pausedRecheckSeconds is how often a paused poller looks whether it may go on.
+	// pausedRecheckSeconds is the interval at which a paused poller checks whether it may resume.
 	pausedRecheckSeconds = 0.2
-	// maxWaitSeconds is the longest time between two looks at the schedule, where nothing wakes the poller before.
+	// maxWaitSeconds is the longest time between two checks of the schedule, unless the poller is woken up earlier.
 	maxWaitSeconds = 10.0
-	// labelledByAddress is the setting by which a label holds an endpoint's address; else it holds its ID.
+	// labelledByAddress and labelledByID are the settings for what an endpoint label holds: the address or the ID.
 	labelledByAddress = "address"
 	labelledByID      = "id"
 )
 
-// Fleet is what queries are written about and answers are read by.
+// Fleet is the set of endpoints and builds for which queries are generated and answers are interpreted.
 type Fleet struct {
 	Endpoints []FleetEndpoint
-	Builds    []int // in order
+	Builds    []int // sorted
 }
 
-// FleetEndpoint is one listed endpoint.
+// FleetEndpoint is one endpoint of the endpoint list.
 type FleetEndpoint struct {
 	ID    uint32
 	Addr  string
 	Build int
 }
 
-// ApplyFunc enters an answer and counts its values. It is called from several goroutines and must not block.
+// ApplyFunc applies an answer and counts its values. It is called from several goroutines and must not block.
 type ApplyFunc func(*metricsanalysis.Answer) metricsanalysis.AnswerResult
 
-// Poller sends all configured queries to all servers, each in its time. Its methods are safe for concurrent use.
+// Poller periodically sends all configured queries to all servers. Its methods are safe for concurrent use.
 type Poller struct {
 	settings *config.Health
 	log      *slog.Logger
@@ -51,27 +51,27 @@
 	metrics  pollerMetrics
 
 	paused atomic.Bool
-	wake   chan struct{} // the schedule has changed
+	wake   chan struct{} // signals that the schedule has changed
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	scheduler   *metricsanalysis.Scheduler
 	fleet       Fleet
 	chunks      [][]queryChunk // by question
 	idByAddress map[string]uint32
 	buildByID   map[uint32]int
-	refusals    map[target]Cause // of the last answers that were refused, to log a change only
+	refusals    map[target]Cause // causes of the last refused answers, so that only changes are logged
 }
 
-// target is one question to one server.
+// target is a question at a server.
 type target struct{ server, question int }
 
-// queryChunk is one part of a question as it is sent, about some of the endpoints.
+// queryChunk is the part of a question that covers some of the endpoints, as it is sent.
 type queryChunk struct {
-	query    string // of counters: the failures
+	query    string // for counters: the failures
 	outcomes string // of counters; "" for others
 }
 
-// NewPoller makes a poller without a fleet, which gives each answer to apply. now is the clock, seconds since 1970.
+// NewPoller returns a poller without a fleet, which passes each answer to apply. now returns seconds since 1970.
 func NewPoller(settings *config.Health, log *slog.Logger, now func() float64, apply ApplyFunc) (*Poller, error) {
 	p := &Poller{
 		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.TimeoutSeconds),
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// SetFleet replaces what is known of the fleet and writes the queries anew.
+// SetFleet replaces the fleet and regenerates the queries. It does not block on I/O.
 func (p *Poller) SetFleet(fleet Fleet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,7 @@
 	p.wakeUp()
 }
 
-// jobsOf gives the jobs of a question: each chunk at each server. The caller holds the lock.
+// jobsOf returns the jobs of a question: each chunk at each server. The caller holds the lock.
 func (p *Poller) jobsOf(question int) (jobs []metricsanalysis.Job) {
 	query := &p.settings.Queries[question]
 	queries := 1.0
@@ -129,8 +129,8 @@
 	return jobs
 }
 
-// writeChunks writes a question's queries about some endpoints, none if that fails. Both templates of one that counts have to
-// make as many queries. The caller holds the lock.
+// writeChunks generates a question's queries for the endpoints, or none if that fails. For counters, both templates
+// must yield the same number of queries. The caller holds the lock.
 func (p *Poller) writeChunks(query *config.Query, endpoints []string) (chunks []queryChunk) {
 	template, total := query.Templates()
 	queries, err := template.Queries(p.fleet.Builds, endpoints)
@@ -155,10 +155,10 @@
 	return chunks
 }
 
-// Pause stops the sending of queries, or lets it go on: a controller under load has no time for answers.
+// Pause pauses or resumes sending queries; a controller under load has no time for answers. It does not block.
 func (p *Poller) Pause(paused bool) { p.paused.Store(paused) }
 
-// wakeUp has Run look at the schedule again.
+// wakeUp makes Run check the schedule again.
 func (p *Poller) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -166,7 +166,7 @@
 	}
 }
 
-// Run sends queries until ctx ends, and then waits for those in flight.
+// Run sends queries until ctx ends, waits for those in flight, and closes the clients' idle connections. Call it once.
 func (p *Poller) Run(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer func() {
@@ -189,7 +189,7 @@
 	}
 }
 
-// startJobs starts what is due, and gives the time until there may be more.
+// startJobs starts the jobs that are due, and returns the time until more may be.
 func (p *Poller) startJobs(ctx context.Context, inFlight *sync.WaitGroup) (waitSeconds float64) {
 	for ctx.Err() == nil {
 		if p.paused.Load() {
@@ -204,7 +204,7 @@
 	return math.Inf(1)
 }
 
-// nextJob starts the next job of the schedule, if one is due, and gives the queries to send for it.
+// nextJob starts the next job of the schedule, if one is due, and returns the queries to send for it.
 func (p *Poller) nextJob() (job metricsanalysis.StartedJob, chunk queryChunk, ok bool, waitSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,7 +216,7 @@
 	return job, chunk, ok, waitSeconds
 }
 
-// runJob sends the queries of a job and enters the answer.
+// runJob sends the queries of a job and applies the answer.
 func (p *Poller) runJob(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk) {
 	query, server := &p.settings.Queries[job.Question], p.settings.Servers[job.Server].Name
 	sentAt := p.now()
@@ -245,7 +245,8 @@
 	p.wakeUp()
 }
 
-// send sends a job's queries. Failures are queried first, and outcomes as of the same time: what comes between is in neither.
+// send sends a job's queries. The second query has the same evaluation time as the first, so that failures and outcomes
+// match.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []Row, err error) {
 	query, client := &p.settings.Queries[job.Question], p.clients[job.Server]
 	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
@@ -257,8 +258,8 @@
 	return rows, outcomes, err
 }
 
-// finishJob gives a job back to the schedule and notes why its answer was refused, nil: it was not. It gives what the last
-// answer to the question was refused for, if it was.
+// finishJob reports the end of a job to the scheduler and records why its answer was refused, if it was. It returns
+// whether the previous answer to the question was refused, and why.
 func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, refused *RefusedError) (before Cause, wasRefused bool) {
 	retryAfterSeconds, outcome := 0.0, metricsanalysis.JobSucceeded
 	if refused != nil {
@@ -279,7 +280,7 @@
 	return before, wasRefused
 }
 
-// applyAnswer enters an answer and counts its values.
+// applyAnswer applies an answer and updates the metrics of its values.
 func (p *Poller) applyAnswer(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []Row) {
 	query, server := &p.settings.Queries[job.Question], p.settings.Servers[job.Server].Name
 	answer := &metricsanalysis.Answer{Server: job.Server, Question: job.Question}
--- a/internal/promclient/rows.go
+++ b/internal/promclient/rows.go
@@ -10,7 +10,7 @@
 	"flintspread/internal/metricsanalysis/promquery"
 )
 
-// readRows turns an answer into rows; it must be of the form asked for.
+// readRows converts an answer to rows. It fails if the answer is not of the requested form.
 func readRows(value model.Value, form promquery.Form) ([]Row, error) {
 	switch value := value.(type) {
 	case model.Vector:
@@ -30,7 +30,7 @@
 	}
 }
 
-// readVector reads one value a series.
+// readVector reads one value per series.
 func readVector(vector model.Vector) (rows []Row, err error) {
 	for _, sample := range vector {
 		if sample == nil || sample.Histogram != nil {
@@ -59,7 +59,7 @@
 	return rows, nil
 }
 
-// pointOf converts a value and its time, which Prometheus counts in milliseconds.
+// pointOf converts a value and its timestamp, which Prometheus stores in milliseconds.
 func pointOf(at model.Time, value model.SampleValue) metricsanalysis.Point {
 	return metricsanalysis.Point{At: float64(at) / 1000, Value: float64(value)}
 }
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -10,7 +10,8 @@
 	"flintspread/internal/metricsanalysis"
 )
 
-// seriesOf reads endpoints and builds off the labels of rows, and tells how many rows are of none that is known.
+// seriesOf converts rows to series by the endpoint and build in their labels, and returns the number of rows whose
+// endpoint is unknown.
 func (p *Poller) seriesOf(query *config.Query, rows []Row) (list []metricsanalysis.Series, unknown int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,8 +26,8 @@
 	return slices.Clip(list), unknown
 }
 
-// identify reads the endpoint and the build off a series' labels. Where no label holds the build, it is the one that the
-// endpoint list says. The caller holds the lock.
+// identify reads the endpoint and the build from the labels of a series. If no label holds the build, it is taken from
+// the endpoint list. The caller holds the lock.
 func (p *Poller) identify(query *config.Query, labels model.Metric) (endpoint uint32, build int, known bool) {
 	label := string(labels[model.LabelName(query.EndpointLabel)])
 	endpoint, known = p.idByAddress[label]
--- a/internal/promclient/transport.go
+++ b/internal/promclient/transport.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// errTooBig ends the reading of a response above the limit.
+// errTooBig is the read error for a response above the byte limit.
 var errTooBig = errors.New("answer above the bytes allowed")
 
-// responseHead is what the API's client does not hand on of a response. A request's context carries it under responseHeadKey,
-// and boundedTransport fills it.
+// responseHead holds the parts of a response that the API client does not return. boundedTransport fills the one that
+// the request's context carries under responseHeadKey.
 type responseHead struct {
-	status     int // 0: there was no response
+	status     int // 0: no response
 	retryAfter string
 	location   string
 	tooBig     bool
@@ -20,7 +20,7 @@
 
 type responseHeadKey struct{}
 
-// boundedTransport bounds how much is read of a response, and notes its head.
+// boundedTransport limits the bytes read of a response body, and records the response head.
 type boundedTransport struct {
 	next     *http.Transport
 	maxBytes int64
@@ -47,14 +47,15 @@
 	return response, nil
 }
 
-// boundedBody fails when more than the bytes left are read.
+// boundedBody fails if more than the remaining bytes are read.
 type boundedBody struct {
 	io.ReadCloser
 	left int64
 	head *responseHead
 }
 
-// Read implements io.Reader. It reads one byte more than allowed, which tells a body of just that size from a larger one.
+// Read implements io.Reader. It reads up to one byte above the limit, to distinguish a body of exactly that size from a
+// larger one.
 func (b *boundedBody) Read(p []byte) (int, error) {
 	if int64(len(p)) > b.left+1 {
 		p = p[:b.left+1]
