--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -2,23 +2,25 @@
 
 import "flintspread/internal/policy"
 
-// Controller is the file of one controller. Rules, Release and OpTypes are the same as those of its routers.
+// Controller is the settings file of one controller. Rules, Release and Classes must equal those of its routers.
 type Controller struct {
-	// Relay is the name by which the endpoint list and the release service know the controller's routers, as one.
+	// Relay is the name that identifies the controller's routers, as one relay, to the release service.
 	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
-	// MetricsAddress is the HOST:PORT that serves /metrics.
+	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that keeps epoch, vote, last release and last endpoint list. Only one controller may use it.
+	// StateDir is the folder that stores the epoch, the vote, the last release, the last endpoint list and the
+	// configuration history. Only one controller may use it at a time.
 	StateDir string `edn:"state-dir" validate:"required"`
-	// Seed makes decisions repeatable. Optional; 0: drawn anew at each start.
+	// Seed makes decisions repeatable. Optional; 0: random at each start.
 	Seed    uint64  `edn:"seed"`
 	Log     Log     `edn:"log"`
 	Sources Sources `edn:"sources"`
-	// Control is a control service that sends the endpoint list, and versions of the routers' document. Optional.
+	// Control configures the control services that send the endpoint list and versions of the routers' document.
+	// Optional.
 	Control *Control `edn:"control"`
-	// Link is where routers connect.
+	// Link is the address on which routers connect.
 	Link Link `edn:"link"`
-	// Health adds the evidence of Prometheus servers to what routers count. Optional.
+	// Health adds evidence from Prometheus servers to the routers' counts. Optional.
 	Health  *Health        `edn:"health"`
 	Rules   Rules          `edn:"rules"`
 	Release Release        `edn:"release"`
@@ -27,7 +29,7 @@
 	policy policy.Config
 }
 
-// ReadController reads and checks the file of a controller. An error that lies in the text is a *FieldError.
+// ReadController reads and checks a controller's settings file. An error in the text is a *FieldError.
 func ReadController(file string) (*Controller, error) {
 	text, err := readFile(file)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return ParseController(file, text)
 }
 
-// ParseController reads and checks the text of a controller's file. Errors call it by the given file name.
+// ParseController parses and checks the text of a controller's settings file. file is its name in errors.
 func ParseController(file string, text []byte) (*Controller, error) {
 	c := &Controller{}
 	positions, err := decode(file, text, c)
@@ -59,10 +61,10 @@
 	return c, err
 }
 
-// Policy is the configuration of the decision core.
+// Policy returns the configuration of the decision core.
 func (c *Controller) Policy() policy.Config { return c.policy }
 
-// Document is the controller's part of the configuration in the form of a version.
+// Document returns the controller's settings that a configuration version may replace.
 func (c *Controller) Document() *Document {
 	return &Document{Schema: DocumentSchema, Rules: c.Rules, Release: c.Release, Classes: c.Classes, policy: c.policy}
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -11,7 +11,7 @@
 	"olympos.io/encoding/edn"
 )
 
-// maxFileBytes is the size above which a file is refused unread.
+// maxFileBytes is the size above which a file is rejected without reading it.
 const maxFileBytes = 4 << 20
 
 func tooLarge(file string, size int64) error {
@@ -29,21 +29,21 @@
 	return os.ReadFile(file)
 }
 
-// ednValidator checks validate tags; its errors name fields by their EDN keys.
+// ednValidator checks validate tags. Its errors name fields by their EDN keys.
 var ednValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("edn") })
 	return v
 }()
 
-// Decode reads one EDN text into a struct with edn and validate tags. A missing, unknown, doubled, mistyped or invalid key is a
-// *FieldError.
+// Decode decodes an EDN text into a struct with edn and validate tags. A missing, unknown, duplicate, mistyped or
+// invalid key is a *FieldError, in which file is the name of the text.
 func Decode(file string, text []byte, into any) error {
 	_, err := decode(file, text, into)
 	return err
 }
 
-// decode is Decode that gives the positions of the keys too, for errors that are found later.
+// decode is like Decode, but also returns the positions of the keys, for errors that are found later.
 func decode(file string, text []byte, into any) (*positions, error) {
 	positions, err := findPositions(string(text))
 	if err != nil {
@@ -72,7 +72,7 @@
 	return positions, nil
 }
 
-// fieldByKey finds the field of an EDN key such as ":target", those of embedded structs included.
+// fieldByKey returns the field for an EDN key such as ":target", including fields of embedded structs.
 func fieldByKey(t reflect.Type, key string) (reflect.StructField, bool) {
 	for _, f := range reflect.VisibleFields(t) {
 		if name, _, _ := strings.Cut(f.Tag.Get("edn"), ","); name != "" && ":"+name == key {
@@ -82,7 +82,8 @@
 	return reflect.StructField{}, false
 }
 
-// isKnownPath reports whether a path leads to a field. Below a plain value the decoder itself refuses what does not belong there.
+// isKnownPath reports whether a path leads to a field. Below a scalar the EDN decoder itself rejects unexpected
+// content.
 func isKnownPath(t reflect.Type, path []string) bool {
 	for _, part := range path {
 		if t.Kind() == reflect.Pointer {
@@ -104,14 +105,15 @@
 	return true
 }
 
-// isRequired reports whether the key of a field must stand in the text: that of a struct, and of a field with a validate tag that
-// does not begin with omitempty. 0 is a value like any other, so a key that is left out is not taken for 0.
+// isRequired reports whether the key of a field must be in the text: that of a struct, and of a field with a validate
+// tag that does not begin with omitempty. Presence is checked here because the decoder cannot tell a missing key from
+// 0.
 func isRequired(f reflect.StructField) bool {
 	checks := f.Tag.Get("validate")
 	return f.Type.Kind() == reflect.Struct || checks != "" && !strings.HasPrefix(checks, "omitempty")
 }
 
-// missingKey gives the path of the first required key that the text leaves out, empty if there is none.
+// missingKey returns the path of the first required key that is not in the text, or "" if there is none.
 func missingKey(positions *positions, t reflect.Type, path string) string {
 	for _, f := range reflect.VisibleFields(t) {
 		name := f.Tag.Get("edn")
@@ -125,7 +127,7 @@
 		}
 		inner := f.Type
 		if inner.Kind() == reflect.Pointer && present {
-			inner = inner.Elem() // optional as a whole, but not in part
+			inner = inner.Elem() // may be omitted, but must be complete if present
 		}
 		if inner.Kind() == reflect.Struct {
 			if missing := missingKey(positions, inner, fieldPath); missing != "" {
@@ -141,7 +143,7 @@
 	return ""
 }
 
-// missingInElements is missingKey for each element of a list of structs.
+// missingInElements applies missingKey to each element of a list of structs.
 func missingInElements(positions *positions, element reflect.Type, path string) string {
 	for i := 0; ; i++ {
 		elementPath := fmt.Sprintf("%s %d", path, i)
@@ -154,8 +156,8 @@
 	}
 }
 
-// mistypedError finds the value that the decoder refused, whose errors have no position: it decodes the parts of each refused value
-// by themselves.
+// mistypedError locates the value that the EDN decoder rejected. The decoder's errors have no position, so the parts of
+// each rejected value are decoded one by one.
 func mistypedError(file string, text []byte, positions *positions, into any, err error) error {
 	path, t, cause := "", reflect.TypeOf(into).Elem(), err
 	for deeper := true; deeper; {
@@ -175,7 +177,7 @@
 	return source{file, positions}.fieldError(path, strings.TrimPrefix(cause.Error(), "edn: "))
 }
 
-// childType is the type of one key or element of a type, nil if it has none such.
+// childType returns the type of a key or element of a type, or nil if there is none.
 func childType(t reflect.Type, key string) reflect.Type {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,19 +9,19 @@
 	"flintspread/internal/policy"
 )
 
-// DocumentSchema is the version of the document's schema that this program reads.
+// DocumentSchema is the schema version of documents that this program reads.
 const DocumentSchema = 1
 
-// Document is the part of the configuration that may change while a router runs. In a file it stands beside the rest; a control
-// service sends it by itself, in numbered versions.
+// Document is the part of the configuration that may change while a router runs. In a settings file its keys are at the
+// top level; a control service sends it separately, in numbered versions.
 type Document struct {
-	// Schema is the version of the schema: DocumentSchema.
+	// Schema must be DocumentSchema.
 	Schema    int       `edn:"schema" validate:"eq=1"`
 	Clients   Clients   `edn:"clients"`
 	Endpoints Endpoints `edn:"units"`
 	Rules     Rules     `edn:"rules"`
 	Release   Release   `edn:"release"`
-	// Classes are the request classes. Each needs a route that leads to it.
+	// Classes are the request classes. Each needs at least one route.
 	Classes []RequestClass `edn:"op-types" validate:"required,min=1,max=256,dive"`
 	Routes  []Route        `edn:"routes" validate:"required,min=1,max=4096,dive"`
 
@@ -30,126 +30,137 @@
 	routesByMethod map[string]*iradix.Tree[int] // index into Classes by path prefix
 }
 
-// Clients bounds what clients may use of a router.
+// Clients limits the resources of a router that clients may use.
 type Clients struct {
-	// MaxConns is the largest number of client connections.
+	// MaxConns is the maximum number of client connections.
 	MaxConns int `edn:"connections" validate:"gt=0"`
-	// HeadBytes and BodyBytes bound one request.
+	// HeadBytes and BodyBytes bound the head and the body of one request.
 	HeadBytes int64 `edn:"head-bytes" validate:"gte=1024"`
 	BodyBytes int64 `edn:"body-bytes" validate:"gte=0"`
-	// ReadTimeoutSeconds is the number of seconds within which a request must have been read, and an answer been taken.
+	// ReadTimeoutSeconds is the time within which a client must have sent a request, and received an answer,
+	// completely.
 	ReadTimeoutSeconds float64 `edn:"read-time" validate:"gt=0"`
-	// IdleTimeoutSeconds is the number of seconds after which an idle connection is closed.
+	// IdleTimeoutSeconds is the time after which an idle connection is closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
-	// DrainTimeoutSeconds is the longest time, in seconds, that a graceful shutdown waits for requests in flight.
+	// DrainTimeoutSeconds is the longest time that a graceful shutdown waits for requests in flight.
 	DrainTimeoutSeconds float64 `edn:"drain-time" validate:"gt=0"`
-	// EvictIdleAbove is the number of connections above which an idle one is closed for each that is accepted; 0: none is. No file sets it.
+	// EvictIdleAbove is the number of connections above which an idle one is closed for each accepted one; 0: never. It
+	// cannot be set in a file.
 	EvictIdleAbove int `edn:"-"`
 }
 
-// Endpoints bounds the connections to endpoints.
+// Endpoints limits the connections to endpoints.
 type Endpoints struct {
-	// MaxConnsPerEndpoint is the largest number of connections to each endpoint.
+	// MaxConnsPerEndpoint is the maximum number of connections to each endpoint.
 	MaxConnsPerEndpoint int `edn:"connections" validate:"gt=0"`
-	// DialTimeoutSeconds is the number of seconds after which a connection attempt fails.
+	// DialTimeoutSeconds is the time after which a connection attempt fails.
 	DialTimeoutSeconds float64 `edn:"dial-time" validate:"gt=0"`
-	// IdleTimeoutSeconds is the number of seconds after which an idle connection is closed. It must be below the endpoints' own, or requests
-	// meet connections that were just closed.
+	// IdleTimeoutSeconds is the time after which an idle connection is closed. It must be below the endpoints' own idle
+	// timeout; otherwise requests hit connections that the endpoint has just closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
 	// MaxAnswerBytes bounds one answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gt=0"`
-	// MaxConns bounds the connections to all endpoints together; 0: not bounded. No file sets it.
+	// MaxConns bounds the connections to all endpoints together; 0: unlimited. It cannot be set in a file.
 	MaxConns int `edn:"-"`
 }
 
-// Rules are the bounds that the routers keep towards clients and endpoints.
+// Rules are the limits that routers observe towards clients and endpoints.
 type Rules struct {
 	// Routers is the number of routers that share the endpoints.
 	Routers int `edn:"relays" validate:"gt=0"`
-	// TimerResolutionSeconds is how exactly the router keeps a time, in seconds. Answers are sent two to three of it before the client's timeout.
+	// TimerResolutionSeconds is the resolution of the router's timers. Answers are sent two to three times this before
+	// the client's timeout.
 	TimerResolutionSeconds float64 `edn:"round" validate:"gt=0"`
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int `edn:"deliveries" validate:"gt=0,lte=100"`
-	// AllowHedging lets two attempts of a request be in flight together.
+	// AllowHedging allows two attempts of a request in flight at the same time.
 	AllowHedging bool `edn:"parallel"`
-	// MaxRetryAfterSeconds is the longest retry-after time, in seconds, that a rejected client is told.
+	// MaxRetryAfterSeconds is the longest retry-after time that is sent to a rejected client.
 	MaxRetryAfterSeconds float64 `edn:"max-pause" validate:"gt=0"`
-	// SlowStartInitialShare is the share of its capacity that an endpoint has when it starts.
+	// SlowStartInitialShare is the share of its full capacity that an endpoint has when it starts.
 	SlowStartInitialShare float64 `edn:"cold-from" validate:"gt=0,lte=1"`
-	// SlowStartSeconds is the time until an endpoint has all of its capacity.
+	// SlowStartSeconds is the time until an endpoint reaches its full capacity.
 	SlowStartSeconds float64 `edn:"warm-up" validate:"gte=0"`
-	// SlowStartOverloadFactor times its present capacity, for SlowStartOverloadSeconds, makes an endpoint in slow start fail.
+	// SlowStartOverloadFactor and SlowStartOverloadSeconds say when an endpoint in slow start fails: under a load of
+	// SlowStartOverloadFactor times its current capacity for SlowStartOverloadSeconds.
 	SlowStartOverloadFactor  float64 `edn:"fall-multiple" validate:"gte=1"`
 	SlowStartOverloadSeconds float64 `edn:"fall-time" validate:"gt=0"`
-	// CanaryWindowSeconds is the time, in seconds, over which the canary traffic limit counts. It is not below GraceSeconds.
+	// CanaryWindowSeconds is the length of the window over which the canary traffic limit is counted. It must be at
+	// least GraceSeconds.
 	CanaryWindowSeconds float64 `edn:"window" validate:"gt=0"`
-	// GraceSeconds is the time within which drains and lower canary limits must be followed.
+	// GraceSeconds is the time within which drains and lower canary traffic limits must take effect.
 	GraceSeconds float64 `edn:"grace" validate:"gt=0"`
-	// CanaryFreeAttempts is the number of canary attempts that each window allows, beside the share of Release.CanaryLimits.
+	// CanaryFreeAttempts is the number of canary attempts allowed per window in addition to the share of
+	// Release.CanaryLimits.
 	CanaryFreeAttempts float64 `edn:"free" validate:"gte=0"`
-	// CanaryLimitPerClass applies the canary traffic limit to each request class by itself.
+	// CanaryLimitPerClass applies the canary traffic limit to each request class separately.
 	CanaryLimitPerClass bool `edn:"count-per-op-type"`
-	// IdempotentOnlyStages is the number of first rollout stages that take idempotent requests only.
+	// IdempotentOnlyStages is the number of initial rollout stages in which the canary gets idempotent requests only.
 	IdempotentOnlyStages int `edn:"guarded-stages" validate:"gte=0"`
-	// OneWayKeys keeps a key that a build answered from ever going to an earlier build.
+	// OneWayKeys forbids sending a key to an earlier build than one that has answered it.
 	OneWayKeys bool `edn:"one-way-keys"`
-	// MaxRememberedKeys bounds the keys that are remembered for OneWayKeys.
+	// MaxRememberedKeys is the maximum number of keys remembered for OneWayKeys.
 	MaxRememberedKeys int `edn:"keys-kept" validate:"gte=0"`
-	// ForgetEndpointSeconds is the time, in seconds, after which an endpoint that left the list is forgotten. It is above every request timeout.
+	// ForgetEndpointSeconds is the time after which an endpoint that left the list is forgotten. It must be above every
+	// request timeout.
 	ForgetEndpointSeconds float64 `edn:"forget-units" validate:"gt=0"`
 }
 
-// Release says how canaries are rolled out, and what mistakes about them cost.
+// Release configures how canaries are rolled out, and the costs of wrong decisions about them.
 type Release struct {
-	// StageShares are the shares of the endpoints that run the canary, by rollout stage. They don't fall.
+	// StageShares are the shares of the endpoints that run the canary, by rollout stage. They must not decrease.
 	StageShares []float64 `edn:"stages" validate:"required,min=1,dive,gt=0,lte=1"`
-	// CanaryLimits are the shares of the requests that may go to the canary, by rollout stage: none below the stage's share.
+	// CanaryLimits are the maximum shares of requests that may go to the canary, by rollout stage. None may be below
+	// that stage's share or below the previous limit.
 	CanaryLimits []float64 `edn:"caps" validate:"required,min=1,dive,gte=0,lte=1"`
-	// RollbackVotes is the number of votes that roll a release back.
+	// RollbackVotes is the number of votes needed to roll a release back.
 	RollbackVotes int `edn:"back-votes" validate:"gt=0"`
-	// AutomaticStages says that stages advance by time; votes only hold or roll back.
+	// AutomaticStages makes stages advance by time, so that votes only hold or roll back.
 	AutomaticStages bool `edn:"by-clock"`
-	// ReplaceInPlace says that baseline endpoints leave as their successors come, instead of staying beside them.
+	// ReplaceInPlace means that canary endpoints replace baseline endpoints, instead of running in addition to them.
 	ReplaceInPlace bool `edn:"replace"`
-	// WrongAnswerPrice is the cost of work that is answered wrongly, StaleBuildPrice that of work that the baseline serves while a
-	// good canary waits: their ratio counts.
+	// WrongAnswerPrice is the cost of work that is answered wrongly, StaleBuildPrice that of work that the baseline
+	// serves while a good canary waits. Only their ratio matters.
 	WrongAnswerPrice float64 `edn:"harm-price" validate:"gt=0"`
 	StaleBuildPrice  float64 `edn:"stale-price" validate:"gt=0"`
 	// WrongAnswerReportShare is the share of wrong answers that clients report.
 	WrongAnswerReportShare float64 `edn:"report-share" validate:"gte=0,lte=1"`
-	// VoteLifetimeSeconds is how long a vote counts.
+	// VoteLifetimeSeconds is how long a vote stays valid.
 	VoteLifetimeSeconds float64 `edn:"vote-life" validate:"gt=0"`
-	// VoteTimeoutSeconds is the number of seconds that the answer to a vote is waited for.
+	// VoteTimeoutSeconds is how long to wait for the reply to a vote.
 	VoteTimeoutSeconds float64 `edn:"vote-timeout" validate:"gt=0"`
-	// VotesPerSecond is what the release service takes from all relays together.
+	// VotesPerSecond is the rate of votes that the release service accepts from all relays together.
 	VotesPerSecond float64 `edn:"votes-a-second" validate:"gt=0"`
 }
 
-// RequestClass is one kind of request.
+// RequestClass describes one class of requests.
 type RequestClass struct {
 	Name string `edn:"name" validate:"required"`
-	// LatencyObjectiveSeconds is the latency objective in seconds: a later answer earns nothing. It is not above Timeout.
+	// LatencyObjectiveSeconds is the latency objective: a later answer has no value. It must not be above
+	// TimeoutSeconds.
 	LatencyObjectiveSeconds float64 `edn:"target" validate:"gt=0"`
-	// TimeoutSeconds is the client's time for the request in seconds, its retries included. It is above three of Rules.Round.
+	// TimeoutSeconds is the client's timeout for the request, retries included. It must be above three times
+	// Rules.TimerResolutionSeconds.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
-	// PriorityWeight is the relative worth of an answer within the objective.
+	// PriorityWeight is the relative value of an answer within the latency objective.
 	PriorityWeight float64 `edn:"importance" validate:"gt=0"`
-	// Idempotency says whether the request may run again: policy.Idempotent, IdempotentWithKey or NonIdempotent, in this order.
+	// Idempotency says whether the request may run more than once. The values correspond to policy.Idempotent,
+	// policy.IdempotentWithKey and policy.NonIdempotent, in this order.
 	Idempotency edn.Keyword `edn:"effect" validate:"oneof=redeliverable deduplicated at-most-once"`
-	// DedupScope says which endpoints recognise a repeated key. Needed for deduplicated classes.
+	// DedupScope says which endpoints recognize a repeated key. Required for deduplicated classes.
 	DedupScope edn.Keyword `edn:"group" validate:"omitempty,oneof=all zone cell"`
-	// DedupWindowSeconds is how long an endpoint recognises a repeated key. Needed for deduplicated classes.
+	// DedupWindowSeconds is how long an endpoint recognizes a repeated key. Required for deduplicated classes.
 	DedupWindowSeconds float64 `edn:"window" validate:"omitempty,gte=0"`
 }
 
-// Route assigns a request class to the requests of a method by a prefix of their path. The longest prefix wins.
+// Route assigns a request class to requests by method and path prefix. The longest prefix wins.
 type Route struct {
 	Method string `edn:"method" validate:"required,oneof=GET HEAD POST PUT PATCH DELETE"`
 	Path   string `edn:"path" validate:"required,startswith=/"`
 	Class  string `edn:"op-type" validate:"required"`
 }
 
-// ParseDocument reads and checks a document that stands by itself, as a control service sends it. Errors call it by the given name.
+// ParseDocument parses and checks a separate document, as sent by a control service. name is its name in errors.
 func ParseDocument(name string, text []byte) (*Document, error) {
 	if len(text) > maxFileBytes {
 		return nil, tooLarge(name, int64(len(text)))
@@ -162,10 +173,10 @@
 	return d, d.validate(source{name, positions})
 }
 
-// Policy is the configuration of the decision core.
+// Policy returns the configuration of the decision core.
 func (d *Document) Policy() policy.Config { return d.policy }
 
-// ClassOf is the index of the request class of a request, or -1 if no route leads to one.
+// ClassOf returns the index of the request class for a method and path, or -1 if no route matches.
 func (d *Document) ClassOf(method, path string) int {
 	routes := d.routesByMethod[method]
 	if routes == nil {
@@ -177,7 +188,7 @@
 	return -1
 }
 
-// validate checks what concerns several fields, and fills what is derived from them.
+// validate checks conditions on several fields, and sets the derived fields.
 func (d *Document) validate(src source) (err error) {
 	if d.policy, err = policyConfig(src, d.Rules, d.Release, d.Classes); err != nil {
 		return err
@@ -190,7 +201,8 @@
 	return d.buildRoutes(src)
 }
 
-// buildRoutes fills routesByMethod. Each route leads to a class, no two have one prefix, and each class has a route.
+// buildRoutes fills routesByMethod. It fails if a route names an unknown class, two routes have the same method and
+// prefix, or a class has no route.
 func (d *Document) buildRoutes(src source) error {
 	d.routesByMethod = map[string]*iradix.Tree[int]{}
 	hasRoute := map[string]bool{}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Whatever a control service sends, reading it ends with a document whose every route leads somewhere, or with a FieldError that
-// lies within the text.
+// Whatever a control service sends, parsing it results in a document whose routes all have a class, or in a FieldError
+// with a line within the text.
 func FuzzParseDocument(f *testing.F) {
 	text := "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(example())
 	f.Add(text)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,15 +9,15 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// FieldError is an error that lies in the text of a file or document.
+// FieldError is an error in the text of a settings file or document.
 type FieldError struct {
 	File string // or the name of the document
-	Line int    // from 1 on
+	Line int    // starting at 1
 	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text can't be read at all
 	What string
 }
 
-// Error gives file, line, key and what is wrong.
+// Error implements error.
 func (e *FieldError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
@@ -25,13 +25,13 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.What)
 }
 
-// IsFieldError reports whether an error lies in the text of a file or document.
+// IsFieldError reports whether an error is or wraps a *FieldError.
 func IsFieldError(err error) bool {
 	var fieldError *FieldError
 	return errors.As(err, &fieldError)
 }
 
-// source makes the errors of one text.
+// source creates the errors of one text.
 type source struct {
 	file      string
 	positions *positions
@@ -41,7 +41,7 @@
 	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, What: what}
 }
 
-// comparisons are the validator's tags whose parameter completes a sentence.
+// comparisons are the validator tags whose parameter completes the message.
 var comparisons = map[string]string{
 	"gt":         "must be above",
 	"gte":        "must be at least",
@@ -52,13 +52,13 @@
 	"startswith": "must begin with",
 }
 
-// fieldComparisons are the validator's tags whose parameter is the Go name of another field.
+// fieldComparisons are the validator tags whose parameter is the Go name of another field.
 var fieldComparisons = map[string]string{
 	"gtefield": "must be at least that of",
 	"gtfield":  "must be above that of",
 }
 
-// describe words a failed check of the validator.
+// describe returns the message for a failed validator check.
 func describe(failure validator.FieldError) string {
 	switch failure.Tag() {
 	case "required":
@@ -79,20 +79,21 @@
 
 var wordBoundary = regexp.MustCompile(`([a-z])([A-Z])`)
 
-// keyOfField turns BackLeast into back-least. A field that a gtefield or gtfield tag names must be called as its key.
+// keyOfField converts a field name to its EDN key, such as BackLeast to back-least. It only works for fields named like
+// their keys, as those in gtefield and gtfield tags must be.
 func keyOfField(name string) string {
 	return strings.ToLower(wordBoundary.ReplaceAllString(name, "$1-$2"))
 }
 
 var indexSuffix = regexp.MustCompile(`\[(\d+)\]`)
 
-// namespacePath turns the validator's Router.op-types[0].target into :op-types 0 :target.
+// namespacePath converts the validator's Router.op-types[0].target to :op-types 0 :target.
 func namespacePath(namespace string) string {
 	_, namespace, _ = strings.Cut(namespace, ".")
 	var path []string
 	for _, part := range strings.Split(namespace, ".") {
 		if part[0] >= 'A' && part[0] <= 'Z' {
-			continue // an embedded struct, which no key names
+			continue // an embedded struct, which has no key
 		}
 		path = append(path, ":"+indexSuffix.ReplaceAllString(part, ""))
 		if index := indexSuffix.FindStringSubmatch(part); index != nil {
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -11,18 +11,18 @@
 	"flintspread/internal/policy"
 )
 
-// Health says which Prometheus servers a controller queries, what for, and at which cost.
+// Health configures the Prometheus servers that a controller queries, the queries, and the limits on their cost.
 type Health struct {
 	Servers []QueryServer `edn:"servers" validate:"required,min=1,max=16,dive"`
-	// Queries are all sent to each server.
+	// Queries are sent to every server.
 	Queries []Query `edn:"queries" validate:"required,min=1,max=64,dive"`
 	// QueriesPerSecond bounds the queries to all servers together.
 	QueriesPerSecond float64 `edn:"queries-a-second" validate:"gt=0,lte=1000"`
-	// MaxConcurrentQueries bounds the queries that are open at once.
+	// MaxConcurrentQueries bounds the queries in flight.
 	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
-	// TimeoutSeconds is the number of seconds after which a query is given up.
+	// TimeoutSeconds is the time after which a query is cancelled.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
-	// MaxBackoffSeconds is the longest that a failing server is left alone.
+	// MaxBackoffSeconds is the maximum backoff of a failing server.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
 	// MaxAnswerBytes and MaxSeries bound one answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
@@ -31,50 +31,54 @@
 	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
 }
 
-// QueryServer is one server that speaks the HTTP API of Prometheus.
+// QueryServer is one server with the Prometheus HTTP API.
 type QueryServer struct {
 	// Name labels the server in metrics and logs.
 	Name string `edn:"name" validate:"required,printascii,excludesall= "`
 	URL  string `edn:"url" validate:"required,http_url"`
 }
 
-// Query is one query and what its answers mean.
+// Query is one query and the meaning of its answers.
 type Query struct {
 	// Name labels the query in metrics and logs.
 	Name string `edn:"name" validate:"required,printascii,excludesall= "`
-	// Meaning is what a value says of its endpoint: counts of failures, a quantile of the answer time in seconds, a saturation from 0
-	// to 1, or whether a probe succeeded.
+	// Meaning is what a value measures of its endpoint: counts of failures, a latency quantile in seconds, a saturation
+	// from 0 to 1, or whether a probe succeeded.
 	Meaning edn.Keyword `edn:"meaning" validate:"oneof=counts quantile saturation probe"`
-	// Kind is the failure kind that is counted. Needed for counts, not allowed otherwise.
+	// Kind is the kind of failure that is counted. Required for counts, not allowed otherwise.
 	Kind edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"`
-	// Form is how values come: as the samples of a range vector, as of an instant, or by a range query. Counts come as samples.
+	// Form is the form of the answer: samples of a range vector, an instant vector, or a range query. Counts must be
+	// samples.
 	Form edn.Keyword `edn:"form" validate:"oneof=samples instant range"`
 	// Query is a template of PromQL. For counts it selects the counters of failures.
 	Query string `edn:"query" validate:"required"`
-	// Total selects the counters of all outcomes. Needed for counts, not allowed otherwise.
+	// Total selects the counters of all outcomes. Required for counts, not allowed otherwise.
 	Total string `edn:"total" validate:"omitempty"`
-	// RangeSeconds and StepSeconds are the length and the resolution of a range query in seconds. Needed for that form.
+	// RangeSeconds and StepSeconds are the length and the resolution of a range query. Required for that form.
 	RangeSeconds float64 `edn:"span" validate:"omitempty,gt=0"`
 	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
-	// Period is the number of seconds between two queries.
+	// Period is the time between two queries, in seconds.
 	Period float64 `edn:"period" validate:"gte=0.05"`
-	// StaleAfterSeconds is the number of seconds after which an answer is no evidence any more.
+	// StaleAfterSeconds is the age above which an answer no longer counts as evidence.
 	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=Period"`
-	// Weight, up to 1, is what the evidence counts for.
+	// Weight scales the evidence; at most 1.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
-	// Limit marks an endpoint whose value is above it: seconds of a quantile, a share of a saturation. Needed for these.
+	// Limit is the value above which an endpoint is marked: seconds for a quantile, a share for a saturation. Required
+	// for these.
 	Limit float64 `edn:"limit" validate:"omitempty,gt=0"`
-	// IndependentOfRouters says that no attempt of this relay's routers is among the counts. Else those are taken out, so that no
-	// outcome counts twice. Optional.
+	// IndependentOfRouters says that the counts include no attempts of this relay's routers. Otherwise those are
+	// subtracted, so that no outcome counts twice. Optional.
 	IndependentOfRouters bool `edn:"apart"`
-	// EndpointLabel is the label that tells endpoints apart; EndpointLabelHolds says whether it holds their id or their address.
+	// EndpointLabel is the label that identifies the endpoint; EndpointLabelHolds says whether it holds its ID or its
+	// address.
 	EndpointLabel      string      `edn:"unit-label" validate:"required"`
 	EndpointLabelHolds edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
-	// BuildLabel is the label with the endpoint's build. Optional; without it the endpoint list tells the build.
+	// BuildLabel is the label that holds the endpoint's build. Optional; without it the build is taken from the
+	// endpoint list.
 	BuildLabel string `edn:"build-label" validate:"omitempty"`
 
 	queryTemplate *promquery.Template
-	totalTemplate *promquery.Template // nil but for counts
+	totalTemplate *promquery.Template // nil except for counts
 }
 
 var answerForms = map[edn.Keyword]promquery.Form{
@@ -83,10 +87,10 @@
 	"range":   promquery.Range,
 }
 
-// AnswerForm is the form in which the answers come.
+// AnswerForm returns the form of the answers.
 func (q *Query) AnswerForm() promquery.Form { return answerForms[q.Form] }
 
-// Templates gives the templates of Query and Total. The latter is nil but for counts.
+// Templates returns the templates of Query and Total. total is nil except for counts.
 func (q *Query) Templates() (query, total *promquery.Template) {
 	return q.queryTemplate, q.totalTemplate
 }
@@ -98,7 +102,7 @@
 	"probe":      metricsanalysis.Probe,
 }
 
-// Questions gives the queries as the analysis of metrics takes them.
+// Questions returns the queries as input for package metricsanalysis.
 func (h *Health) Questions() (questions []metricsanalysis.Question) {
 	for _, q := range h.Queries {
 		questions = append(questions, metricsanalysis.Question{
@@ -115,12 +119,12 @@
 	return questions
 }
 
-// Bounds gives what the queries may cost the servers.
+// Bounds returns the limits on the cost of queries.
 func (h *Health) Bounds() metricsanalysis.Bounds {
 	return metricsanalysis.Bounds{QueriesPerSecond: h.QueriesPerSecond, MaxInFlight: h.MaxConcurrentQueries, MaxBackoffSeconds: h.MaxBackoffSeconds}
 }
 
-// validate checks what concerns several fields, and parses the templates.
+// validate checks conditions on several fields, and parses the templates.
 func (h *Health) validate(src source) error {
 	serverNames := map[string]bool{}
 	for i, server := range h.Servers {
@@ -156,7 +160,7 @@
 
 func (q *Query) isCounts() bool { return q.Meaning == "counts" }
 
-// validate checks the fields of one query against each other. The key is empty if nothing is wrong.
+// validate checks the fields of one query against each other. key is empty if the query is valid.
 func (q *Query) validate() (key, problem string) {
 	needsLimit := q.Meaning == "quantile" || q.Meaning == "saturation"
 	hasCountsFields := q.Kind != "" || q.Total != "" || q.IndependentOfRouters
@@ -177,7 +181,7 @@
 	return "", ""
 }
 
-// parseTemplates fills the templates. With an error it gives the key of the one that is wrong.
+// parseTemplates parses the templates. On an error it also returns the key of the invalid one.
 func (q *Query) parseTemplates() (key string, err error) {
 	if q.queryTemplate, err = promquery.Read(q.Query, q.AnswerForm()); err != nil {
 		return "query", err
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -18,7 +18,7 @@
           :queries-a-second 20.0 :at-once 4 :timeout 1.0 :back-most 30.0 :answer-bytes 4000000 :series 5000 :skew 1.0}
  :rules`
 
-// Each error in the part on query servers names file, line and key; queries are read by the language's own grammar.
+// Each error in the settings of query servers names file, line and key; queries are checked with the PromQL parser.
 func Example_health() {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -5,31 +5,32 @@
 	"strings"
 )
 
-// Link is how a router and its controller reach each other. Over TCP both show a certificate; the files may be replaced while the
-// programs run.
+// Link configures the connection between a router and its controller. Over TCP it is mutual TLS; certificate files may
+// be replaced while the programs run.
 type Link struct {
-	// Address is unix:PATH, or HOST:PORT.
+	// Address is unix:PATH or HOST:PORT.
 	Address string `edn:"address" validate:"required"`
-	// Beat is the number of seconds between two reports of a router, and between its attempts to connect again. Twice that is to
-	// stay below Rules.GraceSeconds.
+	// Beat is the interval of a router's reports, and of its attempts to reconnect, in seconds. Twice this should be
+	// below Rules.GraceSeconds.
 	Beat float64 `edn:"beat" validate:"gt=0"`
-	// SilenceSeconds is the number of seconds without a message after which the other end counts as dead.
+	// SilenceSeconds is the time without a message after which the other end is considered dead.
 	SilenceSeconds float64 `edn:"silence" validate:"gtfield=Beat"`
-	// LeaseSeconds is the number of seconds for which a router may spend the canary attempts that were leased to it.
+	// LeaseSeconds is how long a router may use the canary attempts that were leased to it.
 	LeaseSeconds float64 `edn:"lease" validate:"gtfield=Beat"`
-	// Cert and Key are PEM files: the own certificate with its chain, and its key. Needed over TCP, as are CA and Peer.
+	// Cert and Key are PEM files: this program's certificate with its chain, and its private key. Required over TCP, as
+	// are CA and Peer.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
 	Key  string `edn:"key" validate:"omitempty,filepath"`
-	// CA is a PEM file with the authorities that sign the other end's certificate.
+	// CA is a PEM file with the authorities trusted to sign the other end's certificate.
 	CA string `edn:"ca" validate:"omitempty,filepath"`
-	// Peer is the DNS name in the other end's certificate.
+	// Peer is the DNS name expected in the other end's certificate.
 	Peer string `edn:"peer" validate:"omitempty,printascii"`
 }
 
-// SocketPath is the path of the socket if the link is one.
+// SocketPath returns the path of the Unix socket; ok is false if the link uses TCP.
 func (l *Link) SocketPath() (path string, ok bool) { return strings.CutPrefix(l.Address, "unix:") }
 
-// validate checks what concerns several fields. The key is empty if nothing is wrong.
+// validate checks conditions on several fields. key is empty if the link is valid.
 func (l *Link) validate() (key, problem string) {
 	if _, ok := l.SocketPath(); ok {
 		return "", ""
@@ -46,20 +47,21 @@
 	return "", ""
 }
 
-// Control is a control service that speaks xDS, and how it is connected to.
+// Control configures the xDS control services and the connections to them.
 type Control struct {
-	// Addresses are HOST:PORT. All of them are followed.
+	// Addresses are HOST:PORT. All of the services are followed.
 	Addresses []string `edn:"addresses" validate:"required,min=1,max=8,dive,hostname_port"`
-	// SilenceSeconds is the number of seconds that a keepalive ping may stay unanswered.
+	// SilenceSeconds is the timeout of a keep-alive ping.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackLeast and BackMost bound the exponential backoff between two connections, in seconds.
+	// BackLeast and BackMost bound the exponential backoff between connections, in seconds.
 	BackLeast float64 `edn:"back-least" validate:"gt=0"`
 	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
-	// PairingTimeoutSeconds is the number of seconds that a configuration version waits for the endpoint list that it belongs with.
+	// PairingTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
 	PairingTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
 	// MaxResponseBytes bounds one response.
 	MaxResponseBytes int `edn:"most-bytes" validate:"gte=1024"`
-	// Cert, Key, CA and Peer are as in Link. Optional: without all four the stream is plain text, for a service on the same host.
+	// Cert, Key, CA and Peer are as in Link: all four or none. Without them the stream is plaintext, for a service on
+	// the same host.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
 	Key  string `edn:"key" validate:"omitempty,filepath"`
 	CA   string `edn:"ca" validate:"omitempty,filepath"`
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -12,8 +12,9 @@
 	"flintspread/internal/policy"
 )
 
-// ForPlatform makes the configuration of a router that a platform starts: the platform gives the policy and the names of its request
-// classes, no file does. There are no routes, since a request names its class itself. A memory of 0 is not bounded.
+// ForPlatform returns the configuration of a router that runs on the platform, which supplies the policy and the names
+// of its request classes instead of a file. There are no routes, because each request names its class. memory is in
+// bytes; 0: unlimited.
 func ForPlatform(name string, policy policy.Config, classNames []string, clients Clients, endpoints Endpoints, memory int64) *Router {
 	document := Document{
 		Schema:    DocumentSchema,
@@ -41,14 +42,14 @@
 	return &Router{Relay: name, Name: name, Document: document, Overload: &Overload{MemoryBytes: memory}}
 }
 
-// jsonValidator checks validate tags; its errors name fields by their JSON keys.
+// jsonValidator checks validate tags. Its errors name fields by their JSON keys.
 var jsonValidator = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("json") })
 	return v
 }()
 
-// CheckJSON checks what was read from JSON by the validate tags of its fields, as files are. An error names the key by its path.
+// CheckJSON checks a struct decoded from JSON by the validate tags of its fields. An error names the path of the key.
 func CheckJSON(v any) error {
 	err := jsonValidator.Struct(v)
 	var failures validator.ValidationErrors
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -21,10 +21,12 @@
 	"cell": policy.DedupCell,
 }
 
-// minTimeoutTicks is the number of ticks that a request timeout must be above: deadlines are met by margins of two to three.
+// minTimeoutTicks is the number of ticks of TimerResolutionSeconds that a request timeout must exceed, because answers
+// are sent two to three ticks before it.
 const minTimeoutTicks = 3
 
-// policyConfig makes the decision core's configuration. It refuses values that are valid each by itself but can't be kept together.
+// policyConfig builds the configuration of the decision core. It rejects values that are valid individually but
+// contradict each other.
 func policyConfig(src source, rules Rules, release Release, classes []RequestClass) (policy.Config, error) {
 	if err := validateStages(src, rules, release); err != nil {
 		return policy.Config{}, err
@@ -85,7 +87,7 @@
 	return c, nil
 }
 
-// validateStages checks the rollout stages against their canary limits, and the windows in which those are counted.
+// validateStages checks the rollout stages, their canary limits and the window over which these are counted.
 func validateStages(src source, rules Rules, release Release) error {
 	stages, limits := release.StageShares, release.CanaryLimits
 	if len(limits) != len(stages) {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// validateClass checks one request class, which stands at a key, against the rules.
+// validateClass checks the request class at a key against the rules.
 func validateClass(src source, key string, class RequestClass, rules Rules) error {
 	switch {
 	case class.TimeoutSeconds <= minTimeoutTicks*rules.TimerResolutionSeconds:
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// positions gives the line of every key and element of an EDN text by its path, such as ":op-types 0 :target". The EDN library
-// decodes without positions, and an error without a line sends its reader searching: the text is scanned once more for them alone.
-// The scan refuses a key that stands twice in one map, which the library does not.
+// positions holds the line of every key and element of an EDN text by its path, such as ":op-types 0 :target". The EDN
+// library reports no positions, so the text is scanned a second time to give errors a line. The scan also rejects
+// duplicate keys in a map, which the library does not.
 type positions struct {
 	text    string
 	offset  int // of the next byte to scan
 	line    int // of the next byte to scan
 	lineOf  map[string]int
 	rangeOf map[string]textRange // of values
-	keys    []string             // in the order of the text
+	keys    []string             // in text order
 }
 
 // textRange is a range of bytes.
 type textRange struct{ from, to int }
 
-// maxNestingDepth is the depth above which a text is refused, before it can exhaust the stack.
+// maxNestingDepth is the depth above which a text is rejected, before it can exhaust the stack.
 const maxNestingDepth = 64
 
-// findPositions scans a text. With an error, the line is that of the error.
+// findPositions scans a text. On an error, the line of the returned positions is that of the error.
 func findPositions(text string) (*positions, error) {
 	p := &positions{text: text, line: 1, lineOf: map[string]int{}, rangeOf: map[string]textRange{}}
 	if err := p.scanValue("", 0); err != nil {
@@ -37,7 +37,7 @@
 	return p, nil
 }
 
-// nearestLine is the line of a path, or of the innermost thing around it that stands in the text.
+// nearestLine returns the line of a path, or of its innermost enclosing key or element that is in the text.
 func (p *positions) nearestLine(path string) int {
 	for path != "" {
 		if line := p.lineOf[path]; line > 0 {
@@ -48,7 +48,7 @@
 	return 1
 }
 
-// children gives the paths of a value's keys or elements, in the order of the text.
+// children returns the paths of a value's keys or elements, in text order.
 func (p *positions) children(path string, t reflect.Type) (paths []string) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -76,7 +76,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %d", path, i))
 }
 
-// skipBlank passes over white space, commas and comments.
+// skipBlank skips white space, commas and comments.
 func (p *positions) skipBlank() {
 	for p.offset < len(p.text) {
 		switch p.text[p.offset] {
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// scanEnd reports whether the next thing is the given closing delimiter, and passes over it and the discarded forms before it.
+// scanEnd reports whether the next token is the given closing delimiter, and if so skips it. It skips discarded forms
+// before it.
 func (p *positions) scanEnd(delimiter byte) (bool, error) {
 	for {
 		p.skipBlank()
@@ -220,7 +221,7 @@
 // tokenEnds are the bytes that end a symbol, keyword, number or character.
 const tokenEnds = " \t\r\n,;\"{}[]()"
 
-// scanToken passes over a symbol, keyword, number or character.
+// scanToken skips a symbol, keyword, number or character.
 func (p *positions) scanToken() {
 	if p.text[p.offset] == '\\' { // a character, which may be a delimiter itself
 		p.offset++
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -2,65 +2,68 @@
 
 import "olympos.io/encoding/edn"
 
-// Router is the file of one router.
+// Router is the settings file of one router.
 type Router struct {
-	// Relay is the name by which the endpoint list and the release service know the router, and all that share its controller.
+	// Relay is the name that identifies the router, together with all that share its controller, to the release
+	// service.
 	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// ListenAddress is the HOST:PORT that clients connect to.
 	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
-	// MetricsAddress is the HOST:PORT that serves /metrics.
+	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that keeps the last endpoint list, the last release and the history of configurations.
+	// StateDir is the folder that stores the last endpoint list, the last release and the configuration history.
 	StateDir string `edn:"state-dir" validate:"required"`
 	// ReusePort lets other routers on this host listen on the same address. Optional.
 	ReusePort bool `edn:"share-port"`
-	// Seed makes decisions repeatable: equal seeds and events give equal decisions. Optional; 0: drawn anew at each start.
+	// Seed makes decisions repeatable: equal seeds and events lead to equal decisions. Optional; 0: random at each
+	// start.
 	Seed uint64 `edn:"seed"`
 	Log  Log    `edn:"log"`
-	// Sources is for a router without a controller, which asks the release service itself.
+	// Sources is for a router without a controller, which follows the endpoint list and the release service itself.
 	Sources *Sources `edn:"sources"`
-	// Controller is for a router that a controller directs. Exactly one of Sources and Controller is given.
+	// Controller is for a router with a controller. Exactly one of Sources and Controller must be set.
 	Controller *Link `edn:"planner"`
-	// Name tells the router from the others of its controller. Optional; Relay if it is left out.
+	// Name identifies the router among those of its controller. Optional; the default is Relay.
 	Name string `edn:"edge"`
-	// Control is a control service that sends the endpoint list and versions of the document. Optional.
+	// Control configures the control services that send the endpoint list and versions of the document. Optional.
 	Control *Control `edn:"control"`
-	// Overload says what the router does when it is the bottleneck itself. Optional.
+	// Overload configures the router's behaviour when it is the bottleneck itself. Optional.
 	Overload *Overload `edn:"overload"`
 	Document
 
 	source source
 }
 
-// Overload bounds what a router uses itself.
+// Overload protects a router against its own overload.
 type Overload struct {
-	// Shed rejects requests, those of the lowest priority weight first, when the process falls behind.
+	// Shed enables load shedding: when the process falls behind, requests are rejected, those with the lowest priority
+	// weight first.
 	Shed bool `edn:"shed"`
-	// MemoryBytes bounds the bytes that connections and messages take. Optional; 0: not bounded.
+	// MemoryBytes bounds the memory used by connections and messages. Optional; 0: unlimited.
 	MemoryBytes int64 `edn:"memory" validate:"omitempty,gte=1048576"`
 }
 
 // Log configures the program's own log.
 type Log struct {
 	Format edn.Keyword `edn:"format" validate:"oneof=text json"`
-	// Level is read again on SIGHUP.
+	// Level is reloaded on SIGHUP.
 	Level edn.Keyword `edn:"level" validate:"oneof=debug info warn error"`
 }
 
-// Sources says where the endpoint list and the release updates come from.
+// Sources configures the sources of the endpoint list and of release updates.
 type Sources struct {
-	// EndpointListURL is the URL of the endpoint list. It is left out exactly if there is a Control.
+	// EndpointListURL is the URL of the endpoint list. It must be set if and only if there is no Control.
 	EndpointListURL string `edn:"list" validate:"omitempty,http_url"`
 	// ReleaseServiceURL is the URL of the release service: /stage is watched, votes go to /vote.
 	ReleaseServiceURL string `edn:"installer" validate:"required,http_url"`
-	// SilenceSeconds is the number of seconds without a line after which a watch counts as broken.
+	// SilenceSeconds is the time without a line after which a watch is considered broken.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackLeast and BackMost bound the exponential backoff between two connections of a watch, in seconds.
+	// BackLeast and BackMost bound the exponential backoff between connections of a watch, in seconds.
 	BackLeast float64 `edn:"back-least" validate:"gt=0"`
 	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
 }
 
-// ReadRouter reads and checks the file of a router. An error that lies in the text is a *FieldError.
+// ReadRouter reads and checks a router's settings file. An error in the text is a *FieldError.
 func ReadRouter(file string) (*Router, error) {
 	text, err := readFile(file)
 	if err != nil {
@@ -69,7 +72,7 @@
 	return ParseRouter(file, text)
 }
 
-// ParseRouter reads and checks the text of a router's file. Errors call it by the given file name.
+// ParseRouter parses and checks the text of a router's settings file. file is its name in errors.
 func ParseRouter(file string, text []byte) (*Router, error) {
 	r := &Router{}
 	positions, err := decode(file, text, r)
@@ -80,7 +83,8 @@
 	return r, r.Check()
 }
 
-// ConfigWaitSeconds is how long a configuration version may wait for the endpoint list that it belongs with.
+// ConfigWaitSeconds returns how long a configuration version may wait for the endpoint list that it requires, 0 without
+// a control service.
 func (r *Router) ConfigWaitSeconds() float64 {
 	if r.Control == nil {
 		return 0
@@ -88,8 +92,8 @@
 	return r.Control.PairingTimeoutSeconds
 }
 
-// Check checks what concerns several fields, and fills what is derived from them. ParseRouter calls it; whoever changes fields of a
-// parsed Router calls it again.
+// Check checks conditions on several fields, and sets the derived fields. ParseRouter calls it; call it again after
+// changing fields of a parsed Router.
 func (r *Router) Check() error {
 	src := r.source
 	if r.Name == "" {
@@ -108,7 +112,7 @@
 	return src.fieldError(":sources", "missing; without a :planner the edge asks for itself")
 }
 
-// validateWithController refuses what a controller decides for its routers.
+// validateWithController rejects settings that the controller decides for its routers.
 func (r *Router) validateWithController(src source) error {
 	if key, problem := r.Controller.validate(); key != "" {
 		return src.fieldError(":planner "+key, problem)
@@ -124,7 +128,8 @@
 	return nil
 }
 
-// validateSources checks that the endpoint list comes from exactly one place, and that a control service can be connected to.
+// validateSources checks that the endpoint list has exactly one source, and that the control services' credentials are
+// complete.
 func validateSources(src source, s *Sources, c *Control) error {
 	switch {
 	case c == nil && s.EndpointListURL == "":
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -88,7 +88,7 @@
 	// edge.edn:73: chute-lookup: stands twice
 }
 
-// Comments, discarded forms and strings that look like keys don't move the positions.
+// Comments, discarded forms and strings that look like keys do not affect positions.
 func Example_positions() {
 	p, err := findPositions("; {:a\n{:a #_ {:x 1} [1 #_2\n\"}:b\" \\} {:c 2}]\n :b #inst \"2026\" #_ :d}")
 	for _, k := range p.keys {
@@ -128,7 +128,7 @@
 	// POST /divert/1 divert-record
 }
 
-// Whatever the text, reading ends with settings or a FieldError that lies within the text.
+// Whatever the text, parsing results in settings or in a FieldError with a line within the text.
 func FuzzParseEdge(f *testing.F) {
 	f.Add(example())
 	f.Add("{:a [1 #_ 2 \\} \"\\\"\" #{:b} (c)] ;\n}")
