--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,7 +13,7 @@
 type FieldError struct {
 	File string // or the name of the document
 	Line int    // starting at 1
-	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text can't be read at all
+	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
 	What string
 }
 
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -4,8 +4,8 @@
 
 // Router is the settings file of one router.
 type Router struct {
-	// Relay is the name that identifies the router, together with all that share its controller, to the release
-	// service.
+	// Relay is the name that identifies the router, together with all that share its controller, to the release service
+	// and to control services.
 	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// ListenAddress is the HOST:PORT that clients connect to.
 	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
