--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -1,5 +1,5 @@
-// Package policyconfig reads the settings that a deployment gives by name into a policy.Config. The simulator's adapter and the platform's
-// router read them by this one decoder. The keys are the operators'; times are milliseconds there and seconds in the result.
+// Package policyconfig decodes the named settings of a deployment into a policy.Config, for both the simulator adapter
+// and the router on the platform. Times are milliseconds in the settings and seconds in the result.
 package policyconfig
 
 import (
@@ -10,12 +10,13 @@
 	"flintspread/internal/policy"
 )
 
-// Values are settings by their keys, which are paths with dots.
+// Values are settings by key. Keys are dotted paths.
 type Values = map[string]string
 
 const millisecondsPerSecond = 1000
 
-// Decode reads the policy's part of the settings; unknown keys are skipped. An error names the first key that is missing or malformed.
+// Decode decodes the policy settings. Unknown keys are ignored. An error names the first key that is missing or
+// malformed.
 func Decode(values Values) (policy.Config, error) {
 	d := &decoder{values: values}
 	config := policy.Config{
@@ -56,7 +57,8 @@
 	return config, d.err
 }
 
-// decoder looks settings up and keeps the first error. Each method reads one setting by its key and returns a zero value on error.
+// decoder looks up settings and keeps the first error. Its methods read one setting by key; on an error they record it
+// and return an unspecified value.
 type decoder struct {
 	values Values
 	err    error
@@ -95,13 +97,13 @@
 	return value
 }
 
-// integer reads a number; a fraction is cut off.
+// integer reads a number and truncates it to an integer.
 func (d *decoder) integer(key string) int { return int(d.number(key)) }
 
-// seconds reads a time, which is in milliseconds.
+// seconds reads a time in milliseconds and returns it in seconds.
 func (d *decoder) seconds(key string) float64 { return d.number(key) / millisecondsPerSecond }
 
-// numberList reads numbers that are separated by commas.
+// numberList reads comma-separated numbers.
 func (d *decoder) numberList(key string) (list []float64) {
 	for _, text := range strings.Split(d.text(key), ",") {
 		value, err := strconv.ParseFloat(text, 64)
@@ -115,7 +117,7 @@
 
 func (d *decoder) boolean(key string) bool { return d.choice(key, "false", "true") == 1 }
 
-// choice gives the index of a setting among the words that it may be.
+// choice returns the index of a setting's value in words.
 func (d *decoder) choice(key string, words ...string) int {
 	text := d.text(key)
 	for i, word := range words {
--- a/internal/policyconfig/parse.go
+++ b/internal/policyconfig/parse.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// ParseLines reads settings from a text of KEY=VALUE lines; other lines are skipped.
+// ParseLines reads settings from KEY=VALUE lines and ignores other lines.
 func ParseLines(text string) Values {
 	values := Values{}
 	for _, line := range strings.Split(text, "\n") {
@@ -19,11 +19,11 @@
 	return values
 }
 
-// ParseJSON reads settings from nested JSON objects, by the keys that a text of lines would give them. A list has its length under
-// KEY.count; a list of plain values is one value with commas, a list of objects has each under KEY.INDEX.
+// ParseJSON reads settings from nested JSON objects, with the same keys as in KEY=VALUE lines. The length of a list is
+// stored as KEY.count; scalar elements are stored as KEY, separated by commas, and objects as KEY.INDEX.
 func ParseJSON(text []byte) (Values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // numbers keep their digits
+	decoder.UseNumber() // keep the digits of numbers
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	}
 }
 
-// ClassNames gives the names of the request classes, in the order of policy.Config.Classes.
+// ClassNames returns the names of the request classes, in the order of policy.Config.Classes.
 func ClassNames(values Values) ([]string, error) {
 	count, err := strconv.Atoi(values["classes.count"])
 	if err != nil {
@@ -76,7 +76,8 @@
 	return names, nil
 }
 
-// Seconds reads one setting that the policy does not use: a time, in milliseconds.
+// Seconds reads one time setting, which is in milliseconds, and returns it in seconds. It is for settings that Decode
+// ignores.
 func Seconds(values Values, key string) (float64, error) {
 	d := &decoder{values: values}
 	return d.seconds(key), d.err
