--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -22,7 +22,8 @@
 	return err
 }
 
-// add appends a record with its code and instance, and returns it for its other fields. It is valid until the next call.
+// add appends a record with its code and instance, and returns it so that the caller can set the other fields. The
+// record is valid until the next call.
 func (f *actionFrame) add(code uint8, instance uint32) record {
 	var blank [actionBytes]byte
 	at := len(f.buf)
@@ -34,7 +35,7 @@
 	return action
 }
 
-// subscribe asks for the changes of the endpoint list as they come.
+// subscribe subscribes to changes of the endpoint list.
 func (f *actionFrame) subscribe(instance uint32) {
 	f.add(actionSubscribe, instance).putU8(5, 1)
 }
@@ -46,7 +47,7 @@
 	action.putU8(8, uint8(verdict))
 }
 
-// setTimer asks for a timer event with a mark in some seconds.
+// setTimer requests a timer event with a mark after the given time.
 func (f *actionFrame) setTimer(instance uint32, seconds float64, mark uint64) {
 	action := f.add(actionSetTimer, instance)
 	action.putSeconds(5, seconds)
@@ -61,7 +62,7 @@
 	action.putSeconds(13, deadline)
 }
 
-// cancel cancels an attempt, by its index among the request's attempts.
+// cancel cancels an attempt, by index among the request's attempts.
 func (f *actionFrame) cancel(instance, request uint32, attempt int) {
 	action := f.add(actionCancel, instance)
 	action.putU32(5, request)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package simadapter connects the policy to the simulator: it reads frames of events, passes each event to its instance's policy and
-// writes the policy's decisions as frames of actions. It decides nothing. Times are seconds inside and milliseconds on the wire; the
-// clock is the simulator's.
+// Package simadapter connects the policy to the simulator: it reads frames of events, passes each event to the policy
+// of its instance, and writes the policy's decisions as frames of actions. It makes no decisions itself. Times are
+// float64 seconds internally and milliseconds on the wire; the clock is the simulator's.
 package simadapter
 
 import (
@@ -15,7 +15,7 @@
 
 const (
 	ioBufferBytes      = 1 << 16
-	endpointTableCount = 16 // that the simulator may keep
+	endpointTableCount = 16 // that the simulator may store
 )
 
 // adapter serves all instances of one simulator.
@@ -26,7 +26,8 @@
 	now            float64
 }
 
-// Serve answers frames until the input ends. An error is a malformed frame, or one of in or out.
+// Serve answers frames until the input ends, and then returns nil. It returns an error for a malformed frame or an I/O
+// error. It blocks on in and out.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{instances: map[uint32]*instance{}}
 	reader, writer := bufio.NewReaderSize(in, ioBufferBytes), bufio.NewWriterSize(out, ioBufferBytes)
@@ -85,7 +86,7 @@
 	}
 	i := a.instances[id]
 	if i == nil {
-		return nil // an event for an instance that has stopped
+		return nil // the instance has stopped
 	}
 	i.now = a.now
 	switch code {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// storeEndpointTable keeps the endpoints of a table for the endpoint lists that refer to it.
+// storeEndpointTable stores the endpoints of a table for endpoint lists that refer to it.
 func (a *adapter) storeEndpointTable(r record, tail []byte) error {
 	event, err := readEndpointTable(r, tail)
 	if int(event.table) >= len(a.endpointTables) {
@@ -131,7 +132,7 @@
 
 func errUnknownTable(number uint16) error { return fmt.Errorf("table number %d", number) }
 
-// startInstance starts an instance, in place of one with the same id.
+// startInstance starts an instance, replacing one with the same ID.
 func (a *adapter) startInstance(id uint32, r record, tail []byte) error {
 	event, err := readStart(r, tail)
 	if err != nil {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// updateEndpoints passes an endpoint list, in a table that came before, to an instance.
+// updateEndpoints passes an endpoint list, stored earlier as a table, to an instance.
 func (a *adapter) updateEndpoints(i *instance, r record) error {
 	event := readEndpointList(r)
 	if event.kind > lastListKind {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,7 +18,7 @@
 	"unheard.of=1\nclasses.count=1\nclasses.0.aim=300\nclasses.0.deadline=600\nclasses.0.value=1\n" +
 	"classes.0.semantics=unsafe\nclasses.0.group=all\nclasses.0.key_ttl=0\n"
 
-// eventRecord makes an event: its code, its instance (not for a table) and other fields by offset.
+// eventRecord builds an event from its code, its instance (except for a table) and other fields by offset.
 func eventRecord(code byte, instance uint32, fields map[int]any) []byte {
 	r := make([]byte, eventBytes)
 	r[0] = code
@@ -39,7 +39,7 @@
 	return append(append(f, body...), tail...)
 }
 
-// serve gives the actions that frames are answered by, as NAME/INSTANCE:FIELD, with a dot at the end of each frame.
+// serve returns the actions in response to frames, as NAME/INSTANCE:FIELD, with a dot at the end of each frame.
 func serve(frames ...[]byte) (string, error) {
 	var out bytes.Buffer
 	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
@@ -61,7 +61,8 @@
 	return eventRecord(eventStart, instance, map[int]any{5: uint64(9), 13: uint32(0), 17: uint32(len(settingsText))})
 }
 
-// Most events once: a table of one endpoint, an instance that restarts, requests, their outcomes, outdated events.
+// Most events occur once: a table of one endpoint, an instance that restarts, requests, their outcomes, outdated
+// events.
 func Example_roundTrip() {
 	entry := string(eventRecord(9, 0, map[int]any{0: uint32(77), 15: float32(1)})[:endpointBytes])
 	table := eventRecord(eventEndpointTable, 0, map[int]any{1: uint16(3), 3: uint32(len(settingsText)), 7: uint32(1)})
@@ -78,7 +79,7 @@
 	// . timer/5:0 timer/5:0 send/5:41 . fail/5:41 send/5:42 cancel/5:42 . send/5:43 . <nil>
 }
 
-// Malformed input ends the adapter with one line that says why.
+// Malformed input ends the adapter with a one-line error.
 func Example_badInput() {
 	good := frame(1, settingsText, startRecord(1))
 	broken := bytes.Replace(good, []byte("rules.fall="), []byte("rules.fell="), 1)
@@ -108,7 +109,7 @@
 	// unknown list kind 4
 }
 
-// A large list and a large frame: 400 endpoints, 300 instances that start on it, a request for each.
+// A large list and a large frame: 400 endpoints, 300 instances that start with them, one request each.
 func Example_large() {
 	var entries strings.Builder
 	for i := range 400 {
--- a/internal/simadapter/codes.go
+++ b/internal/simadapter/codes.go
@@ -2,12 +2,12 @@
 
 import "flintspread/internal/policy"
 
-// Codes of the records from the simulator. Those without a handler are known and ignored.
+// Codes of the records from the simulator. Codes marked as ignored are valid but have no handler.
 const (
 	eventStart         = 16 // of an instance, with its settings
 	eventEndpointList  = 17
 	eventRequest       = 18
-	eventStreaming     = 19 // the answer to a request has begun
+	eventStreaming     = 19 // the response to a request has begun
 	eventAttemptDone   = 20
 	eventClientGone    = 21
 	eventTimer         = 22
@@ -40,7 +40,7 @@
 	lastListKind = listFailed
 )
 
-// endpointState gives an endpoint's state by its code.
+// endpointState returns the endpoint state for a code.
 func endpointState(code uint8) (state policy.EndpointState, ok bool) {
 	switch code {
 	case 0:
@@ -53,7 +53,7 @@
 	return 0, false
 }
 
-// attemptOutcomes gives, by its code, the outcome of an attempt and whether the request may have run.
+// attemptOutcomes holds, by code, the outcome of an attempt and whether the request may have run.
 var attemptOutcomes = [...]struct {
 	outcome    policy.Outcome
 	mayHaveRun bool
@@ -68,10 +68,10 @@
 	{policy.NotSent, false},
 }
 
-// statusOK is the status of a release event that holds a release state.
+// statusOK is the status of a release event that contains a release state.
 const statusOK = 1
 
-// voteReply gives the policy's reply by the status of a release event that answers a vote.
+// voteReply converts the status of a vote reply to the policy's type.
 func voteReply(status uint16) policy.VoteReply {
 	const (
 		timedOut        = 3
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -1,18 +1,18 @@
 package simadapter
 
-// The events below are read from records of fixed size, each at the offsets that stand here and nowhere else. Every record begins with its
-// code (u8); all but that of an endpoint table go on with the instance (u32).
+// The events below are decoded from fixed-size records. This file is the only place that knows their field offsets.
+// Every record begins with its code (u8), followed by the instance (u32) except in an endpoint table.
 
 func eventCode(r record) uint8      { return r.u8(0) }
 func eventInstance(r record) uint32 { return r.u32(1) }
 
-// requestID reads the request that an event is about.
+// requestID reads the ID of the request that an event refers to.
 func requestID(r record) uint32 { return r.u32(5) }
 
 // timerMark reads the mark of the timer that fired.
 func timerMark(r record) uint64 { return r.u64(5) }
 
-// startEvent starts an instance. Its settings are a text in the tail.
+// startEvent starts an instance. Its settings are text in the tail.
 type startEvent struct {
 	seed     uint64
 	settings string
@@ -23,7 +23,7 @@
 	return startEvent{seed: r.u64(5), settings: string(text)}, err
 }
 
-// endpointTableEvent brings endpoints in the tail, for the endpoint lists that refer to its number.
+// endpointTableEvent stores the endpoints in its tail for endpoint lists that refer to its number.
 type endpointTableEvent struct {
 	table   uint16
 	entries []byte // of endpointBytes each
@@ -56,7 +56,7 @@
 	}
 }
 
-// endpointListEvent is an endpoint list, or that there is none.
+// endpointListEvent is an endpoint list, or the failure to get one.
 type endpointListEvent struct {
 	kind  uint8
 	table uint16
@@ -66,13 +66,13 @@
 	return endpointListEvent{kind: r.u8(5), table: r.u16(10)}
 }
 
-// requestEvent is a new request of a client.
+// requestEvent is a new client request.
 type requestEvent struct {
 	id             uint32
 	class          int
 	key            uint64
 	timeoutSeconds float64
-	workSeconds    float64 // 0: not known
+	workSeconds    float64 // 0: unknown
 	clientRetry    bool
 }
 
@@ -98,7 +98,7 @@
 // attemptDoneEvent is the outcome of an attempt.
 type attemptDoneEvent struct {
 	requestID      uint32
-	attempt        int // its index among the request's attempts
+	attempt        int // index among the request's attempts
 	outcomeCode    int
 	latencySeconds float64
 	requestEnded   bool
@@ -114,12 +114,12 @@
 	}
 }
 
-// releaseEvent is a release update, which comes by itself or in the reply to a vote.
+// releaseEvent is a release update, sent on its own or in the reply to a vote.
 type releaseEvent struct {
 	build, stage int
 	phase        uint8
 	isVoteReply  bool
-	status       uint16 // only one with statusOK holds a release state
+	status       uint16 // the release state is valid only with statusOK
 	canaryLimit  float64
 	ageSeconds   float64
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-// wrongAnswerEvent says that an endpoint gave a wrong answer some time ago.
+// wrongAnswerEvent reports that an endpoint gave a wrong answer ageSeconds ago.
 type wrongAnswerEvent struct {
 	endpoint   uint32
 	ageSeconds float64
--- a/internal/simadapter/frame.go
+++ b/internal/simadapter/frame.go
@@ -8,9 +8,9 @@
 	"math"
 )
 
-// A frame from the simulator is the length of its records and tail (u32), the clock in milliseconds (f64), the number of records (u32), the
-// records, and a tail of bytes that records refer to. A frame to the simulator is the length of its records, their number, and the
-// records. All numbers are little-endian.
+// A frame from the simulator consists of the length of its records and tail (u32), the clock in milliseconds (f64), the
+// number of records (u32), the records, and a tail of bytes that records refer to. A frame to the simulator consists of
+// the length of its records (u32), their number (u32), and the records. All numbers are little-endian.
 const (
 	lengthBytes   = 4
 	headerBytes   = 12 // clock and number of records
@@ -21,13 +21,14 @@
 )
 
 const (
-	maxTailBytes = 1 << 30 // a longer frame is malformed
-	growBytes    = 1 << 20 // by which the buffer of a frame grows
+	maxTailBytes = 1 << 30 // longer frames are malformed
+	growBytes    = 1 << 20 // increment of the buffer of a frame
 )
 
 const millisecondsPerSecond = 1000
 
-// readFrame reads a frame from its header on, into buf if it is large enough. io.EOF: the input ended between two frames.
+// readFrame reads a frame, into buf if it is large enough, and returns it without the length. The error is io.EOF if
+// the input ended between two frames.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(in, length[:]); err != nil {
@@ -51,7 +52,8 @@
 	return buf, nil
 }
 
-// readGrowing reads n bytes into a new buffer that grows as they arrive: a wrong length alone reserves nothing.
+// readGrowing reads n bytes into a new buffer that grows as they arrive, so that a wrong length alone allocates nothing
+// large.
 func readGrowing(in io.Reader, n int) ([]byte, error) {
 	var buf []byte
 	for len(buf) < n {
@@ -66,7 +68,7 @@
 
 func cutOff(n int) error { return fmt.Errorf("frame of %d bytes cut off", n) }
 
-// record is one record of fixed size; its fields are read and written by their offsets.
+// record is one fixed-size record. Its fields are accessed by offset.
 type record []byte
 
 func (r record) u8(at int) uint8    { return r[at] }
@@ -76,7 +78,7 @@
 func (r record) f32(at int) float64 { return float64(math.Float32frombits(r.u32(at))) }
 func (r record) f64(at int) float64 { return math.Float64frombits(r.u64(at)) }
 
-// seconds reads a time, which is in milliseconds.
+// seconds reads a time in milliseconds and returns it in seconds.
 func (r record) seconds(at int) float64 { return r.f64(at) / millisecondsPerSecond }
 
 func (r record) putU8(at int, v uint8)   { r[at] = v }
@@ -84,12 +86,13 @@
 func (r record) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
 func (r record) putU64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
 
-// putSeconds writes a time, in milliseconds.
+// putSeconds writes a time in seconds as milliseconds.
 func (r record) putSeconds(at int, seconds float64) {
 	r.putU64(at, math.Float64bits(seconds*millisecondsPerSecond))
 }
 
-// tail gives the part of the tail that a field refers to by offset and count; size is that of one counted item.
+// tail returns the part of the tail that the field at an offset refers to by position and count. size is the size of
+// one item in bytes.
 func (r record) tail(at int, tail []byte, size int) ([]byte, error) {
 	from, n := uint64(r.u32(at)), uint64(r.u32(at+4))*uint64(size)
 	if from+n > uint64(len(tail)) {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -10,25 +10,26 @@
 // instance is one router in the simulator: a policy with its requests in flight and its timers.
 type instance struct {
 	id         uint32
-	now        float64 // of the frame that is handled
+	now        float64 // of the frame being handled
 	balancer   *policy.Balancer
 	classCount int
-	requests   map[uint32]*policy.Request // by the simulator's number, until nothing of them is in flight
-	actions    *actionFrame               // where its actions go
+	requests   map[uint32]*policy.Request // by the simulator's ID; kept until completed with no attempt in flight
+	actions    *actionFrame               // receives the instance's actions
 
 	picks        pickQueue
 	pickSequence uint64
-	pickTimerAt  float64 // when the pick timer that is set fires, 0: none is set
-	pickTimer    uint64  // its mark
+	pickTimerAt  float64 // when the pick timer fires; 0: not set
+	pickTimer    uint64  // mark of the pick timer
 }
 
-// controllerTimer is the mark of the timer of the controller's tick. Pick timers are marked by numbers from 1.
+// controllerTimer is the mark of the timer for controller ticks. Marks of pick timers start at 1.
 const controllerTimer = 0
 
-// timerTolerance is how early a timer may come, in seconds: its time goes to the simulator and back in milliseconds.
+// timerTolerance is how early a timer may fire, in seconds, because times are rounded in the conversion to milliseconds
+// and back.
 const timerTolerance = 1e-9
 
-// updateEndpoints passes the endpoints of a table to the policy: the full list, or those that changed.
+// updateEndpoints passes the endpoints of a table to the policy, as the full list or as changes.
 func (i *instance) updateEndpoints(table []byte, full bool) error {
 	i.balancer.BeginEndpointList(full)
 	for ; len(table) > 0; table = table[endpointBytes:] {
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// onRequest takes a new request and picks for it.
+// onRequest handles a new request and picks an endpoint for it.
 func (i *instance) onRequest(event requestEvent) error {
 	if event.class >= i.classCount {
 		return fmt.Errorf("unknown class %d", event.class)
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// onAttemptDone takes the outcome of an attempt. One that is not in flight any more is ignored.
+// onAttemptDone handles the outcome of an attempt. It ignores an attempt that is no longer in flight.
 func (i *instance) onAttemptDone(event attemptDoneEvent) error {
 	if event.outcomeCode >= len(attemptOutcomes) {
 		return fmt.Errorf("unknown outcome %d", event.outcomeCode)
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// onTimer takes a timer that fired. A pick timer that an earlier one replaced is ignored.
+// onTimer handles a timer that fired. It ignores a pick timer that has been replaced by an earlier one.
 func (i *instance) onTimer(mark uint64) {
 	switch {
 	case mark == controllerTimer:
@@ -117,7 +118,7 @@
 	}
 }
 
-// pickDue picks again for the requests whose time has come. What a pick puts back into the queue waits for the next timer.
+// pickDue picks again for the requests that are due. Requests that a pick reschedules wait for the next timer.
 func (i *instance) pickDue() {
 	for left := len(i.picks); left > 0 && i.picks.isDue(i.now); left-- {
 		request := heap.Pop(&i.picks).(scheduledPick).request
@@ -139,12 +140,12 @@
 	i.actions.setTimer(i.id, tick.NextTickSeconds, controllerTimer)
 }
 
-// pick asks the policy what to do with a request now.
+// pick asks the policy for a decision on a request and executes it.
 func (i *instance) pick(request *policy.Request) {
 	i.execute(request, i.balancer.Pick(i.now, request))
 }
 
-// execute writes what the policy decided on a request as actions.
+// execute writes the policy's decision on a request as actions.
 func (i *instance) execute(request *policy.Request, decision policy.Decision) {
 	switch decision.Action {
 	case policy.Send:
--- a/internal/simadapter/picktimer.go
+++ b/internal/simadapter/picktimer.go
@@ -6,14 +6,14 @@
 	"flintspread/internal/policy"
 )
 
-// scheduledPick is a time at which the policy wants to pick again for a request.
+// scheduledPick is a time at which to pick again for a request.
 type scheduledPick struct {
 	at       float64
-	sequence uint64 // orders picks of the same time by when they were scheduled
+	sequence uint64 // orders picks with the same time by when they were scheduled
 	request  *policy.Request
 }
 
-// pickQueue is a heap of scheduled picks, the earliest first.
+// pickQueue is a heap of scheduled picks, earliest first.
 type pickQueue []scheduledPick
 
 // Len implements heap.Interface.
@@ -38,7 +38,7 @@
 	return pick
 }
 
-// isDue reports whether the time of the earliest pick has come.
+// isDue reports whether the earliest pick is due.
 func (q pickQueue) isDue(now float64) bool { return len(q) > 0 && q[0].at <= now+timerTolerance }
 
 func (i *instance) schedulePick(request *policy.Request, at float64) {
@@ -46,7 +46,7 @@
 	heap.Push(&i.picks, scheduledPick{at: at, sequence: i.pickSequence, request: request})
 }
 
-// setPickTimer sets a timer for the earliest pick, unless one for it or an earlier one is set.
+// setPickTimer sets a timer for the earliest pick, unless a timer for that time or earlier is already set.
 func (i *instance) setPickTimer() {
 	for len(i.picks) > 0 && i.picks[0].request.Completed {
 		heap.Pop(&i.picks)
