--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds what the programs have in common: exit codes, the version command, logging, and signals.
+// Package cli implements what the programs share: exit codes, the version command, logging, and signal handling.
 package cli
 
 import (
@@ -14,10 +14,10 @@
 // Exit codes.
 const (
 	ExitFailed    = 1
-	ExitBadConfig = 2 // the settings file is at fault; nothing was started
+	ExitBadConfig = 2 // the settings file is invalid; nothing was started
 )
 
-// Main runs a root command and ends the process.
+// Main runs a root command, prints its error, if any, and exits the process. It does not return.
 func Main(root *cobra.Command) {
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.AddCommand(&cobra.Command{
@@ -37,7 +37,7 @@
 	os.Exit(ExitFailed)
 }
 
-// Version names the build.
+// Version returns the module version, the revision and the Go version of the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -11,14 +11,14 @@
 	"flintspread/internal/config"
 )
 
-// Program is what Serve runs by a settings file of type T.
+// Program describes a program for Serve. T is the type of its settings.
 type Program[T any] struct {
-	Read func(file string) (*T, error)                                  // reads and checks the file
-	Log  func(*T) config.Log                                            // the part on the log
+	Read func(file string) (*T, error)                                  // reads and checks the settings file
+	Log  func(*T) config.Log                                            // returns the log settings
 	Run  func(ctx context.Context, settings *T, log *slog.Logger) error // serves until ctx ends
 }
 
-// Serve runs a program by its settings file until SIGTERM or an interrupt. SIGHUP has the file read again.
+// Serve runs a program with its settings file until SIGTERM or SIGINT. SIGHUP reloads the file.
 func Serve[T any](program Program[T], file string) error {
 	settings, err := program.Read(file)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return program.Run(ctx, settings, log)
 }
 
-// reload reads the settings file again. Only the log's level changes while the program runs; the rest is checked, so that the next start
-// does not fail on it.
+// reload reads the settings file again. Only the log level takes effect while the program runs; the rest is checked so
+// that an error shows before the next start.
 func (p Program[T]) reload(file string, log *slog.Logger, level *slog.LevelVar) {
 	settings, err := p.Read(file)
 	if err != nil {
@@ -44,7 +44,7 @@
 	log.Info("settings reloaded: the log's level counts now, the rest at the next start")
 }
 
-// newLogger makes the log that settings ask for. Its level may be changed while it is used.
+// newLogger returns a logger for the settings, and its level, which may be changed while the logger is in use.
 func newLogger(settings config.Log) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
 	setLevel(level, settings)
@@ -57,12 +57,12 @@
 
 func setLevel(level *slog.LevelVar, settings config.Log) {
 	if err := level.UnmarshalText([]byte(settings.Level)); err != nil {
-		level.Set(slog.LevelInfo) // not reached: reading the settings checks the level
+		level.Set(slog.LevelInfo) // unreachable: the level was validated with the settings
 	}
 }
 
-// onHangup calls reload on each SIGHUP until the function that it returns is called, which waits for a call that runs. The signal does not
-// end the process after that either.
+// onHangup calls reload on each SIGHUP until stop is called, which waits for a running reload. SIGHUP does not
+// terminate the process after that either.
 func onHangup(reload func()) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
