--- a/cmd/flintspread-controller/config.go
+++ b/cmd/flintspread-controller/config.go
@@ -13,7 +13,8 @@
 	"flintspread/internal/revisions"
 )
 
-// configCommand looks at the configuration versions in a program's history. It needs no running program.
+// configCommand inspects the configuration versions in a program's history. It needs no running program, and fails on a
+// store that one has open.
 func configCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Look at the configuration versions that were in force"}
 	cmd.AddCommand(configListCommand(), configShowCommand(), configDiffCommand(), configCheckCommand())
@@ -103,7 +104,7 @@
 	}
 }
 
-// withHistory opens a history file for reading while use runs.
+// withHistory opens a history file read-only, calls use and closes it.
 func withHistory(file string, use func(*revisions.Store) error) error {
 	history, err := revisions.Read(file)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return errors.Join(use(history), history.Close())
 }
 
-// version reads the version of a number on the command line.
+// version returns the version whose number was given on the command line.
 func version(history *revisions.Store, number string) (*revisions.Entry, error) {
 	n, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return history.Get(n)
 }
 
-// formatTime formats an instant in seconds since 1970.
+// formatTime formats an instant, given in seconds since 1970, in RFC 3339.
 func formatTime(at float64) string {
 	return time.Unix(0, int64(at*1e9)).UTC().Format(time.RFC3339)
 }
--- a/cmd/flintspread-controller/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -1,5 +1,5 @@
-// Command flintspread-controller judges the builds of a release from the reports of its routers: it casts the votes and sends each router
-// its assignment.
+// Command flintspread-controller is the control plane: it judges the builds of a release from the reports of its
+// routers, casts votes, and sends each router its assignment.
 package main
 
 import (
--- a/cmd/flintspread-lab/day.go
+++ b/cmd/flintspread-lab/day.go
@@ -16,15 +16,15 @@
 	"flintspread/internal/scenario"
 )
 
-// stormIntervalSeconds is the time between two configuration versions of --config-storm.
+// stormIntervalSeconds is the interval between configuration versions with --config-storm.
 const stormIntervalSeconds = 1
 
-// dayOptions are the flags of the command day.
+// dayOptions are the flags of the day command.
 type dayOptions struct {
 	jsonFile      string
-	bin           string // folder of the programs
-	keep          string // folder of settings and logs; empty: a temporary one
-	seed          uint64 // 0: the script's
+	bin           string // folder of the program binaries
+	keep          string // folder for settings and logs; empty: a temporary one
+	seed          uint64 // 0: the seed of the script
 	processFaults bool
 	configStorm   bool
 	health        bool
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-// script reads the script that flags and arguments name.
+// script reads the script selected by flags and arguments.
 func (o *dayOptions) script(args []string) (*scenario.Script, error) {
 	file := scenario.BadDay
 	switch {
@@ -92,7 +92,7 @@
 	return script, nil
 }
 
-// playOnce plays a script and prints its outcome.
+// playOnce runs a script and prints its outcome.
 func (o *dayOptions) playOnce(cmd *cobra.Command, script *scenario.Script, dir string) error {
 	if o.processFaults {
 		script.AddProcessFaults(script.Seed)
@@ -116,7 +116,7 @@
 	return printOutcome(cmd.OutOrStdout(), out)
 }
 
-// playSeeds plays a script with one seed after the other, some at once, and prints a line for each.
+// playSeeds runs a script with consecutive seeds, up to jobs of them concurrently, and prints a line for each.
 func (o *dayOptions) playSeeds(w io.Writer, script scenario.Script, dir string) error {
 	var mu sync.Mutex
 	var broken error
@@ -153,7 +153,7 @@
 	return broken
 }
 
-// playSeed plays a copy of a script with a later seed.
+// playSeed runs a copy of a script with its seed increased by offset.
 func (o *dayOptions) playSeed(script scenario.Script, offset uint64, dir string) (out *scenario.Outcome, seed uint64, err error) {
 	script.Seed += offset
 	script.Events = slices.Clone(script.Events)
--- a/cmd/flintspread-lab/experiment.go
+++ b/cmd/flintspread-lab/experiment.go
@@ -10,7 +10,7 @@
 	"flintspread/internal/experiment"
 )
 
-// experimentCommand plays a grid of runs.
+// experimentCommand executes the runs of an experiment.
 func experimentCommand() *cobra.Command {
 	var bin, out string
 	cmd := &cobra.Command{Use: "experiment FILE.edn", Short: "Play a grid of runs, go on with one that was stopped, write the report", Args: cobra.ExactArgs(1)}
--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -13,10 +13,10 @@
 	"flintspread/internal/scenario"
 )
 
-// comparisonOptions are the flags of the command witness.
+// comparisonOptions are the flags of the witness command.
 type comparisonOptions struct {
-	bin  string // folder of the programs
-	seed uint64 // the first
+	bin  string // folder of the program binaries
+	seed uint64 // first seed
 	runs int
 	jobs int
 }
@@ -46,7 +46,7 @@
 	return cmd
 }
 
-// play plays all seeds, some at once, and prints a line for each.
+// play runs all seeds, up to jobs of them concurrently, and prints a line for each.
 func (o *comparisonOptions) play(w io.Writer) ([]scenario.HealthComparison, error) {
 	dir, err := os.MkdirTemp("", "flintspread-lab-witness-")
 	if err != nil {
@@ -77,7 +77,8 @@
 	return comparisons, nil
 }
 
-// printComparisons sums up all seeds. Its last line is the verdict; the error is errRuleBroken or nil.
+// printComparisons prints a summary of all seeds, whose last line is the verdict. It returns errRuleBroken if a rule
+// was broken in any run, else nil.
 func printComparisons(w io.Writer, comparisons []scenario.HealthComparison) error {
 	liedAbout, released, broken := 0, 0, 0
 	var with, without, ratios []float64
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// spread words the ends, quartiles and median of values. It sorts them.
+// spread formats the extremes, quartiles and median of values, which it sorts in place.
 func spread(values []float64) string {
 	if len(values) == 0 {
 		return "none"
--- a/cmd/flintspread-lab/load.go
+++ b/cmd/flintspread-lab/load.go
@@ -12,7 +12,7 @@
 	"flintspread/internal/loadgen"
 )
 
-// loadCommand offers a load to an address.
+// loadCommand sends an open-loop load to an address.
 func loadCommand() *cobra.Command {
 	p := loadgen.Plan{Classes: experiment.Classes()}
 	var trace, out string
--- a/cmd/flintspread-lab/main.go
+++ b/cmd/flintspread-lab/main.go
@@ -1,4 +1,4 @@
-// Command flintspread-lab plays scenarios against real routers and controllers, offers loads, and runs experiments.
+// Command flintspread-lab runs scenarios against real routers and controllers, generates load, and runs experiments.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errRuleBroken ends the program with a failure. What broke which rule is printed before.
+// errRuleBroken makes the program exit with a failure. The details have been printed before.
 var errRuleBroken = errors.New("a rule is broken")
 
 func main() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// programFolder is the folder of the programs to run: that of this one if none is given.
+// programFolder returns the folder of the programs to run: folder, or that of this program if folder is empty.
 func programFolder(folder string) (string, error) {
 	if folder != "" {
 		return folder, nil
--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -9,7 +9,7 @@
 	"flintspread/internal/scenario"
 )
 
-// printOutcome prints what a scenario showed. Other programs read it: its last line is the verdict.
+// printOutcome prints the outcome of a scenario. Other programs parse it: its last line is the verdict.
 func printOutcome(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, event := range out.History {
@@ -33,7 +33,8 @@
 	return printVerdict(w, out)
 }
 
-// withoutController words how long requests took while a controller was away, against the rest. It is empty if none did.
+// withoutController formats the latency of requests without a controller, compared with the others. It returns "" if
+// there were none.
 func withoutController(out *scenario.Outcome) string {
 	without, with := out.SucceededWithoutController, out.SucceededWithController
 	if without.N == 0 || with.P99 == 0 {
@@ -42,7 +43,8 @@
 	return fmt.Sprintf(" (%d without a planner: p99 %.3f s, %.2f times)", without.N, without.P99, without.P99/with.P99)
 }
 
-// printVerdict prints the first breaches, and a line that tells which rules are broken. The error is errRuleBroken or nil.
+// printVerdict prints the first breaches of each rule, and a line that names the broken rules. It returns errRuleBroken
+// if there are any, else nil.
 func printVerdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, rule := range out.Rules {
--- a/cmd/flintspread-router/main.go
+++ b/cmd/flintspread-router/main.go
@@ -1,4 +1,5 @@
-// Command flintspread-router forwards requests from clients to endpoints, and moves traffic between builds.
+// Command flintspread-router is the data plane: it forwards requests from clients to endpoints, and shifts traffic
+// between builds.
 package main
 
 import (
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,5 @@
-// Command sim-adapter answers the frames that the simulator writes to its standard input with the policy's decisions on standard output.
+// Command sim-adapter reads frames of events from the simulator on standard input and writes the policy's decisions to
+// standard output.
 package main
 
 import (
