--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -81,8 +81,9 @@
 	SlowStartInitialShare float64 `edn:"cold-from" validate:"gt=0,lte=1"`
 	// SlowStartSeconds is the time until an endpoint reaches its full capacity.
 	SlowStartSeconds float64 `edn:"warm-up" validate:"gte=0"`
-	// SlowStartOverloadFactor and SlowStartOverloadSeconds say when an endpoint in slow start fails: under a load of
-	// SlowStartOverloadFactor times its current capacity for SlowStartOverloadSeconds.
+	// SlowStartOverloadFactor and SlowStartOverloadSeconds say when an endpoint in slow start fails: when its traffic over
+	// SlowStartOverloadSeconds is above SlowStartOverloadFactor times the mean traffic per endpoint, scaled by its
+	// current share of its capacity.
 	SlowStartOverloadFactor  float64 `edn:"fall-multiple" validate:"gte=1"`
 	SlowStartOverloadSeconds float64 `edn:"fall-time" validate:"gt=0"`
 	// CanaryWindowSeconds is the length of the window over which the canary traffic limit is counted. It must be at
