--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -22,9 +22,9 @@
 
 	fileMode = 0o644
 
-	// brokenFileSuffix is appended to the name of a broken store when it is set aside; the number is the time in
+	// brokenFileSuffixFormat is appended to the name of a broken store when it is set aside; the number is the time in
 	// nanoseconds since 1970.
-	brokenFileSuffix = ".bad-%d"
+	brokenFileSuffixFormat = ".bad-%d"
 )
 
 // Open opens a store and reads all of it, with bbolt's consistency check and then the caller's check, so that
@@ -90,7 +90,7 @@
 	if err == nil || errors.Is(err, ErrInUse) {
 		return db, "", err
 	}
-	name := file + fmt.Sprintf(brokenFileSuffix, time.Now().UnixNano())
+	name := file + fmt.Sprintf(brokenFileSuffixFormat, time.Now().UnixNano())
 	if renameErr := os.Rename(file, name); renameErr != nil {
 		return nil, "", errors.Join(err, renameErr)
 	}
--- a/internal/xds/endpoints.go
+++ b/internal/xds/endpoints.go
@@ -22,9 +22,6 @@
 // maxStartedAt bounds an endpoint's start, in seconds since 1970. A larger number is in another unit by mistake.
 const maxStartedAt = 1e11
 
-// Endpoint states are those of package endpoints.
-const ()
-
 // EndpointUpdate converts endpoint assignments to a full endpoint list. The endpoint metadata under "flintspread" must
 // contain id and build, and may contain zone, cell and start. The health status decides between ready and draining; an
 // unhealthy endpoint is left out, which removes it from the list.
