--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -41,7 +41,7 @@
 		return
 	}
 	setLevel(level, p.Log(settings))
-	log.Info("settings reloaded: the log's level counts now, the rest at the next start")
+	log.Info("settings reloaded: log level applied, other changes need a restart")
 }
 
 // newLogger returns a logger for the settings, and its level, which may be changed while the logger is in use.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -44,9 +44,9 @@
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
 	// DrainTimeoutSeconds is the longest time that a graceful shutdown waits for requests in flight.
 	DrainTimeoutSeconds float64 `edn:"drain-time" validate:"gt=0"`
-	// EvictIdleAbove is the number of connections above which an idle one is closed for each accepted one; 0: never. It
+	// EvictIdleFrom is the number of connections from which on an idle one is closed for each accepted one; 0: never. It
 	// cannot be set in a file.
-	EvictIdleAbove int `edn:"-"`
+	EvictIdleFrom int `edn:"-"`
 }
 
 // Endpoints limits the connections to endpoints.
@@ -66,8 +66,9 @@
 
 // Rules are the limits that routers observe towards clients and endpoints.
 type Rules struct {
-	// Routers is the number of routers that share the endpoints.
-	Routers int `edn:"relays" validate:"gt=0"`
+	// RouterGroups is the number of router groups that share the endpoints. Each casts one vote; the routers of one
+	// controller are a group, and a router without a controller is one by itself.
+	RouterGroups int `edn:"relays" validate:"gt=0"`
 	// TimerResolutionSeconds is the resolution of the router's timers. Answers are sent two to three times this before
 	// the client's timeout.
 	TimerResolutionSeconds float64 `edn:"round" validate:"gt=0"`
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -35,7 +35,7 @@
 		return policy.Config{}, src.fieldError(":rules :keys-kept", "one-way keys need room for some")
 	}
 	c := policy.Config{
-		Routers:                  rules.Routers,
+		RouterGroups:             rules.RouterGroups,
 		RollbackVotes:            release.RollbackVotes,
 		TimerResolutionSeconds:   rules.TimerResolutionSeconds,
 		AllowHedging:             rules.AllowHedging,
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -25,7 +25,7 @@
 // Outcome is the result of offering a version.
 type Outcome int
 
-// The outcomes. Their strings are part of acknowledgements and logs.
+// The outcomes.
 const (
 	Applied        Outcome = iota
 	AlreadyApplied         // it is already in force, for instance because its acknowledgement was lost
@@ -35,9 +35,12 @@
 
 var outcomeNames = [...]string{Applied: "applied", AlreadyApplied: "again", Waiting: "waits", Rejected: "turned down"}
 
-// String returns the outcome's name in logs and acknowledgements.
+// String returns the outcome's name, for logs and tests.
 func (o Outcome) String() string { return outcomeNames[o] }
 
+// ErrOvertaken says that a waiting version was rejected because another one came into force first.
+var ErrOvertaken = errors.New("overtaken by another version while it waited")
+
 // State holds the version in force and the one that waits for its endpoint list.
 type State struct {
 	current        *Version
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -67,7 +67,7 @@
 						assignmentBytes += len(assignment)
 					}
 					c.mu.Lock()
-					c.balancer.TickController(c.now())
+					c.balancer.TickAndVote(c.now())
 					c.mu.Unlock()
 				}
 				const intervalsPerSecond = 10
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"sync"
 
 	"flintspread/internal/configstate"
@@ -12,9 +11,8 @@
 	"flintspread/internal/xds"
 )
 
-// errVersionOvertaken rejects a version that was replaced by a newer one while waiting for the routers. Its text is
+// configstate.ErrOvertaken rejects a version that was replaced by a newer one while waiting for the routers. Its text is
 // sent in a NACK.
-var errVersionOvertaken = errors.New("overtaken by another version while it waited")
 
 // configVersions receives configuration versions from control services, proposes each to the routers, and puts it into
 // force once all of them report that they can apply it. Only one version is proposed at a time; a newer one replaces
@@ -60,7 +58,8 @@
 	return c.applyEndpointUpdate(update)
 }
 
-// conditions returns what a version must fit at the controller; routers check their own and report the result. The
+// conditions returns what a version must fit at the controller; routers check their own and report the result. The list
+// version is set to the required one, so that State.Check never waits: Proposal.Decide waits for the list instead. The
 // caller holds the controller's lock.
 func (v *configVersions) conditions(version *configstate.Version) configstate.Conditions {
 	conditions := configstate.Conditions{ListVersion: version.RequiredListVersion}
@@ -114,7 +113,7 @@
 		if v.state.Current().Number == version.Number {
 			return configstate.Applied, false, nil
 		}
-		return configstate.Rejected, false, errVersionOvertaken
+		return configstate.Rejected, false, configstate.ErrOvertaken
 	}
 	outcome, err = proposal.Decide(c.now(), c.leader.Routers(), c.endpointList.Version)
 	if outcome == configstate.Waiting {
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -36,7 +36,7 @@
 	}
 	c.acceptReport(canaryFailureReport(8))
 	c.mu.Lock()
-	verdict := c.balancer.TickController(c.now()).Verdict
+	verdict := c.balancer.TickAndVote(c.now()).Verdict
 	c.mu.Unlock()
 	if verdict != policy.VoteRollback {
 		t.Error("no vote on the report that was read")
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -6,14 +6,12 @@
 	"sync"
 
 	"flintspread/internal/controlrpc/linkpb"
+	"flintspread/internal/endpoints"
 	"flintspread/internal/metricsanalysis"
 	"flintspread/internal/policy"
 	"flintspread/internal/promclient"
 )
 
-// goneState is the state of an endpoint that has left the list.
-const goneState = "gone"
-
 // metricsEvidence connects the controller to its query servers: it feeds the counts merged from their answers to the
 // policy, and health marks to the routers.
 type metricsEvidence struct {
@@ -54,7 +52,7 @@
 	var analysed []metricsanalysis.Endpoint
 	var fleet promclient.Fleet
 	for endpoint := range m.controller.endpointList.All() {
-		if endpoint.State == goneState {
+		if endpoint.State == endpoints.StateGone {
 			continue
 		}
 		analysed = append(analysed, metricsanalysis.Endpoint{ID: endpoint.ID, Build: endpoint.Build, StartedAt: endpoint.StartedAt})
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -48,9 +48,9 @@
 	c.shedLoad(now)
 	marksChanged = c.metricsEvidence != nil && c.metricsEvidence.tick(now)
 	if c.leader.IsLeader() {
-		result = c.balancer.TickController(now)
+		result = c.balancer.TickAndVote(now)
 	} else {
-		result = c.balancer.TickRouter(now)
+		result = c.balancer.Tick(now)
 	}
 	c.nextTickAt = now + result.NextTickSeconds
 	return result, marksChanged
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -38,7 +38,8 @@
 	// goroutine, and must not block.
 	FillReport func(report *linkpb.Digest)
 	// ApplyAssignment applies an accepted assignment. endpoints and release report whether these parts are new;
-	// leaseEndsAt is the end of its lease on the clock of Now. It is called from one goroutine and must not block.
+	// leaseEndsAt is the end of its lease on the clock of Now. It is called from one goroutine and may block on disk writes; meanwhile
+	// no further assignment is read, and the silence limit keeps running.
 	ApplyAssignment func(assignment *linkpb.View, endpoints, release bool, leaseEndsAt float64)
 
 	mu             sync.Mutex // guards the fields below
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -57,7 +57,7 @@
 
 func (s *simulation) startRouter(i int) {
 	s.lastIncarnation++
-	config := policy.Config{Routers: 1, RollbackVotes: 1, TimerResolutionSeconds: 0.001, MaxAttempts: 1, AllowCancel: true, MaxRetryAfterSeconds: 1, ConnIdleSeconds: 15, RequestsPerConn: 100,
+	config := policy.Config{RouterGroups: 1, RollbackVotes: 1, TimerResolutionSeconds: 0.001, MaxAttempts: 1, AllowCancel: true, MaxRetryAfterSeconds: 1, ConnIdleSeconds: 15, RequestsPerConn: 100,
 		Classes:               []policy.RequestClass{{LatencyObjectiveSeconds: 0.5, TimeoutSeconds: 1, PriorityWeight: 1}},
 		SlowStartInitialShare: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 2,
 		CanaryWindowSeconds: canaryWindowSeconds, CanaryFreeAttempts: canaryFreeAttempts, CanaryLimits: []float64{canaryLimit, 1}, StageShares: []float64{0.1, 1},
--- a/internal/loadshed/limit.go
+++ b/internal/loadshed/limit.go
@@ -11,12 +11,12 @@
 
 // The limit is cut while the pressure is above 1.
 const (
-	cutPerPressure      = 0.05    // share of the admitted work removed by a cut, per unit of pressure
-	minKeptByCut        = 0.7     // minimum share of the admitted work that a cut leaves
-	cutFloor            = 1.0 / 2 // minimum share of the best rate that a cut leaves: below it, admitted work is not the cause
-	settleSeconds       = 0.3     // minimum time between cuts, plus twice the process's delay
-	worsePressureFactor = 1.5     // multiple of the last cut's pressure above which the next cut does not wait
-	episodeSeconds      = 2.0     // time after a cut in which further cuts belong to the same overload
+	cutPerPressure        = 0.05    // share of the admitted work removed by a cut, per unit of pressure
+	minKeptByCut          = 0.7     // minimum share of the admitted work that a cut leaves
+	cutFloor              = 1.0 / 2 // minimum share of the best rate that a cut leaves: below it, admitted work is not the cause
+	minCutIntervalSeconds = 0.3     // minimum time between cuts, plus twice the process's delay
+	worsePressureFactor   = 1.5     // multiple of the last cut's pressure above which the next cut does not wait
+	episodeSeconds        = 2.0     // time after a cut in which further cuts belong to the same overload
 )
 
 // The limit grows while the pressure is low and most of the limit is used.
@@ -106,7 +106,7 @@
 // mayCut reports whether the limit may be cut again. A backlog takes a while to drain: cutting on
 // every sample meanwhile would go far too deep.
 func (s *Shedder) mayCut(now, pressure float64) bool {
-	return now >= s.lastCutAt+settleSeconds+2*s.delaySeconds || pressure > worsePressureFactor*s.lastCutPressure
+	return now >= s.lastCutAt+minCutIntervalSeconds+2*s.delaySeconds || pressure > worsePressureFactor*s.lastCutPressure
 }
 
 // cutLimit cuts the limit below the admitted rate.
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -73,7 +73,7 @@
 		maxListBytes:     limits.BufferBytes / 2,
 		registry:         discovery.Registry{KeepSeconds: keepHostSeconds},
 		httpClient:       &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}},
-		shutdownPlan:     loadshed.PlanShutdown(longestTimeoutSeconds(policyConfig.Classes)),
+		shutdownPlan:     loadshed.PlanShutdown(policyConfig.LongestTimeoutSeconds()),
 	}
 	n.watches, n.stopWatches = context.WithCancel(context.Background())
 	n.platform = &control.Client{
@@ -109,7 +109,7 @@
 func proxySettings(settings *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
 	clients := config.Clients{
 		MaxConns:           limits.ClientConns,
-		EvictIdleAbove:     limits.IdleEvictionThreshold,
+		EvictIdleFrom:      limits.IdleEvictionThreshold,
 		ReadTimeoutSeconds: clientReadSeconds,
 		IdleTimeoutSeconds: clientIdleSeconds,
 	}
@@ -122,14 +122,6 @@
 	return config.ForPlatform(settings.Name, policyConfig, settings.ClassNames, clients, upstreams, limits.BufferBytes)
 }
 
-func longestTimeoutSeconds(classes []policy.RequestClass) float64 {
-	longest := 0.0
-	for _, class := range classes {
-		longest = max(longest, class.TimeoutSeconds)
-	}
-	return longest
-}
-
 // Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every
 // goroutine that it started has ended. It must be called only once.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
@@ -194,7 +186,7 @@
 // does not block. An old address stays in use until the new one answers; for discovery, at most for handoverTimeout.
 func (n *Node) Reload(settings *Config) {
 	if n.settings.needsRestart(settings) {
-		n.log.Warn("the configuration has other settings or limits than those in force; they count from the next start")
+		n.log.Warn("settings changed that need a restart; only the addresses were applied")
 	}
 	n.platform.SetAddress(settings.PlatformAddress)
 	n.mu.Lock()
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -77,7 +77,7 @@
 // objective. When it cuts the limit, it keeps at least this router's even share of two attempts
 // per endpoint, the number in flight in an idle fleet.
 func (b *Balancer) adjustConcurrencyLimit() {
-	least := minInFlight + minInFlightPerEndpoint*b.leasedShare*float64(b.readyCount)/float64(b.config.Routers)
+	least := minInFlight + minInFlightPerEndpoint*b.leasedShare*float64(b.readyCount)/float64(b.config.RouterGroups)
 	b.latencyRatio, b.maxTypicalLatency = 0, slices.Max(b.typicalLatency)
 	for i, class := range b.config.Classes {
 		b.latencyRatio = max(b.latencyRatio, b.typicalLatency[i]/class.LatencyObjectiveSeconds)
--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -1,7 +1,7 @@
 package policy
 
 // What counts as evidence on a release, and what is attributed to other causes.
-// docs/design.md gives the reasons (exceptions 1 and 3 to 7).
+// docs/design.md, "Changed", gives the reasons (1 and 3 to 7).
 const (
 	settleSeconds     = 2.0  // time after an endpoint's start in which outcomes are not counted
 	slowLatencyFactor = 2.0  // multiple of the baseline's median latency above which an answer is slow
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -141,8 +141,9 @@
 	SubscribeToEndpoints bool // subscribe to the endpoint list
 }
 
-// TickRouter does a router's periodic work. It casts no vote.
-func (b *Balancer) TickRouter(now float64) TickResult {
+// Tick does the periodic work of a balancer that does not vote: a router's that has a controller, or a controller's that
+// a newer one has superseded.
+func (b *Balancer) Tick(now float64) TickResult {
 	b.noteCall(now)
 	if now-b.limitAdjustedAt >= limitAdjustSeconds-b.config.TimerResolutionSeconds {
 		b.limitAdjustedAt = now
@@ -155,10 +156,10 @@
 	return TickResult{NextTickSeconds: tickSeconds}
 }
 
-// TickController does the periodic work of a balancer that also votes: that of TickRouter, the subscription to the
+// TickAndVote does the periodic work of a balancer that also votes: that of Tick, the subscription to the
 // endpoint list, and the vote that the evidence calls for.
-func (b *Balancer) TickController(now float64) TickResult {
-	result := b.TickRouter(now)
+func (b *Balancer) TickAndVote(now float64) TickResult {
+	result := b.Tick(now)
 	if b.config.SubscribeToEndpoints && !b.subscribed && now-b.subscribedAt >= subscribeRetrySeconds {
 		result.SubscribeToEndpoints, b.subscribedAt = true, now
 	}
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -3,7 +3,7 @@
 // Config is the configuration of a Balancer. It must not be changed once passed to New or
 // SetConfig. Durations are seconds.
 type Config struct {
-	Routers                int     // number of routers that share the endpoints
+	RouterGroups           int     // router groups that share the endpoints; each casts one vote, and a router without a controller is one
 	RollbackVotes          int     // votes needed to roll a release back; 0 counts as 1
 	TimerResolutionSeconds float64 // precision of the caller's timers; attempts end two to three times this early
 	Classes                []RequestClass
@@ -46,6 +46,15 @@
 	VotesPerSecond         float64 // votes that the release service accepts from all routers together
 }
 
+// LongestTimeoutSeconds returns the longest request timeout of all classes.
+func (c *Config) LongestTimeoutSeconds() float64 {
+	longest := 0.0
+	for _, class := range c.Classes {
+		longest = max(longest, class.TimeoutSeconds)
+	}
+	return longest
+}
+
 // RequestClass describes a class of similar requests.
 type RequestClass struct {
 	LatencyObjectiveSeconds float64 // an answer later than this is worth nothing
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -24,7 +24,7 @@
 // 4 of build 7, long past slow start.
 func newFleet(edit func(*Config)) *fleet {
 	t := Config{
-		Routers: 2, TimerResolutionSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
+		RouterGroups: 2, TimerResolutionSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
 		Classes: []RequestClass{
 			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: Idempotent, DedupWindowSeconds: 1},
 			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: IdempotentWithKey, DedupWindowSeconds: 1},
@@ -116,7 +116,7 @@
 // vote ticks until a vote is cast or the time is up, and prints the vote.
 func (f *fleet) vote(secs float64, reply VoteReply) {
 	for end := f.now + secs; f.now < end; {
-		t := f.b.TickController(f.now)
+		t := f.b.TickAndVote(f.now)
 		if t.CastVote {
 			names := [...]string{"none", "promote", "hold", "rollback"}
 			fmt.Printf("vote %s on build %d stage %d\n", names[t.Verdict], t.Build, t.Stage)
--- a/internal/policy/longlife_test.go
+++ b/internal/policy/longlife_test.go
@@ -27,7 +27,7 @@
 	}
 	for i := range uint64(400) {
 		ask(i + 1)
-		f.b.TickController(f.now)
+		f.b.TickAndVote(f.now)
 	}
 	fmt.Println("as canary: kept", len(f.b.buildByKey), "keys, canary attempts above 0:", trial > 0)
 	for i := range uint64(400) {
@@ -44,7 +44,7 @@
 		for i := range uint64(100) {
 			ask(uint64(day)*1000 + i)
 		}
-		f.b.TickController(f.now)
+		f.b.TickAndVote(f.now)
 	}
 	fmt.Println("after 100 changes: endpoints", len(f.b.endpoints), len(f.b.endpointByID), "samples", len(f.b.localCounts), "went back", back)
 	f.b.ApplyRelease(f.now, 8, 2, PhaseRollingBack, 0, 0)
@@ -106,7 +106,7 @@
 	for range 6 {
 		for _, f := range routers {
 			f.now += 4
-			f.b.TickRouter(f.now)
+			f.b.Tick(f.now)
 			trial(f)
 		}
 	}
--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -6,7 +6,7 @@
 )
 
 // MaxSPRT-AB, the sequential test that compares the canary's failures to the baseline's. docs/design.md gives the
-// reasons ("Kept", and exceptions 1 to 3 and 8).
+// reasons ("Kept", and 1 to 3 and 8 of "Changed").
 const (
 	rollbackThreshold   = 3.0  // log-likelihood ratio in nats, before ln(routers) is added
 	minCanaryOutcomes   = 20.0 // canary outcomes required for a vote to roll back, all voters together
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -62,7 +62,7 @@
 	}
 	seen := b.visibleShare(kind)
 	if seen == 0 { // no own sample can contradict metrics; as all routers share one source, they count as one
-		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.Routers))))
+		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.RouterGroups))))
 	}
 	claimed, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
 	observedBaseline, observedCanary := observed[baseline], observed[canary]
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -18,12 +18,20 @@
 //
 // A retry is refused for good, by finalAnswer once nothing is in flight, if
 //   - the deadline or the latency objective is too near (outOfTime);
-//   - no attempts are left, or one of them may have run and a retry could have a second effect (retryIsSafe);
+//   - no attempts are left (attemptsLeft);
+//   - an earlier attempt may have run and another could have a second effect (retryIsSafe);
 //   - the retry budget is empty (retryAffordable);
 //   - the request needs too much work to be answered in time (tooHeavy).
 //
-// It is postponed while an attempt is in flight whose endpoint may still answer (unresponsive), and while no endpoint
-// may accept it (eligible, hasSlowStartToken). The concurrency limit applies only to first attempts.
+// While an attempt is in flight, a refusal is silent, and so is the lack of an endpoint: the request is picked again
+// when an attempt ends. A hedged request needs AllowHedging and an endpoint in flight that is unresponsive; without
+// AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With nothing in flight, a request that
+// no endpoint may accept is held. Left out are endpoints that are not ready, that the request is at or was just lost at
+// (mustAvoid), that would not recognise its key (leavesDedupScope), whose build is older than the key's (keyAllows),
+// canaries above their traffic limit (canaryAllowance), and those in slow start without a token (hasSlowStartToken).
+// The concurrency limit applies only to first attempts.
+//
+// Requests that are completed or streaming their answer get no further attempt.
 func (b *Balancer) Pick(now float64, r *Request) Decision {
 	b.noteCall(now)
 	if r.Config == nil {
@@ -40,7 +48,7 @@
 		return Decision{PickAgainAt: now + b.attemptTimeout(r)}
 	}
 	isRetry := len(r.Attempts) > 0
-	if b.outOfTime(now, r) || !b.retryIsSafe(now, r) || isRetry && !b.retryAffordable(r) {
+	if b.outOfTime(now, r) || !r.attemptsLeft() || !b.retryIsSafe(now, r) || isRetry && !b.retryAffordable(r) {
 		return b.finalAnswer(now, r)
 	}
 	if inFlight > 0 && !r.Config.AllowHedging {
@@ -72,7 +80,7 @@
 
 // send starts an attempt; the decision includes when to pick again if the endpoint stays silent.
 func (b *Balancer) send(now float64, r *Request, e *endpoint) Decision {
-	if len(r.Attempts) > 0 && !r.NotConnected { // an attempt that did not reach its endpoint has caused no load
+	if len(r.Attempts) > 0 && !r.LastUnreached { // an attempt that did not reach its endpoint has caused no load
 		b.retryTokens--
 	}
 	if e.inFlight == 0 {
@@ -102,7 +110,7 @@
 	b.noteCall(now)
 	e := b.endpointByID[endpointID]
 	b.recordConnection(now, e, outcome)
-	r.NotConnected = outcome == NotConnected || outcome == NotSent
+	r.LastUnreached = outcome == NotConnected || outcome == NotSent
 	e.inFlight--
 	e.workInFlight -= r.Work
 	b.inFlight--
@@ -147,7 +155,7 @@
 	}
 	var bestCost float64
 	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
-		needConn := manyConnsFail && (draw != 1 || r.NotConnected) // the second draw may open a new connection
+		needConn := manyConnsFail && (draw != 1 || r.LastUnreached) // the second draw may open a new connection
 		e := b.drawEndpoint(now, r, group, needConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
 			continue
@@ -180,15 +188,16 @@
 // eligible reports whether a request may be sent to an endpoint at all, whatever its load.
 func (b *Balancer) eligible(now float64, r *Request, e *endpoint) bool {
 	for i := range r.Attempts {
-		if b.triedThere(r, &r.Attempts[i], e) || b.leavesDedupScope(r, &r.Attempts[i], e) {
+		if b.mustAvoid(r, &r.Attempts[i], e) || b.leavesDedupScope(r, &r.Attempts[i], e) {
 			return false
 		}
 	}
 	return e.ready && b.keyAllows(r, e) && (!b.isCanary(e.build) || b.canaryAllowance(now, r, e.build) >= 1)
 }
 
-// triedThere reports whether an attempt is in flight at an endpoint, or was just lost there.
-func (b *Balancer) triedThere(r *Request, attempt *Attempt, e *endpoint) bool {
+// mustAvoid reports whether an attempt is in flight at an endpoint or, without hedging, the request's only attempt so
+// far was lost there: another endpoint is likelier to answer. Later retries may return to it.
+func (b *Balancer) mustAvoid(r *Request, attempt *Attempt, e *endpoint) bool {
 	if b.endpointByID[attempt.Endpoint] != e {
 		return false
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -3,19 +3,19 @@
 // Request is one request until its last attempt has ended. The caller owns it, appends an Attempt for each Send, and
 // updates it as attempts end; Pick sets Config and FirstSeenAt and normalises Work.
 type Request struct {
-	ID           uint32
-	Class        int     // index into Config.Classes
-	Config       *Config // in force when it was received; set by the first Pick if nil
-	Key          uint64  // deduplication or one-way key; 0: none
-	ReceivedAt   float64
-	FirstSeenAt  float64 // estimated time of the client's first try
-	Deadline     float64 // when its client stops waiting
-	Work         float64 // expected work, 0: unknown; from the first Pick on relative to the typical request
-	ClientRetry  bool    // the client has marked it as a retry
-	Streaming    bool    // part of the answer has been sent to the client; set by callers that stream answers
-	Completed    bool    // it has its final answer, or the client has gone
-	NotConnected bool    // the attempt that ended last did not reach its endpoint
-	Attempts     []Attempt
+	ID            uint32
+	Class         int     // index into Config.Classes
+	Config        *Config // in force when it was received; set by the first Pick if nil
+	Key           uint64  // deduplication or one-way key; 0: none
+	ReceivedAt    float64
+	FirstSeenAt   float64 // estimated time of the client's first try
+	Deadline      float64 // when its client stops waiting
+	Work          float64 // expected work, 0: unknown; from the first Pick on relative to the typical request
+	ClientRetry   bool    // the client has marked it as a retry
+	Streaming     bool    // part of the answer has been sent to the client; set by callers that stream answers
+	Completed     bool    // it has its final answer, or the client has gone
+	LastUnreached bool    // the attempt that ended last never reached its endpoint (NotConnected, NotSent): a retry costs no token
+	Attempts      []Attempt
 }
 
 // Attempt is one attempt to send a request to an endpoint.
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -37,13 +37,13 @@
 	return r.Deadline - attemptMargin*r.Config.TimerResolutionSeconds
 }
 
+// attemptsLeft reports whether a request may have another attempt. Those that were never sent count too.
+func (r *Request) attemptsLeft() bool { return len(r.Attempts) < r.Config.MaxAttempts }
+
 // retryIsSafe reports whether a further attempt can't cause a second effect (rule 2). A request may be sent again if no
 // attempt can have run, if it is idempotent, or if it has a key and, for every attempt, the window in which endpoints
 // recognise the key is still open. leavesDedupScope restricts where it may be sent then.
 func (b *Balancer) retryIsSafe(now float64, r *Request) bool {
-	if len(r.Attempts) >= r.Config.MaxAttempts {
-		return false
-	}
 	class := r.class()
 	for _, attempt := range r.Attempts {
 		neverRan := !attempt.MayHaveRun && !attempt.InFlight
@@ -76,7 +76,7 @@
 
 // retryAffordable reports whether the retry budget allows another attempt. A retry after an
 // attempt that did not reach its endpoint is free.
-func (b *Balancer) retryAffordable(r *Request) bool { return b.retryTokens >= 1 || r.NotConnected }
+func (b *Balancer) retryAffordable(r *Request) bool { return b.retryTokens >= 1 || r.LastUnreached }
 
 // finalAnswer returns a request's final answer: a rejection if a retry by the client is harmless, else a failure. While
 // an attempt is in flight it returns no action, as that attempt may still succeed.
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -165,7 +165,7 @@
 	f := newFleet(nil)
 	f.run(300, 3, func(uint32, int) (Outcome, float64) { return Succeeded, 0.25 })
 	for i := 0; i < 20; i++ {
-		f.b.TickController(f.now)
+		f.b.TickAndVote(f.now)
 		f.now += 0.25
 	}
 	for _, op := range []int{0, 2} {
@@ -211,11 +211,11 @@
 func Example_processPause() {
 	f := newFleet(nil)
 	f.run(40, 2, fine)
-	f.b.TickController(f.now)
+	f.b.TickAndVote(f.now)
 	for _, pause := range []float64{0.2, 1.2} {
 		c, s := f.request(0)
 		u := f.b.endpointByID[s.Endpoint]
-		f.b.TickController(f.now + 0.09)
+		f.b.TickAndVote(f.now + 0.09)
 		f.now += 0.1 + pause
 		f.answer(c, TimedOut)
 		fmt.Printf("after %.1f s: failing %v\n", pause, f.b.outlierScore(f.now, u) > 0)
@@ -230,7 +230,7 @@
 	for _, n := range []int{1, 100} {
 		sum := 0
 		for i := 0; i < n; i++ {
-			f := newFleet(func(t *Config) { t.Routers = n })
+			f := newFleet(func(t *Config) { t.RouterGroups = n })
 			f.b.random.seed = uint64(i)
 			f.run(400/n, 4, fine)
 			f.list(false, endpointEntry{id: 4, build: 7, since: f.now})
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// When a vote is cast, and which. docs/design.md gives the reasons (exceptions 0, 8 and 11).
+// When a vote is cast, and which. docs/design.md, "Changed", gives the reasons (0, 8 and 11).
 const (
 	voteRetrySeconds         = 0.5  // time until a vote that did not count is cast again
 	holdThreshold            = 0.75 // fraction of the rollback threshold above which automatic stages are held
 	doubtThreshold           = 0.5  // fraction of it above which nothing is promoted and a vote to roll back is kept
 	promoteWaitSeconds       = 3.7  // time since the newest canary endpoint and the stage started, with enough outcomes
 	promoteWaitFewSeconds    = 5.0  // the same with fewer outcomes, if waiting can provide them
-	promoteUnseenWaitSeconds = 9.0  // stage age from which the list need not show it; list age above which it is in doubt
+	promoteUnseenWaitSeconds = 9.0  // stage age from which the list need not show the stage
+	maxPromoteListAgeSeconds = 9.0  // list age above which nothing is promoted
 )
 
 // Verdict is a vote on a release. The numbers are those of the platform's and the controller's protocols.
@@ -89,7 +90,8 @@
 	if b.release.over() || b.votePending || now < b.noVoteBefore || !b.changesVote(now, wanted) {
 		return wanted, false
 	}
-	tooSoon := now-b.voteSentAt < float64(b.config.Routers)/b.config.VotesPerSecond
+	// All routers share the rate of votes that the release service accepts; a rollback does not wait.
+	tooSoon := now-b.voteSentAt < float64(b.config.RouterGroups)/b.config.VotesPerSecond
 	return wanted, wanted.verdict == VoteRollback || !tooSoon
 }
 
@@ -122,7 +124,7 @@
 		return VoteHold
 	case b.config.AutomaticStages || b.release.phase == PhaseReleased:
 		return VoteNone // nothing to promote, or promotion needs no vote
-	case evidence > doubtThreshold || b.endpointListAge > promoteUnseenWaitSeconds:
+	case evidence > doubtThreshold || b.endpointListAge > maxPromoteListAgeSeconds:
 		return VoteNone // nothing is promoted while in doubt
 	case b.mayPromote(now, counts):
 		return VotePromote
@@ -145,7 +147,7 @@
 // routers must cross: the threshold is set so that this is as unlikely. Wrong answers are observed by each router
 // independently; errors and lateness affect many routers at once, so that k routers only share the guard.
 func (b *Balancer) thresholdFor(kind int) float64 {
-	n, k := float64(b.config.Routers), float64(b.rollbackVotes())
+	n, k := float64(b.config.RouterGroups), float64(b.rollbackVotes())
 	if kind == wrongAnswer {
 		return (rollbackThreshold + logBinomial(n, k)) / k
 	}
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -183,7 +183,7 @@
 // With many routers and endpoints, each endpoint is met once or twice, and a rollback takes many votes.
 func Example_manyEndpoints() {
 	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
-		f := newFleet(func(t *Config) { t.Routers, t.RollbackVotes = 300, 45 })
+		f := newFleet(func(t *Config) { t.RouterGroups, t.RollbackVotes = 300, 45 })
 		for i := uint32(0); i < 100; i++ {
 			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, since: 80})
 		}
--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -20,7 +20,7 @@
 func Decode(values Values) (policy.Config, error) {
 	d := &decoder{values: values}
 	config := policy.Config{
-		Routers:                  d.integer("balancers"),
+		RouterGroups:             d.integer("balancers"),
 		RollbackVotes:            d.integer("family_info.noes_needed"),
 		TimerResolutionSeconds:   d.seconds("round"),
 		SubscribeToEndpoints:     d.choice("discovery", "push", "ask") == 1,
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -36,8 +36,8 @@
 }
 
 // newRequest creates the request for a message. Its deadline is the earliest of its class's timeout, the client's
-// timeout and the proxy's answer deadline. Both timeouts count from when the kernel received the message. The caller
-// holds p.mu.
+// timeout and the proxy's answer deadline. Both timeouts count from when the kernel received the message, where
+// that was measured, else from now. The caller holds p.mu.
 func (p *Proxy) newRequest(now float64, conn *clientConn, message *message, config *configstate.Version, class int, pending *pendingAnswer) *request {
 	deadline := now + config.Policy.Classes[class].TimeoutSeconds
 	if message.timeoutSeconds > 0 {
--- a/internal/proxy/answer_queue.go
+++ b/internal/proxy/answer_queue.go
@@ -133,9 +133,5 @@
 
 // longestTimeoutSeconds returns the longest request timeout of the configuration in force.
 func (p *Proxy) longestTimeoutSeconds() float64 {
-	longest := 0.0
-	for _, class := range p.currentConfig.Load().Policy.Classes {
-		longest = max(longest, class.TimeoutSeconds)
-	}
-	return longest
+	return p.currentConfig.Load().Policy.LongestTimeoutSeconds()
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -128,7 +128,7 @@
 // newBenchHarness starts a proxy in front of a number of quick endpoints.
 func newBenchHarness(b *testing.B, units int) *harness {
 	h := newHarness(b, func(s *config.Router) {
-		s.Endpoints.MaxConnsPerEndpoint, s.Clients.MaxConns, s.Rules.Routers = 1024, 4096, 1
+		s.Endpoints.MaxConnsPerEndpoint, s.Clients.MaxConns, s.Rules.RouterGroups = 1024, 4096, 1
 	})
 	var list []endpoints.Endpoint
 	for i := range units {
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -176,9 +176,9 @@
 	p.balancer.SetEndpointListAge(now - p.endpointListAt)
 	var result policy.TickResult
 	if p.castVote != nil {
-		result = p.balancer.TickController(now)
+		result = p.balancer.TickAndVote(now)
 	} else {
-		result = p.balancer.TickRouter(now)
+		result = p.balancer.Tick(now)
 	}
 	p.countPolicyCall(from)
 	p.policyTickAt = now + result.NextTickSeconds
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -20,7 +20,7 @@
 //
 // Proxy.mu serializes all calls into the balancer and guards the state that depends on them: requests, attempts, pools
 // and counters. Nothing that may block runs under it: closes and writes are collected as effects and run after the
-// unlock. An answerQueue, a readWaiter and the memory budget have their own locks. None of these is held while another
+// unlock, except in Close. An answerQueue, a readWaiter and the memory budget have their own locks. None of these is held while another
 // lock is acquired; only a readWaiter's may be acquired under Proxy.mu.
 //
 // # Time
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -21,7 +21,7 @@
 	// deliverAnswer writes a request's final answer to its client without blocking. The caller must not hold Proxy.mu.
 	deliverAnswer(request *request, answer answer)
 
-	// rejectedAnswer returns the final answer to a request that never ran; the client may retry after
+	// rejectedAnswer returns the final answer to a request that the client may safely retry, after
 	// retryAfterSeconds.
 	rejectedAnswer(config *configstate.Version, retryAfterSeconds float64) answer
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -45,7 +45,7 @@
 // The kinds of final answers, as passed to OnFinalAnswer and sent in the HTTP header.
 const (
 	kindSucceeded = "acked"
-	kindRejected  = "nacked" // never ran; a retry is safe
+	kindRejected  = "nacked" // a retry is safe: it never ran, or may run again
 	kindFailed    = "failed" // may have run
 )
 
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -23,7 +23,7 @@
 
 // newRESPHarnessWith is like newRESPHarness; editPolicy also changes the policy.
 func newRESPHarnessWith(t testing.TB, editPolicy func(*policy.Config), edit func(*config.Router)) *harness {
-	policyConfig := policy.Config{Routers: 1, RollbackVotes: 1, TimerResolutionSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
+	policyConfig := policy.Config{RouterGroups: 1, RollbackVotes: 1, TimerResolutionSeconds: 0.005, AllowHedging: true, AllowCancel: true, MaxRetryAfterSeconds: 1.5, ConnIdleSeconds: 10, RequestsPerConn: 1,
 		MaxAttempts: 4, SlowStartInitialShare: 0.3, SlowStartSeconds: 1, SlowStartOverloadFactor: 3, SlowStartOverloadSeconds: 1, CanaryWindowSeconds: 4, CanaryFreeAttempts: 2, CanaryLimits: []float64{0.5, 1},
 		StageShares: []float64{0.5, 1}, VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 10, WrongAnswerPrice: 1, StaleBuildPrice: 1, ForgetEndpointSeconds: 60,
 		Classes: []policy.RequestClass{{LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.6, PriorityWeight: 1},
@@ -38,7 +38,7 @@
 	if edit != nil {
 		edit(settings)
 	}
-	settings.Clients.EvictIdleAbove = settings.Clients.MaxConns
+	settings.Clients.EvictIdleFrom = settings.Clients.MaxConns
 	p := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
 	p.connReuseDelaySeconds = 0 // most tests count connections
 	p.SetReady()
--- a/internal/router/confighash.go
+++ b/internal/router/confighash.go
@@ -8,8 +8,9 @@
 	"flintspread/internal/policy"
 )
 
-// ConfigHash identifies the policy configuration that a router and its controller must share. Each sends it to the
-// other, so it must be the same for programs of different versions: the hashed text keeps the field names of the first
+// ConfigHash identifies the policy configuration that a router and its controller must share. A router sends
+// it in each report, and the controller compares it with its own: it covers the settings files as read at the start, not
+// later configuration versions. It must be the same for programs of different versions: the hashed text keeps the field names of the first
 // version (hashedConfig), whatever policy.Config calls its fields now. ConnIdleSeconds and HasController concern only
 // the router and are hashed as zero. Don't add new fields: one that both programs must agree on needs another hash in
 // the protocol.
@@ -65,7 +66,7 @@
 
 func newHashedConfig(config policy.Config) hashedConfig {
 	hashed := hashedConfig{
-		Balancers:   config.Routers,
+		Balancers:   config.RouterGroups,
 		BackVotes:   config.RollbackVotes,
 		Round:       config.TimerResolutionSeconds,
 		Ask:         config.SubscribeToEndpoints,
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"sync"
 
 	"flintspread/internal/config"
@@ -25,7 +24,7 @@
 // openConfigVersions opens the history and restores the version that was in force last.
 func (r *Router) openConfigVersions() error {
 	history, err := revisions.Resume(r.config.StateDir, r.log, func(version *configstate.Version) error {
-		_, err := r.proxy.OfferConfig(version) // need not wait: the list that it requires was applied before it
+		_, err := r.proxy.OfferConfig(version) // never waits: a resumed version requires no list, as it was in force with it
 		return err
 	})
 	if err != nil {
@@ -95,7 +94,7 @@
 	case v.inForce() == waiting.Number:
 		return configstate.Applied, nil
 	}
-	return configstate.Rejected, fmt.Errorf("overtaken by another version while it waited")
+	return configstate.Rejected, configstate.ErrOvertaken
 }
 
 // inForce returns the number of the version in force, 0 for that of the settings file.
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -83,7 +83,7 @@
 	r, rel := s.Rules, s.Release
 	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
 		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		r.Routers, r.TimerResolutionSeconds, r.MaxAttempts, r.AllowHedging, r.MaxRetryAfterSeconds, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor,
+		r.RouterGroups, r.TimerResolutionSeconds, r.MaxAttempts, r.AllowHedging, r.MaxRetryAfterSeconds, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor,
 		r.SlowStartOverloadSeconds, r.CanaryWindowSeconds, r.GraceSeconds, r.CanaryFreeAttempts, r.CanaryLimitPerClass, r.IdempotentOnlyStages, r.OneWayKeys,
 		r.MaxRememberedKeys, r.ForgetEndpointSeconds)
 	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -130,7 +130,7 @@
 
 // tickController runs the policy's periodic work and sets its next timer.
 func (i *instance) tickController() {
-	tick := i.balancer.TickController(i.now)
+	tick := i.balancer.TickAndVote(i.now)
 	if tick.SubscribeToEndpoints {
 		i.actions.subscribe(i.id)
 	}
