--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,18 +11,19 @@
 const minSentTimeoutSeconds = 0.001
 
 // attempt is one try of a request at one endpoint. Its fields are guarded by Proxy.mu, except writeState and the fields
-// that never change once the attempt is assigned a connection: request, index, endpointID, startedAt and assignedConn.
-// writeAttempt also reads the deadline without the lock, to send the endpoint the remaining time.
+// that never change once the attempt is handed out for writing: request, index, endpointID, startedAt, assignedConn and
+// writeDeadline.
 type attempt struct {
-	request      *request
-	index        int // in request.Attempts
-	endpointID   uint32
-	startedAt    float64
-	deadline     float64
-	conn         *endpointConn // nil once the attempt has ended
-	assignedConn *endpointConn // the same, but kept after the end
-	outcome      policy.Outcome
-	writeState   atomic.Int32
+	request       *request
+	index         int // in request.Attempts
+	endpointID    uint32
+	startedAt     float64
+	deadline      float64
+	writeDeadline float64       // the deadline as of the handing out, for the remaining time that is sent
+	conn          *endpointConn // nil once the attempt has ended
+	assignedConn  *endpointConn // the same, but kept after the end
+	outcome       policy.Outcome
+	writeState    atomic.Int32
 }
 
 // The write states of an attempt. Whether its last byte may be sent is settled once, by a compare-and-swap from
@@ -123,7 +124,7 @@
 	if !attempt.claimWrite() {
 		return
 	}
-	buf := p.protocol.encodeAttempt(attempt.request.message, max(minSentTimeoutSeconds, attempt.deadline-p.Now()))
+	buf := p.protocol.encodeAttempt(attempt.request.message, max(minSentTimeoutSeconds, attempt.writeDeadline-p.Now()))
 	socket := attempt.assignedConn.socket.Load()
 	n, err := socket.writeNow(buf)
 	switch {
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -82,7 +82,7 @@
 	sock := newSocket(netConn)
 	conn.socket.Store(&sock)
 	if conn.attempt != nil {
-		effects.attemptsToWrite = append(effects.attemptsToWrite, conn.attempt)
+		effects.writeLater(conn.attempt)
 	}
 	p.mu.Unlock()
 	if conn.closed.Load() {
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -99,7 +99,7 @@
 	limits := &p.currentConfig.Load().Document.Endpoints
 	if conn := p.takeIdleConn(pool, attempt.startedAt, limits.IdleTimeoutSeconds, effects); conn != nil {
 		conn.attempt, attempt.conn, attempt.assignedConn = attempt, conn, conn
-		effects.attemptsToWrite = append(effects.attemptsToWrite, attempt)
+		effects.writeLater(attempt)
 		return true
 	}
 	if pool.connCount >= limits.MaxConnsPerEndpoint || !p.mayDial(limits, effects) {
--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -128,6 +128,34 @@
 	}
 }
 
+// TestAnswerDeadlineMovesWhileAttemptsAreWritten guards against an attempt's deadline that is read without the lock while
+// a shutdown lowers it; the race detector reports that.
+func TestAnswerDeadlineMovesWhileAttemptsAreWritten(t *testing.T) {
+	h := newRESPHarnessWith(t, allowLongRequests, nil)
+	h.addEndpoint(1, 1, answerID)
+	served := make(chan struct{})
+	moved := make(chan struct{})
+	go func() {
+		defer close(moved)
+		for at := h.proxy.Now() + 50; ; at -= 1e-6 {
+			select {
+			case <-served:
+				return
+			default:
+				h.proxy.SetAnswerDeadline(at)
+			}
+		}
+	}()
+	c := h.dial()
+	for range 300 {
+		text, id := newLongCommand("lookup")
+		writeText(c, text)
+		h.wantEqual("served", c.readLine(), "v"+id)
+	}
+	close(served)
+	<-moved
+}
+
 // A command that has partly arrived when the shutdown begins is served if the rest arrives, and answered with an error
 // if not.
 func TestPartialCommandAtShutdown(t *testing.T) {
