--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 
@@ -51,8 +52,9 @@
 		}
 	}
 	report, err := os.ReadFile(filepath.Join(out, "report.md"))
-	if err != nil || strings.Count(string(report), "| 100 |")+strings.Count(string(report), "| 200 |") != 4 {
-		t.Errorf("%v: %s", err, report)
+	rows := regexp.MustCompile(`(?m)^\| (100|200) \|`).FindAllString(string(report), -1)
+	if err != nil || len(rows) != 4 {
+		t.Errorf("%d rows, want 4, error %v: %s", len(rows), err, report)
 	}
 	other := *x
 	other.Seed = 2
