--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -39,7 +39,7 @@
 func TestShedding(t *testing.T) {
 	h := newHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerPath)
-	h.wantEqual("before", h.ask(idempotentRequest), "200 acked: /chute/7")
+	h.wantEqual("before", h.roundTrip(idempotentRequest), "200 acked: /chute/7")
 	h.forceOverload()
 	if h.proxy.shedder.ShedShare() < 0.5 {
 		t.Fatal(h.proxy.shedder.ShedShare())
@@ -111,7 +111,7 @@
 	h.eventually("reading pauses", func() bool { return h.proxy.Stats().ReadsPaused > 0 })
 	refused := 0
 	for range 40 {
-		if got := h.ask(idempotentRequest); strings.HasPrefix(got, "503 nacked") {
+		if got := h.roundTrip(idempotentRequest); strings.HasPrefix(got, "503 nacked") {
 			refused++
 		}
 	}
@@ -130,7 +130,7 @@
 	h.eventually("all of it is given back", func() bool {
 		return h.proxy.memory.usedBytes.Load() <= int64(len(h.proxy.endpointConns))*connOverheadBytes+connOverheadBytes
 	})
-	h.wantEqual("after", h.ask(idempotentRequest), "200 acked: ")
+	h.wantEqual("after", h.roundTrip(idempotentRequest), "200 acked: ")
 }
 
 // A slow client holds memory only as long as its connection.
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -211,7 +211,7 @@
 	return text + ": " + strings.TrimSpace(string(body))
 }
 
-func (h *harness) ask(head string) string {
+func (h *harness) roundTrip(head string) string {
 	c := h.dial()
 	c.send(head)
 	return c.readAnswer()
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -87,7 +87,7 @@
 				well := h.addEndpoint(2, 1, answerPath)
 				for try := 0; bad.count() == 0 && try < 200; try++ {
 					before := bad.count() + well.count()
-					got := h.ask(head)
+					got := h.roundTrip(head)
 					if bad.count() == 0 {
 						continue
 					}
@@ -118,7 +118,7 @@
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: addr, State: "ready", Build: 1})
 	h.addEndpoint(2, 1, answerPath)
 	for range 20 {
-		h.wantEqual("non-idempotent", h.ask(nonIdempotentRequest), "200 acked: /seal/7")
+		h.wantEqual("non-idempotent", h.roundTrip(nonIdempotentRequest), "200 acked: /seal/7")
 	}
 	if n := h.proxy.Stats(); n.Outcomes[policy.NotConnected] == 0 {
 		t.Errorf("the closed port was never tried: %+v", n)
@@ -134,7 +134,7 @@
 		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	for range 5 {
-		h.wantEqual("after an idle close", h.ask(nonIdempotentRequest), "200 acked: ok")
+		h.wantEqual("after an idle close", h.roundTrip(nonIdempotentRequest), "200 acked: ok")
 		h.eventually("the closed connection is dropped", func() bool { return h.proxy.Stats().EndpointConns == 0 })
 	}
 	endpoint.listener.Close()
@@ -300,7 +300,7 @@
 	if endpoint.count() != 0 {
 		t.Errorf("an endpoint saw %s", endpoint.allRequests())
 	}
-	h.wantEqual("meanwhile", h.ask(idempotentRequest), "200 acked: /chute/7")
+	h.wantEqual("meanwhile", h.roundTrip(idempotentRequest), "200 acked: /chute/7")
 	h.eventually("all in flight is answered", func() bool { return h.proxy.Stats().InFlight == 0 })
 }
 
@@ -309,12 +309,12 @@
 	one := h.addEndpoint(1, 1, answerPath)
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: one.listener.Addr().String(), State: "draining", Build: 1})
 	got := make(chan string)
-	go func() { got <- h.ask(idempotentRequest) }()
+	go func() { got <- h.roundTrip(idempotentRequest) }()
 	h.eventually("it is in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 	two := h.addEndpoint(2, 1, answerPath)
 	h.wantEqual("held request", <-got, "200 acked: /chute/7")
 	h.updateEndpoints(true, goneEndpoint(2))
-	h.wantEqual("no endpoint", h.ask(idempotentRequest), rejectedText)
+	h.wantEqual("no endpoint", h.roundTrip(idempotentRequest), rejectedText)
 	if one.count() != 0 || two.count() != 1 {
 		t.Errorf("draining endpoint saw %v, the other %v", one.allRequests(), two.allRequests())
 	}
@@ -374,7 +374,7 @@
 	}
 	h.eventually("its first answer is there", func() bool { return h.proxy.Stats().Succeeded >= 1 })
 	for range 10 {
-		h.wantEqual("another client", h.ask(idempotentRequest), "200 acked: ok")
+		h.wantEqual("another client", h.roundTrip(idempotentRequest), "200 acked: ok")
 	}
 	h.eventually("the slow reader is cut off", func() bool { return h.proxy.Stats().ClientConns <= 10 && h.proxy.Stats().InFlight == 0 })
 }
@@ -389,7 +389,7 @@
 	})
 	idle := h.dial()
 	got := make(chan string)
-	go func() { got <- h.ask(idempotentRequest) }()
+	go func() { got <- h.roundTrip(idempotentRequest) }()
 	h.eventually("it is in flight", func() bool { return h.proxy.Stats().InFlight == 1 && h.proxy.Stats().ClientConns == 2 })
 	h.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -414,7 +414,7 @@
 	h.wantEqual("third", h.dial().readAnswer(), "503 nacked: too many connections")
 	a.Close()
 	h.eventually("one is given back", func() bool { return h.proxy.Stats().ClientConns == 1 })
-	h.wantEqual("fourth", h.ask(idempotentRequest), "200 acked: /chute/7")
+	h.wantEqual("fourth", h.roundTrip(idempotentRequest), "200 acked: /chute/7")
 	b.send(idempotentRequest)
 	h.wantEqual("second", b.readAnswer(), "200 acked: /chute/7")
 }
