--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,33 +10,34 @@
 // minSentTimeoutSeconds is the smallest remaining time that is sent to an endpoint, since 0 would mean "not set".
 const minSentTimeoutSeconds = 0.001
 
-// attempt is one try of a request at one endpoint. Its fields are guarded by Proxy.mu, except writeState and the fields
-// that never change once the attempt is handed out for writing: request, index, endpointID, startedAt, assignedConn and
-// writeDeadline.
+// attempt is the proxy's state of one attempt of a request. Its fields are guarded by Proxy.mu, except writeState and the
+// fields that never change once the attempt is scheduled for writing: request, index, endpointID, startedAt,
+// assignedConn and writeDeadline.
 type attempt struct {
 	request       *request
-	index         int // in request.Attempts
+	index         int // in request.Attempts and request.attempts
 	endpointID    uint32
 	startedAt     float64
 	deadline      float64
-	writeDeadline float64       // the deadline as of the handing out, for the remaining time that is sent
+	writeDeadline float64       // copy of deadline, made when the attempt is scheduled for writing
 	conn          *endpointConn // nil once the attempt has ended
-	assignedConn  *endpointConn // the same, but kept after the end
+	assignedConn  *endpointConn // the same connection, kept after the attempt has ended
 	outcome       policy.Outcome
 	writeState    atomic.Int32
 }
 
-// The write states of an attempt. Whether its last byte may be sent is settled once, by a compare-and-swap from
-// notWritten (or from lastByteHeld, where endpoints start a request only on its last byte): the writer sets written,
-// whoever ends the attempt sets dropped. A dropped attempt provably never ran; a written one may have run.
+// The write states of an attempt. A single compare-and-swap decides whether its last byte may be sent: from notWritten
+// or, where endpoints start a request only on its last byte, from lastByteHeld. The writer sets written; the code that
+// ends the attempt sets dropped. A dropped attempt provably never ran; a written one may have run.
 const (
 	notWritten   int32 = iota
-	lastByteHeld       // the kernel accepted a part; the last byte is held back until it has accepted the rest
+	lastByteHeld       // partly written; the last byte is held back until the kernel has accepted all others
 	written            // the last byte is being sent, or was sent
 	dropped
 )
 
-// drop prevents an attempt's last byte from being sent. It returns false if it is too late for that.
+// drop prevents an attempt's last byte from being sent. It returns false if the byte is being sent or was sent, or if
+// the attempt was already dropped.
 func (a *attempt) drop() bool {
 	return a.writeState.CompareAndSwap(notWritten, dropped) || a.writeState.CompareAndSwap(lastByteHeld, dropped)
 }
@@ -98,15 +99,16 @@
 
 // onAttemptDone reports an attempt's outcome to the balancer and returns the next decision. The caller holds p.mu.
 func (p *Proxy) onAttemptDone(now float64, attempt *attempt) policy.Decision {
-	from := time.Now()
+	start := time.Now()
 	decision := p.balancer.OnAttemptDone(now, &attempt.request.Request, attempt.endpointID, attempt.outcome, now-attempt.startedAt)
-	p.countPolicyCall(from)
+	p.countPolicyCall(start)
 	return decision
 }
 
-// settleOutcome drops an attempt that has no answer, unless it is too late, and returns the outcome to record. A
-// dropped attempt never ran, whatever ended it. It counts against the endpoint (NotConnected) only if the attempt
-// ended, with its request still open, while dialing or partly written.
+// settleOutcome returns the outcome to record for an attempt that ends with the given outcome. It drops the attempt if
+// it has no answer and its last byte was not sent. A dropped attempt never ran, whatever ended it: it is recorded as
+// NotConnected, which counts against the endpoint, if that is the given outcome, or if the attempt was dialing or partly
+// written while its request was open. Otherwise it is recorded as NotSent.
 func (a *attempt) settleOutcome(outcome policy.Outcome) policy.Outcome {
 	partlyWritten := a.writeState.Load() == lastByteHeld
 	if outcome.IsAnswer() || !a.drop() || outcome == policy.NotConnected {
@@ -131,9 +133,9 @@
 	case err != nil && (n == 0 || p.protocol.startsAtLastByte()):
 		p.failUnwritten(attempt, n, err)
 	case err != nil:
-		socket.Close() // its reader handles the end
+		socket.Close() // the connection's reader ends the attempt
 	case n < len(buf):
-		// The endpoint does not read. The attempt's end closes the connection, and with it ends the goroutine.
+		// The endpoint does not read. The end of the attempt closes the connection, which ends the goroutine.
 		if p.protocol.startsAtLastByte() {
 			attempt.writeState.Store(lastByteHeld)
 		}
@@ -145,28 +147,28 @@
 // writeRemaining writes what the kernel did not accept at once, from byte n on.
 func (p *Proxy) writeRemaining(attempt *attempt, socket *socket, buf []byte, n int) {
 	defer p.goroutines.Done()
-	held := len(buf)
+	end := len(buf)
 	if p.protocol.startsAtLastByte() {
-		held--
+		end-- // hold back the last byte
 	}
-	m, err := socket.Write(buf[n:held])
-	if n += m; err == nil && n < len(buf) {
+	more, err := socket.Write(buf[n:end])
+	if n += more; err == nil && n < len(buf) {
 		if !attempt.writeState.CompareAndSwap(lastByteHeld, written) {
 			return // dropped
 		}
-		m, err = socket.Write(buf[n:])
-		n += m
+		more, err = socket.Write(buf[n:])
+		n += more
 	}
 	switch {
 	case err != nil && p.protocol.startsAtLastByte():
 		p.failUnwritten(attempt, n, err)
 	case err != nil:
-		socket.Close() // its reader handles the end
+		socket.Close() // the connection's reader ends the attempt
 	}
 }
 
-// failUnwritten ends an attempt whose last byte the kernel did not take: it never ran. Where the kernel took no byte at
-// all, the connection had ended before, which says nothing of the endpoint now.
+// failUnwritten ends an attempt whose last byte the kernel did not accept: it never ran. If the kernel accepted no byte
+// at all, the connection had already ended, which says nothing about the endpoint's present state.
 func (p *Proxy) failUnwritten(attempt *attempt, writtenBytes int, err error) {
 	outcome := policy.NotConnected
 	if writtenBytes == 0 {
@@ -175,7 +177,7 @@
 	p.mu.Lock()
 	var effects effects
 	if attempt.inFlight() {
-		p.log.Debug("attempt not written", "endpoint", attempt.endpointID, "written_bytes", writtenBytes, "error", err)
+		p.log.Debug("failed to write an attempt to its endpoint", "endpoint", attempt.endpointID, "written_bytes", writtenBytes, "error", err)
 		attempt.writeState.Store(notWritten)
 		p.endAttempt(p.Now(), attempt, outcome, &effects)
 	}
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// deadlineBatch is the number of due requests that are handled before the lock is released.
+	// deadlineBatch is the maximum number of due requests that are handled before Proxy.mu is released.
 	deadlineBatch = 64
 
 	// Idle endpoint connections are checked sweepsPerIdleTime times per idle timeout, and at least every
@@ -18,8 +18,8 @@
 	maxIdleSweepSeconds = 1
 )
 
-// deadlineQueue is a heap of requests ordered by nextCheckAt. It holds each request at most once, and one timer serves
-// all of them.
+// deadlineQueue is a heap of requests ordered by nextCheckAt. It holds each request at most once. One timer serves the
+// whole queue.
 type deadlineQueue []*request
 
 // Len implements sort.Interface.
@@ -68,9 +68,9 @@
 // due reports whether the first request's check is due.
 func (q deadlineQueue) due(now float64) bool { return len(q) > 0 && q[0].nextCheckAt <= now }
 
-// scheduleCheck queues a request for its next event: the instant at which the balancer wants to be asked again, or the
-// deadline of an attempt in flight. The latter also applies to completed requests, so that an endpoint that never
-// answers does not hold its connection forever. The caller holds p.mu.
+// scheduleCheck queues a request for its next event: its pickAgainAt or the deadline of an attempt in flight, whichever
+// is earlier. The attempts' deadlines also apply to completed requests, so that an endpoint that never answers does not
+// keep its connection forever. The caller holds p.mu.
 func (p *Proxy) scheduleCheck(request *request) {
 	next := 0.0
 	if !request.Completed {
@@ -90,8 +90,8 @@
 	}
 }
 
-// runTimer runs the proxy's single timer, for the balancer's ticks, every request's deadlines and the idle sweep, until
-// Close.
+// runTimer runs the proxy's single timer until Close. It serves the balancer's ticks, the deadlines of all requests and
+// the idle sweep.
 func (p *Proxy) runTimer() {
 	defer p.goroutines.Done()
 	timer := time.NewTimer(0)
@@ -149,8 +149,8 @@
 	return batch
 }
 
-// onDeadline handles a request whose check is due: it ends an attempt past its deadline or, failing that, asks the
-// balancer again if it wanted to be asked by now. The caller holds p.mu.
+// onDeadline handles a request whose check is due. It ends an attempt whose deadline has passed. If there is none and
+// pickAgainAt has passed, it asks the balancer for a new decision. The caller holds p.mu.
 func (p *Proxy) onDeadline(now float64, request *request, effects *effects) {
 	pickAgainAt := request.pickAgainAt
 	if pickAgainAt <= now {
@@ -158,7 +158,7 @@
 	}
 	for _, attempt := range request.attempts {
 		if attempt.inFlight() && attempt.deadline <= now {
-			p.endAttempt(now, attempt, policy.TimedOut, effects) // which also asks the balancer
+			p.endAttempt(now, attempt, policy.TimedOut, effects) // also asks the balancer for a new decision
 			return
 		}
 	}
@@ -172,7 +172,7 @@
 // tickPolicy samples the load, ticks the balancer and returns the vote to cast, or nil. The caller holds p.mu.
 func (p *Proxy) tickPolicy(now float64) *releases.Vote {
 	p.sampleLoad(now)
-	from := time.Now()
+	start := time.Now()
 	p.balancer.SetEndpointListAge(now - p.endpointListAt)
 	var result policy.TickResult
 	if p.castVote != nil {
@@ -180,7 +180,7 @@
 	} else {
 		result = p.balancer.Tick(now)
 	}
-	p.countPolicyCall(from)
+	p.countPolicyCall(start)
 	p.policyTickAt = now + result.NextTickSeconds
 	if !result.CastVote {
 		return nil
@@ -188,7 +188,7 @@
 	return &releases.Vote{Build: result.Build, Stage: result.Stage, Verdict: result.Verdict}
 }
 
-// nextTickAt returns the instant at which something is due next. The caller holds p.mu.
+// nextTickAt returns the instant of the next event that tick has to handle. The caller holds p.mu.
 func (p *Proxy) nextTickAt() float64 {
 	next := min(p.policyTickAt, p.idleSweepAt)
 	if len(p.deadlines) > 0 {
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,7 +1,7 @@
 // Package proxy is the data path of a router: it reads requests from client connections, forwards them over pooled
 // endpoint connections, and returns one answer for each. It makes no decisions: policy.Balancer chooses the endpoint of
 // an attempt, when to retry and when to give up, and loadshed decides which requests this process admits. The package
-// reports events to them, carries out their decisions and keeps the time.
+// reports events to them, carries out their decisions and runs the timer.
 //
 // # Path of a request
 //
@@ -14,14 +14,14 @@
 //
 // Each connection, client or endpoint, has one goroutine, the only one that reads from it. Any goroutine may write to
 // it, without blocking; a separate goroutine writes what the kernel does not accept at once, so that a peer that does
-// not read blocks nothing else. One goroutine runs the timer. Proxy.Close stops all of them and waits.
+// not read does not block the traffic of others. One goroutine runs the timer. Proxy.Close stops all of them and waits.
 //
 // # Locking
 //
 // Proxy.mu serializes all calls into the balancer and guards the state that depends on them: requests, attempts, pools
 // and counters. Nothing that may block runs under it: closes and writes are collected as effects and run after the
-// unlock, except in Close. An answerQueue, a readWaiter and the memory budget have their own locks. None of these is held while another
-// lock is acquired; only a readWaiter's may be acquired under Proxy.mu.
+// unlock, except in Close. An answerQueue, a readWaiter and the memory budget have their own locks. None of these is
+// held while another lock is acquired. Only a readWaiter's lock may be acquired under Proxy.mu.
 //
 // # Time
 //
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,40 +20,40 @@
 	settings *config.Router
 	log      *slog.Logger
 	protocol protocol
-	castVote func(releases.Vote) // called without mu; must not block. nil: a controller votes
+	castVote func(releases.Vote) // called without mu; must not block; nil: a controller votes
 
 	// OnFinalAnswer, if set, is called under mu for each final answer with the request's class, the kind of answer and
-	// the seconds since the request was received. It is not called for requests shed before they were parsed
+	// the seconds since the request was received. It is not called for requests that are shed before they are parsed
 	// (http_shed.go). It must not block, and must be set before Serve is called.
 	OnFinalAnswer func(class, kind string, seconds float64)
 
-	connReuseDelaySeconds float64   // after an answer, before its connection gets another attempt
+	connReuseDelaySeconds float64   // minimum time between an answer and the next attempt on its connection
 	clockBase             time.Time // creation time, with the monotonic clock
 	clockBaseSeconds      float64   // the same instant in Unix seconds
 	currentConfig         atomic.Pointer[configstate.Version]
 	stop                  chan struct{} // closed by Close
-	timerWake             chan struct{} // tells the timer that an earlier deadline was queued
+	timerWake             chan struct{} // signals the timer that an earlier deadline was queued
 	goroutines            sync.WaitGroup
 
 	shedding        atomic.Bool   // some requests are being shed
-	measureQueueing atomic.Bool   // near the limits: the time that requests wait in the kernel is measured
+	measureQueueing atomic.Bool   // the process is near its limits: measure how long requests wait in the kernel
 	maxQueuedMillis atomic.Uint32 // longest wait of a request in the kernel since the last load sample
 
-	mu                sync.Mutex // guards all fields below but memory, and serializes the balancer's calls
+	mu                sync.Mutex // guards all fields below except memory, and serializes calls into the balancer
 	balancer          *policy.Balancer
 	shedder           *loadshed.Shedder // nil: no load shedding
 	sampler           *processstats.Sampler
 	processSample     processstats.Sample
 	timerDelaySeconds float64 // how late the timer was at the last load sample
 	delayTracker      loadshed.DelayTracker
-	shedAnswer        answer               // cached answer to requests that are shed,
-	shedAnswerConfig  *configstate.Version // under this version
+	shedAnswer        answer               // cached answer to shed requests
+	shedAnswerConfig  *configstate.Version // version that shedAnswer was encoded for
 	configState       *configstate.State
 	stats             Stats
 
 	lastRequestID   uint32
 	inFlight        int                 // accepted requests without a final answer
-	inFlightByClass []int               // the same, by Request.Class
+	inFlightByClass []int               // inFlight by Request.Class
 	requestIDs      map[string]struct{} // ids of requests in flight, if the protocol has ids
 	deadlines       deadlineQueue
 	answerDeadline  float64 // latest instant for any answer; 0: none
@@ -69,9 +69,9 @@
 
 	clients       map[*clientConn]struct{}
 	draining      bool
-	closed        bool // set by Close: no client is admitted any more
+	closed        bool // set by Close: new client connections are refused
 	ready         bool
-	awaitingReady []func() // pending answers to readiness probes
+	awaitingReady []func() // send the answers to readiness probes that wait for ready
 
 	memory memoryBudget
 }
@@ -122,7 +122,7 @@
 	return p
 }
 
-// Now returns the proxy's clock: Unix time in seconds at its creation, advanced monotonically from there.
+// Now returns the time on the proxy's clock: the Unix time of its creation in seconds, advanced monotonically since.
 func (p *Proxy) Now() float64 { return p.clockBaseSeconds + time.Since(p.clockBase).Seconds() }
 
 // secondsToDuration converts float seconds for sockets and timers.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -7,17 +7,17 @@
 	"flintspread/internal/policy"
 )
 
-// request is an accepted request. It lives until its last attempt has ended. It is guarded by Proxy.mu.
+// request is an accepted request, kept until its last attempt has ended. It is guarded by Proxy.mu.
 type request struct {
 	policy.Request
 	conn        *clientConn
 	message     *message
-	config      *configstate.Version // the version it was accepted under, which serves it to its end
-	attempts    []*attempt           // attempts[i] is the proxy's side of Request.Attempts[i]
-	pickAgainAt float64              // when to ask the balancer again; 0: never
+	config      *configstate.Version // in force when it was accepted; used until it ends
+	attempts    []*attempt           // attempts[i] is the proxy's state of Request.Attempts[i]
+	pickAgainAt float64              // when to call the balancer's Pick again; 0: not scheduled
 	nextCheckAt float64              // earliest of pickAgainAt and the attempts' deadlines
 	heapIndex   int                  // index in the deadline queue; -1: not queued
-	pending     *pendingAnswer       // the answer's place in the client's queue; nil if the protocol has none
+	pending     *pendingAnswer       // its slot in the client's answerQueue; nil if the protocol does not pipeline
 }
 
 // message is a request as read by a protocol.
@@ -31,36 +31,36 @@
 	timeoutSeconds    float64 // the client's timeout, from arrival; 0: none given
 	workSeconds       float64 // expected work; 0: none given
 	hasIdempotencyKey bool
-	clientRetry       bool // the client marked it as a retry
-	closeAfter        bool // the client wants the connection closed after the answer
-	receipt           string
+	clientRetry       bool   // the client marked it as a retry
+	closeAfter        bool   // the client wants the connection closed after the answer
+	receipt           string // HTTP/1.1: the receipt of an answer that the client reports as wrong
 
-	options       []byte // RESP2: the option list without the value of d, to be inserted at timeoutOffset
+	options       []byte // RESP2: the option list without d's value, which is inserted at timeoutOffset
 	timeoutOffset int
 
 	queuedSeconds float64 // time in the kernel before it was read; 0 if not measured
-	admitted      bool    // it has already passed load shedding
+	admitted      bool    // already admitted by load shedding, before it was parsed
 }
 
-// The kinds of final answers, as passed to OnFinalAnswer and sent in the HTTP header.
+// The kinds of final answers, as passed to OnFinalAnswer and sent to HTTP clients in headerAnswer.
 const (
 	kindSucceeded = "acked"
-	kindRejected  = "nacked" // a retry is safe: it never ran, or may run again
-	kindFailed    = "failed" // may have run
+	kindRejected  = "nacked" // a retry is safe: the request never ran, or may run again
+	kindFailed    = "failed" // the request may have run
 )
 
-// answer is an encoded answer for a client, and its kind. The kind is empty if the message was not accepted as a
-// request.
+// answer is an encoded answer for a client, and its kind. The kind is empty if the answered message was not accepted as
+// a request.
 type answer struct {
 	bytes []byte
 	kind  string
 }
 
-// pick asks the balancer for a request's next step. The caller holds p.mu.
+// pick returns the balancer's decision on a request's next step. The caller holds p.mu.
 func (p *Proxy) pick(now float64, request *request) policy.Decision {
-	from := time.Now()
+	start := time.Now()
 	decision := p.balancer.Pick(now, &request.Request)
-	p.countPolicyCall(from)
+	p.countPolicyCall(start)
 	return decision
 }
 
@@ -141,7 +141,7 @@
 	p.inFlightByClass[request.Class]++
 }
 
-// removeInFlight undoes addInFlight: the request was answered, or its client disconnected. The caller holds p.mu.
+// removeInFlight undoes addInFlight once the request was answered or its client disconnected. The caller holds p.mu.
 func (p *Proxy) removeInFlight(request *request) {
 	request.Completed = true
 	p.inFlight--
