--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -9,10 +9,10 @@
 	"flintspread/internal/policy"
 )
 
-// accept turns a message into a request, asks for its first decision and carries it out. It returns nil if a request
-// with the same id is in flight. Every other request gets exactly one final answer, unless abandonRequest is called
-// first. pending is the answer's place in the client's queue, nil if the protocol keeps none. The caller must not hold
-// p.mu.
+// accept turns a message into a request, asks the balancer for its first decision and carries it out. It returns nil if
+// a request with the same id is in flight. Every other request gets exactly one final answer, unless abandonRequest is
+// called first. pending is the answer's slot in the client's answerQueue, nil if the protocol does not pipeline. The
+// caller must not hold p.mu.
 func (p *Proxy) accept(conn *clientConn, message *message, config *configstate.Version, class int, pending *pendingAnswer) *request {
 	p.mu.Lock()
 	if _, duplicate := p.requestIDs[message.id]; duplicate && message.id != "" {
@@ -36,8 +36,8 @@
 }
 
 // newRequest creates the request for a message. Its deadline is the earliest of its class's timeout, the client's
-// timeout and the proxy's answer deadline. Both timeouts count from when the kernel received the message, where
-// that was measured, else from now. The caller holds p.mu.
+// timeout and the proxy's answer deadline. Both timeouts count from when the kernel received the message if that was
+// measured, and from now otherwise. The caller holds p.mu.
 func (p *Proxy) newRequest(now float64, conn *clientConn, message *message, config *configstate.Version, class int, pending *pendingAnswer) *request {
 	deadline := now + config.Policy.Classes[class].TimeoutSeconds
 	if message.timeoutSeconds > 0 {
@@ -68,8 +68,8 @@
 }
 
 // admits reports whether this process has the capacity to serve a request. It is called before the balancer picks an
-// endpoint: a request that is not admitted was never sent, so rejecting it as safe to retry is correct. The caller
-// holds p.mu.
+// endpoint: a request that is not admitted was never sent, so it can be rejected as safe to retry. The caller holds
+// p.mu.
 func (p *Proxy) admits(now float64, request *request) bool {
 	if request.message.admitted {
 		return true
@@ -85,8 +85,8 @@
 	})
 }
 
-// shedAnswerFor returns the answer to requests that are shed. It is cached per configuration version, because it is
-// needed most when there is no CPU time to encode it. The caller holds p.mu.
+// shedAnswerFor returns the answer to requests that are shed. It is cached for the last configuration version used,
+// because it is needed most when there is no CPU time to encode it. The caller holds p.mu.
 func (p *Proxy) shedAnswerFor(config *configstate.Version) answer {
 	if p.shedAnswer.bytes == nil || p.shedAnswerConfig != config {
 		p.shedAnswerConfig = config
@@ -110,7 +110,7 @@
 	}
 }
 
-// shedderClasses returns the shedder's view of a policy's classes, in the same order.
+// shedderClasses converts a policy's request classes to the shedder's, in the same order.
 func shedderClasses(config *policy.Config) (classes []loadshed.RequestClass) {
 	for _, class := range config.Classes {
 		classes = append(classes, loadshed.RequestClass{LatencyObjectiveSeconds: class.LatencyObjectiveSeconds, PriorityWeight: class.PriorityWeight})
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -8,10 +8,9 @@
 const (
 	readBufferBytes = 4096
 
-	// A connection that ends after an answer is drained for at most lingerTime and lingerReads reads before it is
-	// closed.
-	lingerTime  = 100 * time.Millisecond
-	lingerReads = 64
+	// Bounds of clientConn.linger: its duration and its number of reads.
+	lingerTimeout  = 100 * time.Millisecond
+	maxLingerReads = 64
 )
 
 // clientConn is a client connection. Only its own goroutine reads from it; any goroutine may write an answer.
@@ -23,8 +22,8 @@
 	closeAfterAnswer bool // no further request is read; set before the last answer is written
 
 	// HTTP/1.1: one answer at a time.
-	answerWritten chan struct{} // receives one element per answer, written or failed
-	writeFailed   bool          // the last answer was not written; set before the send
+	answerWritten chan struct{} // receives one element per answer, even if the write failed
+	writeFailed   bool          // writing the last answer failed; set before the send on answerWritten
 
 	// RESP2: many answers, in the order of their requests.
 	answers answerQueue
@@ -33,30 +32,31 @@
 	// Guarded by Proxy.mu.
 	inFlight       int     // requests without a final answer
 	reading        bool    // a message is being read
-	hasSentRequest bool    // it has sent a complete request
-	evicted        bool    // it must close to make room for another connection
-	idleSince      float64 // when it connected or got its last answer
+	hasSentRequest bool    // the client has sent a complete request
+	evicted        bool    // must close to make room for another connection
+	idleSince      float64 // time of connecting or of the last answer
 }
 
 // shouldClose reports whether the connection must close once nothing is in flight on it. While the proxy drains, a
-// connection still gets its first request served (first is true): its client could not know of the shutdown.
+// connection whose first request is still to come (first is true) stays open for it: its client could not know of the
+// shutdown.
 func (conn *clientConn) shouldClose(first bool) bool {
 	conn.proxy.mu.Lock()
 	defer conn.proxy.mu.Unlock()
 	return conn.evicted || conn.proxy.draining && !first
 }
 
-// linger closes the write side after the last answer and briefly discards what the client still sends. Closing with
-// unread bytes would reset the connection before the client has read the answer.
+// linger closes the write side after the last answer and briefly discards what the client still sends. Closing a
+// connection with unread bytes would reset it before the client has read the answer.
 func (conn *clientConn) linger() {
 	if tcp, ok := conn.socket.Conn.(*net.TCPConn); ok {
-		if err := tcp.CloseWrite(); err != nil { // the reads below fail too
-			conn.proxy.log.Debug("client connection already ended", "error", err)
+		if err := tcp.CloseWrite(); err != nil { // the reads below fail as well
+			conn.proxy.log.Debug("failed to close the write side of a client connection", "error", err)
 		}
 	}
-	conn.socket.SetReadDeadline(time.Now().Add(lingerTime))
+	conn.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	var sink [readBufferBytes]byte
-	for range lingerReads {
+	for range maxLingerReads {
 		if _, err := conn.socket.Read(sink[:]); err != nil {
 			return
 		}
@@ -64,9 +64,9 @@
 }
 
 // writeBestEffort writes without blocking and only logs a failure. It is used where the connection is closed next, or
-// where its reader notices the failure.
+// where the connection's reader detects the failure.
 func (p *Proxy) writeBestEffort(conn *clientConn, buf []byte) {
 	if _, err := conn.socket.writeNow(buf); err != nil {
-		p.log.Debug("answer not written", "error", err)
+		p.log.Debug("failed to write to a client", "error", err)
 	}
 }
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -18,13 +18,13 @@
 	closed atomic.Bool
 
 	// Guarded by Proxy.mu.
-	attempt   *attempt // the one whose answer is awaited; nil: idle or removed
+	attempt   *attempt // the attempt whose answer is awaited; nil: idle or removed
 	dialing   bool
-	removed   bool    // from its pool, permanently
-	idleSince float64 // when its last answer arrived
+	removed   bool    // permanently removed from its pool
+	idleSince float64 // arrival time of its last answer
 }
 
-// close closes the connection. One that is still being dialed is closed once the dial completes.
+// close closes the connection. If it is still being dialed, it is closed once the dial completes.
 func (conn *endpointConn) close() {
 	conn.closed.Store(true)
 	if s := conn.socket.Load(); s != nil {
@@ -33,13 +33,13 @@
 }
 
 // unusable reports whether the endpoint has closed an idle connection or sent unsolicited bytes on it. An attempt
-// written to it would be lost, or receive another attempt's answer.
+// written to such a connection would be lost, or receive another attempt's answer.
 func (conn *endpointConn) unusable() bool {
 	s := conn.socket.Load()
 	return s == nil || s.hasUnreadOrClosed()
 }
 
-// dial starts a new connection of a pool for an attempt, in its own goroutine. The caller holds p.mu.
+// dial opens a new connection to a pool's endpoint for an attempt, in its own goroutine. The caller holds p.mu.
 func (p *Proxy) dial(pool *endpointPool, attempt *attempt) {
 	pool.connCount++
 	p.stats.Dials++
@@ -92,9 +92,9 @@
 	return &sock
 }
 
-// dialOutcome returns the outcome of an attempt that got no connection. It counts against the endpoint (NotConnected)
-// unless the endpoint left, drained or was replaced meanwhile (err is nil), or the host or this process ran out of file
-// descriptors.
+// dialOutcome returns the outcome of an attempt whose dial failed or completed too late. It is NotConnected, which
+// counts against the endpoint, unless the connection is no longer needed (err is nil) because the endpoint left the
+// list, began to drain or was replaced, or the host or this process ran out of file descriptors.
 func dialOutcome(err error) policy.Outcome {
 	if err == nil || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent
@@ -114,10 +114,10 @@
 	}
 }
 
-// readNextAnswer blocks for the next answer and handles it. It reports whether the connection can be used further.
+// readNextAnswer waits for the next answer and handles it. It reports whether the connection stays open.
 func (p *Proxy) readNextAnswer(conn *endpointConn, socket *socket, reader *limitedReader, br *bufio.Reader) bool {
-	// Bytes stay in the kernel until the attempt they belong to is known. If they were read earlier, unusable would not
-	// see them, and they could pass for the answer to an attempt that is written at that moment.
+	// Bytes stay in the kernel until the attempt that they belong to is known. If they were read earlier, unusable
+	// would not detect them, and they could be mistaken for the answer to an attempt that is written meanwhile.
 	err := socket.waitReadable()
 	p.mu.Lock()
 	attempt := conn.attempt
@@ -128,7 +128,7 @@
 	}
 	reply, err := p.protocol.readAnswer(br, reader, attempt)
 	if err != nil {
-		p.log.Debug("answer not read", "endpoint", attempt.endpointID, "addr", conn.pool.addr, "error", err)
+		p.log.Debug("failed to read an answer from an endpoint", "endpoint", attempt.endpointID, "addr", conn.pool.addr, "error", err)
 		p.onConnLost(conn, attempt)
 		return false
 	}
@@ -140,7 +140,7 @@
 	return true
 }
 
-// onAnswer handles an attempt's complete answer. It reports whether the connection can be used further.
+// onAnswer handles an attempt's complete answer. It reports whether the connection stays open.
 func (p *Proxy) onAnswer(conn *endpointConn, attempt *attempt, reply endpointAnswer) bool {
 	p.mu.Lock()
 	now := p.Now()
@@ -153,8 +153,8 @@
 	conn.attempt, attempt.conn = nil, nil
 	// If the endpoint answered before the attempt was fully written, the rest may still be in transit on the
 	// connection.
-	goesOn := reply.reusable && !conn.removed && conn.pool.usable && attempt.writeState.Load() == written
-	if goesOn {
+	keepConn := reply.reusable && !conn.removed && conn.pool.usable && attempt.writeState.Load() == written
+	if keepConn {
 		conn.idleSince = now
 		conn.pool.idle = append(conn.pool.idle, conn)
 	} else {
@@ -169,10 +169,10 @@
 	p.endAttempt(now, attempt, reply.outcome, &effects)
 	p.mu.Unlock()
 	p.runEffects(&effects)
-	return goesOn
+	return keepConn
 }
 
-// onConnLost handles the end of a connection. attempt is the one whose answer was awaited, or nil.
+// onConnLost handles the end of a connection. attempt is the attempt whose answer was awaited, or nil.
 func (p *Proxy) onConnLost(conn *endpointConn, attempt *attempt) {
 	p.mu.Lock()
 	var effects effects
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -14,7 +14,7 @@
 	startedAt float64
 	zone      uint16
 	cell      uint16
-	idle      []*endpointConn // longest idle first; the last one is reused first
+	idle      []*endpointConn // longest idle first; reused from the end
 	connCount int             // idle, busy and dialing connections
 }
 
@@ -55,13 +55,13 @@
 	}
 }
 
-// closeIdleConns closes connections that exceeded the idle timeout or whose endpoint is no longer usable. The caller
+// closeIdleConns closes idle connections that exceeded the idle timeout or whose endpoint is no longer usable. The caller
 // holds p.mu.
 func (p *Proxy) closeIdleConns(now float64, effects *effects) {
-	idleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds
+	maxIdleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds
 	for _, pool := range p.pools {
 		n := 0
-		for n < len(pool.idle) && (!pool.usable || now-pool.idle[n].idleSince > idleSeconds) {
+		for n < len(pool.idle) && (!pool.usable || now-pool.idle[n].idleSince > maxIdleSeconds) {
 			n++
 		}
 		for _, conn := range append([]*endpointConn(nil), pool.idle[:n]...) {
@@ -89,8 +89,8 @@
 	effects.connsToClose = append(effects.connsToClose, conn)
 }
 
-// assignConn assigns a connection to an attempt: an idle one or, within the limits, a new one. It returns false if
-// there is none or the endpoint is no longer usable. The caller holds p.mu.
+// assignConn assigns a connection to an attempt: an idle one or, within the connection limits, a new one. It returns
+// false if neither is available or the endpoint is no longer usable. The caller holds p.mu.
 func (p *Proxy) assignConn(attempt *attempt, effects *effects) bool {
 	pool := p.pools[attempt.endpointID]
 	if pool == nil || !pool.usable {
@@ -109,9 +109,9 @@
 	return true
 }
 
-// takeIdleConn removes the most recently used connection from the pool's idle list and returns it, or nil. On the way
-// it closes connections that are no longer usable. It skips one that is within its reuse delay: anything else that the
-// endpoint sends would be taken for the new attempt's answer. The caller holds p.mu.
+// takeIdleConn removes the most recently used connection from the pool's idle list and returns it, or nil if there is
+// none. It closes unusable connections that it encounters. It skips a connection that is within its reuse delay: if the
+// endpoint sends more bytes after its answer, they would be mistaken for the new attempt's answer. The caller holds p.mu.
 func (p *Proxy) takeIdleConn(pool *endpointPool, now, maxIdleSeconds float64, effects *effects) *endpointConn {
 	for n := len(pool.idle); n > 0; n-- {
 		conn := pool.idle[n-1]
@@ -119,7 +119,7 @@
 		if idleSeconds < p.connReuseDelaySeconds {
 			continue
 		}
-		// The idle sweep and the connection's reader may not have noticed this yet.
+		// The idle sweep and the connection's reader may not have detected this yet.
 		if idleSeconds > maxIdleSeconds || conn.unusable() {
 			p.removeConn(conn, effects)
 			continue
@@ -139,14 +139,14 @@
 // removeLongestIdle closes the connection that has been idle longest in any pool. It returns false if none is idle. The
 // caller holds p.mu.
 func (p *Proxy) removeLongestIdle(effects *effects) bool {
-	var longest *endpointConn
+	var longestIdle *endpointConn
 	for _, pool := range p.pools {
-		if len(pool.idle) > 0 && (longest == nil || pool.idle[0].idleSince < longest.idleSince) {
-			longest = pool.idle[0]
+		if len(pool.idle) > 0 && (longestIdle == nil || pool.idle[0].idleSince < longestIdle.idleSince) {
+			longestIdle = pool.idle[0]
 		}
 	}
-	if longest != nil {
-		p.removeConn(longest, effects)
+	if longestIdle != nil {
+		p.removeConn(longestIdle, effects)
 	}
-	return longest != nil
+	return longestIdle != nil
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -16,17 +16,17 @@
 	// acceptRetryDelay is the pause after a temporary accept error, such as running out of file descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
 
-	// Above the hard limit of connections, admission of a new one polls for evicted ones to close.
-	evictionPollTries    = 20
+	// Above the hard limit on connections, admitClient polls until evicted connections have closed.
+	maxEvictionPolls     = 20
 	evictionPollInterval = time.Millisecond
 
-	// CloseListener polls for an empty accept queue, for about one second in all: a process that has not accepted by
-	// then is stuck.
-	closePollTries    = 1000
+	// CloseListener polls for an empty accept queue, for about one second in all: a process that has not accepted all
+	// connections by then is stuck.
+	maxClosePolls     = 1000
 	closePollInterval = time.Millisecond
 )
 
-// Serve accepts client connections until the listener is closed, and then returns nil. Open connections stay open.
+// Serve accepts client connections until the listener is closed, and then returns nil. Accepted connections stay open.
 func (p *Proxy) Serve(listener net.Listener) error {
 	for {
 		netConn, err := listener.Accept()
@@ -34,7 +34,7 @@
 		case err == nil:
 			p.startClient(netConn)
 		case isTemporary(err):
-			p.log.Warn("accepting a connection failed, trying again", "error", err)
+			p.log.Warn("failed to accept a client connection; retrying", "error", err)
 			time.Sleep(acceptRetryDelay)
 		case errors.Is(err, net.ErrClosed):
 			return nil
@@ -49,7 +49,8 @@
 	return errors.As(err, &temporary) && temporary.Temporary()
 }
 
-// startClient serves a new connection in its own goroutine, or answers that there are too many and closes it.
+// startClient serves a new connection in its own goroutine. If the connection is not admitted, startClient sends the
+// protocol's answer for too many connections and closes it.
 func (p *Proxy) startClient(netConn net.Conn) {
 	conn := &clientConn{
 		proxy:         p,
@@ -67,19 +68,19 @@
 }
 
 // admitClient registers a connection if the limits on connections and memory allow it, evicting another one if needed.
-// Above the hard limit it blocks for up to evictionPollTries * evictionPollInterval.
+// Above the hard limit it blocks for up to maxEvictionPolls * evictionPollInterval.
 func (p *Proxy) admitClient(conn *clientConn) bool {
 	outOfMemory := p.memory.wouldExceed(connOverheadBytes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limits := &p.currentConfig.Load().Document.Clients
-	for try := 0; p.overCapacity(limits) && try < evictionPollTries; try++ {
+	for try := 0; p.overCapacity(limits) && try < maxEvictionPolls; try++ {
 		p.mu.Unlock()
 		time.Sleep(evictionPollInterval)
 		p.mu.Lock()
 	}
-	// A connection admitted after Close would never be closed, and its goroutine not waited for.
-	if p.closed || outOfMemory || p.overCapacity(limits) || !p.findPlace(limits) {
+	// Close would neither close a connection that is admitted after it, nor wait for the connection's goroutine.
+	if p.closed || outOfMemory || p.overCapacity(limits) || !p.makeRoom(limits) {
 		p.stats.ClientsRefused++
 		if outOfMemory {
 			p.stats.MemoryRefused++
@@ -93,23 +94,23 @@
 	return true
 }
 
-// overCapacity reports whether so many connections are open, including evicted ones, that file descriptors could run
-// out. The caller holds p.mu.
+// overCapacity reports whether so many connections are open, including evicted ones that have not closed yet, that file
+// descriptors could run out. The caller holds p.mu.
 func (p *Proxy) overCapacity(limits *config.Clients) bool {
 	return limits.EvictIdleFrom > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
 }
 
-// findPlace reports whether one more connection may be admitted: because the count is below the limit, or because
-// another connection could be evicted. From limits.EvictIdleFrom connections on, each new one evicts one. The caller
-// holds p.mu.
-func (p *Proxy) findPlace(limits *config.Clients) bool {
-	evicts := limits.EvictIdleFrom > 0 && len(p.clients) >= limits.EvictIdleFrom
-	return evicts && p.evictClient() || len(p.clients) < limits.MaxConns
+// makeRoom reports whether one more connection may be admitted, because the count is below the limit or because another
+// connection could be evicted. From limits.EvictIdleFrom connections on, each new connection evicts another one. The
+// caller holds p.mu.
+func (p *Proxy) makeRoom(limits *config.Clients) bool {
+	mustEvict := limits.EvictIdleFrom > 0 && len(p.clients) >= limits.EvictIdleFrom
+	return mustEvict && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
 // evictClient marks the connection that loadshed's eviction order selects and wakes its reader, which closes it. It
-// returns false if no connection may be evicted. A request that it starts to read meanwhile is still served. The caller
-// holds p.mu.
+// returns false if no connection may be evicted. A request that the connection starts to read meanwhile is still
+// served. The caller holds p.mu.
 func (p *Proxy) evictClient() bool {
 	now := p.Now()
 	var victim *clientConn
@@ -156,7 +157,7 @@
 		return
 	}
 	raw, err := conn.SyscallConn()
-	for try := 0; err == nil && try < closePollTries; try++ {
+	for try := 0; err == nil && try < maxClosePolls; try++ {
 		waiting := false
 		err = raw.Control(func(fd uintptr) {
 			n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
