--- a/internal/proxy/limited_reader.go
+++ b/internal/proxy/limited_reader.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// limitedReader bounds the bytes that one message may read from a connection, so that a peer can't send an endless
+// limitedReader bounds the bytes that are read from a connection for one message, so that a peer can't send an endless
 // head, and counts them against the memory budget until release. Only the connection's reader goroutine uses it.
 type limitedReader struct {
 	source       io.Reader
 	remaining    int64 // bytes that may still be read; set by the reader before each part of a message
-	limitReached bool  // a read hit the bound
-	sourceErr    error // the connection's own error, if the last read had one
+	limitReached bool  // a read was refused at the bound
+	sourceErr    error // the connection's error on the last read, or nil
 	memory       *memoryBudget
-	countedBytes int // counted against memory since the last release
+	countedBytes int // bytes counted against memory since the last release
 }
 
 // release returns the counted bytes to the memory budget. It is called once the message's bytes are no longer held.
--- a/internal/proxy/memory_budget.go
+++ b/internal/proxy/memory_budget.go
@@ -8,7 +8,7 @@
 	"flintspread/internal/loadshed"
 )
 
-// connOverheadBytes is the memory of a connection without its messages: buffers and its goroutine's stack.
+// connOverheadBytes is the memory of a connection apart from its messages: its buffers and its goroutine's stack.
 const connOverheadBytes = 12 << 10
 
 // memoryBudget counts the bytes held by connections and messages against a limit. The runtime's own overhead is not
@@ -20,7 +20,7 @@
 	readsPaused atomic.Uint64 // reads that waited for memory
 
 	mu        sync.Mutex
-	available chan struct{} // closed and set to nil once the budget is not under pressure; nil: no reader waits
+	available chan struct{} // closed and set to nil when pressure ends; nil: no reader waits
 }
 
 // add counts n more bytes. A negative n releases bytes and may wake waiting readers.
@@ -57,7 +57,7 @@
 	return float64(m.usedBytes.Load()) / float64(m.limitBytes)
 }
 
-// underPressure reports whether so much is used that readers must pause.
+// underPressure reports whether so much of the budget is used that readers must pause.
 func (m *memoryBudget) underPressure() bool { return loadshed.ReadPauseSeconds(m.usedShare()) > 0 }
 
 // wouldExceed reports whether n more bytes would exceed the budget.
@@ -65,7 +65,7 @@
 	return m.limitBytes > 0 && m.usedBytes.Load()+int64(n) > m.limitBytes
 }
 
-// beginPause returns the maximum pause of a reader in seconds, 0 if it need not pause. It counts pauses in readsPaused.
+// beginPause returns a reader's maximum pause in seconds, 0 if it need not pause. It counts the pause in readsPaused.
 func (m *memoryBudget) beginPause() float64 {
 	seconds := loadshed.ReadPauseSeconds(m.usedShare())
 	if seconds > 0 {
@@ -82,7 +82,7 @@
 		return
 	}
 	available := m.availableChan()
-	if !m.underPressure() { // released meanwhile; the channel may never be closed
+	if !m.underPressure() { // memory was released meanwhile; the channel may never be closed
 		return
 	}
 	timer := time.NewTimer(secondsToDuration(seconds))
--- a/internal/proxy/read_waiter.go
+++ b/internal/proxy/read_waiter.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// readWaiter lets the reader of a pipelined client connection wait between requests. Code that changes a condition the
-// reader waits for calls wakeReader. A wake-up while the reader is not waiting is kept for its next wait, so that none
-// is lost; it does not interrupt a request that is being read.
+// readWaiter lets the reader of a pipelined client connection wait between requests. Code that changes a condition that
+// the reader waits for calls wakeReader. A wake-up while the reader is not waiting is kept for its next wait, so that
+// none is lost, and does not interrupt a request that is being read.
 type readWaiter struct {
 	mu      sync.Mutex
 	waiting bool
@@ -31,8 +31,8 @@
 	}
 }
 
-// waitForReader runs wait, a read that respects the connection's read deadline, until the given time (zero: no limit)
-// or until it is woken. It returns errWoken if it was woken before anything arrived, else the result of wait.
+// waitForReader runs wait, which must respect the connection's read deadline, until the given time (zero: no limit) or
+// until wakeReader is called. It returns errWoken if a wake-up interrupted wait, otherwise the result of wait.
 func (conn *clientConn) waitForReader(until time.Time, wait func() error) error {
 	waiter := &conn.waiter
 	waiter.mu.Lock()
@@ -53,7 +53,7 @@
 		return errWoken
 	}
 	if woken {
-		conn.wakeReader() // handle what arrived first; keep the wake-up for the next wait
+		conn.wakeReader() // the caller handles the result of wait first; keep the wake-up for the next wait
 	}
 	return err
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// drainPollInterval is the interval at which Drain checks what is left.
+// drainPollInterval is the interval at which Drain checks for remaining requests and connections.
 const drainPollInterval = 5 * time.Millisecond
 
-// SetReady marks the proxy as ready to route requests. Pending readiness probes are answered, and so is every later
-// one. It may be called more than once.
+// SetReady marks the proxy as ready to route requests. It answers pending readiness probes; later probes are answered
+// at once. It may be called more than once.
 func (p *Proxy) SetReady() {
 	p.mu.Lock()
-	waiting := p.awaitingReady
+	pendingAnswers := p.awaitingReady
 	p.ready, p.awaitingReady = true, nil
 	p.mu.Unlock()
-	for _, answer := range waiting {
+	for _, answer := range pendingAnswers {
 		answer()
 	}
 }
@@ -41,8 +41,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.answerDeadline = at
-	// Every request in flight is queued, since each waits for an event. scheduleCheck reorders the queue, so iterate
-	// over a copy.
+	// The queue contains every request in flight, since each waits for an event. scheduleCheck reorders the queue, so
+	// iterate over a copy.
 	for _, request := range append(deadlineQueue(nil), p.deadlines...) {
 		if request.Completed || request.Deadline <= at {
 			continue
@@ -59,7 +59,7 @@
 }
 
 // StopServing begins a graceful shutdown while the listener stays open. A new connection still gets its first request
-// served, and each connection closes once nothing is in flight on it. A message that is being read may still complete,
+// served, and each connection closes once no request is in flight on it. A message that is being read may still complete,
 // until the answer deadline.
 func (p *Proxy) StopServing() {
 	p.mu.Lock()
@@ -73,7 +73,8 @@
 }
 
 // Drain calls StopServing and blocks until every request is answered and every client connection has closed. If ctx
-// ends before, it returns an error that wraps ctx.Err() and says what is left. Close the listener before calling it.
+// ends first, it returns an error that wraps ctx.Err() and gives the numbers that remain. Close the listener before
+// calling it.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.StopServing()
 	ticker := time.NewTicker(drainPollInterval)
@@ -85,13 +86,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d requests and %d connections left: %w", requests, connections, ctx.Err())
+			return fmt.Errorf("%d requests in flight and %d client connections open at the end of the drain: %w", requests, connections, ctx.Err())
 		case <-ticker.C:
 		}
 	}
 }
 
-// wakeIdleClients makes idle connections close, and returns how many requests and connections are left.
+// wakeIdleClients wakes the readers of idle client connections, which then close them. It returns the numbers of
+// requests in flight and of client connections.
 func (p *Proxy) wakeIdleClients() (requests, connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/socket.go
+++ b/internal/proxy/socket.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// socket is a connection with non-blocking writes and peeks. Any goroutine may write to a connection and must not be
-// blocked by a peer that does not read. It is safe for concurrent use.
+// socket adds non-blocking writes and peeks to a connection, so that a peer that does not read blocks none of the
+// goroutines that write to it. It is safe for concurrent use.
 type socket struct {
 	net.Conn
-	raw syscall.RawConn // nil if not available: writeNow then writes nothing
+	raw syscall.RawConn // nil if not available; writeNow then writes nothing
 }
 
 func newSocket(netConn net.Conn) socket {
@@ -105,8 +105,8 @@
 	})
 }
 
-// waitHangUp blocks until the peer has closed its side, regardless of unread bytes: a reader that is paused would not
-// notice. It returns nil once the peer has closed, and respects the connection's read deadline.
+// waitHangUp blocks until the peer has closed its side, even if bytes are unread: a reader that is paused does not read
+// up to the end of the stream. It returns nil once the peer has closed, and respects the connection's read deadline.
 func (s socket) waitHangUp() error {
 	if s.raw == nil {
 		return os.ErrDeadlineExceeded
