--- a/internal/proxy/answer_queue.go
+++ b/internal/proxy/answer_queue.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// answerChunkBytes is the size of one write to a slow client. Each chunk has its own write deadline.
+	// answerChunkBytes is the maximum size of one write to a slow client. Each chunk has its own write deadline.
 	answerChunkBytes = 64 << 10
 
-	// keptAnswerBytes is the largest buffer that a connection keeps for reuse between answers.
-	keptAnswerBytes = 16 << 10
+	// maxReusedBufferBytes is the largest buffer that a connection keeps for reuse between answers.
+	maxReusedBufferBytes = 16 << 10
 )
 
-// pendingAnswer is an answer's place in its connection's answerQueue.
+// pendingAnswer is an answer's slot in its connection's answerQueue.
 type pendingAnswer struct {
 	bytes     []byte
 	completed bool
 }
 
-// answerQueue holds the outstanding answers of a pipelined connection in request order. An answer that completes early
-// waits for those before it.
+// answerQueue holds the outstanding answers of a pipelined connection in request order. An answer is written only after
+// all earlier ones are complete.
 type answerQueue struct {
 	mu        sync.Mutex
 	pending   []*pendingAnswer // oldest first
 	unwritten []byte           // completed answers, in order, that the kernel has not accepted yet
 	writing   bool             // a writeRemaining goroutine is running
-	broken    bool             // a write failed: the client is gone
+	broken    bool             // a write failed: the connection is closed
 }
 
 // queueState is a snapshot of an answerQueue.
@@ -38,7 +38,7 @@
 	broken      bool
 }
 
-// enqueue reserves the place of the next request's answer.
+// enqueue reserves the slot for the next request's answer.
 func (q *answerQueue) enqueue() *pendingAnswer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// completeAnswer sets an answer and writes every answer that may now be sent, without blocking. A separate goroutine
+// completeAnswer completes an answer and writes every answer that may now be sent, without blocking. A separate goroutine
 // writes what the kernel does not accept at once.
 func (conn *clientConn) completeAnswer(pending *pendingAnswer, bytes []byte) {
 	defer conn.wakeReader() // runs after the unlock
@@ -88,13 +88,13 @@
 		queue.writing = true
 		conn.proxy.goroutines.Add(1)
 		go conn.writeRemaining()
-	case cap(queue.unwritten) > keptAnswerBytes:
+	case cap(queue.unwritten) > maxReusedBufferBytes:
 		queue.unwritten = nil
 	}
 }
 
-// writeRemaining writes to a slow client until nothing is left unwritten. It continues as long as the client accepts
-// each chunk within the longest request timeout, since a truncated answer is useless.
+// writeRemaining writes to a slow client until the queue has no unwritten bytes. It continues as long as the client
+// accepts each chunk within the longest request timeout, since a truncated answer is useless.
 func (conn *clientConn) writeRemaining() {
 	defer conn.proxy.goroutines.Done()
 	queue := &conn.answers
@@ -121,7 +121,7 @@
 	}
 }
 
-// writeChunks writes all of buf. It blocks for each chunk up to the longest request timeout.
+// writeChunks writes all of buf. It blocks for up to the longest request timeout per chunk.
 func (conn *clientConn) writeChunks(buf []byte) (err error) {
 	for rest := buf; len(rest) > 0 && err == nil; rest = rest[min(answerChunkBytes, len(rest)):] {
 		conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(conn.proxy.longestTimeoutSeconds())))
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -6,8 +6,8 @@
 	"flintspread/internal/loadshed"
 )
 
-// sampleLoad measures this process and passes the result to the shedder and the balancer, so that delays of this
-// process are not blamed on endpoints. The caller holds p.mu.
+// sampleLoad measures the load and delays of this process and passes them to the shedder and the balancer, so that
+// delays of this process are not attributed to endpoints. The caller holds p.mu.
 func (p *Proxy) sampleLoad(now float64) {
 	p.timerDelaySeconds = max(0, now-p.policyTickAt)
 	p.processSample = p.sampler.Sample()
@@ -39,8 +39,8 @@
 	}
 }
 
-// queuedSecondsIfMeasured returns queuedSeconds while this process is near its limits, else 0, because measuring costs
-// one system call per request.
+// queuedSecondsIfMeasured returns queuedSeconds while this process is near its limits. Otherwise it returns 0, because
+// the measurement costs one system call per request.
 func (conn *clientConn) queuedSecondsIfMeasured() float64 {
 	if !conn.proxy.measureQueueing.Load() {
 		return 0
@@ -49,7 +49,7 @@
 }
 
 // queuedSeconds returns how long the message that is about to be read has waited in the kernel: the time since the
-// kernel last received data from the client. The client's timeout counts from then.
+// kernel last received data from the client. The timeouts of the request count from that instant.
 func (conn *clientConn) queuedSeconds() float64 {
 	if conn.socket.raw == nil {
 		return 0
@@ -60,7 +60,7 @@
 			millis = info.Last_data_recv
 		}
 	})
-	if err != nil { // the connection is closed; its next read reports that
+	if err != nil { // the connection is closed; its next read returns the error
 		return 0
 	}
 	conn.proxy.noteQueuedMillis(millis)
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -9,11 +9,11 @@
 
 // Stats holds a proxy's counters since its creation, and gauges of its current state.
 type Stats struct {
-	// Requests received, and those completed by how they ended (Abandoned: the client disconnected first).
+	// Requests received, and requests completed by result (Abandoned: the client disconnected before its answer).
 	Received, Succeeded, Rejected, Failed, Abandoned uint64
-	InvalidRequests                                  uint64 // messages not accepted as requests; includes PING
+	InvalidRequests                                  uint64 // messages that were not accepted as requests, including PING
 
-	// Client connections accepted and refused; MemoryRefused are those refused because the memory budget was used up.
+	// Client connections accepted and refused; MemoryRefused counts those refused because the memory budget was used up.
 	ClientsAccepted, ClientsRefused, MemoryRefused uint64
 
 	// Attempts started, connections dialed, attempts cancelled, answers to attempts that had already ended, wrong
@@ -23,7 +23,7 @@
 
 	InFlight, ClientConns, EndpointConns, Endpoints int // gauges
 
-	Shed              uint64  // rejected requests that load shedding rejected
+	Shed              uint64  // the part of Rejected that load shedding rejected
 	ShedShare         float64 // share of the offered work that is being shed
 	TimerDelaySeconds float64 // how late the timer was at the last load sample
 	Process           processstats.Sample
@@ -34,7 +34,7 @@
 	EndpointListAgeSeconds float64
 
 	PolicyCalls   uint64
-	PolicySeconds float64 // spent in these calls
+	PolicySeconds float64 // time spent in these calls
 }
 
 // Stats returns the current counters and gauges.
@@ -58,8 +58,8 @@
 	return stats
 }
 
-// countPolicyCall counts a call into the balancer that started at from, and its duration. The caller holds p.mu.
-func (p *Proxy) countPolicyCall(from time.Time) {
+// countPolicyCall counts a call into the balancer that began at start, and its duration. The caller holds p.mu.
+func (p *Proxy) countPolicyCall(start time.Time) {
 	p.stats.PolicyCalls++
-	p.stats.PolicySeconds += time.Since(from).Seconds()
+	p.stats.PolicySeconds += time.Since(start).Seconds()
 }
