--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -9,7 +9,7 @@
 // under the lock that serializes its calls.
 
 // ApplyEndpoints applies changes returned by endpoints.List.Apply to the balancer and the pools. Only the first changes
-// of a list are Full. Every decision made after it returns uses them.
+// of a list are Full. All decisions made after ApplyEndpoints returns use the changed list.
 func (p *Proxy) ApplyEndpoints(changes *endpoints.Update) {
 	var effects effects
 	defer p.runEffects(&effects) // runs after the unlock
@@ -50,14 +50,15 @@
 	p.balancer.ApplyRelease(p.Now(), build, stage, phase, limit, ageSeconds)
 }
 
-// RestoreRelease applies the release state that the previous process saved, last confirmed agoSeconds ago.
-func (p *Proxy) RestoreRelease(build, stage int, phase policy.Phase, limit, ageSeconds, agoSeconds float64) {
+// RestoreRelease applies the release state that the previous process saved; it was last confirmed confirmedAgeSeconds
+// ago.
+func (p *Proxy) RestoreRelease(build, stage int, phase policy.Phase, limit, ageSeconds, confirmedAgeSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.balancer.RestoreRelease(p.Now(), build, stage, phase, limit, ageSeconds, agoSeconds)
+	p.balancer.RestoreRelease(p.Now(), build, stage, phase, limit, ageSeconds, confirmedAgeSeconds)
 }
 
-// ApplyAssignment applies a controller's assignment: its verdict on the build, and the share leased until leaseEndsAt.
+// ApplyAssignment applies a controller's assignment: its verdict on a build, and the share leased until leaseEndsAt.
 func (p *Proxy) ApplyAssignment(build int, verdict policy.Verdict, share, leaseEndsAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +79,7 @@
 	return p.balancer.LocalEvidence(p.Now())
 }
 
-// ReportWrongAnswer records that an endpoint gave a wrong answer to an attempt of ageSeconds ago.
+// ReportWrongAnswer records that an endpoint gave a wrong answer to an attempt made ageSeconds ago.
 func (p *Proxy) ReportWrongAnswer(endpointID uint32, ageSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	p.balancer.ReportWrongAnswer(p.Now(), endpointID, ageSeconds)
 }
 
-// OnVoteReply passes the reply to the last vote cast to the balancer.
+// OnVoteReply passes the reply to the last cast vote to the balancer.
 func (p *Proxy) OnVoteReply(reply policy.VoteReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/config_versions.go
+++ b/internal/proxy/config_versions.go
@@ -2,7 +2,7 @@
 
 import "flintspread/internal/configstate"
 
-// OfferConfig applies a configuration version, keeps it waiting or rejects it, and returns which. Applying is atomic:
+// OfferConfig applies a configuration version, keeps it waiting or rejects it, and returns that outcome. Applying is atomic:
 // every request accepted afterwards uses the new version, and requests in flight keep the version they were accepted
 // under.
 func (p *Proxy) OfferConfig(version *configstate.Version) (configstate.Outcome, error) {
@@ -15,14 +15,14 @@
 	return outcome, err
 }
 
-// CheckConfig returns what OfferConfig would do with a version now, without applying it.
+// CheckConfig returns what OfferConfig would return for a version now, without applying it.
 func (p *Proxy) CheckConfig(version *configstate.Version) (configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.configState.Check(version, p.configConditions())
 }
 
-// RecheckConfig re-evaluates the waiting version and returns it with the outcome. The version is nil if none waited.
+// RecheckConfig re-evaluates the waiting version and returns it with the outcome. The version is nil if none waits.
 func (p *Proxy) RecheckConfig() (*configstate.Version, configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/protocol.go
+++ b/internal/proxy/protocol.go
@@ -10,7 +10,7 @@
 // protocol is a wire protocol, spoken to clients and endpoints. It makes no decisions. Implementations are stateless:
 // the state of a connection is in clientConn and endpointConn.
 type protocol interface {
-	// serveClient reads requests from a client, passes each to Proxy.accept, and returns once the connection is to be
+	// serveClient reads requests from a client and passes each to Proxy.accept. It returns when the connection must be
 	// closed. It abandons the requests of a client that disconnected.
 	serveClient(conn *clientConn)
 
@@ -25,18 +25,18 @@
 	// retryAfterSeconds.
 	rejectedAnswer(config *configstate.Version, retryAfterSeconds float64) answer
 
-	// failedAnswer returns the final answer to a request that may have run; timedOut says that its last attempt timed
-	// out.
+	// failedAnswer returns the final answer to a request that may have run. timedOut reports whether its last attempt
+	// timed out.
 	failedAnswer(config *configstate.Version, timedOut bool) answer
 
 	// tooManyConnections returns the answer to a client whose connection is refused.
 	tooManyConnections(retryAfterSeconds float64) []byte
 
-	// connReuseDelaySeconds returns how long after an answer an endpoint connection gets no further attempt.
+	// connReuseDelaySeconds returns the minimum time between an answer and the next attempt on its endpoint connection.
 	connReuseDelaySeconds() float64
 
-	// startsAtLastByte reports whether endpoints start a request only on its last byte, so that a truncated one never
-	// ran.
+	// startsAtLastByte reports whether endpoints start a request only on its last byte, so that a truncated request
+	// never ran.
 	startsAtLastByte() bool
 
 	// encodeAttempt encodes a message for an endpoint; remainingSeconds is the time left until the attempt's deadline.
@@ -51,5 +51,5 @@
 type endpointAnswer struct {
 	answer   answer // for the client; set if outcome is policy.Succeeded
 	outcome  policy.Outcome
-	reusable bool // the connection may serve another attempt
+	reusable bool // the connection may be used for another attempt
 }
