--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -19,13 +19,13 @@
 	"flintspread/internal/releases"
 )
 
-// harness is a proxy between a test's clients and its scripted endpoints.
+// harness runs a proxy between the clients and the scripted endpoints of a test.
 type harness struct {
 	t         testing.TB
 	proxy     *Proxy
 	listener  net.Listener
 	endpoints map[uint32]*scriptedEndpoint
-	done      chan error
+	done      chan error // receives the result of Serve
 }
 
 // scriptedEndpoint is an endpoint that runs a script on each connection and records the requests that it reads.
@@ -36,31 +36,31 @@
 	requests []string // request lines
 }
 
-// newHarness starts an HTTP proxy; edit changes the example settings.
+// newHarness starts an HTTP proxy with the example settings, which edit may change.
 func newHarness(t testing.TB, edit func(*config.Router)) *harness {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := config.ParseRouter("edge.edn", text)
+	settings, err := config.ParseRouter("edge.edn", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Overload = nil // the test machine's load must not change results
+	settings.Overload = nil // the load of the test machine must not affect results
 	if edit != nil {
-		edit(set)
-		if err := set.Check(); err != nil {
+		edit(settings)
+		if err := settings.Check(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return startHarness(t, NewHTTP(set, 1, discardLogger(), func(releases.Vote) {}))
+	return startHarness(t, NewHTTP(settings, 1, discardLogger(), func(releases.Vote) {}))
 }
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // startHarness serves a proxy on a listener until the test ends.
-func startHarness(t testing.TB, r *Proxy) *harness {
-	h := &harness{t: t, proxy: r, endpoints: map[uint32]*scriptedEndpoint{}, done: make(chan error, 1)}
+func startHarness(t testing.TB, proxy *Proxy) *harness {
+	h := &harness{t: t, proxy: proxy, endpoints: map[uint32]*scriptedEndpoint{}, done: make(chan error, 1)}
 	var err error
 	if h.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -76,21 +76,21 @@
 	return h
 }
 
-// addEndpoint starts an endpoint that runs play for each connection, and adds it to the endpoint list as ready.
-func (h *harness) addEndpoint(id uint32, build int, play func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
+// addEndpoint starts an endpoint that runs script for each connection, and adds it to the endpoint list as ready.
+func (h *harness) addEndpoint(id uint32, build int, script func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
 	endpoint := &scriptedEndpoint{id: id}
-	l, err := fakes.Serve(func(c net.Conn) { play(endpoint, c, bufio.NewReader(c)) })
+	listener, err := fakes.Serve(func(c net.Conn) { script(endpoint, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	endpoint.listener = l
+	endpoint.listener = listener
 	h.endpoints[id] = endpoint
-	h.updateEndpoints(false, endpoints.Endpoint{ID: id, Addr: l.Addr().String(), State: "ready", Build: build})
+	h.updateEndpoints(false, endpoints.Endpoint{ID: id, Addr: listener.Addr().String(), State: "ready", Build: build})
 	return endpoint
 }
 
-func (h *harness) updateEndpoints(full bool, units ...endpoints.Endpoint) {
-	h.proxy.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: units})
+func (h *harness) updateEndpoints(full bool, list ...endpoints.Endpoint) {
+	h.proxy.ApplyEndpoints(&endpoints.Update{Full: full, Endpoints: list})
 }
 
 // readRequest reads one request and records it.
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, false
 	}
-	_, err = io.Copy(io.Discard, req.Body) // a truncated body counts, too
+	_, err = io.Copy(io.Discard, req.Body) // a request with a truncated body is recorded, too
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
 	endpoint.requests = append(endpoint.requests, req.Method+" "+req.RequestURI)
@@ -141,7 +141,8 @@
 	}
 }
 
-// writeText writes to a peer that may have closed, and ignores errors: tests check what the peer received.
+// writeText writes to a peer that may have closed the connection, and ignores errors: tests check what the peer
+// received.
 func writeText(w io.Writer, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		return
@@ -155,14 +156,14 @@
 	}
 }
 
-// setReadBuffer bounds what the kernel buffers for a connection that is not read.
+// setReadBuffer bounds the bytes that the kernel buffers for a connection that is not read.
 func setReadBuffer(c net.Conn, bytes int) {
 	if err := c.(*net.TCPConn).SetReadBuffer(bytes); err != nil {
 		panic(err)
 	}
 }
 
-// testClient is a client connection.
+// testClient is a test's client connection.
 type testClient struct {
 	net.Conn
 	br *bufio.Reader
@@ -179,13 +180,14 @@
 	return &testClient{c, bufio.NewReader(c), h.t}
 }
 
-// Requests of each idempotency, as routed by the example settings.
+// Heads of requests of each idempotency, as routed by the example settings.
 const (
 	idempotentRequest    = "GET /chute/7 HTTP/1.1\r\nHost: x\r\n"
 	keyedRequest         = "POST /divert/7 HTTP/1.1\r\nHost: x\r\nIdempotency-Key: m1\r\nContent-Length: 2\r\n"
 	nonIdempotentRequest = "POST /seal/7 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n"
 )
 
+// send sends a request with the given head, and a two-byte body if it is a POST.
 func (c *testClient) send(head string) {
 	body := ""
 	if strings.HasPrefix(head, "POST") {
@@ -194,7 +196,7 @@
 	writeText(c, head+"\r\n"+body)
 }
 
-// readAnswer reads one answer and returns its status, kind and body.
+// readAnswer reads one answer and returns its status, kind and body, or the text of the error.
 func (c *testClient) readAnswer() string {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -205,33 +207,34 @@
 		return err.Error()
 	}
 	text := fmt.Sprint(resp.StatusCode)
-	if k := resp.Header.Get(headerAnswer); k != "" {
-		text += " " + k
+	if kind := resp.Header.Get(headerAnswer); kind != "" {
+		text += " " + kind
 	}
 	return text + ": " + strings.TrimSpace(string(body))
 }
 
+// roundTrip sends a request on a new connection and returns its answer.
 func (h *harness) roundTrip(head string) string {
 	c := h.dial()
 	c.send(head)
 	return c.readAnswer()
 }
 
-// eventually waits until a condition becomes true.
-func (h *harness) eventually(what string, is func() bool) {
+// eventually waits up to 5 s for a condition to become true.
+func (h *harness) eventually(what string, condition func() bool) {
 	h.t.Helper()
 	for range 500 {
-		if is() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	h.t.Errorf("not within 5 s: %s", what)
+	h.t.Errorf("condition not met within 5 s: %s", what)
 }
 
 func (h *harness) wantEqual(what, got, want string) {
 	h.t.Helper()
 	if got != want {
-		h.t.Errorf("%s: %q, want %q", what, got, want)
+		h.t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
