--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -16,25 +16,26 @@
 	"flintspread/internal/policy"
 )
 
-// Events while answers are outstanding: shutdown, clients and endpoints that disconnect, slow readers. Their order is
-// forced: an endpoint or a client holds its next byte until the other end is in the state that the test needs.
+// These tests cover events while answers are outstanding: shutdown, clients and endpoints that disconnect, and slow
+// clients. The order of events is forced: an endpoint or a client does not send its next byte until the other side is in
+// the state that the test needs.
 
 // allowLongRequests gives every class a timeout that no test reaches.
-func allowLongRequests(t *policy.Config) {
-	for i := range t.Classes {
-		t.Classes[i].TimeoutSeconds, t.Classes[i].LatencyObjectiveSeconds, t.Classes[i].DedupWindowSeconds = 60, 60, 100
+func allowLongRequests(policyConfig *policy.Config) {
+	for i := range policyConfig.Classes {
+		policyConfig.Classes[i].TimeoutSeconds, policyConfig.Classes[i].LatencyObjectiveSeconds, policyConfig.Classes[i].DedupWindowSeconds = 60, 60, 100
 	}
 }
 
-// newLongCommand returns a command whose client waits for a minute.
-func newLongCommand(c string) (text, id string) { return newCommandWithTimeout(c, 60_000) }
+// newLongCommand returns a command of a class whose client waits for a minute.
+func newLongCommand(class string) (text, id string) { return newCommandWithTimeout(class, 60_000) }
 
-// answerIDWhenOpen answers attempts once gate is closed.
+// answerIDWhenOpen answers every attempt with its id once the channel gate is closed.
 func answerIDWhenOpen(gate chan struct{}) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
 	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
+		for words, ok := endpoint.readCommand(br); ok; words, ok = endpoint.readCommand(br) {
 			<-gate
-			writeText(c, valueReply(w[2]))
+			writeText(c, valueReply(words[2]))
 		}
 	}
 }
@@ -43,9 +44,9 @@
 // connections.
 type unacceptingEndpoint struct {
 	*scriptedEndpoint
-	fd   int
-	addr string
-	fill []net.Conn
+	fd      int
+	addr    string
+	fillers []net.Conn // connections that fill the accept queue
 }
 
 func newUnacceptingEndpoint(t *testing.T) *unacceptingEndpoint {
@@ -59,20 +60,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	sockAddr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint := &unacceptingEndpoint{scriptedEndpoint: &scriptedEndpoint{}, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)}
-	for { // until one more is not accepted
+	endpoint := &unacceptingEndpoint{scriptedEndpoint: &scriptedEndpoint{}, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", sockAddr.(*syscall.SockaddrInet4).Port)}
+	for { // until the accept queue is full
 		c, err := net.DialTimeout("tcp", endpoint.addr, 100*time.Millisecond)
 		if err != nil {
 			break
 		}
-		endpoint.fill = append(endpoint.fill, c)
+		endpoint.fillers = append(endpoint.fillers, c)
 	}
 	t.Cleanup(func() {
-		for _, c := range endpoint.fill {
+		for _, c := range endpoint.fillers {
 			c.Close()
 		}
 		closeDescriptor(t, fd)
@@ -88,17 +89,17 @@
 
 // acceptAndRead accepts connections until one that is not a filler of the accept queue, and returns the first bytes
 // that it sent, or its error.
-func (endpoint *unacceptingEndpoint) acceptAndRead(t *testing.T) (said string) {
-	own := map[int]bool{}
-	for _, c := range endpoint.fill {
-		own[c.LocalAddr().(*net.TCPAddr).Port] = true
+func (endpoint *unacceptingEndpoint) acceptAndRead(t *testing.T) (received string) {
+	fillerPorts := map[int]bool{}
+	for _, c := range endpoint.fillers {
+		fillerPorts[c.LocalAddr().(*net.TCPAddr).Port] = true
 	}
 	for {
 		fd, from, err := syscall.Accept(endpoint.fd)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if own[from.(*syscall.SockaddrInet4).Port] {
+		if fillerPorts[from.(*syscall.SockaddrInet4).Port] {
 			closeDescriptor(t, fd)
 			continue
 		}
@@ -112,7 +113,7 @@
 	}
 }
 
-// Requests in flight are answered by the answer deadline, however long their clients would wait.
+// At shutdown, requests in flight are answered by the answer deadline, however long their clients would wait.
 func TestAnswerDeadlineAtShutdown(t *testing.T) {
 	for class, want := range map[string]string{"lookup": "-BUSY 1500", "order": "-BUSY 1500", "seal": "-ERR failed; it may have been done"} {
 		h := newRESPHarnessWith(t, allowLongRequests, nil)
@@ -120,16 +121,16 @@
 		defer close(gate)
 		h.addEndpoint(1, 1, answerIDWhenOpen(gate))
 		text, _ := newLongCommand(class)
-		c := h.dial()
-		writeText(c, text)
+		client := h.dial()
+		writeText(client, text)
 		h.eventually("in flight", func() bool { return h.proxy.Stats().Attempts == 1 })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.2)
-		h.wantEqual(class, c.readLine(), want)
+		h.wantEqual(class, client.readLine(), want)
 	}
 }
 
-// TestAnswerDeadlineMovesWhileAttemptsAreWritten guards against an attempt's deadline that is read without the lock while
-// a shutdown lowers it; the race detector reports that.
+// The writer of an attempt must not read its deadline without the lock, since a shutdown may lower the deadline at the
+// same time. The race detector reports such a read.
 func TestAnswerDeadlineMovesWhileAttemptsAreWritten(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
 	h.addEndpoint(1, 1, answerID)
@@ -146,45 +147,45 @@
 			}
 		}
 	}()
-	c := h.dial()
+	client := h.dial()
 	for range 300 {
 		text, id := newLongCommand("lookup")
-		writeText(c, text)
-		h.wantEqual("served", c.readLine(), "v"+id)
+		writeText(client, text)
+		h.wantEqual("served", client.readLine(), "v"+id)
 	}
 	close(served)
 	<-moved
 }
 
-// A command that has partly arrived when the shutdown begins is served if the rest arrives, and answered with an error
-// if not.
+// A command that has partly arrived when the shutdown begins is served if the rest arrives before the answer deadline,
+// and answered with an error if not.
 func TestPartialCommandAtShutdown(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds = 60 })
 		h.addEndpoint(1, 1, answerID)
-		c := h.dial()
-		c.wantServed("lookup")
+		client := h.dial()
+		client.wantServed("lookup")
 		text, id := newCommand("seal")
-		writeText(c, text[:20])
-		h.eventually("it has begun", func() bool { return h.anyClient(func(conn *clientConn) bool { return conn.reading }) })
+		writeText(client, text[:20])
+		h.eventually("the command is being read", func() bool { return h.anyClient(func(conn *clientConn) bool { return conn.reading }) })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.3)
 		h.proxy.StopServing()
-		if whole {
-			writeText(c, text[20:])
-			h.wantEqual("the whole", c.readLine(), "v"+id)
+		if complete {
+			writeText(client, text[20:])
+			h.wantEqual("answer to the complete command", client.readLine(), "v"+id)
 		} else {
-			h.wantEqual("the part", c.readLine(), "-ERR the command did not come whole in time")
+			h.wantEqual("answer to the partial command", client.readLine(), "-ERR the command did not come whole in time")
 		}
-		h.wantEqual("and then", c.readLine(), "closed")
+		h.wantEqual("end of the connection", client.readLine(), "closed")
 	}
 }
 
-// anyClient reports whether any client connection fulfils a condition.
-func (h *harness) anyClient(is func(*clientConn) bool) bool {
+// anyClient reports whether a condition is true for any client connection.
+func (h *harness) anyClient(condition func(*clientConn) bool) bool {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
 	for conn := range h.proxy.clients {
-		if is(conn) {
+		if condition(conn) {
 			return true
 		}
 	}
@@ -197,122 +198,125 @@
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
 	h.proxy.StopServing()
-	c := h.dial()
-	h.eventually("its reader waits", func() bool {
+	client := h.dial()
+	h.eventually("the connection's reader waits", func() bool {
 		return h.anyClient(func(conn *clientConn) bool {
 			conn.waiter.mu.Lock()
 			defer conn.waiter.mu.Unlock()
 			return conn.waiter.waiting
 		})
 	})
-	c.wantServed("seal")
-	h.wantEqual("and then", c.readLine(), "closed")
+	client.wantServed("seal")
+	h.wantEqual("end of the connection", client.readLine(), "closed")
 }
 
-// A client's disconnect is noticed in every state of its connection: no further attempt of its commands is sent
-// afterwards.
+// The proxy detects in every state of a client connection that the client disconnects, and sends no further attempt of
+// its commands.
 func TestClientClosesWhileAnswersPending(t *testing.T) {
 	cases := []struct {
-		name string
-		edit func(*config.Router)
-		play func(h *harness, c *testClient)
+		name  string
+		edit  func(*config.Router)
+		setUp func(h *harness, client *testClient)
 	}{
-		{"while so much is outstanding that reading has stopped", nil, func(h *harness, c *testClient) {
+		{"so many requests in flight that reading has stopped", nil, func(h *harness, client *testClient) {
 			for range 100 {
 				text, _ := newLongCommand("lookup")
-				writeText(c, text)
+				writeText(client, text)
 			}
 			h.eventually("reading has stopped", func() bool { return h.proxy.Stats().InFlight == 64 })
 		}},
-		{"after more than the idle time behind its command", func(s *config.Router) { s.Clients.IdleTimeoutSeconds = 0.05 }, func(h *harness, c *testClient) {
+		{"more than the idle timeout after its command", func(s *config.Router) { s.Clients.IdleTimeoutSeconds = 0.05 }, func(h *harness, client *testClient) {
 			text, _ := newLongCommand("lookup")
-			writeText(c, text)
+			writeText(client, text)
 			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
-			time.Sleep(150 * time.Millisecond) // above the idle time, which must not end the wait
+			time.Sleep(150 * time.Millisecond) // longer than the idle timeout, which must not end the wait for an answer
 		}},
-		{"behind something that can't be read", nil, func(h *harness, c *testClient) {
+		{"after bytes that are not a command", nil, func(h *harness, client *testClient) {
 			text, _ := newLongCommand("lookup")
-			writeText(c, text+"x\r\n")
-			h.eventually("it was read", func() bool { return h.proxy.Stats().InvalidRequests == 1 })
+			writeText(client, text+"x\r\n")
+			h.eventually("the invalid bytes were read", func() bool { return h.proxy.Stats().InvalidRequests == 1 })
 		}},
-		{"while the proxy stops", nil, func(h *harness, c *testClient) {
+		{"during a shutdown", nil, func(h *harness, client *testClient) {
 			text, _ := newLongCommand("lookup")
-			writeText(c, text)
+			writeText(client, text)
 			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 			h.proxy.StopServing()
 		}},
-		{"with half a command behind the first", nil, func(h *harness, c *testClient) {
+		{"after a part of a second command", nil, func(h *harness, client *testClient) {
 			text, _ := newLongCommand("lookup")
-			writeText(c, text+text[:12])
+			writeText(client, text+text[:12])
 			h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 		}},
 	}
-	for _, x := range cases {
+	for _, test := range cases {
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) {
-			if x.edit != nil {
-				x.edit(s)
+			if test.edit != nil {
+				test.edit(s)
 			}
 			s.Endpoints.MaxConnsPerEndpoint, s.Endpoints.MaxConns = 100, 100
 		})
 		gate := make(chan struct{})
 		endpoint := h.addEndpoint(1, 1, answerIDWhenOpen(gate))
-		c := h.dial()
-		x.play(h, c)
-		h.eventually(x.name+": one has begun", func() bool { return endpoint.count() > 0 })
-		c.Close()
-		h.eventually(x.name+": nothing is in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
-		begun := endpoint.count()
+		client := h.dial()
+		test.setUp(h, client)
+		h.eventually(test.name+": an attempt has reached the endpoint", func() bool { return endpoint.count() > 0 })
+		client.Close()
+		h.eventually(test.name+": no request is in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
+		before := endpoint.count()
 		close(gate)
-		h.eventually("the endpoint's answers are in", func() bool { return h.proxy.Stats().EndpointConns == 0 })
-		if endpoint.count() != begun {
-			t.Errorf("%s: %d attempts, then %d", x.name, begun, endpoint.count())
+		h.eventually(test.name+": the endpoint's answers have been read", func() bool { return h.proxy.Stats().EndpointConns == 0 })
+		if endpoint.count() != before {
+			t.Errorf("%s: %d attempts sent before the client disconnected, %d at the end", test.name, before, endpoint.count())
 		}
 	}
 }
 
-// A client disconnects while the endpoint connection is being dialed: the endpoint receives nothing, even if cancelling
-// is not allowed.
+// If a client disconnects while the endpoint connection is being dialed, the endpoint receives nothing, even where the
+// policy does not allow attempts to be cancelled.
 func TestClientClosesDuringDial(t *testing.T) {
-	for _, cancel := range []bool{true, false} {
+	for _, allowCancel := range []bool{true, false} {
 		endpoint := newUnacceptingEndpoint(t)
-		h := newRESPHarnessWith(t, func(t *policy.Config) { allowLongRequests(t); t.AllowCancel = cancel }, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 30 })
+		h := newRESPHarnessWith(t, func(policyConfig *policy.Config) {
+			allowLongRequests(policyConfig)
+			policyConfig.AllowCancel = allowCancel
+		}, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 30 })
 		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, _ := newLongCommand("lookup")
-		c := h.dial()
-		writeText(c, text)
-		h.eventually("the dial", func() bool { return h.proxy.Stats().Dials == 1 })
-		c.Close()
+		client := h.dial()
+		writeText(client, text)
+		h.eventually("the proxy dials the endpoint", func() bool { return h.proxy.Stats().Dials == 1 })
+		client.Close()
 		h.eventually("nothing is in flight", func() bool { return h.proxy.Stats().InFlight == 0 })
-		if said := endpoint.acceptAndRead(t); strings.Contains(said, "API") {
-			t.Errorf("cancel %v: the endpoint got %q", cancel, said)
+		if received := endpoint.acceptAndRead(t); strings.Contains(received, "API") {
+			t.Errorf("AllowCancel %v: the endpoint received %q", allowCancel, received)
 		}
 	}
 }
 
 // An endpoint that drains, leaves the list or restarts while it is being dialed receives nothing on that connection.
 func TestEndpointLeavesDuringDial(t *testing.T) {
-	for _, how := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
+	for _, change := range []endpoints.Endpoint{{State: "draining", Build: 1}, {State: "gone"}, {State: "ready", Build: 2}, {State: "ready", Build: 1, StartedAt: 7}} {
 		endpoint := newUnacceptingEndpoint(t)
 		h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 30 })
 		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 		text, id := newLongCommand("seal")
-		c := h.dial()
-		writeText(c, text)
-		h.eventually("the dial", func() bool { return h.proxy.Stats().Dials == 1 })
-		if how.ID = 1; how.State != "gone" {
-			how.Addr = endpoint.addr
+		client := h.dial()
+		writeText(client, text)
+		h.eventually("the proxy dials the endpoint", func() bool { return h.proxy.Stats().Dials == 1 })
+		if change.ID = 1; change.State != "gone" {
+			change.Addr = endpoint.addr
 		}
-		h.updateEndpoints(false, how)
-		two := h.addEndpoint(2, 1, answerID)
-		if how.State == "ready" { // it leaves as well, so that the command has one endpoint left
+		h.updateEndpoints(false, change)
+		other := h.addEndpoint(2, 1, answerID)
+		if change.State == "ready" { // the new process leaves as well, so that only endpoint 2 can serve the command
 			h.updateEndpoints(false, endpoints.Endpoint{ID: 1, State: "gone"})
 		}
-		if said := endpoint.acceptAndRead(t); strings.Contains(said, "API") {
-			t.Errorf("%+v: the endpoint got %q", how, said)
+		if received := endpoint.acceptAndRead(t); strings.Contains(received, "API") {
+			t.Errorf("%+v: the endpoint received %q", change, received)
 		}
-		h.wantEqual("served by the other", c.readLine(), "v"+id)
-		if two.count() != 1 {
-			t.Errorf("%+v: the other got %d", how, two.count())
+		h.wantEqual("answer of endpoint 2", client.readLine(), "v"+id)
+		if other.count() != 1 {
+			t.Errorf("%+v: endpoint 2 received %d attempts, want 1", change, other.count())
 		}
 	}
 }
@@ -325,13 +329,13 @@
 	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
 		setReadBuffer(c, 1<<10)
 		cut := false
-		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
-			writeText(c, valueReply(w[2]))
+		for words, ok := endpoint.readCommand(br); ok; words, ok = endpoint.readCommand(br) {
+			writeText(c, valueReply(words[2]))
 			once.Do(func() { cut = true })
 			if !cut {
 				continue
 			}
-			// Only a part of the next attempt is accepted before the connection is reset.
+			// Only a part of the next attempt is read before the connection is reset.
 			var part [1000]byte
 			if _, err := io.ReadFull(br, part[:]); err != nil {
 				return
@@ -344,7 +348,7 @@
 	c := h.dial()
 	c.wantServed("seal")
 	h.proxy.mu.Lock()
-	for conn := range h.proxy.endpointConns { // a buffer too small for a large command to be written at once
+	for conn := range h.proxy.endpointConns { // the send buffer is too small for a large command to be written at once
 		if err := conn.socket.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 10); err != nil {
 			t.Error(err)
 		}
@@ -352,7 +356,7 @@
 	h.proxy.mu.Unlock()
 	body := strings.Repeat("x", 60_000)
 	writeText(c, encodeCommand("API.WRITE", "7f3a", "big", "c=seal,d=60000", body))
-	h.eventually("a part was written", func() bool {
+	h.eventually("a part of the attempt was written", func() bool {
 		h.proxy.mu.Lock()
 		defer h.proxy.mu.Unlock()
 		for conn := range h.proxy.endpointConns {
@@ -363,63 +367,63 @@
 		return false
 	})
 	close(cutNow)
-	h.wantEqual("large", c.readLine(), "vbig")
+	h.wantEqual("answer to the large command", c.readLine(), "vbig")
 }
 
-// CloseListener lets Serve accept the connections in the kernel's accept queue.
+// CloseListener closes the listener only after Serve has accepted the connections in the kernel's accept queue.
 func TestCloseListenerServesAcceptQueue(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerID)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var waiting []*testClient
 	var want []string
 	for range 5 {
-		nc, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
+		defer conn.Close()
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		text, id := newCommand("seal")
-		writeText(nc, text)
-		waiting, want = append(waiting, &testClient{nc, bufio.NewReader(nc), t}), append(want, "v"+id)
+		writeText(conn, text)
+		waiting, want = append(waiting, &testClient{conn, bufio.NewReader(conn), t}), append(want, "v"+id)
 	}
-	ended := make(chan struct{})
-	go func() { CloseListener(l); close(ended) }()
-	if err := h.proxy.Serve(l); err != nil { // until it is closed
+	closed := make(chan struct{})
+	go func() { CloseListener(listener); close(closed) }()
+	if err := h.proxy.Serve(listener); err != nil { // returns once the listener is closed
 		t.Error(err)
 	}
-	<-ended
+	<-closed
 	for i, c := range waiting {
-		h.wantEqual("accepted", c.readLine(), want[i])
+		h.wantEqual("answer on a queued connection", c.readLine(), want[i])
 	}
 }
 
-// A slow client gets its answers complete, whatever the read and idle timeouts.
+// A slow client gets complete answers even if reading them takes longer than the read and idle timeouts.
 func TestSlowReaderGetsWholeAnswers(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Clients.ReadTimeoutSeconds, s.Clients.IdleTimeoutSeconds = 0.05, 0.05 })
-	big := strings.Repeat("x", 1_000_000)
-	h.addEndpoint(1, 1, answerRESP("*3\r\n$1000000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
-	c := h.dial()
-	setReadBuffer(c.Conn, 64<<10)
-	for range 8 { // far more than the kernels hold
+	value := strings.Repeat("x", 1_000_000)
+	h.addEndpoint(1, 1, answerRESP("*3\r\n$1000000\r\n"+value+"\r\n$-1\r\n$-1\r\n"))
+	client := h.dial()
+	setReadBuffer(client.Conn, 64<<10)
+	for range 8 { // far more bytes than the kernel buffers
 		text, _ := newLongCommand("lookup")
-		writeText(c, text)
+		writeText(client, text)
 	}
-	h.eventually("the kernel is full", func() bool {
+	h.eventually("all answers are complete and the kernel's buffers are full", func() bool {
 		return h.anyClient(func(conn *clientConn) bool {
 			conn.answers.mu.Lock()
 			defer conn.answers.mu.Unlock()
 			return conn.answers.writing && len(conn.answers.pending) == 0
 		})
 	})
-	time.Sleep(150 * time.Millisecond) // above the read and idle timeouts
+	time.Sleep(150 * time.Millisecond) // longer than the read and idle timeouts
 	for range 8 {
-		if got := c.readLine(); got != big {
-			t.Fatalf("%.60q of %d bytes", got, len(got))
+		if got := client.readLine(); got != value {
+			t.Fatalf("got %.60q of %d bytes, want %d bytes", got, len(got), len(value))
 		}
 	}
 }
@@ -430,15 +434,15 @@
 	h := newRESPHarnessWith(t, allowLongRequests, func(s *config.Router) { s.Endpoints.DialTimeoutSeconds = 0.05 })
 	h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.addr, State: "ready", Build: 1})
 	text, _ := newLongCommand("seal")
-	h.wantEqual("never ran", h.askOnce(text), "-BUSY 1500")
+	h.wantEqual("answer after the dial timeout", h.askOnce(text), "-BUSY 1500")
 	done := make(chan string)
 	go func() { done <- endpoint.acceptAndRead(t) }()
 	select {
-	case said := <-done:
-		if said != "" {
-			t.Errorf("the endpoint got %q", said)
+	case received := <-done:
+		if received != "" {
+			t.Errorf("the endpoint received %q", received)
 		}
-	case <-time.After(2 * time.Second): // no connection was made at all
+	case <-time.After(2 * time.Second): // the proxy's connection was not established; unblock acceptAndRead with another one
 		c, err := net.Dial("tcp", endpoint.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -448,31 +452,31 @@
 	}
 }
 
-// Endpoints are sent the time that the client has left, also on a retry.
+// Each attempt, also a retry, is sent with the time that remains until the client's deadline.
 func TestRemainingTimeSentToEndpoints(t *testing.T) {
 	h := newRESPHarnessWith(t, allowLongRequests, nil)
 	endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		w, ok := endpoint.readCommand(br)
+		words, ok := endpoint.readCommand(br)
 		if !ok {
 			return
 		}
 		if endpoint.count() == 1 {
 			time.Sleep(120 * time.Millisecond)
-			return // the connection ends
+			return // closes the connection
 		}
-		writeText(c, valueReply(w[2]))
+		writeText(c, valueReply(words[2]))
 	})
 	text, id := newLongCommand("lookup")
 	h.wantEqual("served", h.askOnce(text), "v"+id)
-	var told []int
-	for _, l := range strings.Split(endpoint.allRequests(), "\n") {
-		var ms int
-		if _, err := fmt.Sscanf(l[strings.Index(l, "d=")+2:], "%d", &ms); err != nil {
-			t.Errorf("%q: %v", l, err)
+	var sentMillis []int
+	for _, line := range strings.Split(endpoint.allRequests(), "\n") {
+		var millis int
+		if _, err := fmt.Sscanf(line[strings.Index(line, "d=")+2:], "%d", &millis); err != nil {
+			t.Errorf("%q: %v", line, err)
 		}
-		told = append(told, ms)
+		sentMillis = append(sentMillis, millis)
 	}
-	if len(told) != 2 || told[0] > 60_000 || told[1] > told[0]-120 {
-		t.Errorf("sent %v ms", told)
+	if len(sentMillis) != 2 || sentMillis[0] > 60_000 || sentMillis[1] > sentMillis[0]-120 {
+		t.Errorf("remaining times sent: %v ms; want 2 of at most 60000 ms, the second at least 120 ms shorter", sentMillis)
 	}
 }
