--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -10,6 +10,7 @@
 	"flintspread/internal/endpoints"
 )
 
+// configVersionText returns the example settings from the :schema key on, as the text of a configuration version.
 func configVersionText(b *testing.B) string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -18,45 +19,45 @@
 	return "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
 }
 
-// BenchmarkSwap measures reading, checking and applying a configuration version.
-func BenchmarkSwap(b *testing.B) {
+// BenchmarkConfigSwap measures the time to read, check and apply a configuration version.
+func BenchmarkConfigSwap(b *testing.B) {
 	h := newHarness(b, nil)
 	text := configVersionText(b)
 	b.ReportAllocs()
-	for no := uint64(1); b.Loop(); no++ {
-		v, err := configstate.Read(no, []byte(text))
+	for number := uint64(1); b.Loop(); number++ {
+		version, err := configstate.Read(number, []byte(text))
 		if err != nil {
 			b.Fatal(err)
 		}
-		if o, err := h.proxy.OfferConfig(v); o != configstate.Applied {
-			b.Fatal(o, err)
+		if outcome, err := h.proxy.OfferConfig(version); outcome != configstate.Applied {
+			b.Fatalf("outcome %v, error %v, want Applied", outcome, err)
 		}
 	}
 }
 
-// BenchmarkReader measures how long a client's goroutine takes to find its request's configuration version and class,
-// with and without concurrent swaps of the version.
-func BenchmarkReader(b *testing.B) {
-	for _, swaps := range []bool{false, true} {
-		b.Run(fmt.Sprint("swaps-", swaps), func(b *testing.B) {
+// BenchmarkConfigLookup measures the time that a client's goroutine takes to look up the configuration version and class
+// of a request, with and without concurrent swaps of the version.
+func BenchmarkConfigLookup(b *testing.B) {
+	for _, swapping := range []bool{false, true} {
+		b.Run(fmt.Sprint("swaps-", swapping), func(b *testing.B) {
 			h := newHarness(b, nil)
 			stop := make(chan struct{})
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				text := configVersionText(b)
-				for no := uint64(1); swaps; no++ {
+				for number := uint64(1); swapping; number++ {
 					select {
 					case <-stop:
 						return
 					default:
 					}
-					v, err := configstate.Read(no, []byte(text))
+					version, err := configstate.Read(number, []byte(text))
 					if err != nil {
 						b.Error(err)
 						return
 					}
-					if _, err := h.proxy.OfferConfig(v); err != nil {
+					if _, err := h.proxy.OfferConfig(version); err != nil {
 						b.Error(err)
 						return
 					}
@@ -65,7 +66,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if h.proxy.ConfigVersion().ClassOf("GET", "/chute/4711") < 0 {
-					b.Fatal("no class")
+					b.Fatal("GET /chute/4711 matches no class")
 				}
 			}
 			close(stop)
@@ -74,35 +75,35 @@
 	}
 }
 
-// BenchmarkApplyList measures applying a full endpoint list, of which one entry in a hundred changed, to the list, the
-// pools and the balancer.
+// BenchmarkApplyList measures the time to apply a full endpoint list, in which one entry in a hundred changed, to the
+// list, the pools and the balancer.
 func BenchmarkApplyList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint("endpoints-", n), func(b *testing.B) {
 			h := newHarness(b, nil)
-			lines := [2]*endpoints.Update{}
-			for k := range lines {
-				l := &endpoints.Update{Version: 1, Full: true, Endpoints: make([]endpoints.Endpoint, n)}
-				for i := range l.Endpoints {
-					l.Endpoints[i] = endpoints.Endpoint{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
+			updates := [2]*endpoints.Update{}
+			for k := range updates {
+				update := &endpoints.Update{Version: 1, Full: true, Endpoints: make([]endpoints.Endpoint, n)}
+				for i := range update.Endpoints {
+					update.Endpoints[i] = endpoints.Endpoint{ID: uint32(i + 1), Addr: "127.0.0.1:9000", State: "ready", Build: 1}
 					if i%100 == 0 {
-						l.Endpoints[i].Build += k
+						update.Endpoints[i].Build += k
 					}
 				}
-				lines[k] = l
+				updates[k] = update
 			}
 			list := &endpoints.List{}
-			apply := func(l *endpoints.Update) {
-				changes, err := list.Apply(l, 1)
+			apply := func(update *endpoints.Update) {
+				changes, err := list.Apply(update, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
 				h.proxy.ApplyEndpoints(changes)
 			}
-			apply(lines[0])
+			apply(updates[0])
 			b.ReportAllocs()
 			for i := 1; b.Loop(); i++ {
-				apply(lines[i%2])
+				apply(updates[i%2])
 			}
 		})
 	}
