--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -34,8 +34,8 @@
 	h.proxy.policyTickAt = now + 1000 // take no load sample of the test process
 }
 
-// Under overload, the proxy answers each rejected request once and in order, whether it sheds the request before or after
-// parsing it. No rejected request reaches an endpoint, and invalid requests get their usual answers.
+// Under overload, the proxy answers each rejected request once and in order, whether it sheds the request before or
+// after parsing it. No rejected request reaches an endpoint, and invalid requests get their usual answers.
 func TestShedding(t *testing.T) {
 	h := newHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerPath)
@@ -83,8 +83,8 @@
 	}
 }
 
-// With slow endpoints and a small memory budget, reading pauses, requests are rejected, and connections are refused with
-// an answer. The budget is exceeded by at most one message per connection, and all memory is released in the end.
+// With slow endpoints and a small memory budget, reading pauses, requests are rejected, and connections are refused
+// with an answer. The budget is exceeded by at most one message per connection, and all memory is released in the end.
 func TestMemoryBudget(t *testing.T) {
 	const budgetBytes = 1 << 20
 	h := newHarness(t, func(s *config.Router) {
--- a/internal/proxy/answer_queue.go
+++ b/internal/proxy/answer_queue.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// completeAnswer completes an answer and writes every answer that may now be sent, without blocking. A separate goroutine
-// writes what the kernel does not accept at once.
+// completeAnswer completes an answer and writes every answer that may now be sent, without blocking. A separate
+// goroutine writes what the kernel does not accept at once.
 func (conn *clientConn) completeAnswer(pending *pendingAnswer, bytes []byte) {
 	defer conn.wakeReader() // runs after the unlock
 	queue := &conn.answers
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,8 +10,8 @@
 // minSentTimeoutSeconds is the smallest remaining time that is sent to an endpoint, since 0 would mean "not set".
 const minSentTimeoutSeconds = 0.001
 
-// attempt is the proxy's state of one attempt of a request. Its fields are guarded by Proxy.mu, except writeState and the
-// fields that never change once the attempt is scheduled for writing: request, index, endpointID, startedAt,
+// attempt is the proxy's state of one attempt of a request. Its fields are guarded by Proxy.mu, except writeState and
+// the fields that never change once the attempt is scheduled for writing: request, index, endpointID, startedAt,
 // assignedConn and writeDeadline.
 type attempt struct {
 	request       *request
@@ -107,8 +107,8 @@
 
 // settleOutcome returns the outcome to record for an attempt that ends with the given outcome. It drops the attempt if
 // it has no answer and its last byte was not sent. A dropped attempt never ran, whatever ended it: it is recorded as
-// NotConnected, which counts against the endpoint, if that is the given outcome, or if the attempt was dialing or partly
-// written while its request was open. Otherwise it is recorded as NotSent.
+// NotConnected, which counts against the endpoint, if that is the given outcome, or if the attempt was dialing or
+// partly written while its request was open. Otherwise it is recorded as NotSent.
 func (a *attempt) settleOutcome(outcome policy.Outcome) policy.Outcome {
 	partlyWritten := a.writeState.Load() == lastByteHeld
 	if outcome.IsAnswer() || !a.drop() || outcome == policy.NotConnected {
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -210,8 +210,8 @@
 	b.ReportMetric(float64(h.proxy.Stats().Endpoints), "units")
 }
 
-// BenchmarkBalancerSerialization compares two ways to serialize the two balancer calls per request from many goroutines:
-// a mutex (lock), and an owner goroutine that receives the calls over a channel (owner).
+// BenchmarkBalancerSerialization compares two ways to serialize the two balancer calls per request from many
+// goroutines: a mutex (lock), and an owner goroutine that receives the calls over a channel (owner).
 func BenchmarkBalancerSerialization(b *testing.B) {
 	settings := newHarness(b, nil).proxy.settings
 	newBalancer := func() *policy.Balancer {
--- a/internal/proxy/config_versions.go
+++ b/internal/proxy/config_versions.go
@@ -2,9 +2,9 @@
 
 import "flintspread/internal/configstate"
 
-// OfferConfig applies a configuration version, keeps it waiting or rejects it, and returns that outcome. Applying is atomic:
-// every request accepted afterwards uses the new version, and requests in flight keep the version they were accepted
-// under.
+// OfferConfig applies a configuration version, keeps it waiting or rejects it, and returns that outcome. Applying is
+// atomic: every request accepted afterwards uses the new version, and requests in flight keep the version they were
+// accepted under.
 func (p *Proxy) OfferConfig(version *configstate.Version) (configstate.Outcome, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkConfigLookup measures the time that a client's goroutine takes to look up the configuration version and class
-// of a request, with and without concurrent swaps of the version.
+// BenchmarkConfigLookup measures the time that a client's goroutine takes to look up the configuration version and
+// class of a request, with and without concurrent swaps of the version.
 func BenchmarkConfigLookup(b *testing.B) {
 	for _, swapping := range []bool{false, true} {
 		b.Run(fmt.Sprint("swaps-", swapping), func(b *testing.B) {
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// closeIdleConns closes idle connections that exceeded the idle timeout or whose endpoint is no longer usable. The caller
-// holds p.mu.
+// closeIdleConns closes idle connections that exceeded the idle timeout or whose endpoint is no longer usable. The
+// caller holds p.mu.
 func (p *Proxy) closeIdleConns(now float64, effects *effects) {
 	maxIdleSeconds := p.currentConfig.Load().Document.Endpoints.IdleTimeoutSeconds
 	for _, pool := range p.pools {
@@ -111,7 +111,8 @@
 
 // takeIdleConn removes the most recently used connection from the pool's idle list and returns it, or nil if there is
 // none. It closes unusable connections that it encounters. It skips a connection that is within its reuse delay: if the
-// endpoint sends more bytes after its answer, they would be mistaken for the new attempt's answer. The caller holds p.mu.
+// endpoint sends more bytes after its answer, they would be mistaken for the new attempt's answer. The caller holds
+// p.mu.
 func (p *Proxy) takeIdleConn(pool *endpointPool, now, maxIdleSeconds float64, effects *effects) *endpointConn {
 	for n := len(pool.idle); n > 0; n-- {
 		conn := pool.idle[n-1]
--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -17,8 +17,8 @@
 )
 
 // These tests cover events while answers are outstanding: shutdown, clients and endpoints that disconnect, and slow
-// clients. The order of events is forced: an endpoint or a client does not send its next byte until the other side is in
-// the state that the test needs.
+// clients. The order of events is forced: an endpoint or a client does not send its next byte until the other side is
+// in the state that the test needs.
 
 // allowLongRequests gives every class a timeout that no test reaches.
 func allowLongRequests(policyConfig *policy.Config) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -44,7 +44,7 @@
 	shedder           *loadshed.Shedder // nil: no load shedding
 	sampler           *processstats.Sampler
 	processSample     processstats.Sample
-	timerDelaySeconds float64 // how late the timer was at the last load sample
+	timerDelaySeconds float64 // delay of the timer at the last load sample
 	delayTracker      loadshed.DelayTracker
 	shedAnswer        answer               // cached answer to shed requests
 	shedAnswerConfig  *configstate.Version // version that shedAnswer was encoded for
@@ -58,7 +58,7 @@
 	deadlines       deadlineQueue
 	answerDeadline  float64 // latest instant for any answer; 0: none
 
-	timerAt      float64 // when the timer fires next
+	timerAt      float64 // when the timer fires next, if it is not woken before
 	policyTickAt float64
 	idleSweepAt  float64
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -16,22 +16,22 @@
 	attempts    []*attempt           // attempts[i] is the proxy's state of Request.Attempts[i]
 	pickAgainAt float64              // when to call the balancer's Pick again; 0: not scheduled
 	nextCheckAt float64              // earliest of pickAgainAt and the attempts' deadlines
-	heapIndex   int                  // index in the deadline queue; -1: not queued
+	heapIndex   int                  // index in Proxy.deadlines; -1: not queued
 	pending     *pendingAnswer       // its slot in the client's answerQueue; nil if the protocol does not pipeline
 }
 
 // message is a request as read by a protocol.
 type message struct {
 	method, path string
-	head         []byte // sent to endpoints before the remaining time
-	body         []byte // sent to endpoints after it
+	head         []byte // sent to endpoints, followed by the remaining time and the body
+	body         []byte
 
 	id                string  // empty if the protocol has no request ids
 	keyHash           uint64  // hash of the request's key; 0: none given
 	timeoutSeconds    float64 // the client's timeout, from arrival; 0: none given
 	workSeconds       float64 // expected work; 0: none given
 	hasIdempotencyKey bool
-	clientRetry       bool   // the client marked it as a retry
+	clientRetry       bool   // the client marked the message as a retry
 	closeAfter        bool   // the client wants the connection closed after the answer
 	receipt           string // HTTP/1.1: the receipt of an answer that the client reports as wrong
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -59,8 +59,8 @@
 }
 
 // StopServing begins a graceful shutdown while the listener stays open. A new connection still gets its first request
-// served, and each connection closes once no request is in flight on it. A message that is being read may still complete,
-// until the answer deadline.
+// served, and each connection closes once no request is in flight on it. A message that is being read may still
+// complete, until the answer deadline.
 func (p *Proxy) StopServing() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -25,7 +25,7 @@
 
 	Shed              uint64  // the part of Rejected that load shedding rejected
 	ShedShare         float64 // share of the offered work that is being shed
-	TimerDelaySeconds float64 // how late the timer was at the last load sample
+	TimerDelaySeconds float64 // delay of the timer at the last load sample
 	Process           processstats.Sample
 
 	MemoryBytes, MemoryPeakBytes int64  // counted against the memory budget
