--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -36,8 +36,8 @@
 	p.endpointListAt = p.Now()
 }
 
-// EndpointsAt returns the instant, on the clock of Now, at which the endpoint list was last known to be current.
-func (p *Proxy) EndpointsAt() float64 {
+// EndpointListConfirmedAt returns the instant, on the clock of Now, at which the endpoint list was last known to be current.
+func (p *Proxy) EndpointListConfirmedAt() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpointListAt
--- a/internal/router/controllerlink.go
+++ b/internal/router/controllerlink.go
@@ -13,7 +13,7 @@
 	r.controllerConfig.fillReport(report)
 	report.MarksNo = r.healthMarkSequence.Load()
 	report.Build, report.Rate = int32(evidence.Build), evidence.RequestsPerSecond
-	report.ListAt = r.proxy.EndpointsAt()
+	report.ListAt = r.proxy.EndpointListConfirmedAt()
 	report.Tally = make([]*linkpb.Tally, 0, len(evidence.Samples))
 	for _, sample := range evidence.Samples {
 		tally := &linkpb.Tally{
