--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -16,7 +16,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
-	p.endpointListAt, p.endpointListVersion = now-changes.AgeSeconds, changes.Version
+	p.endpointListConfirmedAt, p.endpointListVersion = now-changes.AgeSeconds, changes.Version
 	changes.ApplyTo(p.balancer, now)
 	if changes.Full {
 		for _, pool := range p.pools {
@@ -33,14 +33,14 @@
 func (p *Proxy) ConfirmEndpoints() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endpointListAt = p.Now()
+	p.endpointListConfirmedAt = p.Now()
 }
 
 // EndpointListConfirmedAt returns the instant, on the clock of Now, at which the endpoint list was last known to be current.
 func (p *Proxy) EndpointListConfirmedAt() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.endpointListAt
+	return p.endpointListConfirmedAt
 }
 
 // ApplyRelease applies an update of the newest build's release; see policy.Balancer.ApplyRelease.
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -82,7 +82,7 @@
 		}
 	}
 	p.deadlines.update(request, next)
-	if next > 0 && next < p.timerAt {
+	if next > 0 && next < p.nextTimerAt {
 		select {
 		case p.timerWake <- struct{}{}:
 		default:
@@ -123,7 +123,7 @@
 			p.closeIdleConns(now, &sweep)
 		}
 		next := p.nextTickAt()
-		p.timerAt = next
+		p.nextTimerAt = next
 		p.mu.Unlock()
 		for i := range batch {
 			p.runEffects(&batch[i])
@@ -173,7 +173,7 @@
 func (p *Proxy) tickPolicy(now float64) *releases.Vote {
 	p.sampleLoad(now)
 	start := time.Now()
-	p.balancer.SetEndpointListAge(now - p.endpointListAt)
+	p.balancer.SetEndpointListAge(now - p.endpointListConfirmedAt)
 	var result policy.TickResult
 	if p.castVote != nil {
 		result = p.balancer.TickAndVote(now)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -58,14 +58,14 @@
 	deadlines       deadlineQueue
 	answerDeadline  float64 // latest instant for any answer; 0: none
 
-	timerAt      float64 // when the timer fires next, if it is not woken before
+	nextTimerAt  float64 // when the timer fires next, if it is not woken before
 	policyTickAt float64
 	idleSweepAt  float64
 
-	pools               map[uint32]*endpointPool // by endpoint id
-	endpointConns       map[*endpointConn]struct{}
-	endpointListVersion uint64
-	endpointListAt      float64 // when the list was last known to be current
+	pools                   map[uint32]*endpointPool // by endpoint id
+	endpointConns           map[*endpointConn]struct{}
+	endpointListVersion     uint64
+	endpointListConfirmedAt float64 // when the list was last known to be current
 
 	clients       map[*clientConn]struct{}
 	draining      bool
@@ -109,7 +109,7 @@
 	p.currentConfig.Store(current)
 	p.balancer = policy.New(*current.Policy, seed, p.clockBaseSeconds)
 	p.inFlightByClass = make([]int, len(current.Policy.Classes))
-	p.policyTickAt, p.endpointListAt = p.clockBaseSeconds, p.clockBaseSeconds
+	p.policyTickAt, p.endpointListConfirmedAt = p.clockBaseSeconds, p.clockBaseSeconds
 	p.sampler = processstats.New()
 	if overload := settings.Overload; overload != nil {
 		p.memory.limitBytes = overload.MemoryBytes
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -46,7 +46,7 @@
 	stats.ClientConns = len(p.clients)
 	stats.EndpointConns = len(p.endpointConns)
 	stats.Endpoints = len(p.pools)
-	stats.EndpointListAgeSeconds = p.Now() - p.endpointListAt
+	stats.EndpointListAgeSeconds = p.Now() - p.endpointListConfirmedAt
 	stats.Process = p.processSample
 	stats.TimerDelaySeconds = p.timerDelaySeconds
 	stats.MemoryBytes = p.memory.usedBytes.Load()
