--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -118,9 +118,9 @@
 	b.commonTimeout = append(b.commonTimeout, majority{})
 }
 
-// SetOwnDelay sets by how many seconds the caller itself may be late in processing
+// SetProcessingDelay sets by how many seconds the caller itself may be late in processing
 // answers; attempt timeouts are extended by it.
-func (b *Balancer) SetOwnDelay(seconds float64) { b.ownDelay = seconds }
+func (b *Balancer) SetProcessingDelay(seconds float64) { b.ownDelay = seconds }
 
 // noteCall records the time of a call and detects that the process was stalled: after missed ticks, the lateness
 // of pending events says nothing about endpoints.
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -12,7 +12,7 @@
 	p.timerDelaySeconds = max(0, now-p.policyTickAt)
 	p.processSample = p.sampler.Sample()
 	timerResolution := p.currentConfig.Load().Document.Rules.TimerResolutionSeconds
-	p.balancer.SetOwnDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, timerResolution))
+	p.balancer.SetProcessingDelay(p.delayTracker.Observe(p.timerDelaySeconds, p.processSample.SchedulerDelaySeconds, timerResolution))
 	if p.shedder == nil {
 		return
 	}
