--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -41,7 +41,7 @@
 	}
 	// Without baseline endpoints beside it, only the canary meets a burst, a slow fleet or vanished endpoints, so its
 	// lateness has nothing to be compared with. The same holds while new connections fail widely.
-	if !b.sideBySide {
+	if !b.latenessComparable {
 		return
 	}
 	if outcome != Overloaded && (outcome != TimedOut || warm) {
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -14,7 +14,7 @@
 func (b *Balancer) regroupEndpoints(now float64) {
 	baselineServes := b.countReadyEndpoints(now)
 	manyConnsFail := b.manyConnsFail(now)
-	b.sideBySide = b.canaryReady > 0 && baselineServes && !manyConnsFail
+	b.latenessComparable = b.canaryReady > 0 && baselineServes && !manyConnsFail
 	if manyConnsFail {
 		b.dropLatenessCounts()
 	}
