--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -32,7 +32,7 @@
 	release          release
 	baselineReady    int         // ready endpoints of builds before the release's
 	canaryReady      int         // ready endpoints of its build
-	newestCanary     float64     // start of the newest of those canary endpoints
+	newestCanaryStartedAt     float64     // start of the newest of those canary endpoints
 	latenessComparable       bool        // both builds serve at once, so that their lateness can be compared
 	receivedAt       [][]float64 // requests received in the canary window, by limitIndex
 	canaryAttemptsAt [][]float64 // canary attempts, by limitIndex
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -24,7 +24,7 @@
 // countReadyEndpoints counts the ready endpoints by side, and reports whether any baseline endpoint answers: endpoints
 // that only a stale list names can't be compared with.
 func (b *Balancer) countReadyEndpoints(now float64) (baselineServes bool) {
-	b.oldestBuild, b.readyCount, b.baselineReady, b.canaryReady, b.newestCanary = math.MaxInt, 0, 0, 0, 0
+	b.oldestBuild, b.readyCount, b.baselineReady, b.canaryReady, b.newestCanaryStartedAt = math.MaxInt, 0, 0, 0, 0
 	for _, e := range b.endpoints {
 		if !e.ready {
 			continue
@@ -34,7 +34,7 @@
 		switch {
 		case e.build == b.release.build:
 			b.canaryReady++
-			b.newestCanary = max(b.newestCanary, e.startedAt)
+			b.newestCanaryStartedAt = max(b.newestCanaryStartedAt, e.startedAt)
 		case e.build < b.release.build:
 			b.baselineReady++
 			baselineServes = baselineServes || e.failures.level(now, failureMemorySeconds) <= 0.5
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -158,7 +158,7 @@
 // the stage have been observed for long enough.
 func (b *Balancer) mayPromote(now float64, counts []*endpointCounts) bool {
 	wait := b.promoteWait(now, counts)
-	if b.canaryReady == 0 || now-max(b.newestCanary, b.release.stageStartedAt) < wait {
+	if b.canaryReady == 0 || now-max(b.newestCanaryStartedAt, b.release.stageStartedAt) < wait {
 		return false
 	}
 	return b.stageIsShown() || now-b.release.stageStartedAt >= promoteUnseenWaitSeconds
