--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -111,7 +111,7 @@
 	return sent
 }
 
-func fine(uint32, int) (Outcome, float64) { return Succeeded, 0.05 }
+func succeed(uint32, int) (Outcome, float64) { return Succeeded, 0.05 }
 
 // vote ticks until a vote is cast or the time is up, and prints the vote.
 func (f *fleet) vote(secs float64, reply VoteReply) {
--- a/internal/policy/longlife_test.go
+++ b/internal/policy/longlife_test.go
@@ -63,7 +63,7 @@
 	f.list(false, endpointEntry{5, 8, Ready, f.now}, endpointEntry{6, 8, Ready, f.now})
 	f.b.ApplyRelease(f.now, 8, 0, PhaseCanary, 0.1, 0)
 	f.b.SetEndpointListAge(60)
-	f.run(400, 6, fine)
+	f.run(400, 6, succeed)
 	f.vote(2, VoteCounted)
 	f.b.SetEndpointListAge(0.5)
 	f.vote(2, VoteCounted)
@@ -137,7 +137,7 @@
 		f.b = New(*f.b.config, 1, f.now)
 		f.list(true, endpointEntry{4, 7, Ready, 0}, endpointEntry{5, 8, Ready, 50}, endpointEntry{6, 8, Ready, 50}, endpointEntry{7, 8, Ready, 50})
 		f.b.RestoreRelease(f.now, 8, 2, PhaseCanary, 1, 5, ago)
-		fmt.Println("release confirmed", ago, "s ago; most go to the canary:", f.run(100, 4, fine)[8] > 50)
+		fmt.Println("release confirmed", ago, "s ago; most go to the canary:", f.run(100, 4, succeed)[8] > 50)
 	}
 	// Output:
 	// release confirmed 2 s ago; most go to the canary: true
--- a/internal/policy/metrics_test.go
+++ b/internal/policy/metrics_test.go
@@ -26,7 +26,7 @@
 		f := newFleet(func(t *Config) { t.AutomaticStages, t.WrongAnswerReportShare = true, reported })
 		f.startCanary(2, 10)
 		if own > 0 {
-			f.run(own, 3, fine)
+			f.run(own, 3, succeed)
 		}
 		for i := range reports {
 			f.b.ReportWrongAnswer(f.now, uint32(11+i%2), 1)
@@ -99,7 +99,7 @@
 func Example_healthMarks() {
 	share := func(name string, m HealthMark, age float64) {
 		f := newFleet(nil)
-		f.run(100, 1, fine)
+		f.run(100, 1, succeed)
 		count := 0
 		f.b.SetHealthMarks(f.now, age, []HealthMark{m})
 		f.run(400, 4, func(u uint32, _ int) (Outcome, float64) {
@@ -118,7 +118,7 @@
 	// A fifth of the attempts at endpoint 1 fail: they confirm the mark, which costs the endpoint more traffic.
 	part := func(m ...HealthMark) (n int) {
 		f := newFleet(nil)
-		f.run(100, 1, fine)
+		f.run(100, 1, succeed)
 		attempts := 0
 		f.run(2000, 20, func(u uint32, _ int) (Outcome, float64) {
 			f.b.SetHealthMarks(f.now, 0, m)
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -71,13 +71,13 @@
 	all := []endpointEntry{{1, 7, Gone, 0}, {2, 7, Gone, 0}, {3, 7, Gone, 0}, {4, 7, Ready, 0}, {5, 8, Ready, 90}, {6, 8, Ready, 90}}
 	f := newFleet(nil)
 	f.list(true, all...)
-	fmt.Print("unannounced: ", f.run(200, 4, fine)[8] <= 22)
+	fmt.Print("unannounced: ", f.run(200, 4, succeed)[8] <= 22)
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, 0)
-	fmt.Print(", half allowed: ", f.run(200, 4, fine)[8] <= 102)
+	fmt.Print(", half allowed: ", f.run(200, 4, succeed)[8] <= 102)
 	f.b.ApplyRelease(f.now, 8, 1, PhaseRollingBack, 0, 0)
-	fmt.Print(", rolling back: ", f.run(200, 4, fine)[8])
+	fmt.Print(", rolling back: ", f.run(200, 4, succeed)[8])
 	f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
-	fmt.Println(", released:", f.run(200, 4, fine)[8] > 100)
+	fmt.Println(", released:", f.run(200, 4, succeed)[8] > 100)
 
 	f = newFleet(func(t *Config) {
 		t.IdempotentOnlyStages, t.CanaryLimitPerClass, t.CanaryFreeAttempts, t.CanaryLimits[0] = 1, true, 1, 0.04
@@ -115,7 +115,7 @@
 	f := newFleet(nil)
 	f.b = New(*f.b.config, 43, f.now)
 	f.list(true, endpointEntry{id: 1, build: 7}, endpointEntry{id: 5, build: 8}, endpointEntry{id: 6, build: 8}, endpointEntry{id: 7, build: 8})
-	fmt.Println("within the first stage:", f.run(100, 2, fine)[8] <= 12)
+	fmt.Println("within the first stage:", f.run(100, 2, succeed)[8] <= 12)
 	f.vote(1, VoteCounted)
 	// Output:
 	// within the first stage: true
@@ -127,7 +127,7 @@
 func Example_unresponsiveEndpoint() {
 	for _, parallel := range []bool{false, true} {
 		f := newFleet(func(t *Config) { t.AllowHedging = parallel })
-		f.run(40, 2, fine)
+		f.run(40, 2, succeed)
 		c, s := f.request(0)
 		f.now += 2 * (s.PickAgainAt - f.now)
 		fmt.Print("silent: ", f.pick(c))
@@ -145,7 +145,7 @@
 func Example_failingEndpoint() {
 	for _, r := range []Outcome{ServerError, Overloaded, NotConnected, ConnectionLost} {
 		f := newFleet(nil)
-		f.run(40, 2, fine)
+		f.run(40, 2, succeed)
 		met := 0
 		f.run(200, 4, func(u uint32, _ int) (Outcome, float64) {
 			if u == 2 {
@@ -210,7 +210,7 @@
 // A router that was stalled finds late answers and timeouts all at once: they count against no endpoint.
 func Example_processPause() {
 	f := newFleet(nil)
-	f.run(40, 2, fine)
+	f.run(40, 2, succeed)
 	f.b.TickAndVote(f.now)
 	for _, pause := range []float64{0.2, 1.2} {
 		c, s := f.request(0)
@@ -232,7 +232,7 @@
 		for i := 0; i < n; i++ {
 			f := newFleet(func(t *Config) { t.RouterGroups = n })
 			f.b.random.seed = uint64(i)
-			f.run(400/n, 4, fine)
+			f.run(400/n, 4, succeed)
 			f.list(false, endpointEntry{id: 4, build: 7, since: f.now})
 			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
 				sum += boolToInt(u == 4)
@@ -250,7 +250,7 @@
 // longer ago than the objective.
 func Example_laterTriesUnderLoad() {
 	f := newFleet(func(t *Config) { t.Classes[0].TimeoutSeconds = 1 })
-	f.run(40, 2, fine) // first attempts are given 0.8 s
+	f.run(40, 2, succeed) // first attempts are given 0.8 s
 	for _, ratio := range []float64{0.1, 0.9} {
 		fmt.Print("latency over objective ", ratio)
 		for _, given := range []float64{0.8, 0.75, 0.6, 0.1} {
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -79,7 +79,7 @@
 	for _, r := range []Outcome{TimedOut, NotConnected, ServerError} {
 		f := newFleet(nil)
 		f.startCanary(4, 10)
-		f.run(200, 2, fine)
+		f.run(200, 2, succeed)
 		f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 		f.list(false, endpointEntry{1, 7, Gone, 0}, endpointEntry{2, 7, Gone, 0}, endpointEntry{3, 7, Gone, 0}, endpointEntry{4, 7, Gone, 0})
 		f.run(200, 2, func(uint32, int) (Outcome, float64) { return r, 0.1 })
@@ -96,7 +96,7 @@
 func Example_wrongAnswers() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
-	f.run(200, 2, fine)
+	f.run(200, 2, succeed)
 	for i := 0; i < 2; i++ {
 		f.b.ReportWrongAnswer(f.now, 1, 1)
 	}
@@ -124,14 +124,14 @@
 	f = newFleet(nil)
 	f.startCanary(2, 0)
 	start = f.now
-	f.run(600, 2.9, fine)
+	f.run(600, 2.9, succeed)
 	f.vote(0.1, VoteCounted)
 	f.vote(8, VoteCounted)
 	fmt.Println("enough outcomes, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
 	f = newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.startCanary(2, 0)
-	f.run(200, 2.9, fine)
+	f.run(200, 2.9, succeed)
 	f.vote(8, VoteCounted)
 	// Output:
 	// no vote
@@ -167,7 +167,7 @@
 func Example_clientRepeats() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
-	f.run(60, 1, fine)
+	f.run(60, 1, succeed)
 	before := f.b.countsOf(11, 8).byKind[serverError].total + f.b.countsOf(12, 8).byKind[serverError].total
 	for i := 0; i < 60; i++ {
 		c, s := f.request(2)
