--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -17,7 +17,7 @@
 	id    uint32
 	build int
 	state EndpointState
-	since float64
+	startedAt float64
 }
 
 // newFleet returns a fleet with three classes, one of each idempotency, and endpoints 1 to
@@ -46,7 +46,7 @@
 func (f *fleet) list(full bool, endpoints ...endpointEntry) {
 	f.b.BeginEndpointList(full)
 	for _, m := range endpoints {
-		f.b.UpdateEndpoint(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.since)
+		f.b.UpdateEndpoint(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.startedAt)
 	}
 	f.b.EndEndpointList(f.now)
 }
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -233,7 +233,7 @@
 			f := newFleet(func(t *Config) { t.RouterGroups = n })
 			f.b.random.seed = uint64(i)
 			f.run(400/n, 4, succeed)
-			f.list(false, endpointEntry{id: 4, build: 7, since: f.now})
+			f.list(false, endpointEntry{id: 4, build: 7, startedAt: f.now})
 			f.run(200/n, 2, func(u uint32, _ int) (Outcome, float64) {
 				sum += boolToInt(u == 4)
 				return [...]Outcome{Overloaded, Succeeded}[boolToInt(u == 4)], 0.01 // slow start looks far better
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -8,7 +8,7 @@
 // startCanary lists n endpoints of build 8, started age seconds ago, and announces the second stage.
 func (f *fleet) startCanary(n int, age float64) {
 	for i := 0; i < n; i++ {
-		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, since: f.now - age})
+		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, startedAt: f.now - age})
 	}
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, age)
 }
@@ -116,7 +116,7 @@
 	f := newFleet(nil)
 	f.startCanary(1, 0)
 	f.vote(8, VoteCounted) // the stage calls for two endpoints
-	f.list(false, endpointEntry{id: 12, build: 8, since: f.now})
+	f.list(false, endpointEntry{id: 12, build: 8, startedAt: f.now})
 	start := f.now
 	f.vote(8, VoteCounted)
 	fmt.Println("few outcomes and none to come, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
@@ -185,7 +185,7 @@
 	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
 		f := newFleet(func(t *Config) { t.RouterGroups, t.RollbackVotes = 300, 45 })
 		for i := uint32(0); i < 100; i++ {
-			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, since: 80})
+			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, startedAt: 80})
 		}
 		f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 10)
 		met := f.run(60, 4, func(_ uint32, build int) (Outcome, float64) {
