--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -2,11 +2,11 @@
 
 import "sort"
 
-// canaryAllowance returns how many more attempts at a canary build the canary traffic limit (rule 5) allows in
-// the current window: the router's share of the free attempts, plus a share, set by the rollout stage, of the
-// requests received in the window, less the attempts made in it. A build that was not announced is in its first
-// stage. The windows err on the safe side by the timer's resolution: requests leave theirs early, attempts
-// late. Entries that have left a window are dropped.
+// canaryAllowance returns how many more attempts at a canary build the canary traffic limit (rule 5 of package
+// invariants) allows in the current window: the router's share of the free attempts, plus a share, set by the rollout
+// stage, of the requests received in the window, less the attempts made in it. A build that was not announced counts
+// as in its first stage. To stay within the limit despite the timer's resolution, requests leave the window one
+// resolution early and attempts one late. Entries that have left the window are dropped.
 func (b *Balancer) canaryAllowance(now float64, r *Request, build int) float64 {
 	limit, stage := b.release.canaryLimit, b.release.stage
 	if !b.release.known || build > b.release.build {
@@ -18,11 +18,11 @@
 	i := b.limitIndex(r.Class)
 	b.receivedAt[i] = since(b.receivedAt[i], now-b.config.CanaryWindowSeconds+b.config.TimerResolutionSeconds)
 	b.canaryAttemptsAt[i] = since(b.canaryAttemptsAt[i], now-b.config.CanaryWindowSeconds-b.config.TimerResolutionSeconds)
-	free := b.config.CanaryFreeAttempts * b.leasedShare
+	freeAttempts := b.config.CanaryFreeAttempts * b.leasedShare
 	if b.config.HasController && now >= b.leaseEndsAt {
-		free = 0 // the controller may have leased this share to another router
+		freeAttempts = 0 // the controller may have leased this share to another router
 	}
-	return free + limit*float64(len(b.receivedAt[i])) - float64(len(b.canaryAttemptsAt[i]))
+	return freeAttempts + limit*float64(len(b.receivedAt[i])) - float64(len(b.canaryAttemptsAt[i]))
 }
 
 // limitIndex returns the index under which a class's requests and canary attempts are counted.
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -1,9 +1,9 @@
 package policy
 
-// Config is the configuration of a Balancer. It must not be changed once passed to New or
-// SetConfig. Durations are seconds.
+// Config is the configuration of a Balancer. It must not be changed once passed to New or SetConfig. Durations are
+// seconds.
 type Config struct {
-	RouterGroups           int     // router groups that share the endpoints; each casts one vote, and a router without a controller is one
+	RouterGroups           int     // router groups that share the endpoints, each with one vote; without a controller: routers
 	RollbackVotes          int     // votes needed to roll a release back; 0 counts as 1
 	TimerResolutionSeconds float64 // precision of the caller's timers; attempts end two to three times this early
 	Classes                []RequestClass
@@ -14,11 +14,11 @@
 	MaxRetryAfterSeconds float64 // longest retry-after time that a rejection may carry
 	ConnIdleSeconds      float64 // idle time after which endpoints close a connection
 	RequestsPerConn      int     // attempts that one connection to an endpoint carries at once
-	MaxAttempts          int     // attempts of one request, including those that were never sent
+	MaxAttempts          int     // maximum number of attempts of a request, including those that were never sent
 
 	SlowStartInitialShare    float64 // share of its capacity that an endpoint has at its start
 	SlowStartSeconds         float64 // time from its start until it has its full capacity
-	SlowStartOverloadFactor  float64 // an endpoint fails under more than this multiple of its share of the mean traffic
+	SlowStartOverloadFactor  float64 // multiple of its share of the mean traffic above which an endpoint fails
 	SlowStartOverloadSeconds float64 // period over which that traffic is measured
 
 	CanaryWindowSeconds  float64   // window over which the canary traffic limit is enforced
@@ -30,9 +30,9 @@
 	OneWayKeys           bool      // a key that a build has answered never goes to an earlier build
 	MaxRememberedKeys    int       // maximum number of keys remembered for OneWayKeys; 0: no limit
 
-	// ForgetEndpointSeconds is the time after which an endpoint that left the list is forgotten;
-	// 0: never. It must exceed every request timeout, since retries look up the endpoints of
-	// earlier attempts (unresponsive, leavesDedupScope).
+	// ForgetEndpointSeconds is the time after which an endpoint that left the list is removed from memory; 0: never. It
+	// must exceed every request timeout, since retries look up the endpoints of earlier attempts (unresponsive,
+	// leavesDedupScope).
 	ForgetEndpointSeconds float64
 	HasController         bool // a controller votes and leases the free canary attempts (ApplyAssignment)
 
@@ -57,7 +57,7 @@
 
 // RequestClass describes a class of similar requests.
 type RequestClass struct {
-	LatencyObjectiveSeconds float64 // an answer later than this is worth nothing
+	LatencyObjectiveSeconds float64 // an answer later than this has no value
 	TimeoutSeconds          float64 // time that a client allows for all its tries
 	PriorityWeight          float64 // relative worth of an answer
 	Idempotency             Idempotency
@@ -71,12 +71,12 @@
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // may run again within the class's scope and window, where its key is recognised
+	IdempotentWithKey                    // may run again where its key is recognised: within the class's scope and window
 	NonIdempotent                        // may run only once
 )
 
-// DedupScope says which endpoints recognise a repeated key: all, those of the first
-// endpoint's zone, or those of its cell.
+// DedupScope says which endpoints recognise a repeated key: all, those in the zone of the first endpoint that received
+// the key, or those in its cell.
 type DedupScope uint8
 
 // The deduplication scopes.
--- a/internal/policy/keys.go
+++ b/internal/policy/keys.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// One-way keys (rule 5): once a build has answered a key, the key never goes to an earlier build. The memory is
-// bounded: a canary must not answer a key that can't be remembered.
+// One-way keys (rule 5 of package invariants): once a build has answered a key, the key never goes to an earlier build.
+// The number of remembered keys is bounded: a canary must not answer a key that can't be remembered.
 
 // keyAllows reports whether a request's key permits an endpoint's build.
 func (b *Balancer) keyAllows(r *Request, e *endpoint) bool {
@@ -19,7 +19,7 @@
 }
 
 // rememberKey records which build answered a key. When the memory fills up while the newest build is released, every
-// key counts as answered by that build, which is about to become true anyway.
+// key counts as answered by that build, as will soon be true anyway.
 func (b *Balancer) rememberKey(key uint64, build int) {
 	if build <= b.keyFloorBuild {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// forgetKeys drops the keys that were answered by the oldest ready build or an earlier one. An
-// earlier build that comes back receives no keys.
+// forgetKeys drops the keys that were answered by the oldest ready build or an earlier one. If a still earlier build is
+// deployed again, it receives no requests with keys.
 func (b *Balancer) forgetKeys() {
 	if b.config.MaxRememberedKeys > 0 && b.readyCount > 0 && b.oldestBuild > b.keyFloorBuild {
 		b.keyFloorBuild = b.oldestBuild
