--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,26 +5,26 @@
 // The adaptive concurrency limit bounds the attempts in flight by how quickly answers arrive, which protects against
 // overload, bursts and slow fleets alike. Requests of low priority reach it earlier.
 const (
-	targetLatencyRatio = 0.45 // target for typical latency over its objective
-	limitAdjustSeconds = 0.25 // minimum time between two adjustments: every third tick
-	limitDecrease      = 0.9  // factor applied while answers are too slow
-	limitIncrease      = 0.05 // fraction by which the limit grows while it is used, in addition to one attempt
-	limitUsed          = 0.7  // fraction of the limit that must be in flight for it to grow
-	minLimitShare      = 0.6  // fraction of the limit that is open to the lowest priority
+	targetLatencyRatio         = 0.45 // target for typical latency over its objective
+	limitAdjustIntervalSeconds = 0.25 // minimum time between two adjustments: every third tick
+	limitDecreaseFactor        = 0.9  // factor applied while answers are too slow
+	limitIncreaseShare         = 0.05 // fraction by which the limit grows while it is used, in addition to one attempt
+	limitUsedShare             = 0.7  // fraction of the limit that must be in flight for it to grow
+	minLimitShare              = 0.6  // fraction of the limit that is open to the lowest priority
 
-	minInFlight            = 2 // attempts always allowed per router,
-	minInFlightPerEndpoint = 2 // and for each endpoint, for all routers together
+	minInFlight            = 2 // attempts in the minimum limit of every router
+	minInFlightPerEndpoint = 2 // attempts per endpoint in the minimum limits of all routers together
 )
 
 const (
-	heavyWork           = 3.0  // multiple of the typical work above which a request's latency is predicted from its work
-	repeatWindowSeconds = 0.02 // time after a failed answer in which a request of the class counts as its client's retry
-	latenciesToAnswer   = 2    // typical latencies that a request needs once it is sent
+	heavyWorkThreshold       = 3.0  // multiple of the typical work above which tooHeavy predicts the latency
+	clientRetryWindowSeconds = 0.02 // time after a failed request in which another of its class counts as a client's retry
+	answerTimeFactor         = 2    // multiple of the typical latency that a request is expected to need once it is sent
 )
 
-// receive accounts for a request that has just been received: it updates the limits' windows and the retry budget, and
-// sets the request's relative work and first-seen time.
-func (b *Balancer) receive(now float64, r *Request) {
+// recordArrival accounts for a request that has just been received: it counts the request in the canary window and the
+// retry budget, and sets its relative work and the time of its client's first try.
+func (b *Balancer) recordArrival(now float64, r *Request) {
 	i := b.limitIndex(r.Class)
 	b.receivedAt[i] = append(b.receivedAt[i], now)
 	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
@@ -34,15 +34,15 @@
 	} else {
 		r.Work = 1
 	}
-	r.FirstSeenAt = b.firstSeenAt(now, r)
-	// A client's immediate retries are one failure, not many.
-	r.ClientRetry = r.ClientRetry || now-b.lastFailedAt[r.Class] <= repeatWindowSeconds
+	r.FirstTriedAt = b.estimateFirstTry(now, r)
+	// Marks immediate retries by the client, so that the analysis counts one failure, not many.
+	r.ClientRetry = r.ClientRetry || now-b.lastFailedAt[r.Class] <= clientRetryWindowSeconds
 }
 
-// firstSeenAt estimates when a request's client first asked. Most requests of a class arrive with the same
-// timeout. One that has a different timeout, longer than the objective, is taken to be a later try of a client
-// that gives up one request timeout after its first.
-func (b *Balancer) firstSeenAt(now float64, r *Request) float64 {
+// estimateFirstTry estimates when a request's client first sent the request. Most requests of a class arrive with the
+// same timeout. One that has a different timeout, longer than the objective, is assumed to be a later try by a client
+// that gives up one request timeout after its first try.
+func (b *Balancer) estimateFirstTry(now float64, r *Request) float64 {
 	class, timeout := r.class(), r.Deadline-r.ReceivedAt
 	if !b.commonTimeout[r.Class].add(timeout) && timeout > class.LatencyObjectiveSeconds {
 		return r.Deadline - class.TimeoutSeconds
@@ -50,18 +50,18 @@
 	return now
 }
 
-// tooHeavy reports whether a request is expected to need so much work that its answer would be late, so
-// that it would only take capacity from others.
+// tooHeavy reports whether a request is expected to need so much work that its answer would be late: it would only take
+// capacity from others.
 func (b *Balancer) tooHeavy(now float64, r *Request) bool {
-	if r.Work <= heavyWork {
+	if r.Work <= heavyWorkThreshold {
 		return false
 	}
-	return b.typicalLatency[r.Class]*latencyFactor(r.Work) > r.FirstSeenAt+r.class().LatencyObjectiveSeconds-now
+	return b.typicalLatency[r.Class]*relativeLatency(r.Work) > r.FirstTriedAt+r.class().LatencyObjectiveSeconds-now
 }
 
-// latencyFactor returns the latency of a request with the given relative work, in typical latencies: half of the
+// relativeLatency returns the latency of a request with the given relative work, in typical latencies: half of the
 // latency scales with the work, half is waiting.
-func latencyFactor(work float64) float64 { return (1 + work) / 2 }
+func relativeLatency(work float64) float64 { return (1 + work) / 2 }
 
 // overConcurrencyLimit reports whether a first attempt must wait because the limit for its priority is reached.
 func (b *Balancer) overConcurrencyLimit(r *Request) bool {
@@ -70,23 +70,23 @@
 
 // tooLateToWait reports whether a request that has to wait could no longer be answered in time.
 func (b *Balancer) tooLateToWait(now float64, r *Request) bool {
-	return now-r.FirstSeenAt+latenciesToAnswer*b.typicalLatency[r.Class] > r.class().LatencyObjectiveSeconds
+	return now-r.FirstTriedAt+answerTimeFactor*b.typicalLatency[r.Class] > r.class().LatencyObjectiveSeconds
 }
 
-// adjustConcurrencyLimit adjusts the limit by the class whose latency is nearest to its
-// objective. When it cuts the limit, it keeps at least this router's even share of two attempts
-// per endpoint, the number in flight in an idle fleet.
+// adjustConcurrencyLimit adjusts the limit by the class whose latency is nearest to its objective. When it cuts the
+// limit, it keeps at least this router's even share of two attempts per endpoint, the number in flight in an idle
+// fleet.
 func (b *Balancer) adjustConcurrencyLimit() {
-	least := minInFlight + minInFlightPerEndpoint*b.leasedShare*float64(b.readyCount)/float64(b.config.RouterGroups)
+	minLimit := minInFlight + minInFlightPerEndpoint*b.leasedShare*float64(b.readyCount)/float64(b.config.RouterGroups)
 	b.latencyRatio, b.maxTypicalLatency = 0, slices.Max(b.typicalLatency)
 	for i, class := range b.config.Classes {
 		b.latencyRatio = max(b.latencyRatio, b.typicalLatency[i]/class.LatencyObjectiveSeconds)
 	}
 	switch {
 	case b.latencyRatio > targetLatencyRatio:
-		b.concurrencyLimit = max(least, min(b.concurrencyLimit, float64(b.peakInFlight))*limitDecrease)
-	case float64(b.peakInFlight) > limitUsed*b.concurrencyLimit:
-		b.concurrencyLimit += 1 + limitIncrease*b.concurrencyLimit
+		b.concurrencyLimit = max(minLimit, min(b.concurrencyLimit, float64(b.peakInFlight))*limitDecreaseFactor)
+	case float64(b.peakInFlight) > limitUsedShare*b.concurrencyLimit:
+		b.concurrencyLimit += 1 + limitIncreaseShare*b.concurrencyLimit
 	}
 	b.peakInFlight = b.inFlight
 }
--- a/internal/policy/average.go
+++ b/internal/policy/average.go
@@ -24,35 +24,36 @@
 	}
 }
 
-// decayingShare is a moving share of hits that decays to 1/e within a lifetime, in seconds.
-type decayingShare struct{ share, at float64 }
+// decayingShare is a moving share of hits. Between updates it decays by the factor 1/e in decaySeconds.
+type decayingShare struct{ share, updatedAt float64 }
 
-// level returns the share as of now.
-func (s decayingShare) level(now, lifetime float64) float64 {
-	return s.share * math.Exp((s.at-now)/lifetime)
+// valueAt returns the share, decayed until now.
+func (s decayingShare) valueAt(now, decaySeconds float64) float64 {
+	return s.share * math.Exp((s.updatedAt-now)/decaySeconds)
 }
 
 // add records a hit or a miss.
-func (s *decayingShare) add(now, lifetime, weight float64, hit bool) {
-	s.share, s.at = s.level(now, lifetime)*(1-weight), now
+func (s *decayingShare) add(now, decaySeconds, weight float64, hit bool) {
+	s.share, s.updatedAt = s.valueAt(now, decaySeconds)*(1-weight), now
 	if hit {
 		s.share += weight
 	}
 }
 
-// majority tracks the value that most of a sequence share, to within one percent (Boyer-Moore majority vote).
-type majority struct{ value, votes float64 }
+// majority tracks the value that most elements of a sequence share, to within one percent (Boyer-Moore majority vote):
+// the present candidate and its lead over all other values.
+type majority struct{ value, lead float64 }
 
 // add records a value and reports whether it matches the present candidate for the majority.
 func (m *majority) add(value float64) bool {
 	same := math.Abs(value-m.value) <= 0.01*m.value
 	switch {
 	case same:
-		m.votes++
-	case m.votes > 0:
-		m.votes--
+		m.lead++
+	case m.lead > 0:
+		m.lead--
 	default:
-		m.value, m.votes, same = value, 1, true
+		m.value, m.lead, same = value, 1, true
 	}
 	return same
 }
--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -5,7 +5,7 @@
 // tickSeconds is the time between two ticks.
 const tickSeconds = 0.1
 
-// The two sides of a comparison, as indices of pairs.
+// The two sides of a release, as indices of arrays with sideCount elements.
 const (
 	baseline = iota
 	canary
@@ -23,23 +23,23 @@
 	subset          [sideCount][]*endpoint // the ready endpoints that this router uses, by side
 	readyCapacity   [sideCount]float64     // capacity of all ready endpoints, by side
 	readyCount      int
-	oldestBuild     int // among the ready ones
+	oldestBuild     int // oldest build of the ready endpoints
 	subscribed      bool
 	subscribedAt    float64
 	endpointListAge float64 // seconds
 
 	// The release (release.go, canary.go, keys.go).
-	release          release
-	baselineReady    int         // ready endpoints of builds before the release's
-	canaryReady      int         // ready endpoints of its build
-	newestCanaryStartedAt     float64     // start of the newest of those canary endpoints
-	latenessComparable       bool        // both builds serve at once, so that their lateness can be compared
-	receivedAt       [][]float64 // requests received in the canary window, by limitIndex
-	canaryAttemptsAt [][]float64 // canary attempts, by limitIndex
-	buildByKey       map[uint64]int
-	keyFloorBuild    int // every key counts as answered by this build at least
-	leasedShare      float64
-	leaseEndsAt      float64
+	release               release
+	baselineReady         int         // ready endpoints of builds before the release's
+	canaryReady           int         // ready endpoints of the release's build
+	newestCanaryStartedAt float64     // start of the newest ready canary endpoint
+	latenessComparable    bool        // both builds serve at once: their lateness can be compared
+	receivedAt            [][]float64 // requests received in the canary window, by limitIndex
+	canaryAttemptsAt      [][]float64 // canary attempts, by limitIndex
+	buildByKey            map[uint64]int
+	keyFloorBuild         int     // every key counts as answered by this build or a later one
+	leasedShare           float64 // share of all routers' allowances that the controller assigned; 1 without a controller
+	leaseEndsAt           float64
 
 	// Latency and load (admission.go, retry.go, outlier.go).
 	typicalLatency    []float64 // by class
@@ -58,9 +58,9 @@
 	limitAdjustedAt   float64
 
 	// This process itself.
-	lastCallAt float64
-	resumedAt  float64 // when the process last resumed after a stall
-	ownDelay   float64 // seconds by which it may process its input late
+	lastCallAt      float64
+	resumedAt       float64 // when the process last resumed after a stall
+	processingDelay float64 // seconds by which the caller may be late in processing its input
 
 	// Evidence (counts.go, reports.go, metrics.go).
 	localCounts     []*endpointCounts // in the order of their first outcomes
@@ -79,8 +79,8 @@
 	noVoteBefore float64
 }
 
-// New returns a balancer without endpoints. Random choices are drawn from the seed; now is
-// in seconds on the caller's clock.
+// New returns a balancer without endpoints. Random choices are drawn from the seed; now is in seconds on the caller's
+// clock.
 func New(config Config, seed uint64, now float64) *Balancer {
 	b := &Balancer{
 		random:           newRandom(seed),
@@ -95,10 +95,10 @@
 	return b
 }
 
-// SetConfig puts a configuration in force for requests received from now on; the caller must not change it
-// afterwards. Classes keep their index, and new ones may be appended. A request keeps the configuration that it
-// was received under. Settings that concern all requests together (limits, windows, drains, slow start,
-// cancelling after an answer) take effect at once.
+// SetConfig applies a configuration to requests received from now on; the caller must not change it afterwards. Classes
+// keep their index, and new ones may be appended. A request keeps the configuration that it was received under.
+// Settings that concern all requests together (limits, windows, drains, slow start, cancelling after an answer) take
+// effect at once.
 func (b *Balancer) SetConfig(config *Config) {
 	b.config, b.maxPriority = config, 0
 	for i, class := range config.Classes {
@@ -118,13 +118,13 @@
 	b.commonTimeout = append(b.commonTimeout, majority{})
 }
 
-// SetProcessingDelay sets by how many seconds the caller itself may be late in processing
-// answers; attempt timeouts are extended by it.
-func (b *Balancer) SetProcessingDelay(seconds float64) { b.ownDelay = seconds }
+// SetProcessingDelay sets by how many seconds the caller itself may be late in processing answers; attempt timeouts are
+// extended by this delay.
+func (b *Balancer) SetProcessingDelay(seconds float64) { b.processingDelay = seconds }
 
-// noteCall records the time of a call and detects that the process was stalled: after missed ticks, the lateness
-// of pending events says nothing about endpoints.
-func (b *Balancer) noteCall(now float64) {
+// detectStall records the time of a call and detects that the process was stalled: after missed ticks, the lateness of
+// pending events says nothing about endpoints.
+func (b *Balancer) detectStall(now float64) {
 	if now-b.lastCallAt > 3*tickSeconds {
 		b.resumedAt = now
 	}
@@ -141,11 +141,11 @@
 	SubscribeToEndpoints bool // subscribe to the endpoint list
 }
 
-// Tick does the periodic work of a balancer that does not vote: a router's that has a controller, or a controller's that
-// a newer one has superseded.
+// Tick does the periodic work of a balancer that does not vote: that of a router with a controller, or of a controller
+// that a newer one has superseded.
 func (b *Balancer) Tick(now float64) TickResult {
-	b.noteCall(now)
-	if now-b.limitAdjustedAt >= limitAdjustSeconds-b.config.TimerResolutionSeconds {
+	b.detectStall(now)
+	if now-b.limitAdjustedAt >= limitAdjustIntervalSeconds-b.config.TimerResolutionSeconds {
 		b.limitAdjustedAt = now
 		b.adjustConcurrencyLimit()
 		b.forgetKeys()
@@ -156,8 +156,8 @@
 	return TickResult{NextTickSeconds: tickSeconds}
 }
 
-// TickAndVote does the periodic work of a balancer that also votes: that of Tick, the subscription to the
-// endpoint list, and the vote that the evidence calls for.
+// TickAndVote does the periodic work of a balancer that also votes: the work of Tick, the subscription to the endpoint
+// list, and the vote that the evidence calls for.
 func (b *Balancer) TickAndVote(now float64) TickResult {
 	result := b.Tick(now)
 	if b.config.SubscribeToEndpoints && !b.subscribed && now-b.subscribedAt >= subscribeRetrySeconds {
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -18,30 +18,30 @@
 	Gone
 )
 
-// endpoint is what a balancer knows about one endpoint.
+// endpoint holds what a balancer knows about one endpoint.
 type endpoint struct {
 	id            uint32
-	rank          float64 // sort key of this balancer's order, from the seed and the id
+	rank          float64 // sort key of the endpoints, from this balancer's seed and the id
 	zone, cell    uint16
 	build         int
 	weight        float64
 	startedAt     float64
 	ready         bool
-	listed        bool    // named by the update in progress, or kept by it
+	listed        bool    // named or kept by the update of the list in progress
 	previousBuild int     // build of the endpoint's previous process
-	leftAt        float64 // when it ceased to be ready; 0 while it is
+	notReadySince float64 // when it ceased to be ready; 0 while it is
 
-	inFlight     int     // this balancer's attempts
-	workInFlight float64 // their work
-	lastAnswerAt float64 // when it last answered, or when it last ceased to be idle
-	latencyRatio float64 // its latency over the typical one; 0: unknown
+	inFlight     int     // attempts of this balancer
+	workInFlight float64 // work of these attempts
+	lastAnswerAt float64 // when it last answered or, if later, when an attempt was sent while none was in flight
+	latencyRatio float64 // its latency over the typical latency; 0: unknown
 
 	failures     decayingShare // share of attempts that failed
 	wrongMark    decayingShare // share of wrong answers that metrics show
 	degradedMark decayingShare // other degradation that metrics show
 
-	conns      int // connections believed to be open
-	connSeenAt float64
+	openConns       int // connections believed to be open
+	connConfirmedAt float64
 
 	slowStartTokens   float64 // work that may be sent to it in slow start, as of slowStartTokensAt
 	slowStartTokensAt float64
@@ -66,7 +66,7 @@
 		e.previousBuild = e.build
 		e.failures, e.wrongMark, e.degradedMark = decayingShare{}, decayingShare{}, decayingShare{}
 		e.latencyRatio = 0
-		e.slowStartTokens, e.slowStartTokensAt = b.firstSlowStartTokens(), startedAt
+		e.slowStartTokens, e.slowStartTokensAt = b.initialSlowStartTokens(), startedAt
 	}
 	if weight <= 0 {
 		weight = 1
@@ -77,8 +77,8 @@
 
 // addEndpoint inserts a new endpoint by its rank.
 func (b *Balancer) addEndpoint(id uint32, build int, startedAt float64) *endpoint {
-	e := &endpoint{id: id, rank: b.random.of(uint64(id)), previousBuild: build, build: build, startedAt: startedAt,
-		slowStartTokens: b.firstSlowStartTokens(), slowStartTokensAt: startedAt}
+	e := &endpoint{id: id, rank: b.random.numberFor(uint64(id)), previousBuild: build, build: build, startedAt: startedAt,
+		slowStartTokens: b.initialSlowStartTokens(), slowStartTokensAt: startedAt}
 	b.endpointByID[id] = e
 	at := sort.Search(len(b.endpoints), func(i int) bool {
 		other := b.endpoints[i]
@@ -94,9 +94,9 @@
 		e.ready = e.ready && e.listed
 		switch {
 		case e.ready:
-			e.leftAt = 0
-		case e.leftAt == 0:
-			e.leftAt = now
+			e.notReadySince = 0
+		case e.notReadySince == 0:
+			e.notReadySince = now
 		}
 	}
 	b.regroupEndpoints(now)
@@ -109,11 +109,11 @@
 // that is too old: its canary endpoints may be gone by now.
 func (b *Balancer) SetEndpointListAge(seconds float64) { b.endpointListAge = seconds }
 
-// forgetEndpoints removes endpoints that left the list long ago. Their counts are kept together under endpoint 0:
-// otherwise a build that was replaced endpoint by endpoint would leave nothing to compare with.
+// forgetEndpoints removes endpoints that left the list long ago. Their counts are merged under endpoint 0: otherwise,
+// once the baseline endpoints were replaced one by one, no counts would be left to compare the canary with.
 func (b *Balancer) forgetEndpoints(now float64) {
 	forgotten := func(e *endpoint) bool {
-		return b.config.ForgetEndpointSeconds > 0 && !e.ready && e.inFlight == 0 && now-e.leftAt > b.config.ForgetEndpointSeconds
+		return b.config.ForgetEndpointSeconds > 0 && !e.ready && e.inFlight == 0 && now-e.notReadySince > b.config.ForgetEndpointSeconds
 	}
 	if !slices.ContainsFunc(b.endpoints, forgotten) {
 		return
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -14,9 +14,9 @@
 }
 
 type endpointEntry struct {
-	id    uint32
-	build int
-	state EndpointState
+	id        uint32
+	build     int
+	state     EndpointState
 	startedAt float64
 }
 
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -1,39 +1,45 @@
 package policy
 
 const (
-	holdSeconds = 0.02 // time after which a held request is picked again
+	holdIntervalSeconds = 0.02 // time after which a held request is picked again
 
-	defaultDraws      = 2 // the better of two random choices
-	staleListDraws    = 4 // used while the best so far fails about every other attempt: half of a stale list may be gone
-	failingConnsDraws = 8 // used while new connections fail: open ones lead to few endpoints, which other routers use too
-	staleListScore    = 0.5
-	minLatencyRatio   = 0.2 // an endpoint counts as at most five times as fast as a typical one
-	outlierCost       = 12  // an endpoint that fails every attempt counts as more loaded by this factor, plus one
+	defaultDraws          = 2   // endpoints that are compared: the power of two choices
+	staleListDraws        = 4   // while the best so far is above staleListOutlierScore: half of a stale list may be gone
+	failingConnsDraws     = 8   // while new connections fail: few endpoints have open ones, and other routers use the same
+	staleListOutlierScore = 0.5 // about every other attempt fails
+	minLatencyRatio       = 0.2 // an endpoint counts as at most five times as fast as a typical one
+	outlierCostFactor     = 12  // an endpoint that fails every attempt costs 1 + this factor times as much
 )
 
 // Pick decides on a request: send an attempt, hold it, or answer it finally. The caller must call it when a request is
 // received, when a decision's PickAgainAt is reached, and when the client has gone, to learn whether to cancel the
 // attempts in flight; OnAttemptDone calls it after every attempt. The first call's now must equal r.ReceivedAt: only
-// then is the request counted in the limits' windows.
+// then is the request counted in the canary window and the retry budget (recordArrival).
 //
-// A retry is refused for good, by finalAnswer once nothing is in flight, if
+// No further attempt is made, and finalAnswer ends the request once nothing is in flight, if
 //   - the deadline or the latency objective is too near (outOfTime);
 //   - no attempts are left (attemptsLeft);
 //   - an earlier attempt may have run and another could have a second effect (retryIsSafe);
-//   - the retry budget is empty (retryAffordable);
+//   - it would be a retry and the retry budget is empty (retryAffordable);
 //   - the request needs too much work to be answered in time (tooHeavy).
 //
-// While an attempt is in flight, a refusal is silent, and so is the lack of an endpoint: the request is picked again
-// when an attempt ends. A hedged request needs AllowHedging and an endpoint in flight that is unresponsive; without
-// AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With nothing in flight, a request that
-// no endpoint may accept is held. Left out are endpoints that are not ready, that the request is at or was just lost at
-// (mustAvoid), that would not recognise its key (leavesDedupScope), whose build is older than the key's (keyAllows),
-// canaries above their traffic limit (canaryAllowance), and those in slow start without a token (hasSlowStartToken).
-// The concurrency limit applies only to first attempts.
+// While an attempt is in flight, Pick returns no action in these cases and when no endpoint is eligible: the request is
+// picked again when an attempt ends. A hedged request is sent only with AllowHedging, once every attempt in flight is
+// unresponsive; without AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With nothing in
+// flight, a request without an eligible endpoint is held. An endpoint is not eligible if it
+//   - is not ready;
+//   - has an attempt of the request in flight, or just lost one (mustAvoid);
+//   - would not recognise the request's key (leavesDedupScope);
+//   - runs an older build than the one that answered the key (keyAllows);
+//   - is a canary above the canary traffic limit (canaryAllowance);
+//   - is in slow start and has no token (hasSlowStartToken).
+//
+// The concurrency limit applies only to first attempts: they are held, or rejected if an answer would come too late
+// (tooLateToWait).
 //
 // Requests that are completed or streaming their answer get no further attempt.
 func (b *Balancer) Pick(now float64, r *Request) Decision {
-	b.noteCall(now)
+	b.detectStall(now)
 	if r.Config == nil {
 		r.Config = b.config
 	}
@@ -41,7 +47,7 @@
 		return Decision{CancelInFlight: r.Completed && r.Config.AllowCancel} // the attempts in flight are no longer needed
 	}
 	if len(r.Attempts) == 0 && now <= r.ReceivedAt {
-		b.receive(now, r)
+		b.recordArrival(now, r)
 	}
 	inFlight := r.attemptsInFlight()
 	if inFlight > 0 && !b.unresponsive(now, r) {
@@ -73,14 +79,14 @@
 	return hold(now, r)
 }
 
-// hold returns the decision to pick a request again shortly, or at its last chance.
+// hold returns the decision to pick a request again shortly, at the latest when its last attempt must end.
 func hold(now float64, r *Request) Decision {
-	return Decision{Action: Hold, PickAgainAt: min(now+holdSeconds, r.lastAttemptEnd())}
+	return Decision{Action: Hold, PickAgainAt: min(now+holdIntervalSeconds, r.lastAttemptEnd())}
 }
 
-// send starts an attempt; the decision includes when to pick again if the endpoint stays silent.
+// send accounts for a new attempt at an endpoint. The decision says when to pick again if the endpoint does not answer.
 func (b *Balancer) send(now float64, r *Request, e *endpoint) Decision {
-	if len(r.Attempts) > 0 && !r.LastUnreached { // an attempt that did not reach its endpoint has caused no load
+	if len(r.Attempts) > 0 && !r.LastAttemptUndelivered { // an attempt that did not reach its endpoint has caused no load
 		b.retryTokens--
 	}
 	if e.inFlight == 0 {
@@ -97,25 +103,25 @@
 	e.slowStartTokens -= r.Work
 	class := r.class()
 	decision := Decision{Action: Send, Endpoint: e.id, AttemptDeadline: r.lastAttemptEnd()}
-	lookAgain := now + b.attemptTimeout(r)
-	if class.Idempotency != NonIdempotent && lookAgain < r.FirstSeenAt+class.LatencyObjectiveSeconds {
-		decision.PickAgainAt = lookAgain
+	pickAgainAt := now + b.attemptTimeout(r)
+	if class.Idempotency != NonIdempotent && pickAgainAt < r.FirstTriedAt+class.LatencyObjectiveSeconds {
+		decision.PickAgainAt = pickAgainAt
 	}
 	return decision
 }
 
 // OnAttemptDone records the outcome of an attempt at an endpoint, which took the given seconds, and decides what
 // follows. The caller must have updated the request's Attempts before.
-func (b *Balancer) OnAttemptDone(now float64, r *Request, endpointID uint32, outcome Outcome, took float64) Decision {
-	b.noteCall(now)
+func (b *Balancer) OnAttemptDone(now float64, r *Request, endpointID uint32, outcome Outcome, duration float64) Decision {
+	b.detectStall(now)
 	e := b.endpointByID[endpointID]
 	b.recordConnection(now, e, outcome)
-	r.LastUnreached = outcome == NotConnected || outcome == NotSent
+	r.LastAttemptUndelivered = outcome == NotConnected || outcome == NotSent
 	e.inFlight--
 	e.workInFlight -= r.Work
 	b.inFlight--
 	if outcome != NotSent && (outcome != Cancelled || !r.Completed) {
-		b.recordOutcome(now, r, e, outcome, took)
+		b.recordOutcome(now, r, e, outcome, duration)
 	}
 	if outcome == Succeeded && b.config.OneWayKeys && r.Key != 0 {
 		b.rememberKey(r.Key, e.build)
@@ -126,8 +132,8 @@
 	return b.Pick(now, r)
 }
 
-// pickEndpoint picks a side in proportion to its capacity, and an endpoint of that side, or of the other if none can
-// accept the request. A canary that this balancer's vote alone rolls back is tried second.
+// pickEndpoint picks a side with a probability in proportion to its capacity, and an endpoint of that side, or of the
+// other side if none can accept the request. A canary that this balancer's vote alone rolls back is tried second.
 func (b *Balancer) pickEndpoint(now float64, r *Request) *endpoint {
 	first, second := b.subset[canary], b.subset[baseline]
 	if b.rollsBackAlone() || b.random.next() >= b.readyCapacity[canary]/(b.readyCapacity[baseline]+b.readyCapacity[canary]) {
@@ -139,8 +145,9 @@
 	return b.pickFromGroup(now, r, second)
 }
 
-// pickFromGroup implements the power of two choices: the cheaper of two endpoints drawn at random. More are drawn if
-// the best so far looks gone and is no canary, as canaries must be seen to fail, and while many new connections fail.
+// pickFromGroup implements the power of two choices: the cheaper of two endpoints drawn at random. More are drawn while
+// many new connections fail, and if the best so far is a baseline endpoint that looks gone. A failing canary is no
+// reason to draw again: its failures must be observed.
 func (b *Balancer) pickFromGroup(now float64, r *Request, group []*endpoint) (best *endpoint) {
 	if len(group) == 0 || b.isCanary(group[0].build) && b.canaryAllowance(now, r, group[0].build) < 1 {
 		return nil
@@ -151,12 +158,12 @@
 		maxDraws = failingConnsDraws
 	}
 	drawAgain := func() bool {
-		return best == nil || manyConnsFail || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListScore
+		return best == nil || manyConnsFail || !b.isCanary(best.build) && b.outlierScore(now, best) > staleListOutlierScore
 	}
 	var bestCost float64
 	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
-		needConn := manyConnsFail && (draw != 1 || r.LastUnreached) // the second draw may open a new connection
-		e := b.drawEndpoint(now, r, group, needConn)
+		preferConn := manyConnsFail && (draw != 1 || r.LastAttemptUndelivered) // the second draw may open a new connection
+		e := b.drawEndpoint(now, r, group, preferConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
 			continue
 		}
@@ -167,10 +174,10 @@
 	return best
 }
 
-// drawEndpoint draws a position in a group at random and returns the first eligible endpoint from
-// there on. If needConn is set, it prefers the first one with an open connection, and else returns
-// the last eligible one. nil: none is eligible.
-func (b *Balancer) drawEndpoint(now float64, r *Request, group []*endpoint, needConn bool) (drawn *endpoint) {
+// drawEndpoint draws a position in a group at random and returns the first eligible endpoint from there on, or nil if
+// none is eligible. If preferConn is set, it returns the first eligible one with an open connection, or the last
+// eligible one if none has an open connection.
+func (b *Balancer) drawEndpoint(now float64, r *Request, group []*endpoint, preferConn bool) (drawn *endpoint) {
 	start := int(b.random.next() * float64(len(group)))
 	for i := range group {
 		e := group[(start+i)%len(group)]
@@ -178,7 +185,7 @@
 			continue
 		}
 		drawn = e
-		if !needConn || b.hasConnection(now, e) {
+		if !preferConn || b.hasConnection(now, e) {
 			break
 		}
 	}
@@ -196,7 +203,7 @@
 }
 
 // mustAvoid reports whether an attempt is in flight at an endpoint or, without hedging, the request's only attempt so
-// far was lost there: another endpoint is likelier to answer. Later retries may return to it.
+// far was lost there: another endpoint is likelier to answer. Later retries may use the endpoint again.
 func (b *Balancer) mustAvoid(r *Request, attempt *Attempt, e *endpoint) bool {
 	if b.endpointByID[attempt.Endpoint] != e {
 		return false
@@ -205,12 +212,12 @@
 	return attempt.InFlight || justLost
 }
 
-// cost returns how loaded an endpoint appears: own work in flight and to come, weighted by how slowly
-// it answers, how long it has been silent and how often it failed lately, over its capacity. All of
-// these decay, so that each endpoint is tried again.
+// cost returns how loaded an endpoint appears: this balancer's work in flight there plus the new request's, multiplied
+// by how slowly the endpoint answers, how long it has been silent and how often it failed lately, divided by its
+// capacity. All of these factors decay, so that each endpoint is tried again.
 func (b *Balancer) cost(now float64, e *endpoint, work float64) float64 {
 	if !b.hasConnection(now, e) {
-		work *= 1 + outlierCost*b.connFailureShare(now)
+		work *= 1 + outlierCostFactor*b.connFailureShare(now)
 	}
 	slowness := max(e.latencyRatio, minLatencyRatio)
 	if e.latencyRatio == 0 {
@@ -219,5 +226,5 @@
 	if e.inFlight > 0 && b.maxTypicalLatency > 0 {
 		slowness = max(slowness, (now-e.lastAnswerAt)/(2*b.maxTypicalLatency))
 	}
-	return (e.workInFlight + work) * slowness * (1 + outlierCost*b.outlierScore(now, e)) / (e.weight * b.slowStartShare(now, e))
+	return (e.workInFlight + work) * slowness * (1 + outlierCostFactor*b.outlierScore(now, e)) / (e.weight * b.slowStartShare(now, e))
 }
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -18,11 +18,11 @@
 // next returns the next number of the sequence, in [0, 1).
 func (r *random) next() float64 {
 	r.count++
-	return r.of(r.count)
+	return r.numberFor(r.count)
 }
 
-// of returns the number that belongs to n, in [0, 1), independently of the sequence.
-func (r *random) of(n uint64) float64 {
+// numberFor returns the number in [0, 1) that belongs to n, independently of the sequence.
+func (r *random) numberFor(n uint64) float64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], n)
 	binary.LittleEndian.PutUint64(buf[8:], r.seed)
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -1,21 +1,21 @@
 package policy
 
-// Request is one request until its last attempt has ended. The caller owns it, appends an Attempt for each Send, and
-// updates it as attempts end; Pick sets Config and FirstSeenAt and normalises Work.
+// Request is the state of a request until its last attempt has ended. The caller owns it, appends an Attempt for each
+// Send, and updates it as attempts end; Pick sets Config and FirstTriedAt and normalises Work.
 type Request struct {
-	ID            uint32
-	Class         int     // index into Config.Classes
-	Config        *Config // in force when it was received; set by the first Pick if nil
-	Key           uint64  // deduplication or one-way key; 0: none
-	ReceivedAt    float64
-	FirstSeenAt   float64 // estimated time of the client's first try
-	Deadline      float64 // when its client stops waiting
-	Work          float64 // expected work, 0: unknown; from the first Pick on relative to the typical request
-	ClientRetry   bool    // the client has marked it as a retry
-	Streaming     bool    // part of the answer has been sent to the client; set by callers that stream answers
-	Completed     bool    // it has its final answer, or the client has gone
-	LastUnreached bool    // the attempt that ended last never reached its endpoint (NotConnected, NotSent): a retry costs no token
-	Attempts      []Attempt
+	ID                     uint32
+	Class                  int     // index into Config.Classes
+	Config                 *Config // configuration when it was received; set by the first Pick if nil
+	Key                    uint64  // deduplication or one-way key; 0: none
+	ReceivedAt             float64
+	FirstTriedAt           float64 // estimated time of the client's first try
+	Deadline               float64 // when its client stops waiting
+	Work                   float64 // expected work, 0: unknown; the first Pick divides it by the typical work
+	ClientRetry            bool    // the client has marked the request as a retry, or recordArrival assumes so
+	Streaming              bool    // part of the answer has been sent to the client; set by callers that stream answers
+	Completed              bool    // it has its final answer, or the client has gone
+	LastAttemptUndelivered bool    // the last attempt to end was NotConnected or NotSent: a retry costs no token
+	Attempts               []Attempt
 }
 
 // Attempt is one attempt to send a request to an endpoint.
@@ -33,7 +33,7 @@
 const (
 	Succeeded      Outcome = iota
 	ServerError            // the endpoint answered with an error
-	Overloaded             // the endpoint refused it without executing it
+	Overloaded             // the endpoint refused the request without executing it
 	TimedOut               // may have run
 	NotConnected           // no connection could be made; it never ran
 	ConnectionLost         // may have run
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -11,38 +11,38 @@
 // attemptTimeoutFactor is the multiple of the typical latency after which another attempt may follow.
 const attemptTimeoutFactor = 3.0
 
-// An answer must be written before its client stops waiting: attempts end attemptMargin timer resolutions before the
-// deadline. A held request is picked for the last time then, and counts as out of time half a resolution earlier:
-// otherwise rounding could have it picked again without end.
+// Margins before a request's deadline, in timer resolutions. Attempts end early so that the answer is written before
+// the client stops waiting. A held request is picked for the last time when attempts must end, and counts as out of
+// time half a resolution earlier: otherwise rounding could cause endless picks at the same instant.
 const (
-	attemptMargin   = 2
-	outOfTimeMargin = 2.5
+	attemptMarginResolutions   = 2
+	outOfTimeMarginResolutions = 2.5
 )
 
-// timeTolerance, in seconds, allows for rounding when checking whether an instant has been reached.
-const timeTolerance = 1e-6
+// timeToleranceSeconds allows for rounding when checking whether an instant has been reached.
+const timeToleranceSeconds = 1e-6
 
 // outOfTime reports whether a further attempt is pointless because the deadline or the latency objective has passed.
 // Under load, a client's retry is not sent either once the objective of its first try has passed.
 func (b *Balancer) outOfTime(now float64, r *Request) bool {
 	objective := r.class().LatencyObjectiveSeconds
-	if now >= r.Deadline-outOfTimeMargin*r.Config.TimerResolutionSeconds || now-r.ReceivedAt >= objective {
+	if now >= r.Deadline-outOfTimeMarginResolutions*r.Config.TimerResolutionSeconds || now-r.ReceivedAt >= objective {
 		return true
 	}
-	return b.latencyRatio > targetLatencyRatio && len(r.Attempts) == 0 && now-r.FirstSeenAt >= objective
+	return b.latencyRatio > targetLatencyRatio && len(r.Attempts) == 0 && now-r.FirstTriedAt >= objective
 }
 
 // lastAttemptEnd returns when the last attempt of a request must end.
 func (r *Request) lastAttemptEnd() float64 {
-	return r.Deadline - attemptMargin*r.Config.TimerResolutionSeconds
+	return r.Deadline - attemptMarginResolutions*r.Config.TimerResolutionSeconds
 }
 
 // attemptsLeft reports whether a request may have another attempt. Those that were never sent count too.
 func (r *Request) attemptsLeft() bool { return len(r.Attempts) < r.Config.MaxAttempts }
 
-// retryIsSafe reports whether a further attempt can't cause a second effect (rule 2). A request may be sent again if no
-// attempt can have run, if it is idempotent, or if it has a key and, for every attempt, the window in which endpoints
-// recognise the key is still open. leavesDedupScope restricts where it may be sent then.
+// retryIsSafe reports whether a further attempt can't cause a second effect (rule 2 of package invariants). A request
+// may be sent again if no attempt can have run, if it is idempotent, or if it has a key and, for every attempt, the
+// window in which endpoints recognise the key is still open. leavesDedupScope then restricts the endpoints.
 func (b *Balancer) retryIsSafe(now float64, r *Request) bool {
 	class := r.class()
 	for _, attempt := range r.Attempts {
@@ -64,19 +64,21 @@
 	if class.Idempotency != IdempotentWithKey || !attempt.InFlight && !attempt.MayHaveRun {
 		return false
 	}
-	tried := b.endpointByID[attempt.Endpoint]
+	earlier := b.endpointByID[attempt.Endpoint]
 	switch class.DedupScope {
 	case DedupZone:
-		return tried.zone != e.zone
+		return earlier.zone != e.zone
 	case DedupCell:
-		return tried.cell != e.cell
+		return earlier.cell != e.cell
 	}
 	return false
 }
 
-// retryAffordable reports whether the retry budget allows another attempt. A retry after an
-// attempt that did not reach its endpoint is free.
-func (b *Balancer) retryAffordable(r *Request) bool { return b.retryTokens >= 1 || r.LastUnreached }
+// retryAffordable reports whether the retry budget allows another attempt. A retry after an attempt that did not reach
+// its endpoint is free.
+func (b *Balancer) retryAffordable(r *Request) bool {
+	return b.retryTokens >= 1 || r.LastAttemptUndelivered
+}
 
 // finalAnswer returns a request's final answer: a rejection if a retry by the client is harmless, else a failure. While
 // an attempt is in flight it returns no action, as that attempt may still succeed.
@@ -92,7 +94,7 @@
 }
 
 // effectUncertain reports whether a retry by the client could have a second effect: an attempt may have run, and the
-// client can't direct its retry to where the key is recognised.
+// client can't direct its retry to the endpoints that recognise the key.
 func (r *Request) effectUncertain() bool {
 	class := r.class()
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll {
@@ -107,23 +109,23 @@
 }
 
 // attemptTimeout returns the time after which an attempt may be followed by another: a few typical latencies, longer
-// for work that is expected to be heavy, plus the caller's own delay; infinite while no latency is known.
+// for work that is expected to be heavy, plus the caller's processing delay; infinite while no latency is known.
 func (b *Balancer) attemptTimeout(r *Request) float64 {
 	if b.typicalLatency[r.Class] == 0 {
 		return math.Inf(1)
 	}
-	return attemptTimeoutFactor*b.typicalLatency[r.Class]*max(1, r.Work) + b.ownDelay
+	return attemptTimeoutFactor*b.typicalLatency[r.Class]*max(1, r.Work) + b.processingDelay
 }
 
-// unresponsive reports whether every attempt in flight has timed out at an endpoint that has answered nothing since it
-// was sent. An endpoint with few other attempts in flight had little chance to answer any: it is given more time.
+// unresponsive reports whether every attempt in flight has timed out at an endpoint that has answered nothing since the
+// attempt was sent. An endpoint with few other attempts in flight had little chance to answer any: it gets more time.
 func (b *Balancer) unresponsive(now float64, r *Request) bool {
 	for _, attempt := range r.Attempts {
 		if !attempt.InFlight {
 			continue
 		}
 		e := b.endpointByID[attempt.Endpoint]
-		waitUntil := max(attempt.StartedAt, b.resumedAt) + b.attemptTimeout(r)*(1+1/float64(e.inFlight)) - timeTolerance
+		waitUntil := max(attempt.StartedAt, b.resumedAt) + b.attemptTimeout(r)*(1+1/float64(e.inFlight)) - timeToleranceSeconds
 		if e.lastAnswerAt > attempt.StartedAt || now < waitUntil {
 			return false
 		}
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Each router uses a subset of the endpoints: those that rank first by its own hash, as many as its traffic keeps
-// connections open to and learns anything about. A larger subset would cost a handshake for each request.
+// Each router uses a subset of the endpoints: those that rank first by its own hash, as many as its traffic suffices to
+// keep connections open to and to observe. A larger subset would cost a handshake for each request.
 const (
-	minSubset       = 8    // endpoints
+	minSubsetSize   = 8    // endpoints, of both sides together
 	subsetIdleShare = 0.08 // share of the idle timeout within which each endpoint should be used again
 )
 
 // regroupEndpoints precomputes what each request and vote needs, so that none of them scans the whole fleet: the subset
-// and the capacity of each side, and whether both builds run side by side.
+// and the capacity of each side, and whether the lateness of the two builds can be compared.
 func (b *Balancer) regroupEndpoints(now float64) {
-	baselineServes := b.countReadyEndpoints(now)
+	baselineAnswers := b.countReadyEndpoints(now)
 	manyConnsFail := b.manyConnsFail(now)
-	b.latenessComparable = b.canaryReady > 0 && baselineServes && !manyConnsFail
+	b.latenessComparable = b.canaryReady > 0 && baselineAnswers && !manyConnsFail
 	if manyConnsFail {
 		b.dropLatenessCounts()
 	}
@@ -22,8 +22,8 @@
 }
 
 // countReadyEndpoints counts the ready endpoints by side, and reports whether any baseline endpoint answers: endpoints
-// that only a stale list names can't be compared with.
-func (b *Balancer) countReadyEndpoints(now float64) (baselineServes bool) {
+// that exist only in a stale list are no baseline.
+func (b *Balancer) countReadyEndpoints(now float64) (baselineAnswers bool) {
 	b.oldestBuild, b.readyCount, b.baselineReady, b.canaryReady, b.newestCanaryStartedAt = math.MaxInt, 0, 0, 0, 0
 	for _, e := range b.endpoints {
 		if !e.ready {
@@ -37,15 +37,15 @@
 			b.newestCanaryStartedAt = max(b.newestCanaryStartedAt, e.startedAt)
 		case e.build < b.release.build:
 			b.baselineReady++
-			baselineServes = baselineServes || e.failures.level(now, failureMemorySeconds) <= 0.5
+			baselineAnswers = baselineAnswers || e.failures.valueAt(now, failureDecaySeconds) <= 0.5
 		}
 	}
-	return baselineServes
+	return baselineAnswers
 }
 
 // chooseSubset sets subset and readyCapacity.
 func (b *Balancer) chooseSubset(now float64) {
-	share := min(1, max(minSubset, b.requestRate(now)*b.config.ConnIdleSeconds*subsetIdleShare)/float64(max(1, b.readyCount)))
+	share := min(1, max(minSubsetSize, b.requestRate(now)*b.config.ConnIdleSeconds*subsetIdleShare)/float64(max(1, b.readyCount)))
 	for side := range b.subset {
 		b.subset[side], b.readyCapacity[side] = b.subset[side][:0], 0
 	}
