--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -6,11 +6,11 @@
 	"sort"
 )
 
-// fleet drives one Balancer by hand: a clock, an endpoint list, requests and their outcomes.
+// fleet is a test harness: one Balancer with a manual clock, an endpoint list, requests and their outcomes.
 type fleet struct {
-	b   *Balancer
-	now float64
-	id  uint32
+	b             *Balancer
+	now           float64
+	lastRequestID uint32
 }
 
 type endpointEntry struct {
@@ -20,10 +20,10 @@
 	startedAt float64
 }
 
-// newFleet returns a fleet with three classes, one of each idempotency, and endpoints 1 to
-// 4 of build 7, long past slow start.
+// newFleet returns a fleet with three request classes, one of each idempotency, and endpoints 1 to 4 of build 7, long
+// past slow start. edit, if not nil, changes the configuration first.
 func newFleet(edit func(*Config)) *fleet {
-	t := Config{
+	config := Config{
 		RouterGroups: 2, TimerResolutionSeconds: 0.005, AllowHedging: false, AllowCancel: true, MaxRetryAfterSeconds: 1, MaxAttempts: 4, ConnIdleSeconds: 15, RequestsPerConn: 100,
 		Classes: []RequestClass{
 			{LatencyObjectiveSeconds: 0.3, PriorityWeight: 2, Idempotency: Idempotent, DedupWindowSeconds: 1},
@@ -35,103 +35,107 @@
 		VoteLifetimeSeconds: 10, VoteTimeoutSeconds: 1, VotesPerSecond: 20,
 	}
 	if edit != nil {
-		edit(&t)
+		edit(&config)
 	}
-	f := &fleet{b: New(t, 42, 100), now: 100}
+	f := &fleet{b: New(config, 42, 100), now: 100}
 	f.list(true, endpointEntry{id: 1, build: 7}, endpointEntry{id: 2, build: 7}, endpointEntry{id: 3, build: 7}, endpointEntry{id: 4, build: 7})
 	f.b.ApplyRelease(f.now, 7, 2, PhaseReleased, 1, 50)
 	return f
 }
 
-func (f *fleet) list(full bool, endpoints ...endpointEntry) {
+// list applies an update of the endpoint list; endpoints with an odd id are in cell 1, the others in cell 0.
+func (f *fleet) list(full bool, entries ...endpointEntry) {
 	f.b.BeginEndpointList(full)
-	for _, m := range endpoints {
-		f.b.UpdateEndpoint(m.id, 0, uint16(m.id%2), m.build, m.state, 1, m.startedAt)
+	for _, entry := range entries {
+		f.b.UpdateEndpoint(entry.id, 0, uint16(entry.id%2), entry.build, entry.state, 1, entry.startedAt)
 	}
 	f.b.EndEndpointList(f.now)
 }
 
-// request creates a request, picks for it and records the attempt.
+// request creates a request, picks for it and applies the decision.
 func (f *fleet) request(class int) (*Request, Decision) {
-	f.id++
-	c := &Request{ID: f.id, Class: class, ReceivedAt: f.now, Deadline: f.now + 0.8}
-	return c, f.pick(c)
+	f.lastRequestID++
+	r := &Request{ID: f.lastRequestID, Class: class, ReceivedAt: f.now, Deadline: f.now + 0.8}
+	return r, f.pick(r)
 }
 
-func (f *fleet) pick(c *Request) Decision { return f.did(c, f.b.Pick(f.now, c)) }
+func (f *fleet) pick(r *Request) Decision { return f.apply(r, f.b.Pick(f.now, r)) }
 
-func (f *fleet) did(c *Request, s Decision) Decision {
-	switch s.Action {
+// apply updates a request as the caller of a Balancer must after a decision.
+func (f *fleet) apply(r *Request, decision Decision) Decision {
+	switch decision.Action {
 	case Send:
-		c.Attempts = append(c.Attempts, Attempt{Endpoint: s.Endpoint, StartedAt: f.now, InFlight: true})
+		r.Attempts = append(r.Attempts, Attempt{Endpoint: decision.Endpoint, StartedAt: f.now, InFlight: true})
 	case Reject, Fail:
-		c.Completed = true
+		r.Completed = true
 	}
-	return s
+	return decision
 }
 
 // answer ends the last attempt of a request.
-func (f *fleet) answer(c *Request, r Outcome) Decision {
-	d := &c.Attempts[len(c.Attempts)-1]
-	d.InFlight, d.MayHaveRun = false, r != Overloaded && r != NotConnected && r != NotSent
-	c.Completed = c.Completed || r == Succeeded
-	return f.did(c, f.b.OnAttemptDone(f.now, c, d.Endpoint, r, f.now-d.StartedAt))
+func (f *fleet) answer(r *Request, outcome Outcome) Decision {
+	attempt := &r.Attempts[len(r.Attempts)-1]
+	attempt.InFlight, attempt.MayHaveRun = false, outcome != Overloaded && outcome != NotConnected && outcome != NotSent
+	r.Completed = r.Completed || outcome == Succeeded
+	return f.apply(r, f.b.OnAttemptDone(f.now, r, attempt.Endpoint, outcome, f.now-attempt.StartedAt))
 }
 
-// run sends n idempotent requests over the given seconds; outcome determines how each attempt ends and
-// after how long. It returns the attempts by build.
-func (f *fleet) run(n int, secs float64, outcome func(u uint32, build int) (Outcome, float64)) map[int]int {
-	sent := map[int]int{}
-	type end struct {
-		at float64
-		c  *Request
-		r  Outcome
+// run sends n idempotent requests at even intervals over the given seconds; outcome determines how each attempt ends
+// and after how many seconds. It returns the number of first attempts by build.
+func (f *fleet) run(n int, seconds float64, outcome func(endpointID uint32, build int) (Outcome, float64)) map[int]int {
+	attempts := map[int]int{}
+	type answer struct {
+		at      float64
+		request *Request
+		outcome Outcome
 	}
-	var out []end
-	finish := func(until float64) {
-		for len(out) > 0 && out[0].at <= until {
-			f.now = max(f.now, out[0].at)
-			f.answer(out[0].c, out[0].r)
-			out = out[1:]
+	var pending []answer // in the order of their times
+	answerUntil := func(until float64) {
+		for len(pending) > 0 && pending[0].at <= until {
+			f.now = max(f.now, pending[0].at)
+			f.answer(pending[0].request, pending[0].outcome)
+			pending = pending[1:]
 		}
 	}
 	for i, start := 0, f.now; i < n; i++ {
-		at := start + secs*float64(i)/float64(n)
-		finish(at)
+		at := start + seconds*float64(i)/float64(n)
+		answerUntil(at)
 		f.now = at
-		if c, s := f.request(0); s.Action == Send {
-			u := f.b.endpointByID[s.Endpoint]
-			sent[u.build]++
-			r, took := outcome(u.id, u.build)
-			out = append(out, end{f.now + took, c, r})
-			sort.SliceStable(out, func(i, j int) bool { return out[i].at < out[j].at })
+		if r, decision := f.request(0); decision.Action == Send {
+			e := f.b.endpointByID[decision.Endpoint]
+			attempts[e.build]++
+			result, duration := outcome(e.id, e.build)
+			pending = append(pending, answer{f.now + duration, r, result})
+			sort.SliceStable(pending, func(i, j int) bool { return pending[i].at < pending[j].at })
 		}
 	}
-	finish(math.Inf(1))
-	return sent
+	answerUntil(math.Inf(1))
+	return attempts
 }
 
+// succeed is an outcome function for run: each attempt succeeds after 0.05 s.
 func succeed(uint32, int) (Outcome, float64) { return Succeeded, 0.05 }
 
-// vote ticks until a vote is cast or the time is up, and prints the vote.
-func (f *fleet) vote(secs float64, reply VoteReply) {
-	for end := f.now + secs; f.now < end; {
-		t := f.b.TickAndVote(f.now)
-		if t.CastVote {
+// vote ticks until a vote is cast or the given seconds are over, and prints the vote.
+func (f *fleet) vote(seconds float64, reply VoteReply) {
+	for end := f.now + seconds; f.now < end; {
+		result := f.b.TickAndVote(f.now)
+		if result.CastVote {
 			names := [...]string{"none", "promote", "hold", "rollback"}
-			fmt.Printf("vote %s on build %d stage %d\n", names[t.Verdict], t.Build, t.Stage)
-			f.now += t.NextTickSeconds
+			fmt.Printf("vote %s on build %d stage %d\n", names[result.Verdict], result.Build, result.Stage)
+			f.now += result.NextTickSeconds
 			f.b.OnVoteReply(f.now, reply)
 			return
 		}
-		f.now += t.NextTickSeconds
+		f.now += result.NextTickSeconds
 	}
 	fmt.Println("no vote")
 }
 
-func (s Decision) String() string {
-	if s.Action == NoAction && s.CancelInFlight {
+// String describes a decision for the examples' output.
+func (d Decision) String() string {
+	if d.Action == NoAction && d.CancelInFlight {
 		return "cancel"
 	}
-	return [...]string{"nothing", "send", "hold", fmt.Sprintf("reject, retry after %.1f s", s.RetryAfterSeconds), "fail"}[s.Action]
+	return [...]string{"nothing", "send", "hold", fmt.Sprintf("reject, retry after %.1f s", d.RetryAfterSeconds), "fail"}[d.Action]
 }
