--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -25,7 +25,7 @@
 	readyCount      int
 	oldestBuild     int // oldest build of the ready endpoints
 	subscribed      bool
-	subscribedAt    float64
+	subscribedAt    float64 // when the subscription to the endpoint list was last requested
 	endpointListAge float64 // seconds
 
 	// The release (release.go, canary.go, keys.go).
@@ -34,15 +34,15 @@
 	canaryReady           int         // ready endpoints of the release's build
 	newestCanaryStartedAt float64     // start of the newest ready canary endpoint
 	latenessComparable    bool        // both builds serve at once: their lateness can be compared
-	receivedAt            [][]float64 // requests received in the canary window, by limitIndex
-	canaryAttemptsAt      [][]float64 // canary attempts, by limitIndex
+	receivedAt            [][]float64 // times of the requests received in the canary window, by limitIndex
+	canaryAttemptsAt      [][]float64 // start times of the canary attempts, by limitIndex
 	buildByKey            map[uint64]int
 	keyFloorBuild         int     // every key counts as answered by this build or a later one
 	leasedShare           float64 // share of all routers' allowances that the controller assigned; 1 without a controller
 	leaseEndsAt           float64
 
 	// Latency and load (admission.go, retry.go, outlier.go).
-	typicalLatency    []float64 // by class
+	typicalLatency    []float64 // moving average, by class
 	maxTypicalLatency float64
 	baselineLatency   []float64  // median of warm baseline endpoints, by class
 	commonTimeout     []majority // most common request timeout, by class
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -1,6 +1,6 @@
 package policy
 
-const connFailureThreshold = 0.1 // share of new connections that fail above which open ones are preferred
+const connFailureThreshold = 0.1 // share of failing new connections that is normal; above it, open ones are preferred
 
 // recordConnection records whether a connection to an endpoint is open and, for baseline endpoints, how often new
 // connections have failed lately. Failures at a canary are left out: they may be caused by its build.
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -23,10 +23,10 @@
 //   - it would be a retry and the retry budget is empty (retryAffordable);
 //   - the request needs too much work to be answered in time (tooHeavy).
 //
-// While an attempt is in flight, Pick returns no action in these cases and when no endpoint is eligible: the request is
-// picked again when an attempt ends. A hedged request is sent only with AllowHedging, once every attempt in flight is
-// unresponsive; without AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With nothing in
-// flight, a request without an eligible endpoint is held. An endpoint is not eligible if it
+// While an attempt is in flight, Pick returns no action in these cases and when no endpoint can take the request: the
+// request is picked again when an attempt ends. A hedged request is sent only with AllowHedging, once every attempt in
+// flight is unresponsive; without AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With
+// nothing in flight, a request that no endpoint can take is held. No attempt goes to an endpoint that
 //   - is not ready;
 //   - has an attempt of the request in flight, or just lost one (mustAvoid);
 //   - would not recognise the request's key (leavesDedupScope);
@@ -110,7 +110,7 @@
 	return decision
 }
 
-// OnAttemptDone records the outcome of an attempt at an endpoint, which took the given seconds, and decides what
+// OnAttemptDone records the outcome and the duration, in seconds, of an attempt at an endpoint, and decides what
 // follows. The caller must have updated the request's Attempts before.
 func (b *Balancer) OnAttemptDone(now float64, r *Request, endpointID uint32, outcome Outcome, duration float64) Decision {
 	b.detectStall(now)
@@ -139,17 +139,17 @@
 	if b.rollsBackAlone() || b.random.next() >= b.readyCapacity[canary]/(b.readyCapacity[baseline]+b.readyCapacity[canary]) {
 		first, second = second, first
 	}
-	if e := b.pickFromGroup(now, r, first); e != nil {
+	if e := b.pickFromSide(now, r, first); e != nil {
 		return e
 	}
-	return b.pickFromGroup(now, r, second)
+	return b.pickFromSide(now, r, second)
 }
 
-// pickFromGroup implements the power of two choices: the cheaper of two endpoints drawn at random. More are drawn while
-// many new connections fail, and if the best so far is a baseline endpoint that looks gone. A failing canary is no
-// reason to draw again: its failures must be observed.
-func (b *Balancer) pickFromGroup(now float64, r *Request, group []*endpoint) (best *endpoint) {
-	if len(group) == 0 || b.isCanary(group[0].build) && b.canaryAllowance(now, r, group[0].build) < 1 {
+// pickFromSide implements the power of two choices for one side: the cheaper of two endpoints drawn at random. More are
+// drawn while many new connections fail, and if the best so far is a baseline endpoint that looks gone. A failing canary
+// is no reason to draw again: its failures must be observed.
+func (b *Balancer) pickFromSide(now float64, r *Request, candidates []*endpoint) (best *endpoint) {
+	if len(candidates) == 0 || b.isCanary(candidates[0].build) && b.canaryAllowance(now, r, candidates[0].build) < 1 {
 		return nil
 	}
 	manyConnsFail := b.manyConnsFail(now)
@@ -163,7 +163,7 @@
 	var bestCost float64
 	for draw := 0; draw < maxDraws && (draw < defaultDraws || drawAgain()); draw++ {
 		preferConn := manyConnsFail && (draw != 1 || r.LastAttemptUndelivered) // the second draw may open a new connection
-		e := b.drawEndpoint(now, r, group, preferConn)
+		e := b.drawEndpoint(now, r, candidates, preferConn)
 		if e == nil || !b.hasSlowStartToken(now, e) {
 			continue
 		}
@@ -174,13 +174,13 @@
 	return best
 }
 
-// drawEndpoint draws a position in a group at random and returns the first eligible endpoint from there on, or nil if
-// none is eligible. If preferConn is set, it returns the first eligible one with an open connection, or the last
-// eligible one if none has an open connection.
-func (b *Balancer) drawEndpoint(now float64, r *Request, group []*endpoint, preferConn bool) (drawn *endpoint) {
-	start := int(b.random.next() * float64(len(group)))
-	for i := range group {
-		e := group[(start+i)%len(group)]
+// drawEndpoint draws a position among the candidates at random and returns the first eligible endpoint from there on,
+// or nil if none is eligible. If preferConn is set, it returns the first eligible one with an open connection, or the
+// last eligible one if none has an open connection.
+func (b *Balancer) drawEndpoint(now float64, r *Request, candidates []*endpoint, preferConn bool) (drawn *endpoint) {
+	start := int(b.random.next() * float64(len(candidates)))
+	for i := range candidates {
+		e := candidates[(start+i)%len(candidates)]
 		if !b.eligible(now, r, e) {
 			continue
 		}
