--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -8,7 +8,7 @@
 // startCanary lists n endpoints of build 8, started age seconds ago, and announces the second stage.
 func (f *fleet) startCanary(n int, age float64) {
 	for i := 0; i < n; i++ {
-		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, since: f.now - age})
+		f.list(false, endpointEntry{id: uint32(11 + i), build: 8, startedAt: f.now - age})
 	}
 	f.b.ApplyRelease(f.now, 8, 1, PhaseCanary, 0.5, age)
 }
@@ -79,7 +79,7 @@
 	for _, r := range []Outcome{TimedOut, NotConnected, ServerError} {
 		f := newFleet(nil)
 		f.startCanary(4, 10)
-		f.run(200, 2, fine)
+		f.run(200, 2, succeed)
 		f.b.ApplyRelease(f.now, 8, 2, PhaseReleased, 1, 0)
 		f.list(false, endpointEntry{1, 7, Gone, 0}, endpointEntry{2, 7, Gone, 0}, endpointEntry{3, 7, Gone, 0}, endpointEntry{4, 7, Gone, 0})
 		f.run(200, 2, func(uint32, int) (Outcome, float64) { return r, 0.1 })
@@ -96,7 +96,7 @@
 func Example_wrongAnswers() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
-	f.run(200, 2, fine)
+	f.run(200, 2, succeed)
 	for i := 0; i < 2; i++ {
 		f.b.ReportWrongAnswer(f.now, 1, 1)
 	}
@@ -116,7 +116,7 @@
 	f := newFleet(nil)
 	f.startCanary(1, 0)
 	f.vote(8, VoteCounted) // the stage calls for two endpoints
-	f.list(false, endpointEntry{id: 12, build: 8, since: f.now})
+	f.list(false, endpointEntry{id: 12, build: 8, startedAt: f.now})
 	start := f.now
 	f.vote(8, VoteCounted)
 	fmt.Println("few outcomes and none to come, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
@@ -124,14 +124,14 @@
 	f = newFleet(nil)
 	f.startCanary(2, 0)
 	start = f.now
-	f.run(600, 2.9, fine)
+	f.run(600, 2.9, succeed)
 	f.vote(0.1, VoteCounted)
 	f.vote(8, VoteCounted)
 	fmt.Println("enough outcomes, waited 3 s:", f.now-start >= 3 && f.now-start < 4.5)
 
 	f = newFleet(func(t *Config) { t.AutomaticStages = true })
 	f.startCanary(2, 0)
-	f.run(200, 2.9, fine)
+	f.run(200, 2.9, succeed)
 	f.vote(8, VoteCounted)
 	// Output:
 	// no vote
@@ -167,7 +167,7 @@
 func Example_clientRepeats() {
 	f := newFleet(nil)
 	f.startCanary(2, 10)
-	f.run(60, 1, fine)
+	f.run(60, 1, succeed)
 	before := f.b.countsOf(11, 8).byKind[serverError].total + f.b.countsOf(12, 8).byKind[serverError].total
 	for i := 0; i < 60; i++ {
 		c, s := f.request(2)
@@ -185,7 +185,7 @@
 	for _, r := range []Outcome{Succeeded, ServerError, TimedOut} {
 		f := newFleet(func(t *Config) { t.RouterGroups, t.RollbackVotes = 300, 45 })
 		for i := uint32(0); i < 100; i++ {
-			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, since: 80})
+			f.list(false, endpointEntry{id: 100 + i, build: 7}, endpointEntry{id: 300 + i, build: 8, startedAt: 80})
 		}
 		f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 10)
 		met := f.run(60, 4, func(_ uint32, build int) (Outcome, float64) {
