--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -108,7 +108,7 @@
 		questions = append(questions, metricsanalysis.Question{
 			Name:                q.Name,
 			Meaning:             meanings[q.Meaning],
-			Kind:                slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			Kind:                slices.Index(policy.FailureKindNames[:], string(q.Kind)),
 			StaleAfterSeconds:   q.StaleAfterSeconds,
 			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
 			Weight:              q.Weight,
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -46,7 +46,7 @@
 	for _, sample := range d.analyzer.Evidence(d.now).Samples {
 		for kind := range sample.Outcomes {
 			if sample.Outcomes[kind] > 0 {
-				fmt.Fprintf(&b, " endpoint %d of build %d: %.0f of %.0f %s;", sample.Endpoint, sample.Build, sample.Failures[kind], sample.Outcomes[kind], policy.FailureKinds[kind])
+				fmt.Fprintf(&b, " endpoint %d of build %d: %.0f of %.0f %s;", sample.Endpoint, sample.Build, sample.Failures[kind], sample.Outcomes[kind], policy.FailureKindNames[kind])
 			}
 		}
 	}
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -32,12 +32,12 @@
 }
 
 // decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
-func (q *Question) decays() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
+func (q *Question) decays() bool { return q.Meaning == Counts && policy.FailureKindNames[q.Kind] == "slow" }
 
 // marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
 // endpoint.
 func (q *Question) marksWrongAnswers() bool {
-	return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "wrong"
+	return q.Meaning == Counts && policy.FailureKindNames[q.Kind] == "wrong"
 }
 
 // Point is one value of a series.
--- a/internal/platform/node/release.go
+++ b/internal/platform/node/release.go
@@ -30,7 +30,7 @@
 
 // buildEvidence is the sum of one build's samples, by failure kind.
 type buildEvidence struct {
-	failingEndpoints, outcomes, failures [len(policy.FailureKinds)]float64
+	failingEndpoints, outcomes, failures [len(policy.FailureKindNames)]float64
 }
 
 // logEvidence logs the evidence for a vote to roll back: the samples of the canary and of the other builds.
@@ -51,7 +51,7 @@
 		}
 	}
 	for build, evidence := range byBuild {
-		n.log.Info("rollback evidence", "canary", canary, "build", build, "kinds", policy.FailureKinds,
+		n.log.Info("rollback evidence", "canary", canary, "build", build, "kinds", policy.FailureKindNames,
 			"outcomes", evidence.outcomes, "failures", evidence.failures, "failing_endpoints", evidence.failingEndpoints)
 	}
 }
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -13,8 +13,8 @@
 // neighbours affect as well as builds.
 func isLateness(kind int) bool { return kind == attemptLost || kind == slowAnswer }
 
-// FailureKinds holds the names of the kinds of failure, in the order of the arrays of an EndpointSample.
-var FailureKinds = [failureKinds]string{"wrong", "failed", "lost", "slow"}
+// FailureKindNames holds the names of the kinds of failure, in the order of the arrays of an EndpointSample.
+var FailureKindNames = [failureKinds]string{"wrong", "failed", "lost", "slow"}
 
 // outcomeCount counts outcomes and the failures among them. Decayed counts are fractional.
 type outcomeCount struct{ total, failures float64 }
