--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -20,9 +20,9 @@
 	return startedAt-e.startedAt >= b.config.SlowStartSeconds*(1+load/float64(b.rollbackVotes()))
 }
 
-// countsForAnalysis reports whether an attempt's outcome is evidence at all. Retries are not, on
+// includeInAnalysis reports whether an attempt's outcome is evidence at all. Retries are not, on
 // either side: they repeat what was already counted.
-func (b *Balancer) countsForAnalysis(now float64, r *Request, e *endpoint, startedAt float64) bool {
+func (b *Balancer) includeInAnalysis(now float64, r *Request, e *endpoint, startedAt float64) bool {
 	isRetry := r.ClientRetry || len(r.Attempts) > 1
 	sameProcess := startedAt >= e.startedAt
 	settled := now-e.startedAt >= settleSeconds
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -56,7 +56,7 @@
 	if outcome == Succeeded || outcome == TimedOut {
 		b.recordLatency(r, e, took)
 	}
-	if b.countsForAnalysis(now, r, e, now-took) {
+	if b.includeInAnalysis(now, r, e, now-took) {
 		b.countOutcome(r, e, outcome, took, warm)
 	}
 }
