--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// dropLatenessCounts discards the lateness counts. Where connections are refused, only the endpoints with open ones are
+// dropLoadSensitiveCounts discards the lateness counts. Where connections are refused, only the endpoints with open ones are
 // sampled, and that was so even before it was noticed.
-func (b *Balancer) dropLatenessCounts() {
+func (b *Balancer) dropLoadSensitiveCounts() {
 	for _, counts := range b.localCounts {
 		counts.byKind[attemptLost], counts.byKind[slowAnswer] = outcomeCount{}, outcomeCount{}
 	}
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -16,7 +16,7 @@
 	manyConnsFail := b.manyConnsFail(now)
 	b.sideBySide = b.canaryReady > 0 && baselineServes && !manyConnsFail
 	if manyConnsFail {
-		b.dropLatenessCounts()
+		b.dropLoadSensitiveCounts()
 	}
 	b.chooseSubset(now)
 }
