--- a/internal/policy/longlife_test.go
+++ b/internal/policy/longlife_test.go
@@ -120,7 +120,7 @@
 	fmt.Println("the router with that assignment sends the build nothing more:", trial(routers[0]))
 	controller.b.DropReport("a")
 	controller.b.DropReport("b")
-	fmt.Println("no reports any more:", len(controller.b.counts()))
+	fmt.Println("no reports any more:", len(controller.b.analysisCounts()))
 	// Output:
 	// without a lease, of 100 requests at most 10: true
 	// leased all free attempts, 10 and 2 more: true
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -52,9 +52,9 @@
 	b.mergeNeeded = true
 }
 
-// counts returns the counts that votes rest on: the routers' if any router has reported, else the local ones. Reports
+// analysisCounts returns the analysisCounts that votes rest on: the routers' if any router has reported, else the local ones. Reports
 // are merged at most once a tick, however many have arrived since the last.
-func (b *Balancer) counts() []*endpointCounts {
+func (b *Balancer) analysisCounts() []*endpointCounts {
 	if b.reports == nil {
 		return b.localCounts
 	}
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -114,7 +114,7 @@
 	if !b.release.known || b.release.over() {
 		return VoteNone
 	}
-	counts := b.counts()
+	counts := b.analysisCounts()
 	evidence := b.evidenceOverThreshold(counts)
 	keepsRollback := b.votedRollback() && (b.rollbackVotes() == 1 && !b.config.AutomaticStages || evidence > doubtThreshold)
 	switch {
