--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -23,7 +23,7 @@
 type Question struct {
 	Name                string
 	Meaning             Meaning
-	Kind                int     // index into policy.FailureKinds, for Counts
+	Kind                int     // index into policy.FailureKindNames, for Counts
 	StaleAfterSeconds   float64 // age above which a value is ignored
 	MaxClockSkewSeconds float64 // how far a server's clock may be ahead
 	Weight              float64 // 0 to 1; scales its marks and counts
@@ -32,7 +32,9 @@
 }
 
 // decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
-func (q *Question) decays() bool { return q.Meaning == Counts && policy.FailureKindNames[q.Kind] == "slow" }
+func (q *Question) decays() bool {
+	return q.Meaning == Counts && policy.FailureKindNames[q.Kind] == "slow"
+}
 
 // marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
 // endpoint.
