--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -1,27 +1,28 @@
 package policy
 
-// What counts as evidence on a release, and what is attributed to other causes.
-// docs/design.md, "Changed", gives the reasons (1 and 3 to 7).
+// Which outcomes are evidence on a release, and which are attributed to other causes. The reasons are in docs/design.md,
+// "Changed, and when each exception applies", from "Four kinds of failure" to "Instant repeats".
 const (
-	settleSeconds     = 2.0  // time after an endpoint's start in which outcomes are not counted
-	slowLatencyFactor = 2.0  // multiple of the baseline's median latency above which an answer is slow
-	canaryLeniency    = 1.5  // further factor for the canary: a build that is a little slower is still good
-	medianStep        = 0.02 // fraction by which the baseline's median moves with each answer
-	slowCountDecay    = 0.97 // fraction of the slow-answer counts kept at each limit adjustment, as load changes
+	settleSeconds       = 2.0  // time after an endpoint's start during which its outcomes are not counted
+	slowLatencyFactor   = 2.0  // multiple of the baseline's median latency above which an answer is slow
+	canaryLatencyMargin = 1.5  // further factor on it for the canary: a slightly slower build is still good
+	baselineMedianStep  = 0.02 // fraction by which each answer moves the estimate of the baseline's median latency
+	slowCountDecay      = 0.97 // factor on slow-answer counts when the concurrency limit is adjusted: load changes
 )
 
-// wasWarm reports whether an attempt met a warm endpoint that has worked off its queue from slow start. That takes
-// longer in a fully loaded fleet, and more caution is due where few votes decide.
+// wasWarm reports whether an attempt was sent to a warm endpoint: one that has completed its slow start and worked off
+// the queue that built up in it. The queue takes longer to drain in a loaded fleet. The extra time is divided by the
+// number of votes that a rollback needs, as a decision by few votes calls for more caution.
 func (b *Balancer) wasWarm(e *endpoint, startedAt float64) bool {
 	if startedAt < e.startedAt {
-		return false // it was sent to the endpoint's previous process
+		return false // sent to the endpoint's previous process
 	}
 	load := min(1, b.latencyRatio/targetLatencyRatio)
 	return startedAt-e.startedAt >= b.config.SlowStartSeconds*(1+load/float64(b.rollbackVotes()))
 }
 
-// includeInAnalysis reports whether an attempt's outcome is evidence at all. Retries are not, on
-// either side: they repeat what was already counted.
+// includeInAnalysis reports whether an attempt's outcome is evidence on the release. Retries are excluded for canary and
+// baseline alike, because they repeat requests that are already counted.
 func (b *Balancer) includeInAnalysis(now float64, r *Request, e *endpoint, startedAt float64) bool {
 	isRetry := r.ClientRetry || len(r.Attempts) > 1
 	sameProcess := startedAt >= e.startedAt
@@ -29,18 +30,19 @@
 	return !isRetry && sameProcess && settled && b.release.known && e.build <= b.release.build
 }
 
-// countOutcome adds an outcome to the evidence, by kind of failure.
-func (b *Balancer) countOutcome(r *Request, e *endpoint, outcome Outcome, took float64, warm bool) {
+// countOutcome adds an attempt's outcome to the local counts, by kind of failure.
+func (b *Balancer) countOutcome(r *Request, e *endpoint, outcome Outcome, latency float64, warm bool) {
 	counts := &b.countsOf(e.id, e.build).byKind
 	switch outcome {
 	case Succeeded:
-		counts[wrongAnswer].record(false) // ReportWrongAnswer may change that
+		counts[wrongAnswer].record(false) // ReportWrongAnswer may turn it into a failure later
 		counts[serverError].record(false)
 	case ServerError:
 		counts[serverError].record(true)
 	}
-	// Without baseline endpoints beside it, only the canary meets a burst, a slow fleet or vanished endpoints, so its
-	// lateness has nothing to be compared with. The same holds while new connections fail widely.
+	// Load-sensitive failures are compared only while both builds serve: without baseline endpoints, the canary alone is
+	// affected by a burst, a slow fleet or vanished endpoints. They are not compared either while many new connections
+	// fail.
 	if !b.sideBySide {
 		return
 	}
@@ -48,24 +50,25 @@
 		counts[attemptLost].record(outcome.isFailure() && outcome != ServerError)
 	}
 	if warm && (outcome == Succeeded || outcome == TimedOut || outcome == Overloaded) {
-		b.countLatency(r, e, &counts[slowAnswer], outcome, took)
+		b.countLatency(r, e, &counts[slowAnswer], outcome, latency)
 	}
 }
 
-// countLatency compares a warm endpoint's latency to the baseline's median. A baseline
-// endpoint's latency also updates that median.
-func (b *Balancer) countLatency(r *Request, e *endpoint, count *outcomeCount, outcome Outcome, took float64) {
-	slowFrom := slowLatencyFactor * canaryLeniency
+// countLatency counts whether a warm endpoint's answer is slow compared to the baseline's median latency. The latency of
+// a baseline endpoint also updates that median, which a few slow endpoints hardly move.
+func (b *Balancer) countLatency(r *Request, e *endpoint, count *outcomeCount, outcome Outcome, latency float64) {
+	slowFactor := slowLatencyFactor * canaryLatencyMargin
 	if e.build < b.release.build {
-		slowFrom = slowLatencyFactor
-		stepToMedian(&b.baselineLatency[r.Class], took, medianStep) // a median: a few slow endpoints don't move it
+		slowFactor = slowLatencyFactor
+		stepToMedian(&b.baselineLatency[r.Class], latency, baselineMedianStep)
 	}
 	if median := b.baselineLatency[r.Class]; median > 0 {
-		count.record(outcome == Overloaded || took > slowFrom*median)
+		count.record(outcome == Overloaded || latency > slowFactor*median)
 	}
 }
 
-// ReportWrongAnswer records that a client reported a wrong answer to an attempt of age seconds ago.
+// ReportWrongAnswer records that a client reported a wrong answer from an endpoint, to an attempt made age seconds ago.
+// It counts against the build that the endpoint ran at that time.
 func (b *Balancer) ReportWrongAnswer(now float64, endpointID uint32, age float64) {
 	e := b.endpointByID[endpointID]
 	if e == nil {
@@ -80,15 +83,15 @@
 	}
 }
 
-// dropLoadSensitiveCounts discards the lateness counts. Where connections are refused, only the endpoints with open ones are
-// sampled, and that was so even before it was noticed.
+// dropLoadSensitiveCounts discards the counts of load-sensitive failures. While endpoints refuse connections, only those
+// with open connections are sampled, and this bias began before the refusals were noticed.
 func (b *Balancer) dropLoadSensitiveCounts() {
 	for _, counts := range b.localCounts {
 		counts.byKind[attemptLost], counts.byKind[slowAnswer] = outcomeCount{}, outcomeCount{}
 	}
 }
 
-// decaySlowCounts decays the counts of slow answers.
+// decaySlowCounts reduces the counts of slow answers, so that those from an earlier load lose weight.
 func (b *Balancer) decaySlowCounts() {
 	for _, counts := range b.localCounts {
 		slow := &counts.byKind[slowAnswer]
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -1,22 +1,23 @@
 package policy
 
-// The kinds of failure. Each is counted against its own outcomes: in one sum, frequent kinds would drown out rare ones.
+// The kinds of failure. Each has its own counts of outcomes and failures, and its own log-likelihood ratio: in one sum,
+// frequent kinds would hide rare ones.
 const (
-	wrongAnswer  = iota // answers that clients report as wrong
-	serverError         // answers with an error
-	attemptLost         // lost and failed connections, timeouts
-	slowAnswer          // answers of warm endpoints that are far later than typical, or overload
-	failureKinds        // number of kinds
+	wrongAnswer      = iota // answers that a client reported as wrong
+	serverError             // error answers
+	attemptLost             // lost connections, failed connections and timeouts
+	slowAnswer              // answers of warm endpoints far above the baseline's median latency, timeouts and overload included
+	failureKindCount        // number of kinds
 )
 
-// isLateness reports whether a kind is about time and connections, which queues and noisy
-// neighbours affect as well as builds.
-func isLateness(kind int) bool { return kind == attemptLost || kind == slowAnswer }
+// isLoadSensitive reports whether a kind of failure concerns timing and connections, which queues and noisy neighbours
+// affect as well as the build does.
+func isLoadSensitive(kind int) bool { return kind == attemptLost || kind == slowAnswer }
 
-// FailureKindNames holds the names of the kinds of failure, in the order of the arrays of an EndpointSample.
-var FailureKindNames = [failureKinds]string{"wrong", "failed", "lost", "slow"}
+// FailureKindNames holds the names of the kinds of failure, in the order of the arrays in EndpointSample.
+var FailureKindNames = [failureKindCount]string{"wrong", "failed", "lost", "slow"}
 
-// outcomeCount counts outcomes and the failures among them. Decayed counts are fractional.
+// outcomeCount counts outcomes, and the failures among them. Decayed counts are fractional.
 type outcomeCount struct{ total, failures float64 }
 
 func (c outcomeCount) plus(d outcomeCount) outcomeCount {
@@ -34,11 +35,11 @@
 	}
 }
 
-// endpointCounts counts the outcomes of one endpoint under one build since the present release became known.
+// endpointCounts counts the outcomes of one endpoint running one build since the present release became known.
 type endpointCounts struct {
 	endpoint uint32
 	build    int
-	byKind   [failureKinds]outcomeCount
+	byKind   [failureKindCount]outcomeCount
 }
 
 func (c *endpointCounts) add(other *endpointCounts) {
@@ -47,13 +48,13 @@
 	}
 }
 
-// countsKey identifies endpointCounts in a map.
+// countsKey identifies endpointCounts as a map key.
 type countsKey struct {
 	endpoint uint32
 	build    int
 }
 
-// countsOf returns the local counts of an endpoint under a build, creating them if needed.
+// countsOf returns the local counts of an endpoint running a build, and creates them if there are none.
 func (b *Balancer) countsOf(endpoint uint32, build int) *endpointCounts {
 	for _, counts := range b.localCounts {
 		if counts.endpoint == endpoint && counts.build == build {
@@ -65,7 +66,7 @@
 	return counts
 }
 
-// sumBySide sums a kind's counts over the endpoints of the canary build, and over those of all other builds.
+// sumBySide sums the counts of a kind of failure, over the endpoints of the canary build and over those of all others.
 func sumBySide(list []*endpointCounts, kind, canaryBuild int) (sum [sideCount]outcomeCount) {
 	for _, counts := range list {
 		side := boolToInt(counts.build == canaryBuild)
--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -8,11 +8,11 @@
 // MaxSPRT-AB, the sequential test that compares the canary's failures to the baseline's. docs/design.md gives the
 // reasons ("Kept", and 1 to 3 and 8 of "Changed").
 const (
-	rollbackThreshold   = 3.0  // log-likelihood ratio in nats, before ln(routers) is added
-	minCanaryOutcomes   = 20.0 // canary outcomes required for a vote to roll back, all voters together
-	minCanaryFailures   = 3.0  // canary failures required
-	minEndpointOutcomes = 4.0  // outcomes required for an endpoint to be judged on its own
-	ownFaultFactor      = 4.0  // errors are attributed to single endpoints if the rest fail less often by this factor
+	rollbackThreshold    = 3.0  // log-likelihood ratio in nats, before ln(routers) is added
+	minCanaryOutcomes    = 20.0 // canary outcomes required for a vote to roll back, all voters together
+	minCanaryFailures    = 3.0  // canary failures required
+	minEndpointOutcomes  = 4.0  // outcomes required for an endpoint to be judged on its own
+	singleEndpointFactor = 4.0  // errors are attributed to single endpoints if the rest fail less often by this factor
 )
 
 // logLikelihoodRatio returns MaxSPRT-AB's L in nats, signed: positive if b fails more often than a.
@@ -34,10 +34,10 @@
 
 // comparison holds a kind's outcomes by side. Endpoints with too few outcomes to be judged on their own are pooled.
 type comparison struct {
-	kind   int
-	each   [sideCount][]outcomeCount // by endpoint
-	summed [sideCount]outcomeCount   // sum of each
-	few    [sideCount]outcomeCount   // pooled endpoints with few outcomes
+	kind           int
+	perEndpoint    [sideCount][]outcomeCount // by endpoint
+	perEndpointSum [sideCount]outcomeCount   // sum of each
+	pooled         [sideCount]outcomeCount   // pooled endpoints with few outcomes
 }
 
 func newComparison(kind, canaryBuild int, list []*endpointCounts) *comparison {
@@ -46,30 +46,30 @@
 		side := boolToInt(counts.build == canaryBuild)
 		count := counts.byKind[kind]
 		if count.total < minEndpointOutcomes {
-			c.few[side] = c.few[side].plus(count)
+			c.pooled[side] = c.pooled[side].plus(count)
 			continue
 		}
-		c.each[side] = append(c.each[side], count)
-		c.summed[side] = c.summed[side].plus(count)
+		c.perEndpoint[side] = append(c.perEndpoint[side], count)
+		c.perEndpointSum[side] = c.perEndpointSum[side].plus(count)
 	}
 	return c
 }
 
 // loneCanary reports whether the canary consists of a single endpoint.
 func (c *comparison) loneCanary() bool {
-	return len(c.each[canary]) < 2 && c.few[canary].total < minEndpointOutcomes
+	return len(c.perEndpoint[canary]) < 2 && c.pooled[canary].total < minEndpointOutcomes
 }
 
 // outliers returns how many of a side's endpoints are left out; they must be sorted by failures above the mean, worst
 // first. A bad build is bad on all of its endpoints, while the worst quarter of a side may fail for other reasons.
 func (c *comparison) outliers(side int) int {
-	each := c.each[side]
+	each := c.perEndpoint[side]
 	quarter := min(len(each)/2, (len(each)+3)/4)
 	switch {
 	case c.kind == serverError: // at least two, if others remain
 		return min(max(0, len(each)-1), max(2, quarter))
 	case c.kind == wrongAnswer: // rare: only a canary endpoint that accounts for more than half of them
-		return boolToInt(side == canary && len(each) > 1 && 2*each[0].failures > c.summed[side].failures)
+		return boolToInt(side == canary && len(each) > 1 && 2*each[0].failures > c.perEndpointSum[side].failures)
 	case c.kind == slowAnswer && side == canary: // neighbours and queues cause slowness on many endpoints
 		return len(each) / 2
 	}
@@ -79,10 +79,10 @@
 // trim removes each side's outliers and returns the sums over all endpoints and over the remaining ones.
 func (c *comparison) trim() (whole, trimmed [sideCount]outcomeCount) {
 	for side := range whole {
-		whole[side] = c.summed[side].plus(c.few[side])
+		whole[side] = c.perEndpointSum[side].plus(c.pooled[side])
 	}
 	meanRate := whole[baseline].failures / max(1, whole[baseline].total)
-	for side, each := range c.each {
+	for side, each := range c.perEndpoint {
 		excess := func(i int) float64 { return each[i].failures - each[i].total*meanRate }
 		sort.SliceStable(each, func(i, j int) bool { return excess(i) > excess(j) })
 		outliers := c.outliers(side)
@@ -90,7 +90,7 @@
 		for _, count := range each[:outliers] {
 			trimmed[side] = trimmed[side].minus(count)
 		}
-		c.each[side] = each[outliers:]
+		c.perEndpoint[side] = each[outliers:]
 	}
 	return whole, trimmed
 }
@@ -100,13 +100,13 @@
 // share of wrong answers that the sample can show.
 func (b *Balancer) canaryEvidence(kind int, list []*endpointCounts, reported float64) float64 {
 	c := newComparison(kind, b.release.build, list)
-	if isLateness(kind) && c.loneCanary() {
+	if isLoadSensitive(kind) && c.loneCanary() {
 		return 0 // a single endpoint may be late for reasons of its own
 	}
 	whole, sum := c.trim()
-	dispersion := overdispersion(c.each[baseline], sum[baseline])
+	dispersion := overdispersion(c.perEndpoint[baseline], sum[baseline])
 	if kind == serverError {
-		ownFault := ownFaultFactor*sum[canary].failures*whole[canary].total < whole[canary].failures*sum[canary].total
+		ownFault := singleEndpointFactor*sum[canary].failures*whole[canary].total < whole[canary].failures*sum[canary].total
 		if ownFault {
 			return 0
 		}
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -6,7 +6,7 @@
 // contains no outcome that this balancer counted as well.
 type MetricsEvidence struct {
 	Evidence
-	Independent [failureKinds]bool
+	Independent [failureKindCount]bool
 }
 
 // SetMetricsEvidence replaces the evidence from metrics.
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -21,8 +21,8 @@
 	stageStartedAt float64
 }
 
-// over reports whether the release is rolling back or was withdrawn.
-func (r *release) over() bool { return r.phase == PhaseRollingBack || r.phase == PhaseWithdrawn }
+// aborted reports whether the release is rolling back or was withdrawn.
+func (r *release) aborted() bool { return r.phase == PhaseRollingBack || r.phase == PhaseWithdrawn }
 
 // isCanary reports whether a build is a canary for this balancer. While no release is
 // known, every build but the oldest is.
@@ -40,7 +40,7 @@
 		b.localCounts = nil
 	}
 	b.release = release{known: true, build: build, stage: stage, phase: phase, canaryLimit: limit, stageStartedAt: now - age}
-	if b.release.over() {
+	if b.release.aborted() {
 		clear(b.buildByKey)
 		b.keyFloorBuild = 0
 	}
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -16,8 +16,8 @@
 type EndpointSample struct {
 	Endpoint uint32
 	Build    int
-	Outcomes [failureKinds]float64
-	Failures [failureKinds]float64
+	Outcomes [failureKindCount]float64
+	Failures [failureKindCount]float64
 }
 
 // LocalEvidence returns what this balancer has counted itself.
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -4,13 +4,13 @@
 
 // When a vote is cast, and which. docs/design.md, "Changed", gives the reasons (0, 8 and 11).
 const (
-	voteRetrySeconds         = 0.5  // time until a vote that did not count is cast again
-	holdThreshold            = 0.75 // fraction of the rollback threshold above which automatic stages are held
-	doubtThreshold           = 0.5  // fraction of it above which nothing is promoted and a vote to roll back is kept
-	promoteWaitSeconds       = 3.7  // time since the newest canary endpoint and the stage started, with enough outcomes
-	promoteWaitFewSeconds    = 5.0  // the same with fewer outcomes, if waiting can provide them
-	promoteUnseenWaitSeconds = 9.0  // stage age from which the list need not show the stage
-	maxPromoteListAgeSeconds = 9.0  // list age above which nothing is promoted
+	voteRetrySeconds           = 0.5  // time until a vote that did not count is cast again
+	holdThreshold              = 0.75 // fraction of the rollback threshold above which automatic stages are held
+	doubtThreshold             = 0.5  // fraction of it above which nothing is promoted and a vote to roll back is kept
+	promoteWaitSeconds         = 3.7  // time since the newest canary endpoint and the stage started, with enough outcomes
+	promoteWaitFewSeconds      = 5.0  // the same with fewer outcomes, if waiting can provide them
+	promoteUnlistedWaitSeconds = 9.0  // stage age from which the list need not show the stage
+	maxPromoteListAgeSeconds   = 9.0  // list age above which nothing is promoted
 )
 
 // Verdict is a vote on a release. The numbers are those of the platform's and the controller's protocols.
@@ -87,7 +87,7 @@
 	if wanted.verdict == VoteRollback {
 		wanted.stage = 0
 	}
-	if b.release.over() || b.votePending || now < b.noVoteBefore || !b.changesVote(now, wanted) {
+	if b.release.aborted() || b.votePending || now < b.noVoteBefore || !b.changesVote(now, wanted) {
 		return wanted, false
 	}
 	// All routers share the rate of votes that the release service accepts; a rollback does not wait.
@@ -111,7 +111,7 @@
 
 // verdict returns the verdict that the evidence calls for.
 func (b *Balancer) verdict(now float64) Verdict {
-	if !b.release.known || b.release.over() {
+	if !b.release.known || b.release.aborted() {
 		return VoteNone
 	}
 	counts := b.analysisCounts()
@@ -135,7 +135,7 @@
 // evidenceOverThreshold returns the strongest evidence against the canary, relative to the threshold of its kind.
 func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) (strongest float64) {
 	metrics := b.metricsCounts(counts)
-	for kind := range failureKinds {
+	for kind := range failureKindCount {
 		threshold := b.thresholdFor(kind)
 		strongest = max(strongest, b.combinedEvidence(kind, threshold, counts, metrics)/threshold)
 	}
@@ -161,11 +161,11 @@
 	if b.canaryReady == 0 || now-max(b.newestCanary, b.release.stageStartedAt) < wait {
 		return false
 	}
-	return b.stageIsShown() || now-b.release.stageStartedAt >= promoteUnseenWaitSeconds
+	return b.listShowsStage() || now-b.release.stageStartedAt >= promoteUnlistedWaitSeconds
 }
 
-// stageIsShown reports whether the endpoint list shows as many canary endpoints as the stage calls for, rounded up.
-func (b *Balancer) stageIsShown() bool {
+// listShowsStage reports whether the endpoint list shows as many canary endpoints as the stage calls for, rounded up.
+func (b *Balancer) listShowsStage() bool {
 	places := float64(b.baselineReady)
 	if b.config.ReplaceInPlace {
 		places = float64(b.baselineReady + b.canaryReady)
