--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -5,26 +5,29 @@
 	"sort"
 )
 
-// MaxSPRT-AB, the sequential test that compares the canary's failures to the baseline's. docs/design.md gives the
-// reasons ("Kept", and 1 to 3 and 8 of "Changed").
+// MaxSPRT-AB, the sequential test that compares the canary's failures to the baseline's. The reasons are in
+// docs/design.md: under "Kept" for the test itself, and under "Changed, and when each exception applies" for the changes
+// to it ("Four kinds of failure", "Some endpoints are not the build", "A lone canary endpoint's lateness is no proof",
+// "Several votes share the threshold").
 const (
-	rollbackThreshold    = 3.0  // log-likelihood ratio in nats, before ln(routers) is added
-	minCanaryOutcomes    = 20.0 // canary outcomes required for a vote to roll back, all voters together
-	minCanaryFailures    = 3.0  // canary failures required
-	minEndpointOutcomes  = 4.0  // outcomes required for an endpoint to be judged on its own
-	singleEndpointFactor = 4.0  // errors are attributed to single endpoints if the rest fail less often by this factor
+	rollbackThreshold    = 3.0  // log-likelihood ratio in nats, before the term for the routers and votes (thresholdFor)
+	minCanaryOutcomes    = 20.0 // canary outcomes required for a rollback vote, over all voters that a rollback needs
+	minCanaryFailures    = 3.0  // canary failures required for a rollback vote
+	minEndpointOutcomes  = 4.0  // outcomes that an endpoint needs to be compared individually
+	outlierErrorFactor = 4.0  // errors are attributed to the outliers if the rest fail less often by this factor
 )
 
-// logLikelihoodRatio returns MaxSPRT-AB's L in nats, signed: positive if b fails more often than a.
-func logLikelihoodRatio(a, b outcomeCount) float64 {
-	ratio := logLikelihood(a) + logLikelihood(b) - logLikelihood(a.plus(b))
-	if b.failures*a.total < a.failures*b.total {
+// logLikelihoodRatio returns MaxSPRT-AB's log-likelihood ratio L in nats. Its sign is positive if the canary fails at
+// least as often as the baseline, and else negative.
+func logLikelihoodRatio(baselineCount, canaryCount outcomeCount) float64 {
+	ratio := logLikelihood(baselineCount) + logLikelihood(canaryCount) - logLikelihood(baselineCount.plus(canaryCount))
+	if canaryCount.failures*baselineCount.total < baselineCount.failures*canaryCount.total {
 		return -ratio
 	}
 	return ratio
 }
 
-// logLikelihood returns the log-likelihood of a sample under its own failure rate, in nats.
+// logLikelihood returns the log-likelihood of a sample at its own failure rate, in nats.
 func logLikelihood(c outcomeCount) float64 {
 	if c.failures <= 0 || c.failures >= c.total {
 		return 0
@@ -32,12 +35,13 @@
 	return c.failures*math.Log(c.failures/c.total) + (c.total-c.failures)*math.Log(1-c.failures/c.total)
 }
 
-// comparison holds a kind's outcomes by side. Endpoints with too few outcomes to be judged on their own are pooled.
+// comparison holds the counts of a kind of failure by side. Endpoints with fewer than minEndpointOutcomes outcomes are
+// pooled, since too little is known about each.
 type comparison struct {
 	kind           int
-	perEndpoint    [sideCount][]outcomeCount // by endpoint
-	perEndpointSum [sideCount]outcomeCount   // sum of each
-	pooled         [sideCount]outcomeCount   // pooled endpoints with few outcomes
+	perEndpoint    [sideCount][]outcomeCount // of the endpoints with enough outcomes
+	perEndpointSum [sideCount]outcomeCount   // sum of perEndpoint
+	pooled         [sideCount]outcomeCount   // sum over the endpoints with few outcomes
 }
 
 func newComparison(kind, canaryBuild int, list []*endpointCounts) *comparison {
@@ -60,107 +64,110 @@
 	return len(c.perEndpoint[canary]) < 2 && c.pooled[canary].total < minEndpointOutcomes
 }
 
-// outliers returns how many of a side's endpoints are left out; they must be sorted by failures above the mean, worst
-// first. A bad build is bad on all of its endpoints, while the worst quarter of a side may fail for other reasons.
-func (c *comparison) outliers(side int) int {
-	each := c.perEndpoint[side]
-	quarter := min(len(each)/2, (len(each)+3)/4)
+// outlierCount returns how many of a side's worst endpoints to exclude. The endpoints must be sorted by failures above
+// the expected number, worst first. A bad build fails on all of its endpoints, while the worst quarter of a side may
+// fail for other reasons.
+func (c *comparison) outlierCount(side int) int {
+	counts := c.perEndpoint[side]
+	quarter := min(len(counts)/2, (len(counts)+3)/4)
 	switch {
-	case c.kind == serverError: // at least two, if others remain
-		return min(max(0, len(each)-1), max(2, quarter))
-	case c.kind == wrongAnswer: // rare: only a canary endpoint that accounts for more than half of them
-		return boolToInt(side == canary && len(each) > 1 && 2*each[0].failures > c.perEndpointSum[side].failures)
-	case c.kind == slowAnswer && side == canary: // neighbours and queues cause slowness on many endpoints
-		return len(each) / 2
+	case c.kind == serverError: // at least two, but never the last endpoint
+		return min(max(0, len(counts)-1), max(2, quarter))
+	case c.kind == wrongAnswer: // they are rare: only a canary endpoint with more than half of them is excluded
+		return boolToInt(side == canary && len(counts) > 1 && 2*counts[0].failures > c.perEndpointSum[side].failures)
+	case c.kind == slowAnswer && side == canary: // noisy neighbours and queues slow many endpoints down
+		return len(counts) / 2
 	}
 	return quarter
 }
 
-// trim removes each side's outliers and returns the sums over all endpoints and over the remaining ones.
-func (c *comparison) trim() (whole, trimmed [sideCount]outcomeCount) {
-	for side := range whole {
-		whole[side] = c.perEndpointSum[side].plus(c.pooled[side])
+// trim removes each side's outliers, and returns the sums over all endpoints and over the remaining ones. Endpoints are
+// sorted by how far their failures exceed the number expected at the baseline's failure rate.
+func (c *comparison) trim() (all, trimmed [sideCount]outcomeCount) {
+	for side := range all {
+		all[side] = c.perEndpointSum[side].plus(c.pooled[side])
 	}
-	meanRate := whole[baseline].failures / max(1, whole[baseline].total)
-	for side, each := range c.perEndpoint {
-		excess := func(i int) float64 { return each[i].failures - each[i].total*meanRate }
-		sort.SliceStable(each, func(i, j int) bool { return excess(i) > excess(j) })
-		outliers := c.outliers(side)
-		trimmed[side] = whole[side]
-		for _, count := range each[:outliers] {
+	baselineRate := all[baseline].failures / max(1, all[baseline].total)
+	for side, counts := range c.perEndpoint {
+		excess := func(i int) float64 { return counts[i].failures - counts[i].total*baselineRate }
+		sort.SliceStable(counts, func(i, j int) bool { return excess(i) > excess(j) })
+		outliers := c.outlierCount(side)
+		trimmed[side] = all[side]
+		for _, count := range counts[:outliers] {
 			trimmed[side] = trimmed[side].minus(count)
 		}
-		c.perEndpoint[side] = each[outliers:]
+		c.perEndpoint[side] = counts[outliers:]
 	}
-	return whole, trimmed
+	return all, trimmed
 }
 
-// canaryEvidence returns the log-likelihood ratio of a kind over both builds' samples, in nats: positive if the
-// canary fails more often, 0 if the sample is too small or points to something other than the build. reported is the
-// share of wrong answers that the sample can show.
-func (b *Balancer) canaryEvidence(kind int, list []*endpointCounts, reported float64) float64 {
+// canaryEvidence returns the log-likelihood ratio of a kind of failure, in nats: positive if the canary fails more often
+// than the baseline, 0 if the sample is too small or the failures have another cause than the build. reportedShare is
+// the share of wrong answers that the sample can show.
+func (b *Balancer) canaryEvidence(kind int, list []*endpointCounts, reportedShare float64) float64 {
 	c := newComparison(kind, b.release.build, list)
 	if isLoadSensitive(kind) && c.loneCanary() {
-		return 0 // a single endpoint may be late for reasons of its own
+		return 0 // a single endpoint may be slow or unreachable for reasons other than its build
 	}
-	whole, sum := c.trim()
+	all, sum := c.trim()
 	dispersion := overdispersion(c.perEndpoint[baseline], sum[baseline])
 	if kind == serverError {
-		ownFault := singleEndpointFactor*sum[canary].failures*whole[canary].total < whole[canary].failures*sum[canary].total
-		if ownFault {
+		causedByOutliers := outlierErrorFactor*sum[canary].failures*all[canary].total < all[canary].failures*sum[canary].total
+		if causedByOutliers {
 			return 0
 		}
-		sum = whole // the rest fail about as often: the errors are the build's, and all of them count
+		sum = all // the other endpoints fail about as often, so the build is the cause and every error counts
 	}
 	if !b.enoughOutcomes(kind, sum) {
 		return 0
 	}
 	ratio := logLikelihoodRatio(sum[baseline], sum[canary]) / dispersion
 	if kind == wrongAnswer {
-		ratio -= b.falseReportMargin(sum, reported)
+		ratio -= b.falseReportMargin(sum, reportedShare)
 	}
 	return ratio
 }
 
-// enoughOutcomes reports whether a sample is large enough to vote on. The outcomes are divided among the voters that a
-// rollback needs; wrong answers are observed by each voter separately, so their failures are divided as well.
+// enoughOutcomes reports whether a sample is large enough to vote on. The required outcomes are divided by the number of
+// votes that a rollback needs. Each voter observes wrong answers separately, so their required failures are divided too.
 func (b *Balancer) enoughOutcomes(kind int, sum [sideCount]outcomeCount) bool {
-	voters, failures := float64(b.rollbackVotes()), minCanaryFailures
+	votes, minFailures := float64(b.rollbackVotes()), minCanaryFailures
 	if kind == wrongAnswer {
-		failures /= voters
+		minFailures /= votes
 	}
-	return sum[baseline].total != 0 && sum[canary].total*voters >= minCanaryOutcomes && sum[canary].failures >= failures
+	return sum[baseline].total != 0 && sum[canary].total*votes >= minCanaryOutcomes && sum[canary].failures >= minFailures
 }
 
-// falseReportMargin returns the evidence, in nats, that wrong answers must show beyond the threshold, since clients
-// also report correct answers. The less the harm costs compared to rolling back a good build, the larger the margin.
-func (b *Balancer) falseReportMargin(sum [sideCount]outcomeCount, reported float64) float64 {
-	more := sum[canary].failures/sum[canary].total - sum[baseline].failures/sum[baseline].total
-	if more > 0 {
-		return max(0, math.Log(b.config.StaleBuildPrice/(b.config.WrongAnswerPrice*more/reported)))
+// falseReportMargin returns the evidence, in nats, that is required of wrong answers in addition to the threshold, since
+// clients also report correct answers as wrong. The less the wrong answers cost, compared to rolling back a good build,
+// the larger the margin.
+func (b *Balancer) falseReportMargin(sum [sideCount]outcomeCount, reportedShare float64) float64 {
+	excessRate := sum[canary].failures/sum[canary].total - sum[baseline].failures/sum[baseline].total
+	if excessRate > 0 {
+		return max(0, math.Log(b.config.StaleBuildPrice/(b.config.WrongAnswerPrice*excessRate/reportedShare)))
 	}
 	return 0
 }
 
 // overdispersion returns how much more the baseline's endpoints differ from each other than chance predicts: Pearson's
-// chi-squared over its degrees of freedom, at least 1. Dividing the log-likelihood ratio by it replaces the threshold
-// that the paper cited in docs/design.md learns from A/A comparisons.
-func overdispersion(each []outcomeCount, sum outcomeCount) float64 {
-	p := sum.failures / max(1, sum.total)
-	if p <= 0 || p >= 1 || len(each) < 2 {
+// chi-squared statistic over its degrees of freedom, at least 1. The log-likelihood ratio is divided by it. This takes
+// the place of a threshold learned from A/A comparisons, as in the paper that docs/design.md cites.
+func overdispersion(perEndpoint []outcomeCount, sum outcomeCount) float64 {
+	rate := sum.failures / max(1, sum.total)
+	if rate <= 0 || rate >= 1 || len(perEndpoint) < 2 {
 		return 1
 	}
 	chiSquared := 0.0
-	for _, c := range each {
-		chiSquared += (c.failures - c.total*p) * (c.failures - c.total*p) / (c.total * p * (1 - p))
+	for _, c := range perEndpoint {
+		chiSquared += (c.failures - c.total*rate) * (c.failures - c.total*rate) / (c.total * rate * (1 - rate))
 	}
-	return max(1, chiSquared/float64(len(each)-1))
+	return max(1, chiSquared/float64(len(perEndpoint)-1))
 }
 
 // logBinomial returns the logarithm of the binomial coefficient "n choose k".
 func logBinomial(n, k float64) float64 {
-	all, _ := math.Lgamma(n + 1)
-	in, _ := math.Lgamma(k + 1)
-	out, _ := math.Lgamma(n - k + 1)
-	return all - in - out
+	logFactorialN, _ := math.Lgamma(n + 1)
+	logFactorialK, _ := math.Lgamma(k + 1)
+	logFactorialRest, _ := math.Lgamma(n - k + 1)
+	return logFactorialN - logFactorialK - logFactorialRest
 }
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// MetricsEvidence is the cumulative evidence that the fleet's metrics hold on a release. A kind is Independent if it
-// contains no outcome that this balancer counted as well.
+// MetricsEvidence is the cumulative evidence on a release from the fleet's metrics. A kind of failure is Independent if
+// its counts contain no outcome that this balancer has counted too.
 type MetricsEvidence struct {
 	Evidence
 	Independent [failureKindCount]bool
 }
 
-// SetMetricsEvidence replaces the evidence from metrics.
+// SetMetricsEvidence replaces the evidence from the fleet's metrics.
 func (b *Balancer) SetMetricsEvidence(evidence MetricsEvidence) { b.metricsEvidence = evidence }
 
-// metricsCounts returns the counts from metrics for the present release, without the outcomes that are already in own:
-// the fleet's metrics include them. Of wrong answers, own holds only the share that clients report.
+// metricsCounts returns the counts from metrics for the current release, less the outcomes in own, which the fleet's
+// metrics include too. The failures in own contain only the share of wrong answers that clients report.
 func (b *Balancer) metricsCounts(own []*endpointCounts) []*endpointCounts {
 	if b.metricsEvidence.Build != b.release.build || len(b.metricsEvidence.Samples) == 0 {
 		return nil
@@ -28,11 +28,11 @@
 		counts := &endpointCounts{endpoint: sample.Endpoint, build: sample.Build}
 		for kind := range counts.byKind {
 			count := sample.count(kind)
-			if known := ownByKey[sample.key()]; known != nil && !b.metricsEvidence.Independent[kind] {
-				// Metrics include each own failure. Of the own outcomes only the visible share is subtracted:
-				// the rest may have failed without being reported.
-				count.total = max(0, count.total-b.visibleShare(kind)*known.byKind[kind].total)
-				count.failures = max(0, count.failures-known.byKind[kind].failures)
+			if ownCounts := ownByKey[sample.key()]; ownCounts != nil && !b.metricsEvidence.Independent[kind] {
+				// The metrics include every failure in own. Of the outcomes in own, only the visible share is
+				// subtracted, since the rest may have failed without being reported.
+				count.total = max(0, count.total-b.visibleShare(kind)*ownCounts.byKind[kind].total)
+				count.failures = max(0, count.failures-ownCounts.byKind[kind].failures)
 			}
 			counts.byKind[kind] = outcomeCount{count.total, min(count.total, count.failures)}
 		}
@@ -41,7 +41,7 @@
 	return list
 }
 
-// visibleShare returns the share of a kind's failures that this balancer can observe.
+// visibleShare returns the share of a kind of failure that routers can observe.
 func (b *Balancer) visibleShare(kind int) float64 {
 	if kind == wrongAnswer {
 		return b.config.WrongAnswerReportShare
@@ -49,32 +49,32 @@
 	return 1
 }
 
-// combinedEvidence returns the log-likelihood ratio of a kind, in nats, from the own sample and metrics
-// together. Metrics are never believed on their own: their rates are tested against the own sample, and
-// ignored if they make it less likely. If they explain it, they add at most what a clean own sample of this
-// size could contradict, and at most half the threshold. So whatever metrics show, a good build is rolled back
-// with a probability of at most exp(-threshold/2).
+// combinedEvidence returns the log-likelihood ratio of a kind of failure, in nats, from the routers' own sample and from
+// metrics together. Metrics alone never suffice where there is an own sample to check them: their failure rates are
+// tested against it, and ignored if they make it less likely. If they make it more likely, they add at most the evidence
+// that an own sample of this size without extra failures would hold against them, and at most half the threshold. So
+// whatever the metrics show, a good build is rolled back with a probability of at most exp(-threshold/2).
 func (b *Balancer) combinedEvidence(kind int, threshold float64, own, metrics []*endpointCounts) float64 {
 	ownRatio := b.canaryEvidence(kind, own, b.config.WrongAnswerReportShare)
 	metricsRatio := b.canaryEvidence(kind, metrics, 1)
 	if metricsRatio <= 0 {
 		return ownRatio
 	}
-	seen := b.visibleShare(kind)
-	if seen == 0 { // no own sample can contradict metrics; as all routers share one source, they count as one
+	visible := b.visibleShare(kind)
+	if visible == 0 { // no own sample can contradict metrics; all routers share one source, so they count as one
 		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.RouterGroups))))
 	}
-	claimed, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
+	inMetrics, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
 	observedBaseline, observedCanary := observed[baseline], observed[canary]
-	// Failure rate of the canary without the claim of the metrics, and with it.
+	// p and q are the canary's expected failure rate if it equals the baseline's, and if the metrics are right.
 	p := (observedBaseline.failures + 0.5) / (observedBaseline.total + 1)
-	q := min(p+seen*(claimed[canary].failures/claimed[canary].total-claimed[baseline].failures/claimed[baseline].total), (1+p)/2)
+	q := min(p+visible*(inMetrics[canary].failures/inMetrics[canary].total-inMetrics[baseline].failures/inMetrics[baseline].total), (1+p)/2)
 	perFailure, perSuccess := math.Log(q/p), math.Log((1-q)/(1-p))
-	explained := observedCanary.failures*perFailure + (observedCanary.total-observedCanary.failures)*perSuccess
-	contradicted := !(q > p) || explained < 0
+	support := observedCanary.failures*perFailure + (observedCanary.total-observedCanary.failures)*perSuccess
+	contradicted := !(q > p) || support < 0
 	if contradicted || observedBaseline.total == 0 || observedCanary.total*float64(b.rollbackVotes()) < minCanaryOutcomes {
 		return ownRatio
 	}
-	couldContradict := -observedCanary.total * (p*perFailure + (1-p)*perSuccess)
-	return max(ownRatio, explained+min(metricsRatio, couldContradict, threshold/2))
+	maxContradiction := -observedCanary.total * (p*perFailure + (1-p)*perSuccess) // expected if the canary fails at rate p
+	return max(ownRatio, support+min(metricsRatio, maxContradiction, threshold/2))
 }
