--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -10,11 +10,11 @@
 // to it ("Four kinds of failure", "Some endpoints are not the build", "A lone canary endpoint's lateness is no proof",
 // "Several votes share the threshold").
 const (
-	rollbackThreshold    = 3.0  // log-likelihood ratio in nats, before the term for the routers and votes (thresholdFor)
-	minCanaryOutcomes    = 20.0 // canary outcomes required for a rollback vote, over all voters that a rollback needs
-	minCanaryFailures    = 3.0  // canary failures required for a rollback vote
-	minEndpointOutcomes  = 4.0  // outcomes that an endpoint needs to be compared individually
-	outlierErrorFactor = 4.0  // errors are attributed to the outliers if the rest fail less often by this factor
+	rollbackThreshold   = 3.0  // log-likelihood ratio in nats, before the term for the routers and votes (thresholdFor)
+	minCanaryOutcomes   = 20.0 // canary outcomes required for a rollback vote, over all voters that a rollback needs
+	minCanaryFailures   = 3.0  // canary failures required for a rollback vote
+	minEndpointOutcomes = 4.0  // outcomes that an endpoint needs to be compared individually
+	outlierErrorFactor  = 4.0  // errors are attributed to the outliers if the rest fail less often by this factor
 )
 
 // logLikelihoodRatio returns MaxSPRT-AB's log-likelihood ratio L in nats. Its sign is positive if the canary fails at
