--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -1,6 +1,6 @@
 package policy
 
-// Phase is the phase of a release. The numbers are those of the simulator's protocol.
+// Phase is the phase of a release. The values are those of the simulator's protocol.
 type Phase uint8
 
 // The phases of a release.
@@ -11,7 +11,7 @@
 	PhaseWithdrawn
 )
 
-// release is what is known about the newest build.
+// release is the last known state of the newest build.
 type release struct {
 	known          bool // false until the first ApplyRelease
 	build          int
@@ -21,11 +21,11 @@
 	stageStartedAt float64
 }
 
-// aborted reports whether the release is rolling back or was withdrawn.
+// aborted reports whether the release is being rolled back or has been withdrawn.
 func (r *release) aborted() bool { return r.phase == PhaseRollingBack || r.phase == PhaseWithdrawn }
 
-// isCanary reports whether a build is a canary for this balancer. While no release is
-// known, every build but the oldest is.
+// isCanary reports whether this balancer treats a build as a canary. While no release is known, these are all builds but
+// the oldest.
 func (b *Balancer) isCanary(build int) bool {
 	if !b.release.known {
 		return build > b.oldestBuild
@@ -34,7 +34,7 @@
 }
 
 // ApplyRelease records the state of the newest build: its stage, its phase, its canary traffic limit as a share of the
-// requests received, and its age, the seconds since that state began.
+// requests received, and the age of that state in seconds.
 func (b *Balancer) ApplyRelease(now float64, build, stage int, phase Phase, limit, age float64) {
 	if !b.release.known || build != b.release.build {
 		b.localCounts = nil
@@ -48,19 +48,20 @@
 	b.regroupEndpoints(now)
 }
 
-// RestoreRelease applies, at the start of a router, the release state that its previous process had, last confirmed
-// confirmedAgo seconds ago. While the controller is away there is no other source, and a fleet that runs only the
-// canary would be held to the first stage's limit. State older than a vote's lifetime is ignored.
+// RestoreRelease applies the release state that a router's previous process saved and that was last confirmed
+// confirmedAgo seconds ago. While the controller is unavailable, a restarted router has no other source. Without this
+// state it would apply the first stage's canary traffic limit, even if the fleet runs only the canary. State that was
+// last confirmed longer ago than a vote's lifetime is ignored.
 func (b *Balancer) RestoreRelease(now float64, build, stage int, phase Phase, limit, age, confirmedAgo float64) {
 	if confirmedAgo < b.config.VoteLifetimeSeconds {
 		b.ApplyRelease(now, build, stage, phase, limit, age+confirmedAgo)
 	}
 }
 
-// ApplyAssignment records a controller's decisions for its router: the current vote, the build it is on, and the
-// router's share of the free canary attempts until the lease ends. The vote does not expire: while the controller is
-// away nothing is relaxed. Drains and limits stay binding, an unannounced build is in its first stage, and the
-// leased share is zero once the lease has ended.
+// ApplyAssignment records a controller's decisions for its router: the vote in force, the build that it is on, and the
+// router's share of the free canary attempts, which is leased until leaseEndsAt. While the controller is unavailable no
+// limit is relaxed: the vote does not expire, draining endpoints and canary traffic limits stay in force, a build that
+// was not announced is treated as in its first stage, and the leased share is zero once the lease has ended.
 func (b *Balancer) ApplyAssignment(build int, verdict Verdict, share, leaseEndsAt float64) {
 	b.currentVote = vote{build: build, verdict: verdict}
 	b.leasedShare, b.leaseEndsAt = share, leaseEndsAt
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Evidence is all that a router has counted for a release. It is cumulative, so that only the newest matters.
+// Evidence is all that a router has counted on a release. It is cumulative, so that the newest replaces earlier ones.
 type Evidence struct {
-	Build             int // build of the release that the router knew
+	Build             int // build of the release that the router knew when it counted
 	RequestsPerSecond float64
 	Samples           []EndpointSample
 }
 
-// EndpointSample counts the outcomes of one endpoint under one build, and the failures among them, by kind of failure.
+// EndpointSample counts the outcomes of one endpoint running one build, and the failures among them, by kind of failure.
 type EndpointSample struct {
 	Endpoint uint32
 	Build    int
@@ -20,7 +20,7 @@
 	Failures [failureKindCount]float64
 }
 
-// LocalEvidence returns what this balancer has counted itself.
+// LocalEvidence returns the evidence that this balancer has counted itself.
 func (b *Balancer) LocalEvidence(now float64) Evidence {
 	evidence := Evidence{
 		Build:             b.release.build,
@@ -37,7 +37,8 @@
 	return evidence
 }
 
-// ApplyReport replaces a router's earlier report. From the first report on, the evidence is that of the routers alone.
+// ApplyReport replaces a router's earlier report. From the first report on, the analysis uses only the routers' counts and
+// no longer the local ones.
 func (b *Balancer) ApplyReport(router string, evidence Evidence) {
 	if b.reports == nil {
 		b.reports = map[string]Evidence{}
@@ -52,8 +53,8 @@
 	b.mergeNeeded = true
 }
 
-// analysisCounts returns the analysisCounts that votes rest on: the routers' if any router has reported, else the local ones. Reports
-// are merged at most once a tick, however many have arrived since the last.
+// analysisCounts returns the counts that votes are based on: those of the routers once any router has reported, otherwise
+// the local ones. Reports are merged only here, at most once per tick however many have arrived.
 func (b *Balancer) analysisCounts() []*endpointCounts {
 	if b.reports == nil {
 		return b.localCounts
@@ -64,8 +65,8 @@
 	return b.mergedCounts
 }
 
-// mergeReports sums the routers' counts of the present release in the order of the routers' names: float sums depend on
-// their order, and equal reports must produce equal sums.
+// mergeReports sums the routers' counts for the current release. It adds them in the order of the routers' names, because
+// floating-point sums depend on the order and equal reports must produce equal sums.
 func (b *Balancer) mergeReports() {
 	b.mergedCounts, b.reportedRate, b.mergeNeeded = nil, 0, false
 	merged := map[countsKey]*endpointCounts{}
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -2,37 +2,38 @@
 
 import "math"
 
-// When a vote is cast, and which. docs/design.md, "Changed", gives the reasons (0, 8 and 11).
+// When a vote is cast, and which one. The reasons are in docs/design.md, "Changed, and when each exception applies", under
+// "Open values", "Several votes share the threshold" and "No promotion in doubt".
 const (
-	voteRetrySeconds           = 0.5  // time until a vote that did not count is cast again
+	voteRetrySeconds           = 0.5  // time after which a vote that did not count is cast again
 	holdThreshold              = 0.75 // fraction of the rollback threshold above which automatic stages are held
-	doubtThreshold             = 0.5  // fraction of it above which nothing is promoted and a vote to roll back is kept
-	promoteWaitSeconds         = 3.7  // time since the newest canary endpoint and the stage started, with enough outcomes
-	promoteWaitFewSeconds      = 5.0  // the same with fewer outcomes, if waiting can provide them
-	promoteUnlistedWaitSeconds = 9.0  // stage age from which the list need not show the stage
-	maxPromoteListAgeSeconds   = 9.0  // list age above which nothing is promoted
+	doubtThreshold             = 0.5  // fraction of it above which no stage is promoted and a rollback vote is kept
+	promoteWaitSeconds         = 3.7  // time since the start of the stage and of the newest canary endpoint
+	promoteWaitFewSeconds      = 5.0  // the same if outcomes are missing that the longer wait can provide
+	promoteUnlistedWaitSeconds = 9.0  // stage age from which the endpoint list need not show the stage
+	maxPromoteListAgeSeconds   = 9.0  // age of the endpoint list above which no stage is promoted
 )
 
-// Verdict is a vote on a release. The numbers are those of the platform's and the controller's protocols.
+// Verdict is a vote on a release. The values are those of the platform's and the controller's protocols.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VoteNone Verdict = iota
 	VotePromote
-	VoteHold // automatic stages only: don't advance
+	VoteHold // with automatic stages only: do not advance to the next stage
 	VoteRollback
 )
 
-// VoteReply is the outcome of casting a vote.
+// VoteReply is the release service's reply to a vote, or the lack of one.
 type VoteReply uint8
 
 // The replies to a vote.
 const (
 	VoteCounted VoteReply = iota
-	VoteMoot              // it was too late to matter
+	VoteMoot              // the release changed before the vote arrived
 	VoteRefused           // too many votes, or an error
-	VoteUnknown           // no reply in time; it may count
+	VoteUnknown           // no reply in time; the vote may count
 )
 
 type vote struct {
@@ -45,16 +46,17 @@
 	return b.currentVote.build, b.currentVote.verdict
 }
 
-// RestoreVote restores, at a start, the vote that the previous process cast age seconds ago. If it is not sure that the
-// vote counted, it is treated as at least half through its lifetime, so that it is renewed or withdrawn at once.
-func (b *Balancer) RestoreVote(now float64, build, stage int, verdict Verdict, age float64, sure bool) {
-	if !sure {
+// RestoreVote restores the vote that the previous process cast age seconds ago. outcomeKnown says whether the release
+// service replied to it. If it did not, the vote is treated as having passed at least half of its lifetime, so that it
+// is renewed or withdrawn at once.
+func (b *Balancer) RestoreVote(now float64, build, stage int, verdict Verdict, age float64, outcomeKnown bool) {
+	if !outcomeKnown {
 		age = max(age, b.config.VoteLifetimeSeconds/2)
 	}
 	b.currentVote, b.voteCastAt = vote{build, stage, verdict}, now-age
 }
 
-// OnVoteReply records the reply to the vote that was cast last.
+// OnVoteReply records the reply to the last vote cast.
 func (b *Balancer) OnVoteReply(now float64, reply VoteReply) {
 	if !b.votePending {
 		return
@@ -70,12 +72,12 @@
 // rollbackVotes returns the number of votes needed to roll a release back.
 func (b *Balancer) rollbackVotes() int { return max(1, b.config.RollbackVotes) }
 
-// votedRollback reports whether this balancer's current vote is to roll the present release back.
+// votedRollback reports whether this balancer's current vote is to roll the current release back.
 func (b *Balancer) votedRollback() bool {
 	return b.currentVote.verdict == VoteRollback && b.currentVote.build == b.release.build
 }
 
-// rollsBackAlone reports whether this balancer's current vote suffices to roll the release back.
+// rollsBackAlone reports whether this balancer's current vote alone suffices to roll the release back.
 func (b *Balancer) rollsBackAlone() bool { return b.config.RollbackVotes <= 1 && b.votedRollback() }
 
 // voteDue returns the vote that the evidence calls for, and whether to cast it now.
@@ -90,23 +92,24 @@
 	if b.release.aborted() || b.votePending || now < b.noVoteBefore || !b.changesVote(now, wanted) {
 		return wanted, false
 	}
-	// All routers share the rate of votes that the release service accepts; a rollback does not wait.
+	// All routers share the rate of votes that the release service accepts. A rollback vote does not wait for its turn.
 	tooSoon := now-b.voteSentAt < float64(b.config.RouterGroups)/b.config.VotesPerSecond
 	return wanted, wanted.verdict == VoteRollback || !tooSoon
 }
 
-// changesVote reports whether a vote must be cast because it differs from the current one or that one needs renewal. A
-// vote that has expired, is on another build, or promotes is never withdrawn.
+// changesVote reports whether a vote must be cast, because it differs from the current vote or because the current one
+// has passed half of its lifetime and needs renewal. A vote is never withdrawn if it has expired, is on another build, or
+// is to promote.
 func (b *Balancer) changesVote(now float64, wanted vote) bool {
-	stands := b.currentVote.verdict != VoteNone && now-b.voteCastAt < b.config.VoteLifetimeSeconds
-	fresh := stands && now-b.voteCastAt < b.config.VoteLifetimeSeconds/2
+	inForce := b.currentVote.verdict != VoteNone && now-b.voteCastAt < b.config.VoteLifetimeSeconds
+	recentlyCast := inForce && now-b.voteCastAt < b.config.VoteLifetimeSeconds/2
 	if wanted.verdict == VoteNone {
-		nothingToWithdraw := !stands || b.currentVote.build != b.release.build || b.currentVote.verdict == VotePromote
+		nothingToWithdraw := !inForce || b.currentVote.build != b.release.build || b.currentVote.verdict == VotePromote
 		if nothingToWithdraw {
 			return false
 		}
 	}
-	return wanted != b.currentVote || !fresh
+	return wanted != b.currentVote || !recentlyCast
 }
 
 // verdict returns the verdict that the evidence calls for.
@@ -125,14 +128,15 @@
 	case b.config.AutomaticStages || b.release.phase == PhaseReleased:
 		return VoteNone // nothing to promote, or promotion needs no vote
 	case evidence > doubtThreshold || b.endpointListAge > maxPromoteListAgeSeconds:
-		return VoteNone // nothing is promoted while in doubt
+		return VoteNone // no promotion while the evidence is unclear or the endpoint list is old
 	case b.mayPromote(now, counts):
 		return VotePromote
 	}
 	return VoteNone
 }
 
-// evidenceOverThreshold returns the strongest evidence against the canary, relative to the threshold of its kind.
+// evidenceOverThreshold returns the strongest evidence against the canary of all kinds of failure, each divided by the
+// threshold of its kind.
 func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) (strongest float64) {
 	metrics := b.metricsCounts(counts)
 	for kind := range failureKindCount {
@@ -142,10 +146,11 @@
 	return strongest
 }
 
-// thresholdFor returns the log-likelihood ratio, in nats, from which a kind of failure calls for a rollback. The term
-// ln(routers) guards against the one router of many that crosses by chance. Where k votes are needed, any k of n
-// routers must cross: the threshold is set so that this is as unlikely. Wrong answers are observed by each router
-// independently; errors and lateness affect many routers at once, so that k routers only share the guard.
+// thresholdFor returns the rollback threshold of a kind of failure: the log-likelihood ratio, in nats, from which it calls
+// for a rollback. With n routers and one vote needed, the term ln(n) compensates for the chance that any one of them
+// exceeds the threshold by accident. With k votes needed, the threshold is set so that any k of n routers exceed it by
+// accident no more often. Each router observes wrong answers independently, so k of them must err together. Errors and
+// load-sensitive failures affect many routers at once, so the k votes only reduce the term to ln(n/k).
 func (b *Balancer) thresholdFor(kind int) float64 {
 	n, k := float64(b.config.RouterGroups), float64(b.rollbackVotes())
 	if kind == wrongAnswer {
@@ -154,8 +159,8 @@
 	return rollbackThreshold + math.Log(n/k)
 }
 
-// mayPromote reports whether the endpoint list shows the stage, and both the newest canary endpoint and
-// the stage have been observed for long enough.
+// mayPromote reports whether the stage and the newest canary endpoint have been observed for long enough, and whether the
+// endpoint list shows the stage. A stage older than promoteUnlistedWaitSeconds need not be shown.
 func (b *Balancer) mayPromote(now float64, counts []*endpointCounts) bool {
 	wait := b.promoteWait(now, counts)
 	if b.canaryReady == 0 || now-max(b.newestCanary, b.release.stageStartedAt) < wait {
@@ -164,18 +169,19 @@
 	return b.listShowsStage() || now-b.release.stageStartedAt >= promoteUnlistedWaitSeconds
 }
 
-// listShowsStage reports whether the endpoint list shows as many canary endpoints as the stage calls for, rounded up.
+// listShowsStage reports whether the endpoint list contains as many ready canary endpoints as the stage requires, rounded
+// up.
 func (b *Balancer) listShowsStage() bool {
-	places := float64(b.baselineReady)
+	fleetSize := float64(b.baselineReady)
 	if b.config.ReplaceInPlace {
-		places = float64(b.baselineReady + b.canaryReady)
+		fleetSize = float64(b.baselineReady + b.canaryReady)
 	}
 	share := b.config.StageShares[min(b.release.stage, len(b.config.StageShares)-1)]
-	return float64(b.canaryReady) >= math.Ceil(places*share-1e-6)
+	return float64(b.canaryReady) >= math.Ceil(fleetSize*share-1e-6)
 }
 
-// promoteWait returns how long to observe the canary before promoting it. It is longer if that would provide the
-// missing outcomes; a router with little traffic would wait in vain.
+// promoteWait returns how many seconds to observe the canary before promoting it. It returns the longer time only if
+// outcomes are missing and the expected traffic would provide them in that time.
 func (b *Balancer) promoteWait(now float64, counts []*endpointCounts) float64 {
 	outcomes := 0.0
 	for _, c := range counts {
@@ -184,8 +190,8 @@
 		}
 	}
 	rate := b.requestRate(now) + b.reportedRate
-	more := rate * b.readyCapacity[canary] / (b.readyCapacity[baseline] + b.readyCapacity[canary]) * (promoteWaitFewSeconds - promoteWaitSeconds)
-	if outcomes >= minCanaryOutcomes || outcomes+more < minCanaryOutcomes {
+	expected := rate * b.readyCapacity[canary] / (b.readyCapacity[baseline] + b.readyCapacity[canary]) * (promoteWaitFewSeconds - promoteWaitSeconds)
+	if outcomes >= minCanaryOutcomes || outcomes+expected < minCanaryOutcomes {
 		return promoteWaitSeconds
 	}
 	return promoteWaitFewSeconds
