--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -1,7 +1,8 @@
 package policy
 
 // Which outcomes are evidence on a release, and which are attributed to other causes. The reasons are in docs/design.md,
-// "Changed, and when each exception applies", from "Four kinds of failure" to "Instant repeats".
+// "Changed, and when each exception applies": "Four kinds of failure", and from "A lone canary endpoint's lateness is no
+// proof" to "Instant repeats".
 const (
 	settleSeconds       = 2.0  // time after an endpoint's start during which its outcomes are not counted
 	slowLatencyFactor   = 2.0  // multiple of the baseline's median latency above which an answer is slow
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -6,7 +6,7 @@
 	wrongAnswer      = iota // answers that a client reported as wrong
 	serverError             // error answers
 	attemptLost             // lost connections, failed connections and timeouts
-	slowAnswer              // answers of warm endpoints far above the baseline's median latency, timeouts and overload included
+	slowAnswer              // answers and timeouts of warm endpoints far above the baseline's median latency, and overload
 	failureKindCount        // number of kinds
 )
 
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -41,7 +41,7 @@
 	return list
 }
 
-// visibleShare returns the share of a kind of failure that routers can observe.
+// visibleShare returns the share of the failures of a kind that the own sample can show.
 func (b *Balancer) visibleShare(kind int) float64 {
 	if kind == wrongAnswer {
 		return b.config.WrongAnswerReportShare
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -31,7 +31,7 @@
 // The replies to a vote.
 const (
 	VoteCounted VoteReply = iota
-	VoteMoot              // the release changed before the vote arrived
+	VoteMoot              // too late to take effect: the release has changed
 	VoteRefused           // too many votes, or an error
 	VoteUnknown           // no reply in time; the vote may count
 )
