--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -7,29 +7,31 @@
 	"flintspread/internal/policy"
 )
 
-// actionFrame collects the records of one frame to the simulator.
+// actionFrame collects the action records of one frame to the simulator.
 type actionFrame struct {
 	buf   []byte
 	count uint32
 }
 
-func (f *actionFrame) reset() { f.buf, f.count = append(f.buf[:0], make([]byte, replyBytes)...), 0 }
+func (f *actionFrame) reset() {
+	f.buf, f.count = append(f.buf[:0], make([]byte, actionHeaderBytes)...), 0
+}
 
 func (f *actionFrame) writeTo(out io.Writer) error {
-	binary.LittleEndian.PutUint32(f.buf, uint32(len(f.buf)-replyBytes))
+	binary.LittleEndian.PutUint32(f.buf, uint32(len(f.buf)-actionHeaderBytes))
 	binary.LittleEndian.PutUint32(f.buf[lengthBytes:], f.count)
 	_, err := out.Write(f.buf)
 	return err
 }
 
-// add appends a record with its code and instance, and returns it so that the caller can set the other fields. The
-// record is valid until the next call.
+// add appends a record with the given code and instance, and returns it so that the caller can set its other fields.
+// The returned record is valid until the next call of add.
 func (f *actionFrame) add(code uint8, instance uint32) record {
-	var blank [actionBytes]byte
-	at := len(f.buf)
-	f.buf = append(f.buf, blank[:]...)
+	var empty [actionBytes]byte
+	start := len(f.buf)
+	f.buf = append(f.buf, empty[:]...)
 	f.count++
-	action := record(f.buf[at:])
+	action := record(f.buf[start:])
 	action.putU8(0, code)
 	action.putU32(1, instance)
 	return action
@@ -47,7 +49,7 @@
 	action.putU8(8, uint8(verdict))
 }
 
-// setTimer requests a timer event with a mark after the given time.
+// setTimer requests a timer event after the given time. The event will contain the mark.
 func (f *actionFrame) setTimer(instance uint32, seconds float64, mark uint64) {
 	action := f.add(actionSetTimer, instance)
 	action.putSeconds(5, seconds)
@@ -62,7 +64,7 @@
 	action.putSeconds(13, deadline)
 }
 
-// cancel cancels an attempt, by index among the request's attempts.
+// cancel cancels an attempt, given by its index among the request's attempts.
 func (f *actionFrame) cancel(instance, request uint32, attempt int) {
 	action := f.add(actionCancel, instance)
 	action.putU32(5, request)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package simadapter connects the policy to the simulator: it reads frames of events, passes each event to the policy
-// of its instance, and writes the policy's decisions as frames of actions. It makes no decisions itself. Times are
-// float64 seconds internally and milliseconds on the wire; the clock is the simulator's.
+// Package simadapter connects the policy to the simulator. It reads frames of events, passes each event to the policy of
+// its instance, and writes the policy's decisions as frames of actions. It makes no decisions itself. Times are float64
+// seconds internally and milliseconds on the wire. The clock is the simulator's.
 package simadapter
 
 import (
@@ -14,20 +14,20 @@
 )
 
 const (
-	ioBufferBytes      = 1 << 16
-	endpointTableCount = 16 // that the simulator may store
+	ioBufferBytes     = 1 << 16
+	maxEndpointTables = 16 // number of endpoint tables that the simulator may define
 )
 
-// adapter serves all instances of one simulator.
+// adapter holds the state of all instances of one simulator.
 type adapter struct {
 	actions        actionFrame
 	instances      map[uint32]*instance
-	endpointTables [endpointTableCount][]byte
+	endpointTables [maxEndpointTables][]byte
 	now            float64
 }
 
-// Serve answers frames until the input ends, and then returns nil. It returns an error for a malformed frame or an I/O
-// error. It blocks on in and out.
+// Serve answers each frame of events with a frame of actions until the input ends, and then returns nil. It returns an
+// error if a frame is malformed or if reading or writing fails. It blocks on in and out.
 func Serve(in io.Reader, out io.Writer) error {
 	a := &adapter{instances: map[uint32]*instance{}}
 	reader, writer := bufio.NewReaderSize(in, ioBufferBytes), bufio.NewWriterSize(out, ioBufferBytes)
@@ -58,10 +58,10 @@
 	header := record(frame)
 	a.now = header.seconds(0)
 	count := uint64(header.u32(8))
-	if count*eventBytes > uint64(len(frame)-headerBytes) {
-		return fmt.Errorf("frame of %d bytes holds no %d records", len(frame), count)
+	if count*eventBytes > uint64(len(frame)-eventHeaderBytes) {
+		return fmt.Errorf("frame of %d bytes is too short for %d records", len(frame), count)
 	}
-	events, tail := frame[headerBytes:headerBytes+count*eventBytes], frame[headerBytes+count*eventBytes:]
+	events, tail := frame[eventHeaderBytes:eventHeaderBytes+count*eventBytes], frame[eventHeaderBytes+count*eventBytes:]
 	for len(events) > 0 {
 		event := record(events[:eventBytes])
 		events = events[eventBytes:]
@@ -84,40 +84,40 @@
 	if code == eventStart {
 		return a.startInstance(id, event, tail)
 	}
-	i := a.instances[id]
-	if i == nil {
+	target := a.instances[id]
+	if target == nil {
 		return nil // the instance has stopped
 	}
-	i.now = a.now
+	target.now = a.now
 	switch code {
 	case eventStop:
 		delete(a.instances, id)
 		return nil
 	case eventEndpointList:
-		return a.updateEndpoints(i, event)
+		return a.updateEndpoints(target, event)
 	case eventRequest:
-		return i.onRequest(readRequest(event))
+		return target.onRequest(readRequest(event))
 	case eventAttemptDone:
-		return i.onAttemptDone(readAttemptDone(event))
+		return target.onAttemptDone(readAttemptDone(event))
 	case eventStreaming:
-		i.onStreaming(requestID(event))
+		target.onStreaming(requestID(event))
 	case eventClientGone:
-		i.onClientGone(requestID(event))
+		target.onClientGone(requestID(event))
 	case eventTimer:
-		i.onTimer(timerMark(event))
+		target.onTimer(timerMark(event))
 	case eventRelease:
-		if err := i.onRelease(readRelease(event)); err != nil {
+		if err := target.onRelease(readRelease(event)); err != nil {
 			return err
 		}
 	case eventWrongAnswer:
 		wrong := readWrongAnswer(event)
-		i.balancer.ReportWrongAnswer(a.now, wrong.endpoint, wrong.ageSeconds)
+		target.balancer.ReportWrongAnswer(a.now, wrong.endpoint, wrong.ageSeconds)
 	}
-	i.setPickTimer()
+	target.setPickTimer()
 	return nil
 }
 
-// storeEndpointTable stores the endpoints of a table for endpoint lists that refer to it.
+// storeEndpointTable stores a table of endpoints, to which later endpoint lists refer by number.
 func (a *adapter) storeEndpointTable(r record, tail []byte) error {
 	event, err := readEndpointTable(r, tail)
 	if int(event.table) >= len(a.endpointTables) {
@@ -130,9 +130,11 @@
 	return nil
 }
 
-func errUnknownTable(number uint16) error { return fmt.Errorf("table number %d", number) }
+func errUnknownTable(number uint16) error {
+	return fmt.Errorf("endpoint table %d, want 0 to %d", number, maxEndpointTables-1)
+}
 
-// startInstance starts an instance, replacing one with the same ID.
+// startInstance starts an instance. It replaces an instance with the same ID.
 func (a *adapter) startInstance(id uint32, r record, tail []byte) error {
 	event, err := readStart(r, tail)
 	if err != nil {
@@ -142,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	i := &instance{
+	started := &instance{
 		id:         id,
 		now:        a.now,
 		balancer:   policy.New(settings, event.seed, a.now),
@@ -150,24 +152,25 @@
 		requests:   map[uint32]*policy.Request{},
 		actions:    &a.actions,
 	}
-	a.instances[id] = i
-	i.tickController()
+	a.instances[id] = started
+	started.tick()
 	return nil
 }
 
-// updateEndpoints passes an endpoint list, stored earlier as a table, to an instance.
-func (a *adapter) updateEndpoints(i *instance, r record) error {
+// updateEndpoints passes an endpoint list, whose entries were stored as a table, or the failure to get a list to an
+// instance.
+func (a *adapter) updateEndpoints(target *instance, r record) error {
 	event := readEndpointList(r)
 	if event.kind > lastListKind {
-		return fmt.Errorf("unknown list kind %d", event.kind)
+		return fmt.Errorf("unknown endpoint list kind %d", event.kind)
 	}
 	if event.kind == listFailed {
-		i.balancer.EndpointListFailed()
+		target.balancer.EndpointListFailed()
 		return nil
 	}
 	if int(event.table) >= len(a.endpointTables) {
 		return errUnknownTable(event.table)
 	}
 	full := event.kind != listChanges
-	return i.updateEndpoints(a.endpointTables[event.table], full)
+	return target.updateEndpoints(a.endpointTables[event.table], full)
 }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -18,13 +18,13 @@
 	"unheard.of=1\nclasses.count=1\nclasses.0.aim=300\nclasses.0.deadline=600\nclasses.0.value=1\n" +
 	"classes.0.semantics=unsafe\nclasses.0.group=all\nclasses.0.key_ttl=0\n"
 
-// eventRecord builds an event from its code, its instance (except for a table) and other fields by offset.
+// eventRecord encodes an event from its code, its instance (0 for an endpoint table) and its other fields by offset.
 func eventRecord(code byte, instance uint32, fields map[int]any) []byte {
 	r := make([]byte, eventBytes)
 	r[0] = code
 	binary.LittleEndian.PutUint32(r[1:], instance)
-	for at, v := range fields {
-		if _, err := binary.Encode(r[at:], binary.LittleEndian, v); err != nil {
+	for offset, value := range fields {
+		if _, err := binary.Encode(r[offset:], binary.LittleEndian, value); err != nil {
 			panic(err)
 		}
 	}
@@ -39,7 +39,7 @@
 	return append(append(f, body...), tail...)
 }
 
-// serve returns the actions in response to frames, as NAME/INSTANCE:FIELD, with a dot at the end of each frame.
+// serve returns the actions in response to frames, as NAME/INSTANCE:FIRST-FIELD, with a dot after those of each frame.
 func serve(frames ...[]byte) (string, error) {
 	var out bytes.Buffer
 	err := Serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
@@ -48,8 +48,8 @@
 	for b := out.Bytes(); len(b) > 0; {
 		n := int(binary.LittleEndian.Uint32(b[4:]))
 		for range n {
-			a := record(b[8:])
-			text = append(text, fmt.Sprintf("%s/%d:%d", names[a[0]], a.u32(1), a.u32(5)))
+			action := record(b[8:])
+			text = append(text, fmt.Sprintf("%s/%d:%d", names[action[0]], action.u32(1), action.u32(5)))
 			b = b[actionBytes:]
 		}
 		text, b = append(text, "."), b[8:]
@@ -61,8 +61,8 @@
 	return eventRecord(eventStart, instance, map[int]any{5: uint64(9), 13: uint32(0), 17: uint32(len(settingsText))})
 }
 
-// Most events occur once: a table of one endpoint, an instance that restarts, requests, their outcomes, outdated
-// events.
+// Most kinds of events: a table of one endpoint, an instance that restarts, requests and their outcomes, and events that
+// refer to requests, timers and instances that no longer exist.
 func Example_roundTrip() {
 	entry := string(eventRecord(9, 0, map[int]any{0: uint32(77), 15: float32(1)})[:endpointBytes])
 	table := eventRecord(eventEndpointTable, 0, map[int]any{1: uint16(3), 3: uint32(len(settingsText)), 7: uint32(1)})
@@ -79,15 +79,15 @@
 	// . timer/5:0 timer/5:0 send/5:41 . fail/5:41 send/5:42 cancel/5:42 . send/5:43 . <nil>
 }
 
-// Malformed input ends the adapter with a one-line error.
+// Serve returns a one-line error for malformed input.
 func Example_badInput() {
 	good := frame(1, settingsText, startRecord(1))
-	broken := bytes.Replace(good, []byte("rules.fall="), []byte("rules.fell="), 1)
-	noNumber := bytes.Replace(good, []byte("window=4000"), []byte("window=four"), 1)
+	missingSetting := bytes.Replace(good, []byte("rules.fall="), []byte("rules.fell="), 1)
+	notANumber := bytes.Replace(good, []byte("window=4000"), []byte("window=four"), 1)
 	unknownClass := eventRecord(eventRequest, 1, map[int]any{17: byte(7)})
 	for _, in := range [][]byte{
 		good[:2], good[:len(good)-1], {255, 255, 255, 255}, {8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1},
-		frame(1, "", eventRecord(3, 1, nil)), frame(1, "", startRecord(1)), broken, noNumber, frame(1, settingsText, startRecord(1), unknownClass),
+		frame(1, "", eventRecord(3, 1, nil)), frame(1, "", startRecord(1)), missingSetting, notANumber, frame(1, settingsText, startRecord(1), unknownClass),
 		frame(1, "", eventRecord(eventEndpointTable, 0, map[int]any{1: uint16(16)})), frame(1, "", eventRecord(eventEndpointTable, 0, map[int]any{7: uint32(1)})),
 		frame(1, settingsText, startRecord(1), eventRecord(eventEndpointList, 1, map[int]any{5: byte(4)})),
 	} {
@@ -95,21 +95,21 @@
 		fmt.Println(err)
 	}
 	// Output:
-	// frame cut off in its length
-	// frame of 960 bytes cut off
-	// frame of 4294967295 bytes
-	// frame of 20 bytes holds no 1 records
+	// input ended within the length of a frame
+	// input ended within a frame of 960 bytes
+	// frame of 4294967295 bytes is larger than 1073741824 bytes
+	// frame of 20 bytes is too short for 1 records
 	// unknown event code 3
-	// tail reference 0+900 outside a tail of 0 bytes
+	// reference to 900 bytes at 0 exceeds the tail of 0 bytes
 	// setting rules.fall is missing
 	// setting family_info.window is no number: "four"
-	// unknown class 7
-	// table number 16
-	// tail reference 0+27 outside a tail of 0 bytes
-	// unknown list kind 4
+	// unknown request class 7 of 1
+	// endpoint table 16, want 0 to 15
+	// reference to 27 bytes at 0 exceeds the tail of 0 bytes
+	// unknown endpoint list kind 4
 }
 
-// A large list and a large frame: 400 endpoints, 300 instances that start with them, one request each.
+// A large endpoint table and a large frame: 300 instances start with 400 endpoints and handle one request each.
 func Example_large() {
 	var entries strings.Builder
 	for i := range 400 {
--- a/internal/simadapter/codes.go
+++ b/internal/simadapter/codes.go
@@ -40,7 +40,7 @@
 	lastListKind = listFailed
 )
 
-// endpointState returns the endpoint state for a code.
+// endpointState returns the endpoint state for a code; ok is false if the code is unknown.
 func endpointState(code uint8) (state policy.EndpointState, ok bool) {
 	switch code {
 	case 0:
@@ -53,7 +53,7 @@
 	return 0, false
 }
 
-// attemptOutcomes holds, by code, the outcome of an attempt and whether the request may have run.
+// attemptOutcomes holds, by code, the outcome of an attempt and whether its endpoint may have executed the request.
 var attemptOutcomes = [...]struct {
 	outcome    policy.Outcome
 	mayHaveRun bool
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -12,7 +12,7 @@
 // timerMark reads the mark of the timer that fired.
 func timerMark(r record) uint64 { return r.u64(5) }
 
-// startEvent starts an instance. Its settings are text in the tail.
+// startEvent starts an instance. Its settings are a text in the tail.
 type startEvent struct {
 	seed     uint64
 	settings string
@@ -23,10 +23,10 @@
 	return startEvent{seed: r.u64(5), settings: string(text)}, err
 }
 
-// endpointTableEvent stores the endpoints in its tail for endpoint lists that refer to its number.
+// endpointTableEvent defines a table of endpoints, given in the tail. Endpoint lists refer to the table by its number.
 type endpointTableEvent struct {
 	table   uint16
-	entries []byte // of endpointBytes each
+	entries []byte // encoded, endpointBytes per entry
 }
 
 func readEndpointTable(r record, tail []byte) (endpointTableEvent, error) {
@@ -119,7 +119,7 @@
 	build, stage int
 	phase        uint8
 	isVoteReply  bool
-	status       uint16 // the release state is valid only with statusOK
+	status       uint16 // the release fields are valid only if it is statusOK
 	canaryLimit  float64
 	ageSeconds   float64
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-// wrongAnswerEvent reports that an endpoint gave a wrong answer ageSeconds ago.
+// wrongAnswerEvent is a client's report that an endpoint gave a wrong answer ageSeconds ago.
 type wrongAnswerEvent struct {
 	endpoint   uint32
 	ageSeconds float64
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -7,26 +7,25 @@
 	"flintspread/internal/policy"
 )
 
-// instance is one router in the simulator: a policy with its requests in flight and its timers.
+// instance is one router in the simulator: a policy, its open requests and its timers.
 type instance struct {
 	id         uint32
-	now        float64 // of the frame being handled
+	now        float64 // clock of the frame being handled
 	balancer   *policy.Balancer
 	classCount int
-	requests   map[uint32]*policy.Request // by the simulator's ID; kept until completed with no attempt in flight
+	requests   map[uint32]*policy.Request // by the simulator's ID; kept until completed and no attempt is in flight
 	actions    *actionFrame               // receives the instance's actions
 
-	picks        pickQueue
-	pickSequence uint64
-	pickTimerAt  float64 // when the pick timer fires; 0: not set
-	pickTimer    uint64  // mark of the pick timer
+	picks         pickQueue
+	pickSequence  uint64
+	pickTimerAt   float64 // when the pick timer fires; 0: not set
+	pickTimerMark uint64  // mark of the pick timer
 }
 
-// controllerTimer is the mark of the timer for controller ticks. Marks of pick timers start at 1.
-const controllerTimer = 0
+// tickTimerMark is the mark of the timer for the policy's ticks. Marks of pick timers start at 1.
+const tickTimerMark = 0
 
-// timerTolerance is how early a timer may fire, in seconds, because times are rounded in the conversion to milliseconds
-// and back.
+// timerTolerance is how early a timer may fire, in seconds: times are rounded when converted to milliseconds and back.
 const timerTolerance = 1e-9
 
 // updateEndpoints passes the endpoints of a table to the policy, as the full list or as changes.
@@ -47,7 +46,7 @@
 // onRequest handles a new request and picks an endpoint for it.
 func (i *instance) onRequest(event requestEvent) error {
 	if event.class >= i.classCount {
-		return fmt.Errorf("unknown class %d", event.class)
+		return fmt.Errorf("unknown request class %d of %d", event.class, i.classCount)
 	}
 	request := &policy.Request{
 		ID:          event.id,
@@ -67,7 +66,7 @@
 // onAttemptDone handles the outcome of an attempt. It ignores an attempt that is no longer in flight.
 func (i *instance) onAttemptDone(event attemptDoneEvent) error {
 	if event.outcomeCode >= len(attemptOutcomes) {
-		return fmt.Errorf("unknown outcome %d", event.outcomeCode)
+		return fmt.Errorf("unknown attempt outcome %d", event.outcomeCode)
 	}
 	request := i.requests[event.requestID]
 	if request == nil || event.attempt >= len(request.Attempts) || !request.Attempts[event.attempt].InFlight {
@@ -96,7 +95,7 @@
 
 func (i *instance) onRelease(event releaseEvent) error {
 	if event.phase > uint8(policy.PhaseWithdrawn) {
-		return fmt.Errorf("unknown phase %d", event.phase)
+		return fmt.Errorf("unknown release phase %d", event.phase)
 	}
 	if event.isVoteReply {
 		i.balancer.OnVoteReply(i.now, voteReply(event.status))
@@ -107,20 +106,20 @@
 	return nil
 }
 
-// onTimer handles a timer that fired. It ignores a pick timer that has been replaced by an earlier one.
+// onTimer handles a timer that fired. It ignores a pick timer that was replaced by an earlier one.
 func (i *instance) onTimer(mark uint64) {
 	switch {
-	case mark == controllerTimer:
-		i.tickController()
-	case mark == i.pickTimer && i.pickTimerAt != 0:
+	case mark == tickTimerMark:
+		i.tick()
+	case mark == i.pickTimerMark && i.pickTimerAt != 0:
 		i.pickTimerAt = 0
 		i.pickDue()
 	}
 }
 
-// pickDue picks again for the requests that are due. Requests that a pick reschedules wait for the next timer.
+// pickDue picks again for the requests that are due. The picks that it schedules wait for the next timer.
 func (i *instance) pickDue() {
-	for left := len(i.picks); left > 0 && i.picks.isDue(i.now); left-- {
+	for remaining := len(i.picks); remaining > 0 && i.picks.isDue(i.now); remaining-- {
 		request := heap.Pop(&i.picks).(scheduledPick).request
 		if !request.Completed {
 			i.pick(request)
@@ -128,8 +127,8 @@
 	}
 }
 
-// tickController runs the policy's periodic work and sets its next timer.
-func (i *instance) tickController() {
+// tick runs the policy's periodic work and sets its next timer.
+func (i *instance) tick() {
 	tick := i.balancer.TickAndVote(i.now)
 	if tick.SubscribeToEndpoints {
 		i.actions.subscribe(i.id)
@@ -137,7 +136,7 @@
 	if tick.CastVote {
 		i.actions.vote(i.id, tick.Build, tick.Stage, tick.Verdict)
 	}
-	i.actions.setTimer(i.id, tick.NextTickSeconds, controllerTimer)
+	i.actions.setTimer(i.id, tick.NextTickSeconds, tickTimerMark)
 }
 
 // pick asks the policy for a decision on a request and executes it.
@@ -145,7 +144,7 @@
 	i.execute(request, i.balancer.Pick(i.now, request))
 }
 
-// execute writes the policy's decision on a request as actions.
+// execute writes the policy's decision on a request as actions, and updates the request.
 func (i *instance) execute(request *policy.Request, decision policy.Decision) {
 	switch decision.Action {
 	case policy.Send:
--- a/internal/simadapter/picktimer.go
+++ b/internal/simadapter/picktimer.go
@@ -9,7 +9,7 @@
 // scheduledPick is a time at which to pick again for a request.
 type scheduledPick struct {
 	at       float64
-	sequence uint64 // orders picks with the same time by when they were scheduled
+	sequence uint64 // picks of the same time are ordered by it, in the order in which they were scheduled
 	request  *policy.Request
 }
 
@@ -55,6 +55,6 @@
 		return
 	}
 	i.pickTimerAt = i.picks[0].at
-	i.pickTimer++
-	i.actions.setTimer(i.id, max(0, i.pickTimerAt-i.now), i.pickTimer)
+	i.pickTimerMark++
+	i.actions.setTimer(i.id, max(0, i.pickTimerAt-i.now), i.pickTimerMark)
 }
