--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -46,7 +46,7 @@
 // onRequest handles a new request and picks an endpoint for it.
 func (i *instance) onRequest(event requestEvent) error {
 	if event.class >= i.classCount {
-		return fmt.Errorf("unknown request class %d of %d", event.class, i.classCount)
+		return fmt.Errorf("request class %d, want 0 to %d", event.class, i.classCount-1)
 	}
 	request := &policy.Request{
 		ID:          event.id,
