--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -17,8 +17,8 @@
 	outlierErrorFactor  = 4.0  // errors are attributed to the outliers if the rest fail less often by this factor
 )
 
-// logLikelihoodRatio returns MaxSPRT-AB's log-likelihood ratio L in nats. Its sign is positive if the canary fails at
-// least as often as the baseline, and else negative.
+// logLikelihoodRatio returns MaxSPRT-AB's log-likelihood ratio L in nats. It is negative if the canary fails less often
+// than the baseline.
 func logLikelihoodRatio(baselineCount, canaryCount outcomeCount) float64 {
 	ratio := logLikelihood(baselineCount) + logLikelihood(canaryCount) - logLikelihood(baselineCount.plus(canaryCount))
 	if canaryCount.failures*baselineCount.total < baselineCount.failures*canaryCount.total {
@@ -59,7 +59,7 @@
 	return c
 }
 
-// loneCanary reports whether the canary consists of a single endpoint.
+// loneCanary reports whether the sample shows only a single canary endpoint.
 func (c *comparison) loneCanary() bool {
 	return len(c.perEndpoint[canary]) < 2 && c.pooled[canary].total < minEndpointOutcomes
 }
@@ -150,8 +150,8 @@
 }
 
 // overdispersion returns how much more the baseline's endpoints differ from each other than chance predicts: Pearson's
-// chi-squared statistic over its degrees of freedom, at least 1. The log-likelihood ratio is divided by it. This takes
-// the place of a threshold learned from A/A comparisons, as in the paper that docs/design.md cites.
+// chi-squared statistic over its degrees of freedom, at least 1. The log-likelihood ratio is divided by it, whereas the
+// paper cited in docs/design.md learns its threshold from A/A comparisons.
 func overdispersion(perEndpoint []outcomeCount, sum outcomeCount) float64 {
 	rate := sum.failures / max(1, sum.total)
 	if rate <= 0 || rate >= 1 || len(perEndpoint) < 2 {
