--- a/internal/policy/longlife_test.go
+++ b/internal/policy/longlife_test.go
@@ -123,7 +123,7 @@
 	fmt.Println("attempts at the build after this assignment:", canaryAttempts(routers[0]))
 	controller.b.DropReport("a")
 	controller.b.DropReport("b")
-	fmt.Println("counts after the reports are dropped:", len(controller.b.counts()))
+	fmt.Println("counts after the reports are dropped:", len(controller.b.analysisCounts()))
 	// Output:
 	// without a lease, at most 10 of 100 requests: true
 	// all free attempts leased, at most 10 + 2: true
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -56,7 +56,7 @@
 	if outcome == Succeeded || outcome == TimedOut {
 		b.recordLatency(r, e, duration)
 	}
-	if b.countsForAnalysis(now, r, e, now-duration) {
+	if b.includeInAnalysis(now, r, e, now-duration) {
 		b.countOutcome(r, e, outcome, duration, warm)
 	}
 }
