--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -124,7 +124,7 @@
 		writeText(c, text)
 		h.eventually("in flight", func() bool { return h.proxy.Stats().Attempts == 1 })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.2)
-		h.wantEqual(class, c.readLine(), want)
+		h.wantEqual(class, c.readRESPAnswer(), want)
 	}
 }
 
@@ -150,7 +150,7 @@
 	for range 300 {
 		text, id := newLongCommand("lookup")
 		writeText(c, text)
-		h.wantEqual("served", c.readLine(), "v"+id)
+		h.wantEqual("served", c.readRESPAnswer(), "v"+id)
 	}
 	close(served)
 	<-moved
@@ -171,11 +171,11 @@
 		h.proxy.StopServing()
 		if whole {
 			writeText(c, text[20:])
-			h.wantEqual("the whole", c.readLine(), "v"+id)
+			h.wantEqual("the whole", c.readRESPAnswer(), "v"+id)
 		} else {
-			h.wantEqual("the part", c.readLine(), "-ERR the command did not come whole in time")
+			h.wantEqual("the part", c.readRESPAnswer(), "-ERR the command did not come whole in time")
 		}
-		h.wantEqual("and then", c.readLine(), "closed")
+		h.wantEqual("and then", c.readRESPAnswer(), "closed")
 	}
 }
 
@@ -206,7 +206,7 @@
 		})
 	})
 	c.wantServed("seal")
-	h.wantEqual("and then", c.readLine(), "closed")
+	h.wantEqual("and then", c.readRESPAnswer(), "closed")
 }
 
 // A client's disconnect is noticed in every state of its connection: no further attempt of its commands is sent
@@ -310,7 +310,7 @@
 		if said := endpoint.acceptAndRead(t); strings.Contains(said, "API") {
 			t.Errorf("%+v: the endpoint got %q", how, said)
 		}
-		h.wantEqual("served by the other", c.readLine(), "v"+id)
+		h.wantEqual("served by the other", c.readRESPAnswer(), "v"+id)
 		if two.count() != 1 {
 			t.Errorf("%+v: the other got %d", how, two.count())
 		}
@@ -363,7 +363,7 @@
 		return false
 	})
 	close(cutNow)
-	h.wantEqual("large", c.readLine(), "vbig")
+	h.wantEqual("large", c.readRESPAnswer(), "vbig")
 }
 
 // CloseListener lets Serve accept the connections in the kernel's accept queue.
@@ -394,7 +394,7 @@
 	}
 	<-ended
 	for i, c := range waiting {
-		h.wantEqual("accepted", c.readLine(), want[i])
+		h.wantEqual("accepted", c.readRESPAnswer(), want[i])
 	}
 }
 
@@ -418,7 +418,7 @@
 	})
 	time.Sleep(150 * time.Millisecond) // above the read and idle timeouts
 	for range 8 {
-		if got := c.readLine(); got != big {
+		if got := c.readRESPAnswer(); got != big {
 			t.Fatalf("%.60q of %d bytes", got, len(got))
 		}
 	}
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -116,8 +116,8 @@
 	return string(buf)
 }
 
-// readLine reads one answer and returns a bulk string's value, any other reply's line, or "closed".
-func (c *testClient) readLine() string {
+// readRESPAnswer reads one answer and returns a bulk string's value, any other reply's line, or "closed".
+func (c *testClient) readRESPAnswer() string {
 	text, err := c.br.ReadString('\n')
 	if err != nil {
 		return "closed"
@@ -137,7 +137,7 @@
 	c := h.dial()
 	defer c.Close()
 	writeText(c, text)
-	return c.readLine()
+	return c.readRESPAnswer()
 }
 
 // wantServed sends a command of a class and checks that it is served.
@@ -145,7 +145,7 @@
 	c.t.Helper()
 	text, id := newCommand(class)
 	writeText(c, text)
-	if got := c.readLine(); got != "v"+id {
+	if got := c.readRESPAnswer(); got != "v"+id {
 		c.t.Errorf("%s: %q, want %q", class, got, "v"+id)
 	}
 }
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -21,11 +21,11 @@
 	endpoint := h.addEndpoint(1, 1, answerID)
 	c := h.dial()
 	writeText(c, encodeCommand("PING"))
-	h.wantEqual("ping", c.readLine(), "+PONG")
+	h.wantEqual("ping", c.readRESPAnswer(), "+PONG")
 	for _, class := range []string{"lookup", "order", "seal"} {
 		text, id := newCommand(class)
 		writeText(c, text)
-		h.wantEqual(class, c.readLine(), "v"+id)
+		h.wantEqual(class, c.readRESPAnswer(), "v"+id)
 		got := strings.Fields(endpoint.allRequests()[strings.LastIndex(endpoint.allRequests(), "\n")+1:])
 		var d int
 		for i, w := range got {
@@ -106,7 +106,7 @@
 	for range 5 {
 		text, _ := newCommand("seal")
 		writeText(c, text)
-		if got := c.readLine(); got != big {
+		if got := c.readRESPAnswer(); got != big {
 			t.Fatalf("%.60q", got)
 		}
 	}
@@ -139,7 +139,7 @@
 			if rest > 0 && i > 0 {
 				next <- true
 			}
-			if got := c.readLine(); got != "v"+id {
+			if got := c.readRESPAnswer(); got != "v"+id {
 				t.Errorf("rest %g: %q, want %q", rest, got, "v"+id)
 			}
 			if rest == 0 {
@@ -219,7 +219,7 @@
 	}
 	go writeText(c, all.String())
 	for _, w := range want {
-		if got := c.readLine(); got != w && !strings.HasPrefix(got, "-BUSY") {
+		if got := c.readRESPAnswer(); got != w && !strings.HasPrefix(got, "-BUSY") {
 			t.Fatalf("%q, want %q", got, w)
 		}
 	}
@@ -227,7 +227,7 @@
 	writeText(c, held)
 	h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
 	h.wantEqual("the same id", h.askOnce(held), "-ERR a command with this id is in hand")
-	h.wantEqual("the first", c.readLine(), "vsame")
+	h.wantEqual("the first", c.readRESPAnswer(), "vsame")
 	h.wantEqual("the id again", h.askOnce(held), "vsame")
 }
 
@@ -253,17 +253,17 @@
 	for range 3 {
 		late := h.dial()
 		late.wantServed("order")
-		h.wantEqual("and then", late.readLine(), "closed")
+		h.wantEqual("and then", late.readRESPAnswer(), "closed")
 	}
-	h.wantEqual("what was in flight", busy.readLine(), "v"+id)
-	h.wantEqual("and then", busy.readLine(), "closed")
+	h.wantEqual("what was in flight", busy.readRESPAnswer(), "v"+id)
+	h.wantEqual("and then", busy.readRESPAnswer(), "closed")
 	h.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := h.proxy.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	h.wantEqual("an idle one", idle.readLine(), "closed")
+	h.wantEqual("an idle one", idle.readRESPAnswer(), "closed")
 }
 
 // At the limit of connections, the longest idle one is evicted for a new one; one with a command in flight never is.
@@ -276,8 +276,8 @@
 		idle = append(idle, h.dial())
 		h.eventually("it is taken", func() bool { n := h.proxy.Stats(); return int(n.ClientsAccepted) == len(idle)+1 && n.ClientConns <= 5 })
 	}
-	h.wantEqual("the longest idle", idle[0].readLine(), "closed")
-	h.wantEqual("the busy one", busy.readLine(), "v"+id)
+	h.wantEqual("the longest idle", idle[0].readRESPAnswer(), "closed")
+	h.wantEqual("the busy one", busy.readRESPAnswer(), "v"+id)
 	if n := h.proxy.Stats(); n.ClientsRefused != 0 {
 		t.Errorf("%d refused", n.ClientsRefused)
 	}
@@ -305,7 +305,7 @@
 			c.wantServed("seal")
 		}
 	}
-	h.wantEqual("the longest idle", kept[0].readLine(), "closed")
+	h.wantEqual("the longest idle", kept[0].readRESPAnswer(), "closed")
 	for range 100 {
 		h.dial()
 		if n := h.proxy.Stats(); n.ClientConns > 10 {
@@ -328,9 +328,9 @@
 	time.Sleep(20 * time.Millisecond) // by now its reader waits for the answer
 	second, id2 := newCommand("lookup")
 	writeText(c, second)
-	h.wantEqual("the first", c.readLine(), "v"+id)
-	h.wantEqual("the second", c.readLine(), "v"+id2)
-	h.wantEqual("and then", c.readLine(), "closed")
+	h.wantEqual("the first", c.readRESPAnswer(), "v"+id)
+	h.wantEqual("the second", c.readRESPAnswer(), "v"+id2)
+	h.wantEqual("and then", c.readRESPAnswer(), "closed")
 }
 
 // An endpoint that restarts gets new connections.
