--- a/internal/proxy/http.go
+++ b/internal/proxy/http.go
@@ -11,9 +11,10 @@
 )
 
 // http1 is HTTP/1.1 to clients and endpoints, as described in docs/protocol.md. A client connection has one request in
-// flight at a time; further ones wait in the kernel.
+// flight at a time; the bytes of further requests wait in the kernel.
 type http1 struct{}
 
+// Texts of the final answers that the proxy itself generates.
 const (
 	textRejected = "not done; trying again does no harm"
 	textFailed   = "failed; it may have been done"
@@ -47,7 +48,7 @@
 
 func (http1) connReuseDelaySeconds() float64 { return 0 }
 
-func (http1) startsAtLastByte() bool { return false } // an endpoint may act on a head alone
+func (http1) startsAtLastByte() bool { return false } // an endpoint may start a request once it has the head
 
 func (http1) encodeAttempt(message *message, remainingSeconds float64) []byte {
 	buf := make([]byte, 0, len(message.head)+len(message.body)+40)
@@ -56,10 +57,11 @@
 	return append(buf, message.body...)
 }
 
-// readAnswer reads an endpoint's response. One marked as never run counts as Overloaded, any other 5xx as ServerError.
+// readAnswer reads an endpoint's response. A 503 with the Flint-Never-Ran header counts as Overloaded, any other 5xx as
+// ServerError.
 func (http1) readAnswer(br *bufio.Reader, reader *limitedReader, attempt *attempt) (endpointAnswer, error) {
 	config := attempt.request.config
-	response, err := readHTTPAnswer(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.MaxAnswerBytes)
+	response, err := readHTTPResponse(br, reader, attempt.request.message.method, receiptOf(attempt), config.Document.Endpoints.MaxAnswerBytes)
 	switch {
 	case err != nil:
 		return endpointAnswer{}, err
--- a/internal/proxy/http_conn.go
+++ b/internal/proxy/http_conn.go
@@ -12,7 +12,7 @@
 	"flintspread/internal/policy"
 )
 
-// noReadLimit lifts a limitedReader's bound.
+// noReadLimit, set as limitedReader.remaining, removes the bound on the bytes read.
 const noReadLimit = math.MaxInt64
 
 // serveClient serves a connection's requests one at a time.
@@ -31,7 +31,7 @@
 	limits := &p.currentConfig.Load().Document.Clients
 	reader.remaining = noReadLimit
 	conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(limits.IdleTimeoutSeconds)))
-	// A shutdown ends this wait with a read deadline; a request that has arrived by then is still served.
+	// A shutdown ends this wait with a read deadline. A request that has arrived by then is still served.
 	if _, err := br.Peek(1); err != nil && !conn.socket.hasUnread() {
 		return false
 	}
@@ -76,18 +76,18 @@
 	conn.socket.SetReadDeadline(time.Time{})
 	reader.remaining = noReadLimit
 	request := p.accept(conn, message, config, class, nil)
-	// Detects a client that disconnects while its request is in flight. Bytes that arrive are its next request; they
-	// wait.
-	_, gone := br.Peek(1)
-	if gone != nil && p.abandonRequest(request) {
+	// Peek detects a client that disconnects while its request is in flight. Bytes that arrive belong to the next
+	// request and stay buffered.
+	_, readErr := br.Peek(1)
+	if readErr != nil && p.abandonRequest(request) {
 		return false
 	}
 	<-conn.answerWritten
-	return gone == nil && !conn.writeFailed
+	return readErr == nil && !conn.writeFailed
 }
 
-// checkClass returns the error answer to a message that can't be served as a request of a class, or an empty answer. A
-// negative class means that no route matches.
+// checkClass returns the error answer to a message that can't be served as a request of the given class, or an empty
+// answer. A negative class means that no route matches.
 func checkClass(config *configstate.Version, class int, message *message) answer {
 	if class < 0 {
 		return newHTTPAnswer(http.StatusNotFound, "", "no route for "+message.method+" "+message.path, 0)
@@ -105,16 +105,16 @@
 	return newHTTPAnswer(http.StatusOK, "", "noted", 0)
 }
 
-// rejectUnreadable answers a message that can't be read, and lingers so that the client sees the answer. A failure of
-// the connection itself gets no answer.
+// rejectUnreadable answers a message that is invalid or incomplete, and lingers so that the client sees the answer. If
+// the connection itself failed, no answer is sent.
 func (http1) rejectUnreadable(conn *clientConn, err error) {
 	p := conn.proxy
 	var invalid *requestError
 	switch {
 	case errors.As(err, &invalid):
 	case isTimeout(err):
-		readTime := p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds
-		invalid = &requestError{http.StatusRequestTimeout, fmt.Sprintf("the request took longer than %g s", readTime)}
+		readTimeoutSeconds := p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds
+		invalid = &requestError{http.StatusRequestTimeout, fmt.Sprintf("the request took longer than %g s", readTimeoutSeconds)}
 	default:
 		return
 	}
@@ -137,19 +137,19 @@
 	return !conn.writeFailed
 }
 
-// writeAnswer writes an answer without blocking. A separate goroutine writes what the kernel does not accept at once,
-// within the clients' read timeout.
+// writeAnswer writes an answer without blocking. A separate goroutine writes the bytes that the kernel does not accept
+// at once; clients.read-time bounds its write.
 func (proto http1) writeAnswer(conn *clientConn, answer answer) {
 	p := conn.proxy
-	// From here on the connection is idle, so the pending Peek in handleMessage gets the idle timeout. If the
-	// connection is to close, the Peek ends at once.
-	until := time.Now()
+	// The connection is idle once the answer is written, so the pending Peek in handleMessage gets the idle timeout. If
+	// the connection must close, Peek returns at once.
+	deadline := time.Now()
 	if conn.closeAfterAnswer {
 		answer = answer.withConnectionClose()
 	} else {
-		until = until.Add(secondsToDuration(p.currentConfig.Load().Document.Clients.IdleTimeoutSeconds))
+		deadline = deadline.Add(secondsToDuration(p.currentConfig.Load().Document.Clients.IdleTimeoutSeconds))
 	}
-	conn.socket.SetReadDeadline(until)
+	conn.socket.SetReadDeadline(deadline)
 	n, err := conn.socket.writeNow(answer.bytes)
 	if err == nil && n < len(answer.bytes) {
 		p.goroutines.Add(1)
@@ -160,13 +160,13 @@
 	proto.onAnswerWritten(conn, err)
 }
 
-// writeRemaining writes an answer from byte n on, to a slow client.
-func (proto http1) writeRemaining(conn *clientConn, buf []byte, n int) {
+// writeRemaining writes the bytes of an answer from offset on, to a slow client.
+func (proto http1) writeRemaining(conn *clientConn, buf []byte, offset int) {
 	p := conn.proxy
 	defer p.goroutines.Done()
 	defer p.memory.add(-len(buf))
 	conn.socket.SetWriteDeadline(time.Now().Add(secondsToDuration(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds)))
-	_, err := conn.socket.Write(buf[n:])
+	_, err := conn.socket.Write(buf[offset:])
 	conn.socket.SetWriteDeadline(time.Time{})
 	proto.onAnswerWritten(conn, err)
 }
--- a/internal/proxy/http_message.go
+++ b/internal/proxy/http_message.go
@@ -18,29 +18,29 @@
 
 // The headers and paths of the HTTP protocol, documented for users in docs/protocol.md.
 const (
-	headerTime           = "Flint-Time"   // from clients: seconds until they give up; to endpoints: seconds left
-	headerWork           = "Flint-Work"   // from clients: expected work in seconds
-	headerKey            = "Flint-Key"    // from clients: the key that the request is about
-	headerRepeat         = "Flint-Repeat" // from clients: it is a retry
-	headerIdempotencyKey = "Idempotency-Key"
+	headerTime           = "Flint-Time"      // from clients: seconds until they give up; to endpoints: seconds left
+	headerWork           = "Flint-Work"      // from clients: expected work in seconds
+	headerKey            = "Flint-Key"       // from clients: the key that the request accesses
+	headerRepeat         = "Flint-Repeat"    // from clients: the request is a retry
+	headerIdempotencyKey = "Idempotency-Key" // from clients: required by classes with deduplicated commands
 	headerAnswer         = "Flint-Answer"    // to clients: the kind of answer
 	headerReceipt        = "Flint-Receipt"   // identifies an attempt; clients send it back to report a wrong answer
 	headerPause          = "Flint-Pause"     // to clients: like Retry-After, with fractions of a second
 	headerVersion        = "Flint-Version"   // to clients: the configuration version that served the request
-	headerNeverRan       = "Flint-Never-Ran" // from endpoints, with 503: they have not begun the request
+	headerNeverRan       = "Flint-Never-Ran" // from endpoints, with 503: they have not started the request
 
 	ownPathPrefix   = "/.flint/"
 	wrongAnswerPath = ownPathPrefix + "wrong"
 )
 
 const (
-	maxHeaderSeconds = 1e6 // a time header must be below this
+	maxHeaderSeconds = 1e6 // a header with a time in seconds must be below this
 
-	answerHeadBytes  = 64 << 10 // bound on the head of an endpoint's response
-	encodedHeadBytes = 512      // initial buffer size; most heads fit
+	maxResponseHeadBytes = 64 << 10 // bound on the head of an endpoint's response
+	initialHeadBytes     = 512      // initial buffer size of an encoded head; most heads fit
 )
 
-// requestError is the status and reason that answer an invalid message.
+// requestError is the status and the body of the answer to an invalid message.
 type requestError struct {
 	status int
 	reason string
@@ -49,27 +49,27 @@
 // Error implements error.
 func (e *requestError) Error() string { return e.reason }
 
-// readHTTPMessage reads one request and encodes it for endpoints. A *requestError holds the answer for the client; any
-// other error is a failure of the connection. onContinue is called if the client waits for a 100 status before it sends
-// the body.
-func readHTTPMessage(br *bufio.Reader, reader *limitedReader, headBytes, bodyBytes int64, onContinue func()) (*message, error) {
-	reader.remaining, reader.limitReached = headBytes, false
+// readHTTPMessage reads one request and encodes it for endpoints. An error is a *requestError, which holds the answer
+// for the client, or a failure of the connection. onContinue is called if the client waits for a 100 status before it
+// sends the body.
+func readHTTPMessage(br *bufio.Reader, reader *limitedReader, maxHeadBytes, maxBodyBytes int64, onContinue func()) (*message, error) {
+	reader.remaining, reader.limitReached = maxHeadBytes, false
 	request, err := http.ReadRequest(br)
 	if err != nil {
 		if reader.limitReached {
-			return nil, &requestError{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("head above %d bytes", headBytes)}
+			return nil, &requestError{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("head above %d bytes", maxHeadBytes)}
 		}
 		return nil, reader.classifyError("request", err)
 	}
 	reader.remaining = noReadLimit
-	if request.ContentLength > bodyBytes {
-		return nil, bodyTooLarge(bodyBytes)
+	if request.ContentLength > maxBodyBytes {
+		return nil, bodyTooLarge(maxBodyBytes)
 	}
 	if err := checkExpectation(request, br, onContinue); err != nil {
 		return nil, err
 	}
 	parsed := &message{method: request.Method, path: request.URL.Path, closeAfter: request.Close || !request.ProtoAtLeast(1, 1)}
-	if parsed.body, err = readHTTPBody(request, reader, bodyBytes); err != nil {
+	if parsed.body, err = readHTTPBody(request, reader, maxBodyBytes); err != nil {
 		return nil, err
 	}
 	if err := parsed.setHeaders(request.Header); err != nil {
@@ -84,11 +84,11 @@
 	return parsed, nil
 }
 
-func bodyTooLarge(bodyBytes int64) error {
-	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body above %d bytes", bodyBytes)}
+func bodyTooLarge(maxBodyBytes int64) error {
+	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("body above %d bytes", maxBodyBytes)}
 }
 
-// checkExpectation calls onContinue if the client waits for it, and rejects unknown expectations.
+// checkExpectation calls onContinue if the client waits for a 100 status, and rejects unknown expectations.
 func checkExpectation(request *http.Request, br *bufio.Reader, onContinue func()) error {
 	expectation := request.Header.Get("Expect")
 	if expectation == "" {
@@ -104,21 +104,21 @@
 }
 
 // readHTTPBody reads a body. Its buffer grows as bytes arrive, so that a claimed length alone allocates nothing.
-func readHTTPBody(request *http.Request, reader *limitedReader, bodyBytes int64) ([]byte, error) {
+func readHTTPBody(request *http.Request, reader *limitedReader, maxBodyBytes int64) ([]byte, error) {
 	if request.ContentLength == 0 {
 		return nil, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(request.Body, bodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, reader.classifyError("body", err)
 	}
-	if int64(len(body)) > bodyBytes {
-		return nil, bodyTooLarge(bodyBytes)
+	if int64(len(body)) > maxBodyBytes {
+		return nil, bodyTooLarge(maxBodyBytes)
 	}
 	return body, nil
 }
 
-// setHeaders sets the fields that come from the headers the proxy interprets.
+// setHeaders sets the fields that come from headers.
 func (m *message) setHeaders(headers http.Header) (err error) {
 	if m.timeoutSeconds, err = parseSecondsHeader(headers, headerTime); err != nil {
 		return err
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// parseSecondsHeader parses a header in seconds and returns 0 if it is absent. An implausible value is rejected rather
-// than clamped: its sender probably uses another unit.
+// parseSecondsHeader parses a header with a time in seconds and returns 0 if it is absent. An implausible value is
+// rejected rather than clamped: its sender probably uses another unit.
 func parseSecondsHeader(headers http.Header, name string) (float64, error) {
 	text := headers.Get(name)
 	if text == "" {
@@ -150,15 +150,15 @@
 }
 
 // encodeHead encodes a request's head for endpoints, without the remaining time and the final blank line.
-func encodeHead(request *http.Request, bodyBytes int) ([]byte, error) {
+func encodeHead(request *http.Request, bodyLength int) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Grow(encodedHeadBytes)
+	buf.Grow(initialHeadBytes)
 	fmt.Fprintf(&buf, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.RequestURI, request.Host)
 	if err := writeHeaders(&buf, request.Header); err != nil {
 		return nil, err
 	}
-	if bodyBytes > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
-		fmt.Fprintf(&buf, "Content-Length: %d\r\n", bodyBytes)
+	if bodyLength > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
+		fmt.Fprintf(&buf, "Content-Length: %d\r\n", bodyLength)
 	}
 	return buf.Bytes(), nil
 }
@@ -185,7 +185,7 @@
 		}
 	}
 	if err := headers.WriteSubset(buf, skip); err != nil {
-		return fmt.Errorf("writing headers: %w", err)
+		return fmt.Errorf("encoding headers: %w", err)
 	}
 	return nil
 }
@@ -194,14 +194,14 @@
 type httpResponse struct {
 	answer    answer
 	status    int
-	neverRan  bool // the endpoint reports that it has not started the request
+	neverRan  bool // the endpoint says that it has not started the request
 	keepAlive bool // the connection may be reused
 }
 
-// readHTTPAnswer reads an endpoint's response to a request with the given method. A body above maxBodyBytes is an
+// readHTTPResponse reads an endpoint's response to a request with the given method. A body above maxBodyBytes is an
 // error.
-func readHTTPAnswer(br *bufio.Reader, reader *limitedReader, method, receipt string, maxBodyBytes int64) (httpResponse, error) {
-	reader.remaining = maxBodyBytes + answerHeadBytes
+func readHTTPResponse(br *bufio.Reader, reader *limitedReader, method, receipt string, maxBodyBytes int64) (httpResponse, error) {
+	reader.remaining = maxBodyBytes + maxResponseHeadBytes
 	response, err := readFinalResponse(br, &http.Request{Method: method})
 	if err != nil {
 		return httpResponse{}, err
@@ -211,7 +211,7 @@
 		return httpResponse{}, err
 	}
 	if int64(len(body)) > maxBodyBytes {
-		return httpResponse{}, fmt.Errorf("answer above %d bytes", maxBodyBytes)
+		return httpResponse{}, fmt.Errorf("response body exceeds the limit of %d bytes", maxBodyBytes)
 	}
 	encoded, err := encodeResponse(response, body, method, receipt)
 	if err != nil {
@@ -236,7 +236,7 @@
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the endpoint switched protocols unasked")
+			return nil, errors.New("endpoint sent an unsolicited status 101 (Switching Protocols)")
 		}
 	}
 }
@@ -244,7 +244,7 @@
 // encodeResponse encodes an endpoint's response for the client, without the configuration version.
 func encodeResponse(response *http.Response, body []byte, method, receipt string) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Grow(encodedHeadBytes + len(body))
+	buf.Grow(initialHeadBytes + len(body))
 	fmt.Fprintf(&buf, "HTTP/1.1 %d %s\r\n", response.StatusCode, http.StatusText(response.StatusCode))
 	if err := writeHeaders(&buf, response.Header); err != nil {
 		return nil, err
@@ -261,8 +261,8 @@
 	return buf.Bytes(), nil
 }
 
-// newHTTPAnswer creates an answer of the proxy's own. kind is empty if the message was not accepted as a request.
-// retryAfterSeconds is used for rejections only.
+// newHTTPAnswer creates an answer that the proxy itself generates. kind is empty if the message was not accepted as a
+// request. retryAfterSeconds is used for rejections only.
 func newHTTPAnswer(status int, kind, text string, retryAfterSeconds float64) answer {
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n",
@@ -288,7 +288,7 @@
 // withHeaderLine returns a copy of an HTTP answer with a header line inserted after the status line.
 func (a answer) withHeaderLine(line string) answer {
 	statusEnd := bytes.Index(a.bytes, []byte("\r\n")) + len("\r\n")
-	out := make([]byte, 0, len(a.bytes)+len(line))
-	out = append(append(out, a.bytes[:statusEnd]...), line...)
-	return answer{bytes: append(out, a.bytes[statusEnd:]...), kind: a.kind}
+	encoded := make([]byte, 0, len(a.bytes)+len(line))
+	encoded = append(append(encoded, a.bytes[:statusEnd]...), line...)
+	return answer{bytes: append(encoded, a.bytes[statusEnd:]...), kind: a.kind}
 }
