--- a/internal/proxy/http_receipt.go
+++ b/internal/proxy/http_receipt.go
@@ -7,8 +7,8 @@
 	return fmt.Sprintf("%d-%.3f", attempt.endpointID, attempt.startedAt)
 }
 
-// reportWrongAnswerByReceipt records a client's report of a wrong answer, identified by the receipt of that answer. An
-// error says what is wrong with the receipt; its text is sent to the client.
+// reportWrongAnswerByReceipt records a client's report of a wrong answer, identified by the receipt of that answer. It
+// returns an error if the receipt is invalid or too old; the error's text is sent to the client.
 func (p *Proxy) reportWrongAnswerByReceipt(receipt string) error {
 	var endpointID uint32
 	var startedAt float64
@@ -17,11 +17,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	age := p.Now() - startedAt
-	longest := p.currentConfig.Load().Document.Rules.ForgetEndpointSeconds
-	if !(age >= 0 && age < longest) { // rejects NaN, too
-		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, longest)
+	ageSeconds := p.Now() - startedAt
+	maxAgeSeconds := p.currentConfig.Load().Document.Rules.ForgetEndpointSeconds
+	if !(ageSeconds >= 0 && ageSeconds < maxAgeSeconds) { // rejects NaN, too
+		return fmt.Errorf("%s: %q is not of the last %.0f s", headerReceipt, receipt, maxAgeSeconds)
 	}
-	p.countWrongAnswer(endpointID, age)
+	p.countWrongAnswer(endpointID, ageSeconds)
 	return nil
 }
--- a/internal/proxy/http_shed.go
+++ b/internal/proxy/http_shed.go
@@ -14,24 +14,24 @@
 type shedResult int
 
 const (
-	shedUndecided shedResult = iota // parse the request, then ask for admission
-	shedAdmitted                    // parse the request; it is admitted already
-	shedKeepConn                    // the request was answered; the connection stays open
-	shedEndConn                     // the request was answered; the connection must close
+	shedUndecided shedResult = iota // no decision: admission is decided after parsing
+	shedAdmitted                    // the request is admitted and must be parsed
+	shedKeepConn                    // the request was shed and answered; the connection stays open
+	shedEndConn                     // the request was shed; the connection must close
 )
 
-// scannedRequest holds what load shedding needs to know of a request.
+// scannedRequest holds the properties of a request that load shedding uses.
 type scannedRequest struct {
-	class          int
-	timeoutSeconds float64
-	clientRetry    bool
-	hasKey         bool
-	contentLength  int
+	class             int
+	timeoutSeconds    float64
+	clientRetry       bool
+	hasIdempotencyKey bool
+	contentLength     int
 }
 
 // shedUnparsed asks the shedder about a request before it is parsed, and answers it if it is shed: under overload,
-// shedding a request must cost far less than serving it. It considers only requests that are completely buffered and of
-// the simplest form; all others are left to the parser.
+// shedding a request must cost far less than serving it. It considers only requests that scanRequest accepts; all
+// others are undecided.
 func (proto http1) shedUnparsed(conn *clientConn, br *bufio.Reader, queuedSeconds float64) shedResult {
 	p := conn.proxy
 	if !p.shedding.Load() {
@@ -47,7 +47,7 @@
 		return shedUndecided
 	}
 	p.mu.Lock()
-	if p.draining || p.admitsScanned(conn, scanned, queuedSeconds) {
+	if p.draining || p.admitScanned(conn, scanned, queuedSeconds) {
 		result := shedAdmitted
 		if p.draining {
 			result = shedUndecided
@@ -72,9 +72,9 @@
 	return shedKeepConn
 }
 
-// admitsScanned is admits for a scanned request. The caller holds p.mu and has checked p.shedding, so that p.shedder is
-// set.
-func (p *Proxy) admitsScanned(conn *clientConn, scanned scannedRequest, queuedSeconds float64) bool {
+// admitScanned reports whether this process has the capacity to serve a scanned request. It applies the same rules as
+// admits. The caller holds p.mu and has checked p.shedding, which implies that p.shedder is not nil.
+func (p *Proxy) admitScanned(conn *clientConn, scanned scannedRequest, queuedSeconds float64) bool {
 	return !p.memory.wouldExceed(0) && p.shedder.Admit(p.Now(), loadshed.Request{
 		Class:            scanned.class,
 		Client:           conn.hostHash,
@@ -83,8 +83,9 @@
 	})
 }
 
-// scanRequest scans the request at the start of buffered. It returns false unless the request is complete, of the
-// simplest form and valid. size is the request's length in bytes.
+// scanRequest scans the request at the start of buffered. ok is false unless the request is complete and valid and can
+// be scanned without the full parser: it has a plain path and no header that changes the framing or the connection.
+// size is the request's length in bytes.
 func scanRequest(buffered []byte, config *configstate.Version) (scanned scannedRequest, size int, ok bool) {
 	headEnd := bytes.Index(buffered, []byte("\r\n\r\n"))
 	if headEnd < 0 {
@@ -105,12 +106,12 @@
 		}
 	}
 	size = headEnd + len("\r\n\r\n") + scanned.contentLength
-	lacksKey := class.Idempotency == policy.IdempotentWithKey && !scanned.hasKey
+	lacksKey := class.Idempotency == policy.IdempotentWithKey && !scanned.hasIdempotencyKey
 	return scanned, size, size <= len(buffered) && !lacksKey
 }
 
-// scanRequestLine returns the class of a request line, or a negative value if it has none or the line is not of the
-// simplest form.
+// scanRequestLine returns the class of a request line. It returns a negative value if no route matches or the line
+// needs the full parser: another HTTP version, or a target with a query, an escape or a fragment.
 func scanRequestLine(line []byte, config *configstate.Version) int {
 	method, line, hasPath := bytes.Cut(line, []byte(" "))
 	path, version, hasVersion := bytes.Cut(line, []byte(" "))
@@ -120,7 +121,7 @@
 	return config.ClassOf(string(method), string(path))
 }
 
-// scanHeader records a header line. It returns false if the header needs the full parser.
+// scanHeader records the header if load shedding uses it. It returns false if the header needs the full parser.
 func (s *scannedRequest) scanHeader(line []byte) bool {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimSpace(value)
@@ -142,12 +143,12 @@
 	case headerNameIs(name, headerRepeat):
 		s.clientRetry = true
 	case headerNameIs(name, headerIdempotencyKey):
-		s.hasKey = true
+		s.hasIdempotencyKey = true
 	}
 	return true
 }
 
-// headerNameIs compares a header's name, ignoring case.
+// headerNameIs reports whether name equals want, ignoring case.
 func headerNameIs(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
