--- a/internal/proxy/resp.go
+++ b/internal/proxy/resp.go
@@ -38,21 +38,21 @@
 func (resp2) startsAtLastByte() bool { return true }
 
 func (resp2) encodeAttempt(message *message, remainingSeconds float64) []byte {
-	millis := strconv.AppendInt(nil, int64(max(1, remainingSeconds*1000)), 10)
+	remainingMillis := strconv.AppendInt(nil, int64(max(1, remainingSeconds*1000)), 10)
 	buf := make([]byte, 0, len(message.head)+len(message.options)+len(message.body)+64)
 	buf = append(buf, message.head...)
 	options := make([]byte, 0, len(message.options)+8)
 	options = append(options, message.options[:message.timeoutOffset]...)
-	options = append(options, millis...)
+	options = append(options, remainingMillis...)
 	options = append(options, message.options[message.timeoutOffset:]...)
 	buf = resp.AppendBulk(buf, options)
 	return append(buf, message.body...)
 }
 
-// readAnswer reads an endpoint's reply and extracts the value. A malformed or unexpected reply is an error: the
-// connection must be closed, and the attempt may have run.
+// readAnswer reads an endpoint's reply and extracts the value. It returns an error for a malformed or unexpected reply:
+// the connection must be closed, and the attempt may have run.
 func (resp2) readAnswer(br *bufio.Reader, reader *limitedReader, _ *attempt) (endpointAnswer, error) {
-	reader.remaining = noReadLimit // package resp has its own bounds
+	reader.remaining = noReadLimit // package resp bounds what it reads
 	reply, err := resp.ReadReply(br)
 	switch {
 	case err != nil:
@@ -66,10 +66,10 @@
 	case hasErrorCode(reply.Error, "ERR failed"):
 		return endpointAnswer{outcome: policy.ServerError, reusable: true}, nil
 	}
-	return endpointAnswer{}, fmt.Errorf("unexpected reply %.60q", reply.Error)
+	return endpointAnswer{}, fmt.Errorf("reply has no value and no known error code: error line %.60q, %d values", reply.Error, len(reply.Values))
 }
 
-// hasErrorCode reports whether an error reply has a code, alone or followed by a space and a load report.
-func hasErrorCode(text, code string) bool {
-	return text == code || len(text) > len(code)+1 && text[:len(code)] == code && text[len(code)] == ' '
+// hasErrorCode reports whether an error line consists of a code, alone or followed by a space and a load report.
+func hasErrorCode(line, code string) bool {
+	return line == code || len(line) > len(code)+1 && line[:len(code)] == code && line[len(code)] == ' '
 }
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -12,7 +12,7 @@
 // memoryPollSeconds is the interval at which a paused reader checks the memory budget.
 const memoryPollSeconds = 0.02
 
-// serveClient accepts pipelined commands, each with its own deadline. Answers are sent in the same order.
+// serveClient accepts pipelined commands, each with its own deadline. Answers are sent in the order of the commands.
 func (proto resp2) serveClient(conn *clientConn) {
 	p := conn.proxy
 	reader := &limitedReader{source: conn.socket.Conn, memory: &p.memory, remaining: noReadLimit}
@@ -21,17 +21,17 @@
 	var unanswered []*request // may hold requests answered since the last cleanup
 	defer func() { proto.abandonRequests(conn, unanswered) }()
 	for first := true; proto.waitForCommand(conn, br, first); first = false {
-		queuedSeconds := conn.queuedSeconds() // always: a command's timeout counts from when it was sent
+		queuedSeconds := conn.queuedSeconds() // measured for every command: its timeout counts from when it was sent
 		p.mu.Lock()
 		conn.reading = true // a shutdown lets the command complete
 		conn.socket.SetReadDeadline(time.Now().Add(secondsToDuration(proto.readTimeoutSeconds(conn))))
 		p.mu.Unlock()
-		words, err := resp.ReadCommand(br)
+		args, err := resp.ReadCommand(br)
 		if err != nil {
 			proto.rejectUnreadable(conn, err)
 			return
 		}
-		if request := proto.handleCommand(conn, words, queuedSeconds); request != nil {
+		if request := proto.handleCommand(conn, args, queuedSeconds); request != nil {
 			unanswered = append(unanswered, request)
 		}
 		reader.release()
@@ -39,17 +39,17 @@
 	}
 }
 
-// handleCommand accepts a command and returns its request. It answers anything that is not accepted as a request, and
-// returns nil.
-func (proto resp2) handleCommand(conn *clientConn, words [][]byte, queuedSeconds float64) *request {
+// handleCommand accepts a command as a request and returns the request. A command that is not accepted is answered
+// directly, and the result is nil.
+func (proto resp2) handleCommand(conn *clientConn, args [][]byte, queuedSeconds float64) *request {
 	p := conn.proxy
 	config := p.currentConfig.Load()
 	pending := conn.answers.enqueue()
-	if len(words) == 1 && string(words[0]) == commandPing {
+	if len(args) == 1 && string(args[0]) == commandPing {
 		p.answerWhenReady(conn, func() { proto.answerDirectly(conn, pending, []byte("+PONG\r\n")) })
 		return nil
 	}
-	message, class, err := proto.parseCommand(config, words)
+	message, class, err := proto.parseCommand(config, args)
 	if err != nil {
 		proto.answerDirectly(conn, pending, resp.AppendError(nil, "ERR "+err.Error()))
 		return nil
@@ -62,8 +62,8 @@
 	return request
 }
 
-// wakeReader also bounds the reading of a partly received command, which must not outlast the shutdown nor, on an
-// evicted connection, delay the client that waits for its place.
+// wakeReader implements protocol. It also sets a read deadline for a command that is partly received: reading must not
+// outlast the shutdown and, on an evicted connection, must not delay the client that waits for the slot.
 func (proto resp2) wakeReader(conn *clientConn) {
 	switch {
 	case conn.reading && conn.evicted:
@@ -96,9 +96,10 @@
 	return proto.readTimeoutSeconds(conn)
 }
 
-// waitForCommand blocks for a command's first byte, and for memory to read it. It returns false if the connection must
-// close: the client disconnected, or no answer is outstanding and the connection was idle for too long or should close.
-// A disconnect is noticed at any time, also while answers are outstanding and while reading is paused.
+// waitForCommand blocks until a command's first byte has arrived. Under memory pressure it then pauses until memory is
+// available, for a bounded time. It returns false if the connection must close: the client disconnected, or no answer is
+// outstanding and the connection was idle for too long or should close. It detects a disconnect even while answers are
+// outstanding or reading is paused.
 func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, first bool) bool {
 	p := conn.proxy
 	peekByte := func() error { _, err := br.Peek(1); return err }
@@ -118,15 +119,15 @@
 			until = idleSince.Add(secondsToDuration(timeout))
 		}
 		wait := peekByte
-		onlyHangUp := !state.mayPipeline || pauseSeconds > 0 // nothing may be read now
-		if onlyHangUp {
+		hangUpOnly := !state.mayPipeline || pauseSeconds > 0 // no command may be read now
+		if hangUpOnly {
 			wait = conn.socket.waitHangUp
 		}
 		if state.mayPipeline && pauseSeconds > 0 {
 			until = time.Now().Add(secondsToDuration(min(memoryPollSeconds, pauseSeconds)))
 		}
 		switch err := conn.waitForReader(until, wait); {
-		case err == nil && onlyHangUp:
+		case err == nil && hangUpOnly:
 			return false
 		case err == nil:
 			if pauseSeconds = p.memory.beginPause(); pauseSeconds == 0 {
@@ -135,7 +136,7 @@
 		case errors.Is(err, errWoken):
 		case !isTimeout(err):
 			return false
-		case pauseSeconds > 0: // the command is read once there is memory, or the pause is over
+		case pauseSeconds > 0: // the command is read once there is memory or the pause has ended
 			if pauseSeconds -= memoryPollSeconds; pauseSeconds <= 0 || !p.memory.underPressure() {
 				return true
 			}
@@ -143,12 +144,12 @@
 		case !conn.socket.hasUnread():
 			return false // idle for too long
 		default:
-			idleSince = time.Now() // a command arrived at the last moment
+			idleSince = time.Now() // a command arrived just before the idle timeout
 		}
 	}
 }
 
-// flushAnswers blocks until every outstanding answer is written. It returns false if the client disconnects before.
+// flushAnswers blocks until every outstanding answer is written. It returns false if the client disconnects first.
 func (resp2) flushAnswers(conn *clientConn) bool {
 	for {
 		state := conn.answers.state()
@@ -164,7 +165,7 @@
 	}
 }
 
-// answerDirectly answers a command that is not accepted as a request, in its place among the answers.
+// answerDirectly answers a command that is not accepted as a request. The answer keeps its position in the queue.
 func (resp2) answerDirectly(conn *clientConn, pending *pendingAnswer, text []byte) {
 	p := conn.proxy
 	p.mu.Lock()
@@ -174,8 +175,8 @@
 	conn.completeAnswer(pending, text)
 }
 
-// rejectUnreadable answers a command that can't be read, after the outstanding answers, and lingers so that the client
-// sees the answer. A failure of the connection itself gets no answer.
+// rejectUnreadable answers a command that is malformed or incomplete, after the outstanding answers, and lingers so that
+// the client sees the answer. If the connection itself failed, no answer is sent.
 func (proto resp2) rejectUnreadable(conn *clientConn, err error) {
 	text := "ERR the command did not come whole in time"
 	switch {
@@ -185,14 +186,14 @@
 		return
 	}
 	proto.answerDirectly(conn, conn.answers.enqueue(), resp.AppendError(nil, text))
-	if !proto.flushAnswers(conn) || conn.placeIsWanted() {
+	if !proto.flushAnswers(conn) || conn.slotNeeded() {
 		return
 	}
 	conn.linger()
 }
 
-// placeIsWanted reports whether other clients need the connection's place, so that it must close without lingering.
-func (conn *clientConn) placeIsWanted() bool {
+// slotNeeded reports whether another client needs the connection's slot, so that it must close without lingering.
+func (conn *clientConn) slotNeeded() bool {
 	p := conn.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
