--- a/internal/platform/resp/read.go
+++ b/internal/platform/resp/read.go
@@ -1,6 +1,6 @@
 // Package resp reads and writes the platform's RESP2 messages within fixed limits: requests, which are arrays of bulk
 // strings, and replies, which are such arrays or error lines. Memory grows with the bytes that arrive, not with the
-// length that a message claims, and a malformed message is reported at the first byte that reveals it.
+// length that a message declares. A malformed message is reported at the first byte that shows the error.
 package resp
 
 import (
@@ -17,21 +17,21 @@
 	maxRequestBytes = 160 << 10 // of all values in a request
 	maxValues       = 8         // of one message
 	maxErrorBytes   = 1 << 10   // length of an error line
-	maxLengthDigits = 10        // length of a length field
-	minGrowBytes    = 4 << 10   // minimum by which a value's buffer grows
+	maxLengthDigits = 10        // digits of a length field
+	minGrowBytes    = 4 << 10   // smallest step by which a value's buffer grows
 )
 
-// The first byte of each kind of element.
+// The first byte of each RESP2 type.
 const (
-	arrayMark = '*'
-	bulkMark  = '$'
-	errorMark = '-'
+	arrayPrefix = '*'
+	bulkPrefix  = '$'
+	errorPrefix = '-'
 )
 
 // nullLength is the length of a null value.
 const nullLength = -1
 
-// MalformedError reports what is wrong with a message. The connection must be closed, since the start of the next
+// MalformedError describes the first fault of a message. The connection must be closed, since the start of the next
 // message is unknown.
 type MalformedError struct{ Reason string }
 
@@ -42,7 +42,7 @@
 	return &MalformedError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// IsMalformed reports whether an error is due to a malformed message rather than a broken connection.
+// IsMalformed reports whether an error means a malformed message rather than a broken connection.
 func IsMalformed(err error) bool {
 	var malformed *MalformedError
 	return errors.As(err, &malformed)
@@ -51,7 +51,7 @@
 // ReadCommand reads one request: an array of bulk strings, the first of which is the command's name. A malformed
 // request is a *MalformedError; other errors are those of the reader.
 func ReadCommand(reader *bufio.Reader) ([][]byte, error) {
-	if err := expect(reader, arrayMark); err != nil {
+	if err := expectPrefix(reader, arrayPrefix); err != nil {
 		return nil, err
 	}
 	count, err := readLength(reader, maxValues)
@@ -82,19 +82,19 @@
 
 // ReadReply reads an endpoint's reply. Errors are as for ReadCommand.
 func ReadReply(reader *bufio.Reader) (Reply, error) {
-	mark, err := reader.ReadByte()
+	prefix, err := reader.ReadByte()
 	if err != nil {
 		return Reply{}, err
 	}
-	switch mark {
-	case errorMark:
+	switch prefix {
+	case errorPrefix:
 		text, err := readLine(reader, maxErrorBytes)
 		return Reply{Error: string(text)}, err
-	case arrayMark:
+	case arrayPrefix:
 		values, err := readReplyValues(reader)
 		return Reply{Values: values}, err
 	}
-	return Reply{}, malformed("%q begins no answer", mark)
+	return Reply{}, malformed("reply starts with %q, want %q or %q", prefix, errorPrefix, arrayPrefix)
 }
 
 // readReplyValues reads the rest of an array reply, after its first byte.
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	if count < 1 {
-		return nil, malformed("an array of %d values", count)
+		return nil, malformed("array reply of %d values, want at least 1", count)
 	}
 	values, total := make([][]byte, count), 0
 	for i := range values {
@@ -118,7 +118,7 @@
 
 // readBulk reads a bulk string of at most maxBytes bytes. It returns nil for a null value.
 func readBulk(reader *bufio.Reader, maxBytes int) ([]byte, error) {
-	if err := expect(reader, bulkMark); err != nil {
+	if err := expectPrefix(reader, bulkPrefix); err != nil {
 		return nil, err
 	}
 	length, err := readLength(reader, maxBytes)
@@ -130,16 +130,16 @@
 		return nil, err
 	}
 	for _, want := range []byte("\r\n") {
-		if c, err := reader.ReadByte(); err != nil {
+		if found, err := reader.ReadByte(); err != nil {
 			return nil, err
-		} else if c != want {
+		} else if found != want {
 			return nil, malformed("a value of %d bytes goes on", length)
 		}
 	}
 	return value, nil
 }
 
-// readValue reads length bytes. Its buffer doubles as they arrive, so that a claimed length alone allocates at most
+// readValue reads length bytes. Its buffer doubles as they arrive, so that a declared length alone allocates at most
 // minGrowBytes.
 func readValue(reader *bufio.Reader, length int) ([]byte, error) {
 	value := make([]byte, 0, min(length, minGrowBytes))
@@ -157,8 +157,8 @@
 	return value, nil
 }
 
-// readLength reads the rest of a line that holds a length up to most, or nullLength.
-func readLength(reader *bufio.Reader, most int) (int, error) {
+// readLength reads the rest of a line that holds a length up to maxLength, or nullLength.
+func readLength(reader *bufio.Reader, maxLength int) (int, error) {
 	text, err := readLine(reader, maxLengthDigits)
 	if err != nil {
 		return 0, err
@@ -166,14 +166,14 @@
 	if string(text) == "-1" {
 		return nullLength, nil
 	}
-	for _, c := range text {
-		if c < '0' || c > '9' {
+	for _, char := range text {
+		if char < '0' || char > '9' {
 			return 0, malformed("length %.16q", text)
 		}
 	}
 	length, err := strconv.Atoi(string(text))
-	if err != nil || length > most {
-		return 0, malformed("length %.16q, at most %d", text, most)
+	if err != nil || length > maxLength {
+		return 0, malformed("length %.16q, at most %d", text, maxLength)
 	}
 	return length, nil
 }
@@ -182,7 +182,7 @@
 // read.
 func readLine(reader *bufio.Reader, maxBytes int) ([]byte, error) {
 	for length := 0; ; {
-		// Search only the bytes that have arrived, so that a line without an end is not read beyond the limit.
+		// Search only the bytes that have arrived, so that an unterminated line is not read beyond the limit.
 		if _, err := reader.Peek(length + 1); err != nil {
 			return nil, err
 		}
@@ -205,10 +205,11 @@
 	}
 }
 
-func expect(reader *bufio.Reader, mark byte) error {
-	c, err := reader.ReadByte()
-	if err == nil && c != mark {
-		err = malformed("%q where %q belongs", c, mark)
+// expectPrefix reads one byte and returns an error unless it is the given prefix.
+func expectPrefix(reader *bufio.Reader, prefix byte) error {
+	found, err := reader.ReadByte()
+	if err == nil && found != prefix {
+		err = malformed("%q where %q belongs", found, prefix)
 	}
 	return err
 }
--- a/internal/platform/resp/resp_test.go
+++ b/internal/platform/resp/resp_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-func readRequest(text string) string {
+// readCommandText reads a command and returns its arguments or the error as text.
+func readCommandText(text string) string {
 	args, err := ReadCommand(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
@@ -18,15 +19,16 @@
 	return fmt.Sprintf("%q", args)
 }
 
-func readReply(text string) string {
-	r, err := ReadReply(bufio.NewReader(strings.NewReader(text)))
+// readReplyText reads a reply and returns its error line and values, or the error, as text.
+func readReplyText(text string) string {
+	reply, err := ReadReply(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("%q %q", r.Error, r.Values)
+	return fmt.Sprintf("%q %q", reply.Error, reply.Values)
 }
 
-func TestCommand(t *testing.T) {
+func TestReadCommand(t *testing.T) {
 	for text, want := range map[string]string{
 		"*1\r\n$4\r\nPING\r\n":             `["PING"]`,
 		"*2\r\n$1\r\na\r\n$0\r\n\r\n":      `["a" ""]`,
@@ -45,23 +47,23 @@
 		"*1\r\n$\r\n\r\n":                  `malformed message: length "", at most 65536`,
 		"*" + strings.Repeat("1", 100_000): "malformed message: a line above 10 bytes",
 	} {
-		if got := readRequest(text); got != want {
+		if got := readCommandText(text); got != want {
 			t.Errorf("%.40q: %s, want %s", text, got, want)
 		}
 	}
 }
 
-func TestAnswer(t *testing.T) {
-	big := strings.Repeat("x", 400_000) // endpoints send values this large, whatever they accept
+func TestReadReply(t *testing.T) {
+	big := strings.Repeat("x", 400_000) // endpoints send values above the limit of a request
 	for text, want := range map[string]string{
 		"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n": `"" ["v" "" "a=1"]`,
 		"-ERR failed inflight=1\r\n":            `"ERR failed inflight=1" []`,
 		"-" + strings.Repeat("x", 5000):         "malformed message: a line above 1024 bytes",
-		"+OK\r\n":                               `malformed message: '+' begins no answer`,
+		"+OK\r\n":                               `malformed message: reply starts with '+', want '-' or '*'`,
 		"*1\r\n*1\r\n$1\r\nv\r\n":               `malformed message: '*' where '$' belongs`,
 		"*1\r\n$3000000000\r\n":                 `malformed message: length "3000000000", at most 1048576`,
-		"*0\r\n":                                "malformed message: an array of 0 values",
-		"*-1\r\n":                               "malformed message: an array of -1 values",
+		"*0\r\n":                                "malformed message: array reply of 0 values, want at least 1",
+		"*-1\r\n":                               "malformed message: array reply of -1 values, want at least 1",
 		"*2\r\n$1\r\nv\r\n":                     "EOF",
 		"*1\r\n$2\r\nv\r\n$":                    "malformed message: a value of 2 bytes goes on",
 		"":                                      "EOF",
@@ -69,28 +71,29 @@
 		"*2\r\n$400000\r\n" + big + "\r\n$-1\r\n":                    fmt.Sprintf("%q %q", "", []string{big, ""}),
 		"*2\r\n$600000\r\n" + big + big[:200000] + "\r\n$600000\r\n": `malformed message: length "600000", at most 448576`,
 	} {
-		if got := readReply(text); got != want {
+		if got := readReplyText(text); got != want {
 			t.Errorf("%.40q: %s, want %s", text, got, want)
 		}
 	}
 }
 
-// counter is an endless sender that counts the bytes read from it.
-type counter struct{ n int }
+// endlessSource is a reader without an end that counts the bytes read from it.
+type endlessSource struct{ bytesRead int }
 
-func (c *counter) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (s *endlessSource) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
-	c.n += len(p)
+	s.bytesRead += len(p)
 	return len(p), nil
 }
 
-// A message that only claims a length, or has no end, is not read beyond a fixed bound.
-func TestBounds(t *testing.T) {
+// A message that declares a large length, or has no end, is not read beyond a fixed bound.
+func TestReadIsBounded(t *testing.T) {
 	for _, head := range []string{"*", "*1\r\n$", "*1\r\n$60000000\r\n", "-", "*1\r\n$3000000000\r\n", "*4\r\n$65536\r\n"} {
-		c := &counter{}
-		reader := bufio.NewReader(io.MultiReader(strings.NewReader(head), c))
+		source := &endlessSource{}
+		reader := bufio.NewReader(io.MultiReader(strings.NewReader(head), source))
 		if head[0] == '-' {
 			if _, err := ReadReply(reader); !IsMalformed(err) {
 				t.Errorf("%q: %v", head, err)
@@ -98,24 +101,24 @@
 		} else if _, err := ReadCommand(reader); !IsMalformed(err) {
 			t.Errorf("%q: %v", head, err)
 		}
-		if c.n > MaxValueBytes+2*4096 {
-			t.Errorf("%q: %d bytes were read", head, c.n)
+		if source.bytesRead > MaxValueBytes+2*4096 {
+			t.Errorf("%q: read %d bytes, want at most %d", head, source.bytesRead, MaxValueBytes+2*4096)
 		}
 	}
 	if IsMalformed(io.EOF) || !IsMalformed(fmt.Errorf("endpoint 1: %w", &MalformedError{})) {
-		t.Error("Bad")
+		t.Error("IsMalformed must be false for io.EOF and true for a wrapped MalformedError")
 	}
 }
 
-// A request that was read is encoded and read again as the same words, and its encoding is no longer than the bytes
-// that were consumed.
-func FuzzCommand(f *testing.F) {
-	for _, s := range []string{"*1\r\n$4\r\nPING\r\n", "*2\r\n$1\r\na\r\n$0\r\n\r\nrest", "*1\r\n$-1\r\n", "*8\r\n$65536\r\n", "*01\r\n$01\r\na\r\n"} {
-		f.Add([]byte(s))
+// FuzzReadCommand checks that a command that was read can be encoded and read again with the same arguments, and that
+// its encoding is no longer than the bytes consumed.
+func FuzzReadCommand(f *testing.F) {
+	for _, seed := range []string{"*1\r\n$4\r\nPING\r\n", "*2\r\n$1\r\na\r\n$0\r\n\r\nrest", "*1\r\n$-1\r\n", "*8\r\n$65536\r\n", "*01\r\n$01\r\na\r\n"} {
+		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		in := bytes.NewReader(data)
-		reader := bufio.NewReader(in)
+		source := bytes.NewReader(data)
+		reader := bufio.NewReader(source)
 		args, err := ReadCommand(reader)
 		if err != nil {
 			if !IsMalformed(err) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -123,28 +126,29 @@
 			}
 			return
 		}
-		buf := AppendArray(nil, len(args))
-		for _, a := range args {
-			buf = AppendBulk(buf, a)
+		encoded := AppendArray(nil, len(args))
+		for _, arg := range args {
+			encoded = AppendBulk(encoded, arg)
 		}
-		again, err := ReadCommand(bufio.NewReader(bytes.NewReader(buf)))
-		if err != nil || fmt.Sprintf("%q", again) != fmt.Sprintf("%q", args) {
-			t.Fatalf("%q is read again as %q, %v", args, again, err)
+		decoded, err := ReadCommand(bufio.NewReader(bytes.NewReader(encoded)))
+		if err != nil || fmt.Sprintf("%q", decoded) != fmt.Sprintf("%q", args) {
+			t.Fatalf("%q was decoded as %q after encoding: %v", args, decoded, err)
 		}
-		if read := len(data) - in.Len() - reader.Buffered(); read < len(buf) {
-			t.Fatalf("%d bytes read of %q, written in %d", read, args, len(buf))
+		if consumed := len(data) - source.Len() - reader.Buffered(); consumed < len(encoded) {
+			t.Fatalf("reading %q consumed %d bytes, its encoding has %d", args, consumed, len(encoded))
 		}
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
-	for _, s := range []string{"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n", "-ERR failed\r\n", "-BUSY\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n"} {
-		f.Add([]byte(s))
+// FuzzReadReply checks that a reply has values if and only if it is not an error line.
+func FuzzReadReply(f *testing.F) {
+	for _, seed := range []string{"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\na=1\r\n", "-ERR failed\r\n", "-BUSY\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n"} {
+		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := ReadReply(bufio.NewReader(bytes.NewReader(data)))
-		if err == nil && (len(r.Values) > 0) == (data[0] == '-') {
-			t.Fatalf("%q read as %+v", data, r)
+		reply, err := ReadReply(bufio.NewReader(bytes.NewReader(data)))
+		if err == nil && (len(reply.Values) > 0) == (data[0] == '-') {
+			t.Fatalf("%q was read as %+v", data, reply)
 		}
 	})
 }
--- a/internal/platform/resp/write.go
+++ b/internal/platform/resp/write.go
@@ -3,27 +3,27 @@
 import "strconv"
 
 // AppendArray appends the header of an array of count values.
-func AppendArray(buf []byte, count int) []byte { return appendLength(buf, arrayMark, count) }
+func AppendArray(buf []byte, count int) []byte { return appendLength(buf, arrayPrefix, count) }
 
 // AppendBulk appends a bulk string.
 func AppendBulk[T ~string | ~[]byte](buf []byte, value T) []byte {
-	buf = appendLength(buf, bulkMark, len(value))
+	buf = appendLength(buf, bulkPrefix, len(value))
 	buf = append(buf, value...)
 	return append(buf, '\r', '\n')
 }
 
 // AppendError appends an error line. Bytes other than printable ASCII are dropped.
 func AppendError(buf []byte, text string) []byte {
-	buf = append(buf, errorMark)
-	for _, c := range []byte(text) {
-		if c >= ' ' && c < 127 {
-			buf = append(buf, c)
+	buf = append(buf, errorPrefix)
+	for _, char := range []byte(text) {
+		if char >= ' ' && char < 127 {
+			buf = append(buf, char)
 		}
 	}
 	return append(buf, '\r', '\n')
 }
 
-func appendLength(buf []byte, mark byte, length int) []byte {
-	buf = strconv.AppendInt(append(buf, mark), int64(length), 10)
+func appendLength(buf []byte, prefix byte, length int) []byte {
+	buf = strconv.AppendInt(append(buf, prefix), int64(length), 10)
 	return append(buf, '\r', '\n')
 }
