--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -39,10 +39,10 @@
 		edit(settings)
 	}
 	settings.Clients.EvictIdleFrom = settings.Clients.MaxConns
-	p := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
-	p.connReuseDelaySeconds = 0 // most tests count connections
-	p.SetReady()
-	return startHarness(t, p)
+	proxy := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
+	proxy.connReuseDelaySeconds = 0 // most tests count connections and expect immediate reuse
+	proxy.SetReady()
+	return startHarness(t, proxy)
 }
 
 // readCommand reads one attempt and records it.
@@ -51,14 +51,14 @@
 	if err != nil {
 		return nil, false
 	}
-	var list []string
-	for _, a := range args {
-		list = append(list, string(a))
+	var command []string
+	for _, arg := range args {
+		command = append(command, string(arg))
 	}
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
-	endpoint.requests = append(endpoint.requests, strings.Join(list, " "))
-	return list, true
+	endpoint.requests = append(endpoint.requests, strings.Join(command, " "))
+	return command, true
 }
 
 // valueReply returns an endpoint's reply with a value derived from the command's id.
@@ -66,78 +66,82 @@
 	return fmt.Sprintf("*3\r\n$%d\r\nv%s\r\n$-1\r\n$-1\r\n", len(id)+1, id)
 }
 
-// answerID answers every attempt with its id.
-func answerID(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-	answerIDAfter(0)(endpoint, c, br)
+// answerID answers every attempt with a value derived from the command's id.
+func answerID(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
+	answerIDAfter(0)(endpoint, conn, br)
 }
 
-// answerIDAfter answers every attempt with its id, after a delay.
+// answerIDAfter is like answerID after a delay.
 func answerIDAfter(delay time.Duration) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
+	return func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
+		for command, ok := endpoint.readCommand(br); ok; command, ok = endpoint.readCommand(br) {
 			time.Sleep(delay)
-			writeText(c, valueReply(w[2]))
+			writeText(conn, valueReply(command[2]))
 		}
 	}
 }
 
 // answerRESP answers every attempt with a fixed text.
 func answerRESP(text string) func(*scriptedEndpoint, net.Conn, *bufio.Reader) {
-	return func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
+	return func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
 		for _, ok := endpoint.readCommand(br); ok; _, ok = endpoint.readCommand(br) {
-			writeText(c, text)
+			writeText(conn, text)
 		}
 	}
 }
 
 var lastID int
 
-// newCommand returns a command of class c with a unique id. Its client waits for half a second.
-func newCommand(c string) (text, id string) { return newCommandWithTimeout(c, 500) }
+// newCommand returns a command of a class with a unique id and a client timeout of 500 ms.
+func newCommand(class string) (text, id string) { return newCommandWithTimeout(class, 500) }
 
-func newCommandWithTimeout(c string, ms int) (text, id string) {
+// newCommandWithTimeout is like newCommand with another client timeout.
+func newCommandWithTimeout(class string, timeoutMillis int) (text, id string) {
 	lastID++
 	id = fmt.Sprintf("%016x", lastID)
-	extras := fmt.Sprintf("c=%s,d=%d", c, ms)
-	switch c {
+	options := fmt.Sprintf("c=%s,d=%d", class, timeoutMillis)
+	switch class {
 	case "lookup":
-		return encodeCommand("API.READ", "7f3a", id, extras), id
+		return encodeCommand("API.READ", "7f3a", id, options), id
 	case "order":
-		return encodeCommand("API.WRITE", "7f3a", id, extras+",k=5c0f", "BODY"), id
+		return encodeCommand("API.WRITE", "7f3a", id, options+",k=5c0f", "BODY"), id
 	}
-	return encodeCommand("API.WRITE", "7f3a", id, extras, "BODY"), id
+	return encodeCommand("API.WRITE", "7f3a", id, options, "BODY"), id
 }
 
-func encodeCommand(list ...string) string {
-	buf := resp.AppendArray(nil, len(list))
-	for _, w := range list {
-		buf = resp.AppendBulk(buf, w)
+// encodeCommand encodes a command's arguments as an array of bulk strings.
+func encodeCommand(args ...string) string {
+	buf := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		buf = resp.AppendBulk(buf, arg)
 	}
 	return string(buf)
 }
 
-// readRESPAnswer reads one answer and returns a bulk string's value, any other reply's line, or "closed".
+// readRESPAnswer reads one answer. It returns the value of a bulk string, the line of any other reply, or "closed" if
+// the connection ends.
 func (c *testClient) readRESPAnswer() string {
 	text, err := c.br.ReadString('\n')
 	if err != nil {
 		return "closed"
 	}
 	text = strings.TrimSpace(text)
-	if n, err := strconv.Atoi(strings.TrimPrefix(text, "$")); err == nil && text[0] == '$' {
-		buf := make([]byte, n+2)
+	if length, err := strconv.Atoi(strings.TrimPrefix(text, "$")); err == nil && text[0] == '$' {
+		buf := make([]byte, length+2)
 		if _, err := io.ReadFull(c.br, buf); err != nil {
 			return "closed"
 		}
-		return string(buf[:n])
+		return string(buf[:length])
 	}
 	return text
 }
 
+// askOnce sends one command over a new connection and returns its answer.
 func (h *harness) askOnce(text string) string {
-	c := h.dial()
-	defer c.Close()
-	writeText(c, text)
-	return c.readRESPAnswer()
+	client := h.dial()
+	defer client.Close()
+	writeText(client, text)
+	return client.readRESPAnswer()
 }
 
 // wantServed sends a command of a class and checks that it is served.
@@ -151,10 +155,10 @@
 }
 
 // dialBusy returns a connection with a command in flight.
-func (h *harness) dialBusy() (c *testClient, id string) {
+func (h *harness) dialBusy() (client *testClient, id string) {
 	text, id := newCommand("seal")
-	c = h.dial()
-	writeText(c, text)
-	h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
-	return c, id
+	client = h.dial()
+	writeText(client, text)
+	h.eventually("the command is in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
+	return client, id
 }
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -16,50 +16,51 @@
 )
 
 // Endpoints receive a command as its client sent it, except for the remaining time.
-func TestRESPOrdinaryPath(t *testing.T) {
+func TestRESPForwardsCommands(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerID)
-	c := h.dial()
-	writeText(c, encodeCommand("PING"))
-	h.wantEqual("ping", c.readRESPAnswer(), "+PONG")
+	client := h.dial()
+	writeText(client, encodeCommand("PING"))
+	h.wantEqual("ping", client.readRESPAnswer(), "+PONG")
 	for _, class := range []string{"lookup", "order", "seal"} {
 		text, id := newCommand(class)
-		writeText(c, text)
-		h.wantEqual(class, c.readRESPAnswer(), "v"+id)
-		got := strings.Fields(endpoint.allRequests()[strings.LastIndex(endpoint.allRequests(), "\n")+1:])
-		var d int
-		for i, w := range got {
-			if at := strings.Index(w, "d="); at >= 0 {
-				rest := w[at+2:]
-				end := strings.IndexByte(rest+",", ',')
-				d, _ = strconv.Atoi(rest[:end])
-				got[i] = w[:at+2] + "500" + rest[end:]
+		writeText(client, text)
+		h.wantEqual(class, client.readRESPAnswer(), "v"+id)
+		received := strings.Fields(endpoint.allRequests()[strings.LastIndex(endpoint.allRequests(), "\n")+1:])
+		var timeoutMillis int
+		for i, argument := range received {
+			if start := strings.Index(argument, "d="); start >= 0 {
+				following := argument[start+2:]
+				end := strings.IndexByte(following+",", ',')
+				timeoutMillis, _ = strconv.Atoi(following[:end])
+				received[i] = argument[:start+2] + "500" + following[end:]
 			}
 		}
-		h.wantEqual("passed on", encodeCommand(got...), text)
-		if d < 300 || d >= 500 {
-			t.Errorf("d=%d of a command that has 500 ms left", d)
+		h.wantEqual("forwarded command", encodeCommand(received...), text)
+		if timeoutMillis < 300 || timeoutMillis >= 500 {
+			t.Errorf("forwarded d=%d, want 300 to 499 for a command with a timeout of 500 ms", timeoutMillis)
 		}
 	}
-	if n := h.proxy.Stats(); n.Dials != 1 || n.Succeeded != 3 {
-		t.Errorf("%+v", n)
+	if stats := h.proxy.Stats(); stats.Dials != 1 || stats.Succeeded != 3 {
+		t.Errorf("want 1 dial and 3 successes: %+v", stats)
 	}
 }
 
-// Which commands are retried after each reply, by the protocol's table of outcomes.
+// Which commands are retried after each reply, as the protocol defines: the first endpoint sends that reply, the second
+// one answers successfully. Commands are sent until the first endpoint has received one.
 func TestRESPRetryByOutcome(t *testing.T) {
-	cut := func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) { endpoint.readCommand(br) }
-	ends := []struct {
+	closeUnanswered := func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) { endpoint.readCommand(br) }
+	cases := []struct {
 		name                string
-		play                func(*scriptedEndpoint, net.Conn, *bufio.Reader)
-		lookup, order, seal string // v: served by the healthy endpoint
+		script              func(*scriptedEndpoint, net.Conn, *bufio.Reader)
+		lookup, order, seal string // start of each class's answer; v: served by the healthy endpoint
 	}{
 		{"error", answerRESP("-ERR failed\r\n"), "v", "v", "-ERR"},
 		{"error with a report", answerRESP("-ERR failed inflight=7,util=0.61\r\n"), "v", "v", "-ERR"},
 		{"overloaded", answerRESP("-BUSY\r\n"), "v", "v", "v"},
 		{"overloaded with a report", answerRESP("-BUSY inflight=7\r\n"), "v", "v", "v"},
-		{"closed", cut, "v", "v", "-ERR"},
-		{"noise", answerRESP("x?#\r\n"), "v", "v", "-ERR"},
+		{"closed", closeUnanswered, "v", "v", "-ERR"},
+		{"invalid bytes", answerRESP("x?#\r\n"), "v", "v", "-ERR"},
 		{"another error", answerRESP("-SYNTAX\r\n"), "v", "v", "-ERR"},
 		{"no array", answerRESP("$5\r\nhello\r\n"), "v", "v", "-ERR"},
 		{"a null value", answerRESP("*3\r\n$-1\r\n$-1\r\n$-1\r\n"), "v", "v", "-ERR"},
@@ -68,30 +69,30 @@
 		{"3 GB", answerRESP("*3\r\n$3000000000\r\n" + strings.Repeat("x", 8000)), "v", "v", "-ERR"},
 		{"a line without end", answerRESP("-" + strings.Repeat("x", 8000)), "v", "v", "-ERR"},
 	}
-	for _, e := range ends {
+	for _, test := range cases {
 		for i, class := range []string{"lookup", "order", "seal"} {
-			want := []string{e.lookup, e.order, e.seal}[i]
+			want := []string{test.lookup, test.order, test.seal}[i]
 			h := newRESPHarness(t, nil)
-			bad := h.addEndpoint(1, 1, e.play)
-			well := h.addEndpoint(2, 1, answerID)
-			met := false
-			for try := 0; try < 200 && !met; try++ {
-				before := bad.count()
-				all := before + well.count()
+			failing := h.addEndpoint(1, 1, test.script)
+			healthy := h.addEndpoint(2, 1, answerID)
+			reached := false
+			for attempt := 0; attempt < 200 && !reached; attempt++ {
+				before := failing.count()
+				total := before + healthy.count()
 				text, id := newCommand(class)
 				got := h.askOnce(text)
-				if met = bad.count() > before; !met {
+				if reached = failing.count() > before; !reached {
 					continue
 				}
 				if want == "v" && got != "v"+id || want != "v" && !strings.HasPrefix(got, want) {
-					t.Errorf("%s, %s: %q, want %q", e.name, class, got, want)
+					t.Errorf("%s, %s: %q, want %q", test.name, class, got, want)
 				}
-				if n := bad.count() + well.count() - all; want != "v" && n != 1 {
-					t.Errorf("%s, %s: %d attempts", e.name, class, n)
+				if attempts := failing.count() + healthy.count() - total; want != "v" && attempts != 1 {
+					t.Errorf("%s, %s: %d attempts, want 1", test.name, class, attempts)
 				}
 			}
-			if !met {
-				t.Errorf("%s, %s: the endpoint was never met", e.name, class)
+			if !reached {
+				t.Errorf("%s, %s: the failing endpoint received no command", test.name, class)
 			}
 		}
 	}
@@ -100,65 +101,65 @@
 // An endpoint's value may be far larger than a command.
 func TestRESPLargeValue(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	big := strings.Repeat("x", 400_000)
-	endpoint := h.addEndpoint(1, 1, answerRESP("*3\r\n$400000\r\n"+big+"\r\n$-1\r\n$-1\r\n"))
-	c := h.dial()
+	largeValue := strings.Repeat("x", 400_000)
+	endpoint := h.addEndpoint(1, 1, answerRESP("*3\r\n$400000\r\n"+largeValue+"\r\n$-1\r\n$-1\r\n"))
+	client := h.dial()
 	for range 5 {
 		text, _ := newCommand("seal")
-		writeText(c, text)
-		if got := c.readRESPAnswer(); got != big {
-			t.Fatalf("%.60q", got)
+		writeText(client, text)
+		if got := client.readRESPAnswer(); got != largeValue {
+			t.Fatalf("answer of %d bytes, want %d: %.60q", len(got), len(largeValue), got)
 		}
 	}
-	if n := h.proxy.Stats(); n.Dials != 1 || endpoint.count() != 5 {
-		t.Errorf("%+v", n)
+	if stats := h.proxy.Stats(); stats.Dials != 1 || endpoint.count() != 5 {
+		t.Errorf("want 1 dial and 5 attempts, got %d attempts: %+v", endpoint.count(), stats)
 	}
 }
 
-// An endpoint sends a second reply after an answer. It is not taken for another command's answer: neither if it is
-// already there when the connection would be reused, nor if it arrives later, within the reuse delay.
+// An endpoint sends a second reply after an answer. The proxy must not use it as another command's answer, whether it
+// arrives before the connection would be reused or later, within the reuse delay.
 func TestRESPSurplusBytes(t *testing.T) {
-	for _, rest := range []float64{0, 1000} {
+	for _, reuseDelaySeconds := range []float64{0, 1000} {
 		h := newRESPHarness(t, nil)
-		h.proxy.connReuseDelaySeconds = rest
-		copied, next := make(chan bool, 100), make(chan bool, 100)
-		endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-			for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
-				writeText(c, valueReply(w[2]))
-				if rest > 0 {
-					<-next // the next command is on its way
+		h.proxy.connReuseDelaySeconds = reuseDelaySeconds
+		surplusSent, nextCommandSent := make(chan bool, 100), make(chan bool, 100)
+		endpoint := h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
+			for command, ok := endpoint.readCommand(br); ok; command, ok = endpoint.readCommand(br) {
+				writeText(conn, valueReply(command[2]))
+				if reuseDelaySeconds > 0 {
+					<-nextCommandSent // the surplus reply crosses the next command
 				}
-				writeText(c, valueReply(w[2]))
-				copied <- true
+				writeText(conn, valueReply(command[2]))
+				surplusSent <- true
 			}
 		})
-		c := h.dial()
+		client := h.dial()
 		for i := range 15 {
 			text, id := newCommand("seal")
-			writeText(c, text)
-			if rest > 0 && i > 0 {
-				next <- true
+			writeText(client, text)
+			if reuseDelaySeconds > 0 && i > 0 {
+				nextCommandSent <- true
 			}
-			if got := c.readRESPAnswer(); got != "v"+id {
-				t.Errorf("rest %g: %q, want %q", rest, got, "v"+id)
+			if got := client.readRESPAnswer(); got != "v"+id {
+				t.Errorf("reuse delay %g s: %q, want %q", reuseDelaySeconds, got, "v"+id)
 			}
-			if rest == 0 {
-				<-copied
+			if reuseDelaySeconds == 0 {
+				<-surplusSent
 			}
 		}
-		close(next)
+		close(nextCommandSent)
 		if endpoint.count() != 15 {
-			t.Errorf("rest %g: %d attempts", rest, endpoint.count())
+			t.Errorf("reuse delay %g s: %d attempts, want 15", reuseDelaySeconds, endpoint.count())
 		}
 	}
 }
 
 // Invalid commands are answered with an error or a closed connection and never reach an endpoint. Other clients are
 // served meanwhile.
-func TestRESPBadClients(t *testing.T) {
+func TestRESPInvalidCommands(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerID)
-	read := func(extras string) string { return encodeCommand("API.READ", "k1", "1d", extras) }
+	read := func(options string) string { return encodeCommand("API.READ", "k1", "1d", options) }
 	for _, text := range []string{
 		"x\r\n", "*\r\n", "*-1\r\n", "*0\r\n", "*99999999999\r\n", "*1\r\n$-1\r\n", "*1\r\n$60000000\r\n", "*2\r\n$4\r\nPINGx\r\n", "*1\r\n:4\r\n",
 		"GET / HTTP/1.1\r\nHost: x\r\n\r\n", strings.Repeat("x", 20000), "*4\r\n$8\r\nAPI.READ\r\n$65537\r\n",
@@ -174,72 +175,75 @@
 		}
 	}
 	var silent []*testClient
-	for i := range 200 { // far above the limit on connections
-		c := h.dial()
+	for i := range 200 { // the limit is 50 connections
+		client := h.dial()
 		if i%2 == 0 {
-			writeText(c, "*4\r\n$8\r\nAPI.")
+			writeText(client, "*4\r\n$8\r\nAPI.")
 		}
-		silent = append(silent, c)
+		silent = append(silent, client)
 	}
 	text, id := newCommand("lookup")
-	h.wantEqual("a usual client", h.askOnce(text), "v"+id)
-	for i, c := range silent {
-		c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		if _, err := c.br.ReadByte(); errors.Is(err, context.DeadlineExceeded) {
+	h.wantEqual("a valid command", h.askOnce(text), "v"+id)
+	for i, client := range silent {
+		client.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if _, err := client.br.ReadByte(); errors.Is(err, context.DeadlineExceeded) {
 			t.Fatalf("connection %d is still open", i)
 		}
 	}
 	if endpoint.count() != 1 {
-		t.Errorf("endpoints met %q", endpoint.allRequests())
+		t.Errorf("the endpoint received %q, want one command", endpoint.allRequests())
 	}
 }
 
-// Pipelined commands are sent as they arrive, and answers keep their order. An id in flight can't be used again.
+// Pipelined commands are forwarded as they arrive, and answers keep their order. A command with the id of a command in
+// flight is rejected.
 func TestRESPPipelining(t *testing.T) {
 	h := newRESPHarness(t, nil)
-	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader) {
-		for w, ok := endpoint.readCommand(br); ok; w, ok = endpoint.readCommand(br) {
-			if w[1] == "slow" {
+	h.addEndpoint(1, 1, func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
+		for command, ok := endpoint.readCommand(br); ok; command, ok = endpoint.readCommand(br) {
+			if command[1] == "slow" {
 				time.Sleep(60 * time.Millisecond)
 			}
-			writeText(c, valueReply(w[2]))
+			writeText(conn, valueReply(command[2]))
 		}
 	})
-	c := h.dial()
-	var all strings.Builder
+	client := h.dial()
+	var commands strings.Builder
 	var want []string
-	for i := range 200 { // above what may be pipelined
+	for i := range 200 { // more commands than a client may pipeline
 		key := "quick"
 		if i%10 == 0 {
 			key = "slow"
 		}
 		id := fmt.Sprintf("a%d", i)
-		all.WriteString(encodeCommand("API.READ", key, id, "c=lookup,d=30000"))
+		commands.WriteString(encodeCommand("API.READ", key, id, "c=lookup,d=30000"))
 		want = append(want, "v"+id)
 	}
-	go writeText(c, all.String())
-	for _, w := range want {
-		if got := c.readRESPAnswer(); got != w && !strings.HasPrefix(got, "-BUSY") {
-			t.Fatalf("%q, want %q", got, w)
+	go writeText(client, commands.String())
+	for _, value := range want {
+		if got := client.readRESPAnswer(); got != value && !strings.HasPrefix(got, "-BUSY") {
+			t.Fatalf("%q, want %q or -BUSY", got, value)
 		}
 	}
-	held := encodeCommand("API.READ", "slow", "same", "c=lookup,d=500")
-	writeText(c, held)
-	h.eventually("in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
-	h.wantEqual("the same id", h.askOnce(held), "-ERR a command with this id is in hand")
-	h.wantEqual("the first", c.readRESPAnswer(), "vsame")
-	h.wantEqual("the id again", h.askOnce(held), "vsame")
+	slowCommand := encodeCommand("API.READ", "slow", "same", "c=lookup,d=500")
+	writeText(client, slowCommand)
+	h.eventually("the command is in flight", func() bool { return h.proxy.Stats().InFlight == 1 })
+	h.wantEqual("a command with the same id", h.askOnce(slowCommand), "-ERR a command with this id is in hand")
+	h.wantEqual("the first command", client.readRESPAnswer(), "vsame")
+	h.wantEqual("the id after its answer", h.askOnce(slowCommand), "vsame")
 }
 
-// A rejection carries a retry-after time, and is immediate if no endpoint is worth waiting for.
-func TestRESPRejectedAtOnce(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.MaxConns, s.Endpoints.MaxConnsPerEndpoint = 1, 1 })
+// A rejection carries a retry-after time. It is immediate if no endpoint is worth waiting for: the only one is overloaded.
+func TestRESPRejectsImmediately(t *testing.T) {
+	h := newRESPHarness(t, func(settings *config.Router) {
+		settings.Endpoints.MaxConns, settings.Endpoints.MaxConnsPerEndpoint = 1, 1
+	})
 	h.addEndpoint(1, 1, answerRESP("-BUSY\r\n"))
 	text, _ := newCommand("seal")
-	from := time.Now()
+	start := time.Now()
 	h.wantEqual("rejection", h.askOnce(text), "-BUSY 1500")
-	if took := time.Since(from); took > 400*time.Millisecond {
-		t.Errorf("after %v", took)
+	if elapsed := time.Since(start); elapsed > 400*time.Millisecond {
+		t.Errorf("rejected after %v, want at most 400ms", elapsed)
 	}
 }
 
@@ -253,106 +257,109 @@
 	for range 3 {
 		late := h.dial()
 		late.wantServed("order")
-		h.wantEqual("and then", late.readRESPAnswer(), "closed")
+		h.wantEqual("a new connection after its answer", late.readRESPAnswer(), "closed")
 	}
-	h.wantEqual("what was in flight", busy.readRESPAnswer(), "v"+id)
-	h.wantEqual("and then", busy.readRESPAnswer(), "closed")
+	h.wantEqual("the command in flight", busy.readRESPAnswer(), "v"+id)
+	h.wantEqual("its connection after the answer", busy.readRESPAnswer(), "closed")
 	h.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := h.proxy.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	h.wantEqual("an idle one", idle.readRESPAnswer(), "closed")
+	h.wantEqual("an idle connection", idle.readRESPAnswer(), "closed")
 }
 
-// At the limit of connections, the longest idle one is evicted for a new one; one with a command in flight never is.
+// At the connection limit, the connection that has been idle longest is evicted for a new one. A connection with a
+// command in flight is never evicted.
 func TestRESPEvictsLongestIdle(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Clients.MaxConns = 5 })
+	h := newRESPHarness(t, func(settings *config.Router) { settings.Clients.MaxConns = 5 })
 	h.addEndpoint(1, 1, answerIDAfter(150*time.Millisecond))
 	busy, id := h.dialBusy()
 	var idle []*testClient
 	for range 20 {
 		idle = append(idle, h.dial())
-		h.eventually("it is taken", func() bool { n := h.proxy.Stats(); return int(n.ClientsAccepted) == len(idle)+1 && n.ClientConns <= 5 })
+		h.eventually("the connection is accepted", func() bool {
+			stats := h.proxy.Stats()
+			return int(stats.ClientsAccepted) == len(idle)+1 && stats.ClientConns <= 5
+		})
 	}
-	h.wantEqual("the longest idle", idle[0].readRESPAnswer(), "closed")
-	h.wantEqual("the busy one", busy.readRESPAnswer(), "v"+id)
-	if n := h.proxy.Stats(); n.ClientsRefused != 0 {
-		t.Errorf("%d refused", n.ClientsRefused)
+	h.wantEqual("the longest idle connection", idle[0].readRESPAnswer(), "closed")
+	h.wantEqual("the command in flight", busy.readRESPAnswer(), "v"+id)
+	if stats := h.proxy.Stats(); stats.ClientsRefused != 0 {
+		t.Errorf("%d connections refused, want 0", stats.ClientsRefused)
 	}
 }
 
-// New connections that are about to send their first command are not evicted for each other while older ones are idle,
-// even if several arrive at once. However many arrive, their number stays bounded.
+// New connections that are about to send their first command are not evicted for each other while older connections are
+// idle, even if several arrive at once. The number of connections stays bounded however many arrive.
 func TestRESPNewConnectionsSurviveEviction(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Clients.MaxConns = 8 })
+	h := newRESPHarness(t, func(settings *config.Router) { settings.Clients.MaxConns = 8 })
 	h.addEndpoint(1, 1, answerID)
-	var kept []*testClient
-	come := func() *testClient {
+	var idle []*testClient
+	connect := func() *testClient {
 		before := h.proxy.Stats().ClientsAccepted
-		c := h.dial()
-		h.eventually("it is taken", func() bool { return h.proxy.Stats().ClientsAccepted > before })
-		return c
+		client := h.dial()
+		h.eventually("the connection is accepted", func() bool { return h.proxy.Stats().ClientsAccepted > before })
+		return client
 	}
 	for range 8 {
-		kept = append(kept, come())
-		kept[len(kept)-1].wantServed("lookup")
+		idle = append(idle, connect())
+		idle[len(idle)-1].wantServed("lookup")
 	}
 	for range 10 {
-		a, b, c := come(), come(), come()
-		for _, c := range []*testClient{a, b, c} {
-			c.wantServed("seal")
+		for _, client := range []*testClient{connect(), connect(), connect()} {
+			client.wantServed("seal")
 		}
 	}
-	h.wantEqual("the longest idle", kept[0].readRESPAnswer(), "closed")
+	h.wantEqual("the longest idle connection", idle[0].readRESPAnswer(), "closed")
 	for range 100 {
 		h.dial()
-		if n := h.proxy.Stats(); n.ClientConns > 10 {
-			t.Fatalf("%d connections", n.ClientConns)
+		if stats := h.proxy.Stats(); stats.ClientConns > 10 {
+			t.Fatalf("%d connections, want at most 10", stats.ClientConns)
 		}
 	}
 }
 
-// A command that crosses the eviction of its connection is served, and then the connection ends.
+// A command that crosses the eviction of its connection is served before the connection closes.
 func TestRESPCommandCrossesEviction(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	h.addEndpoint(1, 1, answerIDAfter(100*time.Millisecond))
-	c, id := h.dialBusy()
+	client, id := h.dialBusy()
 	h.proxy.mu.Lock()
 	for conn := range h.proxy.clients {
 		conn.evicted = true
 		conn.wakeReader()
 	}
 	h.proxy.mu.Unlock()
-	time.Sleep(20 * time.Millisecond) // by now its reader waits for the answer
-	second, id2 := newCommand("lookup")
-	writeText(c, second)
-	h.wantEqual("the first", c.readRESPAnswer(), "v"+id)
-	h.wantEqual("the second", c.readRESPAnswer(), "v"+id2)
-	h.wantEqual("and then", c.readRESPAnswer(), "closed")
+	time.Sleep(20 * time.Millisecond) // the connection's reader now waits for the outstanding answer
+	second, secondID := newCommand("lookup")
+	writeText(client, second)
+	h.wantEqual("the first command", client.readRESPAnswer(), "v"+id)
+	h.wantEqual("the second command", client.readRESPAnswer(), "v"+secondID)
+	h.wantEqual("the connection after its answers", client.readRESPAnswer(), "closed")
 }
 
 // An endpoint that restarts gets new connections.
 func TestRESPEndpointRestarts(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	endpoint := h.addEndpoint(1, 1, answerID)
-	for start := range 3 {
-		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.listener.Addr().String(), State: "ready", Build: 1, StartedAt: float64(start)})
+	for incarnation := range 3 {
+		h.updateEndpoints(false, endpoints.Endpoint{ID: 1, Addr: endpoint.listener.Addr().String(), State: "ready", Build: 1, StartedAt: float64(incarnation)})
 		for range 3 {
 			text, id := newCommand("seal")
 			h.wantEqual("served", h.askOnce(text), "v"+id)
 		}
 	}
-	if n := h.proxy.Stats(); n.Dials != 3 || n.EndpointConns != 1 {
-		t.Errorf("%d dials, %d connections", n.Dials, n.EndpointConns)
+	if stats := h.proxy.Stats(); stats.Dials != 3 || stats.EndpointConns != 1 {
+		t.Errorf("%d dials and %d connections, want 3 and 1", stats.Dials, stats.EndpointConns)
 	}
 }
 
 // A connection that has been idle for too long is not reused, even if the periodic sweep has not closed it yet: its
 // endpoint may be closing it, and an attempt written to it may have run.
 func TestRESPIdleConnectionNotReused(t *testing.T) {
-	h := newRESPHarness(t, func(s *config.Router) { s.Endpoints.IdleTimeoutSeconds = 0.2 })
+	h := newRESPHarness(t, func(settings *config.Router) { settings.Endpoints.IdleTimeoutSeconds = 0.2 })
 	h.addEndpoint(1, 1, answerID)
 	h.proxy.mu.Lock()
 	h.proxy.idleSweepAt = h.proxy.Now() + 1000
@@ -361,14 +368,14 @@
 		time.Sleep(pause)
 		text, id := newCommand("seal")
 		h.wantEqual("served", h.askOnce(text), "v"+id)
-		if n := h.proxy.Stats(); n.Dials != uint64(1+i/2) {
-			t.Errorf("%d dials after a pause of %v", n.Dials, pause)
+		if stats := h.proxy.Stats(); stats.Dials != uint64(1+i/2) {
+			t.Errorf("%d dials after a pause of %v, want %d", stats.Dials, pause, 1+i/2)
 		}
 	}
 }
 
-// No state is kept for ids, keys, endpoints and connections that are gone.
-func TestRESPKeepsNothing(t *testing.T) {
+// The proxy releases all state of requests (ids and keys), endpoints and connections that have ended.
+func TestRESPReleasesState(t *testing.T) {
 	h := newRESPHarness(t, nil)
 	for i := range 30 {
 		endpoint := h.addEndpoint(uint32(i+1), i, answerID)
@@ -380,7 +387,7 @@
 		}
 		h.updateEndpoints(true, endpoints.Endpoint{ID: uint32(i + 1), Addr: endpoint.listener.Addr().String(), State: "ready", Build: i})
 	}
-	h.eventually("nothing is kept", func() bool {
+	h.eventually("all state is released", func() bool {
 		h.proxy.mu.Lock()
 		defer h.proxy.mu.Unlock()
 		return len(h.proxy.requestIDs) == 0 && len(h.proxy.clients) == 0 && len(h.proxy.deadlines) == 0 && len(h.proxy.pools) <= 2 && len(h.proxy.endpointConns) <= 20
