--- a/internal/platform/resp/read.go
+++ b/internal/platform/resp/read.go
@@ -77,7 +77,7 @@
 // Reply is an endpoint's reply: an error line or the values of an array.
 type Reply struct {
 	Error  string
-	Values [][]byte // nil for a null value
+	Values [][]byte // an element is nil for a null value
 }
 
 // ReadReply reads an endpoint's reply. Errors are as for ReadCommand.
--- a/internal/proxy/http_message.go
+++ b/internal/proxy/http_message.go
@@ -29,8 +29,8 @@
 	headerVersion        = "Flint-Version"   // to clients: the configuration version that served the request
 	headerNeverRan       = "Flint-Never-Ran" // from endpoints, with 503: they have not started the request
 
-	ownPathPrefix   = "/.flint/"
-	wrongAnswerPath = ownPathPrefix + "wrong"
+	ownPathPrefix   = "/.flint/"              // paths that the proxy answers itself
+	wrongAnswerPath = ownPathPrefix + "wrong" // clients report a wrong answer here, with its receipt
 )
 
 const (
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -77,11 +77,11 @@
 // readTimeoutSeconds returns how long a command may take to arrive completely. The caller holds Proxy.mu.
 func (resp2) readTimeoutSeconds(conn *clientConn) float64 {
 	p := conn.proxy
-	timeout := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds, conn.evicted)
+	timeoutSeconds := loadshed.ReadTimeoutSeconds(p.currentConfig.Load().Document.Clients.ReadTimeoutSeconds, conn.evicted)
 	if p.draining && p.answerDeadline > 0 {
-		timeout = max(0, min(timeout, p.answerDeadline-p.Now()))
+		timeoutSeconds = max(0, min(timeoutSeconds, p.answerDeadline-p.Now()))
 	}
-	return timeout
+	return timeoutSeconds
 }
 
 // firstByteTimeoutSeconds returns how long a connection may stay idle before its next command. A new connection that
@@ -106,7 +106,7 @@
 	idleSince, pauseSeconds := time.Now(), 0.0
 	for {
 		state := conn.answers.state()
-		timeout := proto.firstByteTimeoutSeconds(conn, first)
+		timeoutSeconds := proto.firstByteTimeoutSeconds(conn, first)
 		var until time.Time
 		switch {
 		case state.broken:
@@ -116,7 +116,7 @@
 		case conn.shouldClose(first) && br.Buffered() == 0 && !conn.socket.hasUnread():
 			return false
 		default:
-			until = idleSince.Add(secondsToDuration(timeout))
+			until = idleSince.Add(secondsToDuration(timeoutSeconds))
 		}
 		wait := peekByte
 		hangUpOnly := !state.mayPipeline || pauseSeconds > 0 // no command may be read now
