--- a/internal/proxy/pending_answers_test.go
+++ b/internal/proxy/pending_answers_test.go
@@ -125,7 +125,7 @@
 		writeText(client, text)
 		h.eventually("in flight", func() bool { return h.proxy.Stats().Attempts == 1 })
 		h.proxy.SetAnswerDeadline(h.proxy.Now() + 0.2)
-		h.wantEqual(class, client.readLine(), want)
+		h.wantEqual(class, client.readRESPAnswer(), want)
 	}
 }
 
@@ -151,7 +151,7 @@
 	for range 300 {
 		text, id := newLongCommand("lookup")
 		writeText(client, text)
-		h.wantEqual("served", client.readLine(), "v"+id)
+		h.wantEqual("served", client.readRESPAnswer(), "v"+id)
 	}
 	close(served)
 	<-moved
@@ -172,11 +172,11 @@
 		h.proxy.StopServing()
 		if complete {
 			writeText(client, text[20:])
-			h.wantEqual("answer to the complete command", client.readLine(), "v"+id)
+			h.wantEqual("answer to the complete command", client.readRESPAnswer(), "v"+id)
 		} else {
-			h.wantEqual("answer to the partial command", client.readLine(), "-ERR the command did not come whole in time")
+			h.wantEqual("answer to the partial command", client.readRESPAnswer(), "-ERR the command did not come whole in time")
 		}
-		h.wantEqual("end of the connection", client.readLine(), "closed")
+		h.wantEqual("end of the connection", client.readRESPAnswer(), "closed")
 	}
 }
 
@@ -207,7 +207,7 @@
 		})
 	})
 	client.wantServed("seal")
-	h.wantEqual("end of the connection", client.readLine(), "closed")
+	h.wantEqual("end of the connection", client.readRESPAnswer(), "closed")
 }
 
 // The proxy detects in every state of a client connection that the client disconnects, and sends no further attempt of
@@ -314,7 +314,7 @@
 		if received := endpoint.acceptAndRead(t); strings.Contains(received, "API") {
 			t.Errorf("%+v: the endpoint received %q", change, received)
 		}
-		h.wantEqual("answer of endpoint 2", client.readLine(), "v"+id)
+		h.wantEqual("answer of endpoint 2", client.readRESPAnswer(), "v"+id)
 		if other.count() != 1 {
 			t.Errorf("%+v: endpoint 2 received %d attempts, want 1", change, other.count())
 		}
@@ -367,7 +367,7 @@
 		return false
 	})
 	close(cutNow)
-	h.wantEqual("answer to the large command", c.readLine(), "vbig")
+	h.wantEqual("answer to the large command", c.readRESPAnswer(), "vbig")
 }
 
 // CloseListener closes the listener only after Serve has accepted the connections in the kernel's accept queue.
@@ -398,7 +398,7 @@
 	}
 	<-closed
 	for i, c := range waiting {
-		h.wantEqual("answer on a queued connection", c.readLine(), want[i])
+		h.wantEqual("answer on a queued connection", c.readRESPAnswer(), want[i])
 	}
 }
 
@@ -422,7 +422,7 @@
 	})
 	time.Sleep(150 * time.Millisecond) // longer than the read and idle timeouts
 	for range 8 {
-		if got := client.readLine(); got != value {
+		if got := client.readRESPAnswer(); got != value {
 			t.Fatalf("got %.60q of %d bytes, want %d bytes", got, len(got), len(value))
 		}
 	}
