--- a/internal/configstate/version.go
+++ b/internal/configstate/version.go
@@ -21,8 +21,8 @@
 	classIndex          map[string]int // index in Policy.Classes by class name; nil until it is applied
 }
 
-// Read parses a version's text in the same way as the program's own file.
-func Read(number uint64, text []byte) (*Version, error) {
+// ParseVersion parses a version's text in the same way as the program's own file.
+func ParseVersion(number uint64, text []byte) (*Version, error) {
 	document, err := config.ParseDocument(fmt.Sprintf("version-%d", number), text)
 	if err != nil {
 		return nil, err
--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -42,7 +42,7 @@
 	}
 	var proposed *configstate.Version
 	propose := func(number uint64, text string) {
-		version, err := configstate.Read(number, []byte(text))
+		version, err := configstate.ParseVersion(number, []byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 	if assignment := report("c", 0, 0, 0, ""); assignment.ConfigNo != 5 || assignment.ConfigTextNo != 5 {
 		t.Error("one that starts lacks the text", assignment.ConfigNo, assignment.ConfigTextNo)
 	}
-	old, err := configstate.Read(4, []byte(document))
+	old, err := configstate.ParseVersion(4, []byte(document))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -24,7 +24,7 @@
 	text := configVersionText(b)
 	b.ReportAllocs()
 	for no := uint64(1); b.Loop(); no++ {
-		v, err := configstate.Read(no, []byte(text))
+		v, err := configstate.ParseVersion(no, []byte(text))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 						return
 					default:
 					}
-					v, err := configstate.Read(no, []byte(text))
+					v, err := configstate.ParseVersion(no, []byte(text))
 					if err != nil {
 						b.Error(err)
 						return
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -26,7 +26,7 @@
 	if err != nil || last == nil {
 		return store, err
 	}
-	v, err := configstate.Read(last.Number, []byte(last.Text))
+	v, err := configstate.ParseVersion(last.Number, []byte(last.Text))
 	if err == nil {
 		err = apply(v)
 	}
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.bringsNewText(assignment) {
-		version, err := configstate.Read(assignment.ConfigTextNo, assignment.ConfigText)
+		version, err := configstate.ParseVersion(assignment.ConfigTextNo, assignment.ConfigText)
 		if err != nil {
 			c.reject(assignment.ConfigTextNo, err)
 			return
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -34,7 +34,7 @@
 	if document.Schema != config.DocumentSchema {
 		return nil, fmt.Errorf("schema %d; this program reads %d", document.Schema, config.DocumentSchema)
 	}
-	version, err := configstate.Read(document.Number, []byte(document.Text))
+	version, err := configstate.ParseVersion(document.Number, []byte(document.Text))
 	if err != nil {
 		return nil, err
 	}
