--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -38,8 +38,8 @@
 // String returns the outcome's name, for logs and tests.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// ErrOvertaken says that a waiting version was rejected because another one came into force first.
-var ErrOvertaken = errors.New("overtaken by another version while it waited")
+// ErrSuperseded says that a waiting version was rejected because another one came into force first.
+var ErrSuperseded = errors.New("overtaken by another version while it waited")
 
 // State holds the version in force and the one that waits for its endpoint list.
 type State struct {
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -113,7 +113,7 @@
 		if v.state.Current().Number == version.Number {
 			return configstate.Applied, false, nil
 		}
-		return configstate.Rejected, false, configstate.ErrOvertaken
+		return configstate.Rejected, false, configstate.ErrSuperseded
 	}
 	outcome, err = proposal.Decide(c.now(), c.leader.Routers(), c.endpointList.Version)
 	if outcome == configstate.Waiting {
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -94,7 +94,7 @@
 	case v.inForce() == waiting.Number:
 		return configstate.Applied, nil
 	}
-	return configstate.Rejected, configstate.ErrOvertaken
+	return configstate.Rejected, configstate.ErrSuperseded
 }
 
 // inForce returns the number of the version in force, 0 for that of the settings file.
