--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,16 +1,16 @@
-// Package lease decides, for the channel between a controller and its routers, which messages count and what share of
-// the free canary attempts each router may use. It does no I/O, starts no goroutine and reads no clock.
+// Package lease decides which messages between a controller and its routers are accepted, and leases each router a
+// share of the free canary attempts. It does no I/O, starts no goroutine and reads no clock.
 //
 // The controller is the leader, each router is a follower. Every controller process has an epoch, which is higher than
-// that of every controller process before it, like a term in raft: a router follows the highest epoch that it has heard
-// of and no other. Every router process has an incarnation, which is higher than that of the router's earlier
-// processes. Messages carry a sequence that increases within the process that sends them.
+// that of every earlier controller process, like a term in Raft: a router follows only the highest epoch that it has
+// received. Every router process has an incarnation, which is higher than that of the router's earlier processes.
+// Messages carry a sequence number that increases within the sending process.
 //
-// Routers send reports, controllers send assignments. Both are idempotent and cumulative: a report holds all that the
-// router process has counted, an assignment all that binds the router. So only the newest message counts, and it is
-// harmless if one is lost, repeated or reordered.
+// Routers send reports, controllers send assignments. Both are idempotent and cumulative: a report contains everything
+// that the router process has counted so far, an assignment the complete state that the router must apply. So only the
+// newest message matters, and a lost, repeated or reordered message does no harm.
 //
-// A Leader is the controller's end, a Follower a router's, and the Ledger records the shares that the leader
-// has leased. None of them is safe for concurrent use. Times are float seconds: instants are on the caller's
-// clock and end in At, durations end in Seconds.
+// Leader implements the controller's side, Follower the router's, and Ledger records the shares that the leader has
+// leased. None of them is safe for concurrent use. Times are float64 seconds: names of instants, on the caller's clock,
+// end in At, and names of durations end in Seconds.
 package lease
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -1,42 +1,42 @@
 package lease
 
-// sentReportsKept is the number of most recent reports whose sending times a follower keeps.
+// sentReportsKept is the number of most recent reports whose send times a follower keeps.
 const sentReportsKept = 64
 
-// unknownSentAt is the value of acknowledgedSentAt if the last assignment acknowledged no
-// report with a known sending time.
+// unknownSentAt is the value of acknowledgedSentAt if the last assignment acknowledged no report, or one whose send time
+// is no longer kept.
 const unknownSentAt = -1
 
-// Follower is a router's end of the channel. It follows the controller with the highest
-// epoch that it has heard of, and no other.
+// Follower is the router's side of the protocol. It follows only the controller with the highest epoch that it has
+// received.
 type Follower struct {
 	incarnation        uint64
-	reportsSent        uint64                   // also the sequence of the last one
-	reportSentAt       [sentReportsKept]float64 // indexed by sequence modulo the size
+	reportsSent        uint64                   // also the sequence number of the last report
+	reportSentAt       [sentReportsKept]float64 // indexed by sequence number modulo sentReportsKept
 	leaderEpoch        uint64
-	assignmentSeq      uint64  // sequence of the last assignment accepted, within leaderEpoch
-	acknowledgedSentAt float64 // sending time of the report that the last assignment acknowledged
+	assignmentSeq      uint64  // sequence number of the last accepted assignment, within leaderEpoch
+	acknowledgedSentAt float64 // send time of the report that the last accepted assignment acknowledged
 	content            ContentVersions
 
 	// Refused counts rejected assignments by reason.
 	Refused [ReasonCount]uint64
 }
 
-// NewFollower returns the follower of a router process at its start. Its incarnation must be
-// higher than that of the router's earlier processes.
+// NewFollower returns a follower for a router process that starts now. Its incarnation must be higher than that of the
+// router's earlier processes.
 func NewFollower(incarnation uint64) *Follower { return &Follower{incarnation: incarnation} }
 
-// NextReport numbers a report that is sent now, and returns the header values to send with
-// it; epoch is the epoch followed, 0 for none.
+// NextReport returns the header values of a report that is sent now; epoch is that of the controller followed, or 0 if
+// there is none yet.
 func (f *Follower) NextReport(now float64) (incarnation, sequence, epoch uint64) {
 	f.reportsSent++
 	f.reportSentAt[f.reportsSent%sentReportsKept] = now
 	return f.incarnation, f.reportsSent, f.leaderEpoch
 }
 
-// AcceptAssignment reports whether an assignment counts and, if so, which parts of its content the router must apply. A
-// part that is older than what the router has, such as an endpoint list that a restarted controller read from its disk,
-// is skipped, while the rest of the assignment counts.
+// AcceptAssignment checks an assignment and, if it is accepted, returns which parts of its content the router must
+// apply. A part that is older than what the router has, such as an endpoint list that a restarted controller read from
+// its disk, is skipped, while the rest of the assignment applies.
 func (f *Follower) AcceptAssignment(header AssignmentHeader, content ContentVersions) (reason Reason, applyEndpoints, applyRelease bool) {
 	if reason = f.checkAssignment(header); reason != Accepted {
 		f.Refused[reason]++
@@ -55,7 +55,7 @@
 	return Accepted, applyEndpoints, applyRelease
 }
 
-// checkAssignment returns the reason why an assignment does not count, or Accepted.
+// checkAssignment returns Accepted, or the reason why an assignment is rejected.
 func (f *Follower) checkAssignment(header AssignmentHeader) Reason {
 	switch {
 	case header.Major != SchemaMajor:
@@ -72,8 +72,8 @@
 	return Accepted
 }
 
-// sentAt returns when a report was sent, or unknownSentAt. An assignment that acknowledges a report from
-// too long ago proves nothing about the present.
+// sentAt returns when a report was sent, or unknownSentAt if that is no longer kept. An assignment that acknowledges so
+// old a report does not show that the controller is alive now, so it grants no lease.
 func (f *Follower) sentAt(report uint64) float64 {
 	if report > 0 && f.reportsSent-report < sentReportsKept {
 		return f.reportSentAt[report%sentReportsKept]
@@ -81,15 +81,15 @@
 	return unknownSentAt
 }
 
-// RestoreEndpointsAt records that the router has loaded an endpoint list from its own disk that was
-// true at listAt, in seconds since the Unix epoch.
+// RestoreEndpointsAt records that the router has loaded an endpoint list from its own disk. The list is as of listAt, in
+// seconds since the Unix epoch.
 func (f *Follower) RestoreEndpointsAt(listAt float64) {
 	f.content.EndpointsAt = max(f.content.EndpointsAt, listAt)
 }
 
-// LeaseEndsAt returns when the lease of the last assignment ends, or 0 if it has none. The lease is counted from the
-// sending of the report that the assignment acknowledges: that was before the leader granted the lease, so the lease
-// ends here no later than in the leader's ledger, however long either message took.
+// LeaseEndsAt returns when the lease of the last accepted assignment ends, or 0 if it has none. The lease starts when the
+// router sent the report that the assignment acknowledges. The leader granted it after that, so it ends here no later
+// than in the leader's ledger, however long either message took.
 func (f *Follower) LeaseEndsAt(leaseSeconds float64) float64 {
 	if f.acknowledgedSentAt < 0 {
 		return 0
@@ -97,11 +97,12 @@
 	return f.acknowledgedSentAt + leaseSeconds
 }
 
-// AssignmentAge returns the maximum age of the last assignment, in seconds. startedAt is when the router process
-// started, which counts while there is no assignment.
+// AssignmentAge returns an upper bound on the age of the last accepted assignment, in seconds. Before the first one, it
+// is the time since startedAt, the start of the router process.
 func (f *Follower) AssignmentAge(now, startedAt float64) float64 {
 	return now - max(startedAt, f.acknowledgedSentAt)
 }
 
-// Following returns the epoch followed, 0 for none yet, and the sequence of its last assignment.
+// Following returns the epoch of the controller followed, 0 if there is none yet, and the sequence number of the last
+// assignment accepted from it.
 func (f *Follower) Following() (epoch, sequence uint64) { return f.leaderEpoch, f.assignmentSeq }
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// Leader is a controller's end of the channel.
+// Leader is the controller's side of the protocol.
 type Leader struct {
 	epoch                uint64
-	newerEpoch           uint64 // highest epoch known to have succeeded this one; 0: none
-	assignmentsSent      uint64 // also the sequence of the last one
+	newerEpoch           uint64 // highest epoch known of a newer controller; 0: none
+	assignmentsSent      uint64 // also the sequence number of the last assignment
 	routers              map[string]*router
 	routerTimeoutSeconds float64
 	ledger               *Ledger
@@ -19,23 +19,23 @@
 	Refused [ReasonCount]uint64
 }
 
-// router is the state of a router that is alive.
+// router is the state of a live router, one that has reported within routerTimeoutSeconds.
 type router struct {
 	incarnation  uint64
-	sequence     uint64 // sequence of its last report
+	sequence     uint64 // of its last accepted report
 	lastReportAt float64
 }
 
-// NewLeader returns the leader of a controller process at its start. Its epoch must be higher than that of every
-// earlier controller process. A lease lasts leaseSeconds, the canary limit counts attempts over windowSeconds, and a
-// router that has not reported for routerTimeoutSeconds is considered dead.
+// NewLeader returns a leader for a controller process that starts now. Its epoch must be higher than that of every
+// earlier controller process. A lease lasts leaseSeconds, the canary traffic limit counts attempts over a window of
+// windowSeconds, and a router that has not reported for routerTimeoutSeconds is considered dead.
 func NewLeader(epoch uint64, leaseSeconds, windowSeconds, routerTimeoutSeconds, now float64) *Leader {
 	return &Leader{epoch: epoch, routerTimeoutSeconds: routerTimeoutSeconds, ledger: NewLedger(leaseSeconds, windowSeconds, now),
 		routers: map[string]*router{}, leaseSeconds: leaseSeconds}
 }
 
-// AcceptReport reports whether a router's report counts. followedEpoch is the epoch that the router follows: if it is
-// higher than this controller's, another controller has succeeded it, and this one stops being the leader for good.
+// AcceptReport checks a router's report. followedEpoch is the epoch that the router follows: if it is higher than this
+// controller's, a newer controller has superseded this one, which is never the leader again.
 func (l *Leader) AcceptReport(now float64, major uint32, name string, incarnation, sequence, followedEpoch uint64) Reason {
 	reason := l.checkReport(major, l.routers[name], incarnation, sequence, followedEpoch)
 	if reason == Superseded {
@@ -49,8 +49,8 @@
 	return Accepted
 }
 
-// checkReport returns the reason why a report does not count, or Accepted; known is nil
-// for a router not known to be alive.
+// checkReport returns Accepted, or the reason why a report is rejected. known is nil unless the router is known to be
+// alive.
 func (l *Leader) checkReport(major uint32, known *router, incarnation, sequence, followedEpoch uint64) Reason {
 	switch {
 	case major != SchemaMajor:
@@ -65,18 +65,17 @@
 	return Accepted
 }
 
-// IsLeader reports whether this controller is the newest, as far as it knows. If not, it
-// leases nothing and must not vote.
+// IsLeader reports whether this controller knows of no newer one. Otherwise it grants no leases and must not vote.
 func (l *Leader) IsLeader() bool { return l.newerEpoch == 0 }
 
-// NewerEpoch returns the highest epoch known to have succeeded this one, 0 for none.
+// NewerEpoch returns the highest epoch known of a newer controller, or 0 if there is none.
 func (l *Leader) NewerEpoch() uint64 { return l.newerEpoch }
 
 // Epoch returns this controller's epoch.
 func (l *Leader) Epoch() uint64 { return l.epoch }
 
 // NextAssignment returns the header of the next assignment for a router, the share leased to it, from 0 to 1, and the
-// length of the lease. A router that has not reported receives no share.
+// duration of the lease. A router that is not alive receives no share.
 func (l *Leader) NextAssignment(now float64, name string) (header AssignmentHeader, share, leaseSeconds float64) {
 	l.assignmentsSent++
 	header = AssignmentHeader{Major: SchemaMajor, Epoch: l.epoch, Sequence: l.assignmentsSent}
@@ -89,14 +88,14 @@
 	return header, share, l.leaseSeconds
 }
 
-// leaseHolder identifies one process of a router: a new process does not take over the lease of
-// the previous one, whose attempts still count.
+// leaseHolder identifies one process of a router. A new process does not take over the lease of the previous one, whose
+// attempts still count against the canary traffic limit.
 func leaseHolder(name string, incarnation uint64) string {
 	return name + "/" + strconv.FormatUint(incarnation, 10)
 }
 
-// ExpireRouters forgets the routers that have not reported for too long and returns their
-// names, unsorted. Their leases expire on their own.
+// ExpireRouters removes the routers that have not reported for more than routerTimeoutSeconds, and returns their names in
+// no particular order. Their leases stay in the ledger until they end.
 func (l *Leader) ExpireRouters(now float64) (names []string) {
 	for name, known := range l.routers {
 		if now-known.lastReportAt > l.routerTimeoutSeconds {
@@ -107,7 +106,7 @@
 	return names
 }
 
-// Routers returns the names of the routers alive, sorted.
+// Routers returns the sorted names of the live routers.
 func (l *Leader) Routers() []string {
 	names := make([]string, 0, len(l.routers))
 	for name := range l.routers {
@@ -117,8 +116,8 @@
 	return names
 }
 
-// RouterCount returns the number of routers alive.
+// RouterCount returns the number of live routers.
 func (l *Leader) RouterCount() int { return len(l.routers) }
 
-// LeasedShare returns the sum of the shares that may be in use or still count in the window, at most 1.
+// LeasedShare returns the sum of the shares that may be in use or still count in the canary window, at most 1.
 func (l *Leader) LeasedShare(now float64) float64 { return l.ledger.Outstanding(now) }
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -6,27 +6,27 @@
 const minShare = 1e-9
 
 // Ledger records the leased shares of the free canary attempts. A lease may be in use until it ends, and the attempts
-// made under it count in the canary limit's window after that; only then may its share be leased again. So the
-// outstanding shares never sum to more than 1, whichever router dies and whichever message is lost.
+// made under it count for another window of the canary traffic limit. Only after that may its share be leased again, so
+// that the outstanding shares never sum to more than 1, whichever router dies and whichever message is lost.
 type Ledger struct {
 	leaseSeconds  float64
-	windowSeconds float64 // window over which the canary limit counts attempts
-	firstGrantAt  float64
+	windowSeconds float64            // window over which the canary traffic limit counts attempts
+	firstGrantAt  float64            // no lease is granted before
 	leases        map[string][]grant // by holder, ordered by end
 }
 
-// grant is one lease.
+// grant is a leased share and the end of its lease.
 type grant struct{ share, endsAt float64 }
 
-// NewLedger returns the ledger of a controller process at its start. Leases of the previous controller may still be in
-// use, so it grants nothing until they must have ended and left the window.
+// NewLedger returns a ledger for a controller process that starts now. Leases of the previous controller may still be in
+// use, so it grants none until all of those have ended and left the window.
 func NewLedger(leaseSeconds, windowSeconds, now float64) *Ledger {
 	return &Ledger{leaseSeconds: leaseSeconds, windowSeconds: windowSeconds, firstGrantAt: now + leaseSeconds + windowSeconds,
 		leases: map[string][]grant{}}
 }
 
-// Grant leases a holder an even share among the given number of holders, or what is left if that is less,
-// starting now. It returns 0 if nothing is left.
+// Grant leases a share to a holder from now on: 1/holders, or the rest that is not leased to others if that is less. It
+// returns 0 if there is no rest.
 func (l *Ledger) Grant(now float64, holder string, holders int) (share float64) {
 	l.expire(now)
 	if now < l.firstGrantAt {
@@ -45,8 +45,7 @@
 	return share
 }
 
-// record adds a lease that starts now. If it renews the holder's latest lease with the
-// same share, only that one's end moves.
+// record adds a lease that starts now. If the holder's latest lease has the same share, it extends that one instead.
 func (l *Ledger) record(now float64, holder string, share float64) {
 	granted := l.leases[holder]
 	if n := len(granted); n > 0 && granted[n-1].share == share {
@@ -56,7 +55,7 @@
 	l.leases[holder] = append(granted, grant{share, now + l.leaseSeconds})
 }
 
-// outstandingOf returns the largest share that a holder may still be using, or has used within the window.
+// outstandingOf returns the largest share that a holder may still be using, or may have used within the window.
 func (l *Ledger) outstandingOf(holder string) (largest float64) {
 	for _, g := range l.leases[holder] {
 		largest = max(largest, g.share)
@@ -64,7 +63,7 @@
 	return largest
 }
 
-// expire drops leases that have ended and left the window.
+// expire removes the leases that have ended and left the window.
 func (l *Ledger) expire(now float64) {
 	for holder, granted := range l.leases {
 		kept := granted[:0]
@@ -81,14 +80,14 @@
 	}
 }
 
-// Outstanding returns the sum of the shares that may be in use or still count in the window.
+// Outstanding returns the sum of the shares that may be in use or still count in the canary window.
 func (l *Ledger) Outstanding(now float64) (sum float64) {
 	l.expire(now)
 	holders := make([]string, 0, len(l.leases))
 	for holder := range l.leases {
 		holders = append(holders, holder)
 	}
-	sort.Strings(holders) // float sums depend on their order; equal calls must return equal sums
+	sort.Strings(holders) // a float sum depends on the order of its terms; equal states must have equal sums
 	for _, holder := range holders {
 		sum += l.outstandingOf(holder)
 	}
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// The version of the message schema. Peers whose major versions differ reject each other's
-// messages; a higher minor version only adds fields.
+// The version of the message schema. Peers whose major versions differ reject each other's messages; a higher minor
+// version only adds fields.
 const (
 	SchemaMajor = 1
 	SchemaMinor = 1
@@ -12,10 +12,10 @@
 // AssignmentHeader identifies an assignment.
 type AssignmentHeader struct {
 	Major              uint32 // major version of the schema
-	Epoch              uint64 // epoch of the controller process that sent it
-	Sequence           uint64 // increases within that epoch
-	Incarnation        uint64 // incarnation of the router process that it is for
-	AcknowledgedReport uint64 // sequence of the last report of that process that the controller accepted; 0: none
+	Epoch              uint64 // epoch of the sending controller process
+	Sequence           uint64 // increases within the epoch
+	Incarnation        uint64 // incarnation of the router process that the assignment is for
+	AcknowledgedReport uint64 // sequence number of the last report accepted from that process; 0: none
 }
 
 // String describes the assignment in logs and test failures.
@@ -25,22 +25,22 @@
 
 // ContentVersions identifies how recent the two parts of an assignment's content are.
 type ContentVersions struct {
-	EndpointsAt    float64 // when the endpoint list was true, in seconds since the Unix epoch
+	EndpointsAt    float64 // time that the endpoint list is as of, in seconds since the Unix epoch
 	ReleaseVersion uint64  // the release service's version of the release; 0: none known yet
 }
 
-// A Reason says whether a message counts and, if not, why. Its String is the value of a metric's label.
+// Reason is the result of checking a message: Accepted, or why the message is rejected. Its String is a metric label.
 type Reason int
 
-// The reasons. A message with any reason but Accepted changes nothing.
+// The reasons. A rejected message changes nothing, except that Superseded ends the receiving controller's leadership.
 const (
-	Accepted         Reason = iota // the message counts
+	Accepted         Reason = iota // the message must be applied
 	SchemaMismatch                 // the sender's major schema version differs
-	OtherIncarnation               // it is for another process of the router, or from an earlier one
-	StaleEpoch                     // it is from a controller that has been succeeded by another
-	StaleSequence                  // it is a duplicate, or a newer message has arrived before it
-	UnknownReport                  // it acknowledges a report that was never sent
-	Superseded                     // the controller that received it is no longer the newest
+	OtherIncarnation               // an assignment for another process of the router, or a report from an earlier one
+	StaleEpoch                     // an assignment from a controller that a newer one has superseded
+	StaleSequence                  // a duplicate, or a newer message has arrived first
+	UnknownReport                  // an assignment that acknowledges a report that was never sent
+	Superseded                     // a report from a router that follows a newer controller than the receiver
 	reasonCount
 )
 
@@ -57,5 +57,5 @@
 	Superseded:       "superseded",
 }
 
-// String returns the label value under which metrics count the reason.
+// String returns the metric label value of the reason.
 func (r Reason) String() string { return reasonNames[r] }
