--- a/internal/configstate/proposal.go
+++ b/internal/configstate/proposal.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Proposal is a version that a controller proposes to its routers. It is applied once every live router has reported
-// that it could apply it; a single router that can't rejects it for all.
+// Proposal is a version that a controller proposes to its routers. The version is applied once every live router has
+// reported that it can apply it. If a single router reports that it cannot, the version is rejected for all.
 type Proposal struct {
 	Version   *Version
-	decideBy  float64
+	decideBy  float64         // when the proposal times out
 	accepted  map[string]bool // by router name
-	rejection string          // reason of the first router that can't apply it; "" for none
+	rejection string          // name and reason of the first router that cannot apply it; "" for none
 }
 
-// NewProposal returns a proposal of a version; maxWaitSeconds is how long it may wait for the
-// routers and for the endpoint list that it requires.
+// NewProposal returns a proposal of a version; maxWaitSeconds is how long it may wait for the routers and for the endpoint
+// list that the version requires.
 func NewProposal(v *Version, now, maxWaitSeconds float64) *Proposal {
 	return &Proposal{Version: v, decideBy: now + maxWaitSeconds, accepted: map[string]bool{}}
 }
 
-// OnRouterStatus records a router's report on versions: the number of the one in force, of the one that it could apply,
-// and of the one that it can't, with the reason.
+// OnRouterStatus records a router's report on versions: the number of the version in force there, of the version that
+// the router can apply, and of the version that it cannot apply, with the reason. The last two are 0 if there is none.
 func (p *Proposal) OnRouterStatus(router string, inForce, applicable, rejected uint64, reason string) {
 	switch p.Version.Number {
 	case inForce, applicable:
@@ -35,14 +35,14 @@
 	}
 }
 
-// Decide returns the outcome of the proposal, given the live routers and the version of the endpoint
-// list. Routers that have died since don't count; routers that have started since do. The error is
-// non-nil if and only if the proposal is rejected.
+// Decide returns the outcome of the proposal, given the names of the live routers and the version of the endpoint list.
+// All routers that are alive now must accept, including those that started after the proposal was made; those that have
+// died since need not. The error is non-nil if and only if the proposal is rejected.
 func (p *Proposal) Decide(now float64, alive []string, listVersion uint64) (Outcome, error) {
 	if p.rejection != "" {
 		return Rejected, errors.New(p.rejection)
 	}
-	missing := p.withoutAnswer(alive)
+	missing := p.notAccepted(alive)
 	hasList := p.Version.RequiredListVersion <= listVersion
 	switch {
 	case len(missing) == 0 && hasList:
@@ -55,8 +55,8 @@
 	return Rejected, fmt.Errorf("no word in time from edges %s", strings.Join(missing, ", "))
 }
 
-// withoutAnswer returns the routers that have not accepted the proposal, sorted.
-func (p *Proposal) withoutAnswer(routers []string) (missing []string) {
+// notAccepted returns the sorted names of those routers that have not accepted the proposal.
+func (p *Proposal) notAccepted(routers []string) (missing []string) {
 	for _, name := range routers {
 		if !p.accepted[name] {
 			missing = append(missing, name)
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -9,17 +9,17 @@
 	"flintspread/internal/policy"
 )
 
-// maxClasses bounds the number of request classes over the lifetime of a process: those
-// that a version drops keep their index.
+// maxClasses bounds the number of request classes over the lifetime of a process. Classes that a later version removes
+// keep their index and still count.
 const maxClasses = 1024
 
-// Conditions describes the present situation that a version must fit.
+// Conditions describes the current state of the program, which a version must be compatible with.
 type Conditions struct {
 	InFlight    map[string]int // requests in flight, by class name
 	ClientConns int            // open client connections
-	HasZones    bool           // some endpoint is in a zone
-	HasCells    bool           // some endpoint is in a cell
-	ListVersion uint64         // version of the endpoint list
+	HasZones    bool           // at least one endpoint is in a zone
+	HasCells    bool           // at least one endpoint is in a cell
+	ListVersion uint64         // version of the current endpoint list
 }
 
 // Outcome is the result of offering a version.
@@ -28,30 +28,30 @@
 // The outcomes.
 const (
 	Applied        Outcome = iota
-	AlreadyApplied         // it is already in force, for instance because its acknowledgement was lost
-	Waiting                // it waits for the endpoint list that it requires
-	Rejected               // the accompanying error gives the reason
+	AlreadyApplied         // already in force, for instance sent again because its acknowledgement was lost
+	Waiting                // waiting for the endpoint list that the version requires
+	Rejected               // for the reason in the accompanying error
 )
 
 var outcomeNames = [...]string{Applied: "applied", AlreadyApplied: "again", Waiting: "waits", Rejected: "turned down"}
 
-// String returns the outcome's name, for logs and tests.
+// String returns the outcome's name in logs and tests.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// ErrSuperseded says that a waiting version was rejected because another one came into force first.
+// ErrSuperseded is the error for a waiting version that was rejected because another one has replaced it.
 var ErrSuperseded = errors.New("overtaken by another version while it waited")
 
-// State holds the version in force and the one that waits for its endpoint list.
+// State holds the version in force and the one that is waiting for its endpoint list.
 type State struct {
 	current        *Version
 	classNames     []string // by index in Policy.Classes; an index is never reused for another class
 	pending        *Version
-	pendingUntil   float64
+	pendingUntil   float64 // when pending is rejected
 	maxWaitSeconds float64
 }
 
-// NewState returns a state with the configuration of the program's own file in force. maxWaitSeconds is how
-// long a version may wait for its endpoint list.
+// NewState returns a state with the program's configuration file in force, as version 0. maxWaitSeconds is how long a
+// version may wait for the endpoint list that it requires.
 func NewState(document *config.Document, text []byte, hash uint64, maxWaitSeconds float64) *State {
 	s := &State{maxWaitSeconds: maxWaitSeconds}
 	s.apply(&Version{Hash: hash, Text: text, Document: document})
@@ -61,14 +61,14 @@
 // Current returns the version in force.
 func (s *State) Current() *Version { return s.current }
 
-// Pending returns the version that waits, nil for none.
+// Pending returns the version that is waiting, or nil if there is none.
 func (s *State) Pending() *Version { return s.pending }
 
 // ClassName returns the name of the class at an index in Policy.Classes.
 func (s *State) ClassName(index int) string { return s.classNames[index] }
 
-// Check returns what Offer would do with a version, and changes nothing. The error is non-nil
-// if and only if the version would be rejected.
+// Check returns the outcome that Offer would have for a version, and changes nothing. The error is non-nil if and only if
+// the version would be rejected.
 func (s *State) Check(v *Version, c Conditions) (Outcome, error) {
 	switch current := s.current; {
 	case v.Number == current.Number && v.Hash == current.Hash:
@@ -87,8 +87,8 @@
 	return Applied, nil
 }
 
-// Offer applies a version, keeps it waiting in place of any earlier one, or rejects it. The
-// error is non-nil if and only if it is rejected.
+// Offer applies a version, keeps it waiting in place of any other waiting version, or rejects it. The error is non-nil if
+// and only if the version is rejected.
 func (s *State) Offer(now float64, v *Version, c Conditions) (Outcome, error) {
 	outcome, err := s.Check(v, c)
 	switch outcome {
@@ -103,8 +103,9 @@
 	return outcome, err
 }
 
-// Recheck re-evaluates the version that waits and returns it, nil for none: it may be applied now, or have waited for
-// too long. It must be called periodically, and whenever the endpoint list has changed.
+// Recheck re-evaluates the waiting version and returns it with its outcome, or nil if no version is waiting. It applies
+// the version if the endpoint list now allows it, and rejects it if it has waited too long. It must be called
+// periodically, and whenever the endpoint list has changed.
 func (s *State) Recheck(now float64, c Conditions) (*Version, Outcome, error) {
 	v := s.pending
 	if v == nil {
@@ -122,7 +123,8 @@
 	return v, Waiting, nil
 }
 
-// checkConditions returns an error if a version would break work in progress, which its text alone does not show.
+// checkConditions returns an error if a version, although valid on its own, is incompatible with the program's current
+// state.
 func (s *State) checkConditions(document *config.Document, c Conditions) error {
 	if err := checkDedupGroups(document, c); err != nil {
 		return err
@@ -133,7 +135,7 @@
 	if document.Clients.MaxConns < c.ClientConns {
 		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, c.ClientConns)
 	}
-	// Counts that were made under these rules would be misread under others.
+	// Existing counts depend on these rules and would be wrong under other values.
 	current := s.current.Document.Rules
 	if document.Rules.CanaryLimitPerClass != current.CanaryLimitPerClass {
 		return errors.New(":rules :count-per-op-type: cannot change while the program runs")
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// checkDedupGroups returns an error for a class whose keys are deduplicated within zones or cells that no endpoint has.
+// checkDedupGroups returns an error for a class whose deduplication scope is a zone or cell while no endpoint is in one.
 func checkDedupGroups(document *config.Document, c Conditions) error {
 	for _, class := range document.Classes {
 		if class.DedupScope == "zone" && !c.HasZones || class.DedupScope == "cell" && !c.HasCells {
@@ -157,8 +159,8 @@
 	return nil
 }
 
-// checkInFlight returns an error for a class that is dropped while requests of it are in flight. It reports the first
-// by name, so that equal states return equal errors.
+// checkInFlight returns an error for a class that is removed while requests of it are in flight. Of several classes, it
+// reports the first by name, so that equal states return equal errors.
 func checkInFlight(document *config.Document, inFlight map[string]int) error {
 	kept := map[string]bool{}
 	for _, class := range document.Classes {
@@ -177,22 +179,22 @@
 	return nil
 }
 
-// apply puts a version in force. Known classes keep their index, and new ones get new indexes; the index of a dropped
-// class stays reserved, for requests of it that are still in flight.
+// apply puts a version in force. Known classes keep their index and new ones get new indexes. The index of a removed class
+// stays reserved, because requests received under an earlier version may still refer to it.
 func (s *State) apply(v *Version) {
 	policyConfig := v.Document.Policy()
 	v.classIndex = make(map[string]int, len(v.Document.Classes))
-	taken := make(map[string]int, len(s.classNames))
+	indexes := make(map[string]int, len(s.classNames))
 	for i, name := range s.classNames {
-		taken[name] = i
+		indexes[name] = i
 	}
 	var classes []policy.RequestClass
 	if s.current != nil {
 		classes = append(classes, s.current.Policy.Classes...)
-		policyConfig.HasController = s.current.Policy.HasController // set by the program, not by its configuration
+		policyConfig.HasController = s.current.Policy.HasController // set by the program, not by the configuration
 	}
 	for i, class := range v.Document.Classes {
-		index, ok := taken[class.Name]
+		index, ok := indexes[class.Name]
 		if !ok {
 			index = len(s.classNames)
 			s.classNames = append(s.classNames, class.Name)
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -14,7 +14,8 @@
 	"flintspread/internal/policy"
 )
 
-var example = func() string {
+// exampleDocument is the text of the part of the example settings that a version may change.
+var exampleDocument = func() string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		panic(err)
@@ -22,44 +23,45 @@
 	return "{" + regexp.MustCompile(`(?s):schema.*\}`).FindString(string(text))
 }()
 
-// newVersion returns a version that carries its number in the timeout of each class and in the body
-// size, so that a mix of two versions is detected.
+// newVersion returns a version whose number is encoded in the timeout of each class and in the body size limit, so that
+// checkConsistent detects a mix of two versions.
 func newVersion(number uint64, classNames []string, requiredList uint64) *Version {
 	var classes, routes strings.Builder
 	for _, name := range classNames {
 		fmt.Fprintf(&classes, "{:name %q :target 0.3 :timeout %g :importance 1 :effect :redeliverable}", name, 1+float64(number)/1000)
 		fmt.Fprintf(&routes, "{:method \"GET\" :path \"/%s/\" :op-type %q}", name, name)
 	}
-	text := regexp.MustCompile(`(?s):op-types.*`).ReplaceAllString(example, ":op-types ["+classes.String()+"] :routes ["+routes.String()+"]}")
+	text := regexp.MustCompile(`(?s):op-types.*`).ReplaceAllString(exampleDocument, ":op-types ["+classes.String()+"] :routes ["+routes.String()+"]}")
 	text = strings.Replace(text, ":body-bytes  1048576", fmt.Sprintf(":body-bytes %d", 1000+number), 1)
-	document, err := config.ParseDocument("made", []byte(text))
+	document, err := config.ParseDocument("test", []byte(text))
 	if err != nil {
 		panic(err)
 	}
 	return &Version{Number: number, Hash: xxhash.Sum64String(text), Text: []byte(text), Document: document, RequiredListVersion: requiredList}
 }
 
-// checkWhole returns an error if a part of a version stems from another version.
-func checkWhole(v *Version) error {
+// checkConsistent returns an error if a part of a version belongs to another version.
+func checkConsistent(v *Version) error {
 	if v.Number > 0 && v.Document.Clients.BodyBytes != int64(1000+v.Number) {
-		return fmt.Errorf("version %d has the limits of %d", v.Number, v.Document.Clients.BodyBytes-1000)
+		return fmt.Errorf("version %d has the body size limit of version %d", v.Number, v.Document.Clients.BodyBytes-1000)
 	}
 	for _, class := range v.Document.Classes {
 		index := v.ClassOf("GET", "/"+class.Name+"/x")
 		if index < 0 || index >= len(v.Policy.Classes) || v.Policy.Classes[index].TimeoutSeconds != class.TimeoutSeconds {
-			return fmt.Errorf("version %d: %q has index %d of %d with another configuration", v.Number, class.Name, index, len(v.Policy.Classes))
+			return fmt.Errorf("version %d: class %q has index %d of %d, which is out of range or has the timeout of another version", v.Number, class.Name, index, len(v.Policy.Classes))
 		}
 	}
 	return nil
 }
 
+// requestInFlight is a request with the version and class under which it was received.
 type requestInFlight struct {
 	request *policy.Request
 	version *Version
 	class   string
 }
 
-// simulation offers versions in any order while requests arrive, wait and end, with the real policy.
+// simulation offers versions in any order while requests arrive, wait and end, with the real policy.Balancer.
 type simulation struct {
 	now         float64
 	state       *State
@@ -81,6 +83,7 @@
 	return s
 }
 
+// conditions returns the conditions under which a version is offered now.
 func (s *simulation) conditions() Conditions {
 	c := Conditions{InFlight: map[string]int{}, ListVersion: s.listVersion}
 	for _, r := range s.inFlight {
@@ -89,36 +92,39 @@
 	return c
 }
 
-// checkOutcome checks the outcome of a version, and configures the policy if it was applied.
+// checkOutcome checks the outcome of a version, and passes the version to the balancer if it was applied.
 func (s *simulation) checkOutcome(t *rapid.T, v *Version, outcome Outcome, err error) {
 	if outcome == Applied {
 		if v.Number <= s.inForce {
-			t.Fatalf("%d after %d", v.Number, s.inForce)
+			t.Fatalf("version %d was applied after %d", v.Number, s.inForce)
 		}
 		s.inForce = v.Number
 		s.balancer.SetConfig(v.Policy)
 	}
 	if s.state.Current().Number != s.inForce || (outcome == Rejected) != (err != nil) {
-		t.Fatalf("%v %v, in force %d, present %d", outcome, err, s.inForce, s.state.Current().Number)
+		t.Fatalf("outcome %v with error %v; version %d in force, want %d", outcome, err, s.state.Current().Number, s.inForce)
 	}
 }
 
+// offer offers a random version twice; if the first offer applies it, the second must find it already applied.
 func (s *simulation) offer(t *rapid.T) {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom(classNames), 1, 4, rapid.ID[string]).Draw(t, "names")
 	v := newVersion(rapid.Uint64Range(1, 30).Draw(t, "number"), names, rapid.Uint64Range(0, 4).Draw(t, "required list"))
 	outcome, err := s.state.Offer(s.now, v, s.conditions())
 	s.checkOutcome(t, v, outcome, err)
 	if again, _ := s.state.Offer(s.now, v, s.conditions()); outcome == Applied && again != AlreadyApplied {
-		t.Fatalf("the same again is %v", again)
+		t.Fatalf("an applied version that is offered again is %v", again)
 	}
 }
 
+// recheck re-evaluates the waiting version.
 func (s *simulation) recheck(t *rapid.T) {
 	if v, outcome, err := s.state.Recheck(s.now, s.conditions()); v != nil {
 		s.checkOutcome(t, v, outcome, err)
 	}
 }
 
+// receive receives a request under the version in force, if that has a class for it.
 func (s *simulation) receive(t *rapid.T) {
 	v := s.state.Current()
 	name := rapid.SampledFrom(classNames).Draw(t, "name")
@@ -131,48 +137,48 @@
 	s.inFlight = append(s.inFlight, requestInFlight{request, v, name})
 }
 
-// checkVersions checks that every version in use is consistent, and that each request
-// keeps the version it was received under.
+// checkVersions checks that every version in use is consistent, and that each request keeps the version that it was
+// received under.
 func (s *simulation) checkVersions(t *rapid.T) {
-	if err := checkWhole(s.state.Current()); err != nil {
+	if err := checkConsistent(s.state.Current()); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range s.inFlight {
-		if err := checkWhole(r.version); err != nil {
-			t.Fatal("in flight: ", err)
+		if err := checkConsistent(r.version); err != nil {
+			t.Fatal("request in flight: ", err)
 		}
 		if r.request.Config != r.version.Policy {
-			t.Fatal("a request is under another configuration than it came under")
+			t.Fatal("a request has another configuration than the version that it was received under")
 		}
 	}
 }
 
-// A request is served from start to end under the version that it was received under, no rejected version becomes
-// visible, numbers never go back, and a class with a request in flight never loses its index.
+// A request is served from start to end under the version that it was received under. No rejected version takes effect,
+// version numbers never decrease, and a class with a request in flight keeps its index.
 func TestRequestsKeepTheirVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation()
+		sim := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
-			"":        s.checkVersions,
-			"version": s.offer,
+			"":        sim.checkVersions,
+			"version": sim.offer,
 			"list": func(t *rapid.T) {
-				s.listVersion++
-				s.recheck(t)
+				sim.listVersion++
+				sim.recheck(t)
 			},
 			"time": func(t *rapid.T) {
-				s.now += rapid.Float64Range(0, 1).Draw(t, "seconds")
-				s.recheck(t)
+				sim.now += rapid.Float64Range(0, 1).Draw(t, "seconds")
+				sim.recheck(t)
 			},
-			"request": s.receive,
+			"request": sim.receive,
 			"pick again": func(t *rapid.T) {
-				if len(s.inFlight) > 0 {
-					r := s.inFlight[rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "which")]
-					s.balancer.Pick(s.now, r.request) // its class's index is valid whatever was applied meanwhile
+				if len(sim.inFlight) > 0 {
+					r := sim.inFlight[rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "which")]
+					sim.balancer.Pick(sim.now, r.request) // the index of its class stays valid whatever was applied since
 				}
 			},
 			"end": func(*rapid.T) {
-				if len(s.inFlight) > 0 {
-					s.inFlight = s.inFlight[1:]
+				if len(sim.inFlight) > 0 {
+					sim.inFlight = sim.inFlight[1:]
 				}
 			},
 		})
--- a/internal/configstate/version.go
+++ b/internal/configstate/version.go
@@ -9,19 +9,19 @@
 	"flintspread/internal/policy"
 )
 
-// Version is one version of the configuration, parsed and validated on its own. It does
-// not change once it has been applied.
+// Version is one version of the configuration, parsed and validated independently of other versions. It does not change
+// once it has been applied.
 type Version struct {
-	Number              uint64 // increases; 0 is the file that the program started with
+	Number              uint64 // increases; 0 is the configuration file that the program started with
 	Hash                uint64 // hash of Text
 	Text                []byte
 	Document            *config.Document
-	Policy              *policy.Config // nil until it is applied
-	RequiredListVersion uint64         // oldest version of the endpoint list that it may be applied with; 0: any
-	classIndex          map[string]int // index in Policy.Classes by class name; nil until it is applied
+	Policy              *policy.Config // nil until the version is applied
+	RequiredListVersion uint64         // oldest endpoint list version that the version may be applied with; 0: any
+	classIndex          map[string]int // index in Policy.Classes by class name; nil until the version is applied
 }
 
-// ParseVersion parses a version's text in the same way as the program's own file.
+// ParseVersion parses and validates a version's text like a configuration file.
 func ParseVersion(number uint64, text []byte) (*Version, error) {
 	document, err := config.ParseDocument(fmt.Sprintf("version-%d", number), text)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return &Version{Number: number, Hash: xxhash.Sum64(text), Text: text, Document: document}, nil
 }
 
-// ClassOf returns the index in Policy.Classes of a request's class, or -1 if no route matches.
+// ClassOf returns the index in Policy.Classes of the class that a request is routed to, or -1 if no route matches.
 func (v *Version) ClassOf(method, path string) int {
 	class := v.Document.ClassOf(method, path)
 	if class < 0 {
@@ -39,7 +39,7 @@
 	return v.classIndex[v.Document.Classes[class].Name]
 }
 
-// ClassNamed returns the index in Policy.Classes of the class with a name, or -1 if there is none.
+// ClassNamed returns the index in Policy.Classes of the class with the given name, or -1 if there is none.
 func (v *Version) ClassNamed(name []byte) int {
 	if index, ok := v.classIndex[string(name)]; ok {
 		return index
