--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -5,9 +5,9 @@
 	"flintspread/internal/lease"
 )
 
-// nextAssignment builds the next assignment (a View on the wire) for a router that holds listVersion of the endpoint
-// list. An assignment carries everything that binds the router, but includes the large parts only if the router lacks
-// them. The gRPC server calls it when it can send; it does not block on disk or network.
+// nextAssignment builds the next assignment (a View on the wire) for a router that has version listVersion of the
+// endpoint list. An assignment contains the complete state that the router must apply, except that large parts which the
+// router already has are omitted. The gRPC server calls it when it can send; it does not block on disk or network I/O.
 func (c *Controller) nextAssignment(router string, listVersion uint64) *linkpb.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	return assignment
 }
 
-// addRelease adds the release in force, if one is known. The caller holds the lock.
+// addRelease adds the release in force, if one is known. The caller holds the controller's lock.
 func (c *Controller) addRelease(assignment *linkpb.View, now float64) {
 	release := c.release
 	if release.Phase == "" {
@@ -46,7 +46,7 @@
 	assignment.StageAge = release.AgeSeconds + max(0, now-c.releaseReceivedAt)
 }
 
-// addEndpoints adds the whole endpoint list. The caller holds the lock.
+// addEndpoints adds the full endpoint list. The caller holds the controller's lock.
 func (c *Controller) addEndpoints(assignment *linkpb.View) {
 	assignment.HasList = true
 	for endpoint := range c.endpointList.All() {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,11 @@
 // Package controller runs the control plane of one relay. A controller follows the endpoint list, the release service
-// and, if configured, control services and query servers; merges them with the routers' reports in a policy.Balancer;
-// votes on the canary; and sends assignments to every router over gRPC (package controlrpc).
+// and, if configured, control services and query servers; combines their data with the routers' reports in a
+// policy.Balancer; votes on the canary; and sends assignments to every router over gRPC (package controlrpc).
 //
-// Instants are float64 seconds since 1970 on the controller's clock and are named ...At; durations are float64 seconds.
-// One mutex serializes all calls to the policy; methods that require it say so. No disk or network I/O happens while it
-// is held, except to save a configuration version as it takes effect (configVersions.decide).
+// Instants are float64 seconds since the Unix epoch on the controller's clock, and their names end in At; durations are
+// float64 seconds. One mutex, called the controller's lock, serializes all calls to the policy; methods that need it say
+// so. No disk or network I/O happens while it is held, except to save a configuration version that takes effect
+// (configVersions.decide).
 package controller
 
 import (
@@ -30,10 +31,10 @@
 	"flintspread/internal/watch"
 )
 
-// adminHeaderTimeout bounds the time in which a client of the metrics address must send its request header.
+// adminHeaderTimeout is the time within which a client of the metrics address must send its request header.
 const adminHeaderTimeout = 5 * time.Second
 
-// Controller is one running control plane process, created by Run.
+// Controller is a running control plane process, created by Run.
 type Controller struct {
 	settings   *config.Controller
 	log        *slog.Logger
@@ -41,32 +42,32 @@
 	voteSender *releases.VoteSender
 	server     *controlrpc.ControllerServer
 
-	startedAt        time.Time // monotonic origin of now
-	startedAtSeconds float64   // the same instant, seconds since 1970
-	configHash       uint64    // of the settings that must match those of the routers
-	saveRequests     chan struct{}
+	startedAt        time.Time     // origin of now on the monotonic clock
+	startedAtSeconds float64       // the same instant in seconds since the Unix epoch
+	configHash       uint64        // of the settings that must match those of the routers
+	saveRequests     chan struct{} // capacity 1; a value makes saveEndpoints save the list
 
 	mu                sync.Mutex // serializes calls to the policy; guards the non-atomic fields below
 	balancer          *policy.Balancer
 	leader            *lease.Leader
 	endpointList      endpoints.List
-	release           releases.Update // Version 0: none received yet; AgeSeconds as of releaseReceivedAt
+	release           releases.Update // Version is 0 if none was received yet; AgeSeconds is as of releaseReceivedAt
 	releaseReceivedAt float64
 	lastNotified      notifiedVote
 	configVersions    *configVersions
 	metricsEvidence   *metricsEvidence        // nil without query servers
 	routerStatuses    map[string]routerStatus // by router
-	mismatchLogged    map[string]bool         // routers whose configuration hash differs, logged once each
-	supersededLogged  bool                    // whether the newer controller was logged
+	mismatchLogged    map[string]bool         // routers whose differing configuration hash was logged
+	supersededLogged  bool                    // whether the existence of a newer controller was logged
 	nextTickAt        float64                 // 0: no tick yet
-	reportStride      atomic.Uint64           // one report in this many is read; 0 counts as 1
+	reportStride      atomic.Uint64           // only every reportStride-th report is read; 0 has the effect of 1
 	reportsSkipped    atomic.Uint64
 	reportsAccepted   uint64
 	assignmentsMade   uint64
 }
 
-// Run runs a controller until ctx ends or a component fails, then stops every component and waits for it. It returns
-// nil after an orderly stop, and otherwise the error that prevented the start or ended the run.
+// Run runs a controller until ctx ends or a component fails, then stops all components and waits for them. It returns nil
+// if ctx ended, and otherwise the error that prevented the start or ended the run.
 func Run(ctx context.Context, settings *config.Controller, log *slog.Logger) error {
 	store, saved, err := openStateStore(settings.StateDir, log)
 	if err != nil {
@@ -91,26 +92,26 @@
 	return err
 }
 
-// openStateStore opens the state folder and logs if a broken file had to be set aside.
+// openStateStore opens the store in the state folder, and logs if an unreadable file had to be renamed.
 func openStateStore(dir string, log *slog.Logger) (*StateStore, SavedState, error) {
-	store, saved, aside, err := OpenStateStore(dir)
+	store, saved, renamed, err := OpenStateStore(dir)
 	if err != nil {
 		return nil, SavedState{}, err
 	}
-	if aside != "" {
-		log.Error("state file set aside, starting empty", "file", aside)
+	if renamed != "" {
+		log.Error("renamed an unreadable state file; starting with an empty state", "file", renamed)
 	}
 	return store, saved, nil
 }
 
-// closeStore closes a store at the end of a run. Acknowledged writes are already synced, so an error is only logged.
+// closeStore closes a store at the end of a run. An error is only logged, because all acknowledged writes are synced.
 func closeStore(log *slog.Logger, name string, store io.Closer) {
 	if err := store.Close(); err != nil {
-		log.Error("store not closed", "store", name, "error", err)
+		log.Error("failed to close the store", "store", name, "error", err)
 	}
 }
 
-// newController returns a controller without state, feeds or listeners.
+// newController returns a controller without restored state, feeds and listeners.
 func newController(settings *config.Controller, log *slog.Logger, store *StateStore) *Controller {
 	now := time.Now()
 	c := &Controller{
@@ -129,14 +130,14 @@
 	return c
 }
 
-// now returns seconds since 1970: the wall clock at startup, advanced by the monotonic clock.
+// now returns seconds since the Unix epoch: the wall clock time at startup, advanced by the monotonic clock.
 func (c *Controller) now() float64 { return c.startedAtSeconds + time.Since(c.startedAt).Seconds() }
 
-// resume begins a new epoch, restores the state saved by the previous process, and opens the configuration history.
+// resume starts a new epoch, restores the state that the previous process saved, and opens the configuration history.
 func (c *Controller) resume(saved SavedState) error {
 	epoch, err := c.store.BeginEpoch(saved.Epoch, c.now())
 	if err != nil {
-		return fmt.Errorf("state: %w", err)
+		return fmt.Errorf("state: failed to save the new epoch: %w", err)
 	}
 	if c.settings.Health != nil {
 		if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
@@ -148,7 +149,7 @@
 	return err
 }
 
-// restore loads the endpoint list, the release and the vote saved by the previous process into the policy.
+// restore starts as the leader of the new epoch, and passes the saved endpoint list, release and vote to the policy.
 func (c *Controller) restore(epoch uint64, saved SavedState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,13 +171,13 @@
 	}
 }
 
-// listeners are the controller's open listeners.
+// listeners holds the controller's open listeners.
 type listeners struct {
 	routers net.Listener // gRPC
-	admin   net.Listener // HTTP, metrics
+	admin   net.Listener // HTTP, for metrics
 }
 
-// listen opens both addresses, or none.
+// listen opens both listeners, or none.
 func listen(settings *config.Controller) (l listeners, err error) {
 	if l.routers, err = controlrpc.Listen(&settings.Link); err != nil {
 		return l, fmt.Errorf(":link :address: %w", err)
@@ -188,12 +189,13 @@
 	return l, nil
 }
 
-// serve runs every component of the controller until ctx ends or one of them fails, and waits for all of them.
+// serve runs all components of the controller until ctx ends or the control services or the gRPC server fail, and waits
+// for the components to stop.
 func (c *Controller) serve(ctx context.Context, client *http.Client, l listeners) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var running sync.WaitGroup
-	failed := make(chan error, 2) // one slot each for the control services and the gRPC server
+	failed := make(chan error, 2) // capacity for one error each of the control services and the gRPC server
 	c.startFeeds(ctx, &running, client, failed)
 	running.Go(func() { c.voteSender.Run(ctx) })
 	running.Go(func() { c.saveEndpoints(ctx) })
@@ -216,7 +218,7 @@
 }
 
 // startFeeds starts following the endpoint list, the release service and, if configured, control services and query
-// servers. An error of the control services is sent to failed.
+// servers. If following the control services fails, it sends the error to failed.
 func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
--- a/internal/controller/feeds.go
+++ b/internal/controller/feeds.go
@@ -7,7 +7,7 @@
 	"flintspread/internal/releases"
 )
 
-// applyEndpointUpdate applies one endpoint list update and notifies the routers. An error means that the update was
+// applyEndpointUpdate applies an endpoint list update and notifies the routers. An error is the reason why the update was
 // rejected.
 func (c *Controller) applyEndpointUpdate(update *endpoints.Update) error {
 	if err := update.Check(); err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// mergeEndpoints applies a checked update to the list and to the policy, and reports whether any endpoint changed.
+// mergeEndpoints applies a valid update to the list and to the policy, and reports whether any endpoint changed.
 func (c *Controller) mergeEndpoints(update *endpoints.Update) (changed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// requestSave makes saveEndpoints write the list. It does not block; pending requests are coalesced.
+// requestSave makes saveEndpoints save the endpoint list. It does not block; pending requests are coalesced.
 func (c *Controller) requestSave() {
 	select {
 	case c.saveRequests <- struct{}{}:
@@ -56,8 +56,8 @@
 	}
 }
 
-// saveEndpoints writes the endpoint list to disk whenever it changed, until ctx ends. Changes during a write are
-// coalesced.
+// saveEndpoints saves the endpoint list to disk on every request, until ctx ends. Requests during a write result in one
+// further write.
 func (c *Controller) saveEndpoints(ctx context.Context) {
 	for {
 		select {
@@ -69,14 +69,14 @@
 		list := c.endpointList.Clone()
 		c.mu.Unlock()
 		if err := c.store.SaveEndpoints(list); err != nil {
-			c.log.Error("endpoint list not saved", "error", err)
+			c.log.Error("failed to save the endpoint list", "error", err)
 		}
 	}
 }
 
 // applyReleaseUpdate applies one release update, from the service's stream or from a vote reply, and notifies the
-// routers. An update older than the release in force is dropped, so that a late reply cannot raise the canary traffic
-// limit again.
+// routers. An update older than the release in force is ignored, so that a delayed vote reply cannot raise the canary
+// traffic limit again.
 func (c *Controller) applyReleaseUpdate(update *releases.Update) error {
 	if update.Heartbeat {
 		return nil
@@ -87,25 +87,25 @@
 	c.mu.Lock()
 	if update.Version < c.release.Version {
 		c.mu.Unlock()
-		c.log.Info("outdated release update dropped", "version", update.Version)
+		c.log.Info("ignored an outdated release update", "version", update.Version)
 		return nil
 	}
 	changed := update.Version != c.release.Version
 	now := c.now()
 	c.applyRelease(*update, now)
 	c.mu.Unlock()
-	// Drains and lower limits bind as soon as the relay has received them, so notify the routers before writing to
-	// disk.
+	// The relay must comply with drains and lower canary traffic limits from the moment it receives them, so notify the
+	// routers before writing to disk.
 	c.server.NotifyAll()
 	if changed {
 		if err := c.store.SaveRelease(*update, now); err != nil {
-			c.log.Error("release not saved", "error", err)
+			c.log.Error("failed to save the release", "error", err)
 		}
 	}
 	return nil
 }
 
-// applyRelease puts a release into force. Its AgeSeconds is as of receivedAt. The caller holds the controller's lock.
+// applyRelease puts a release into force; its AgeSeconds is as of receivedAt. The caller holds the controller's lock.
 func (c *Controller) applyRelease(update releases.Update, receivedAt float64) {
 	c.release, c.releaseReceivedAt = update, receivedAt
 	now := c.now()
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -6,11 +6,11 @@
 	"flintspread/internal/policy"
 )
 
-// acceptReport records a router's report (a Digest on the wire) and returns lease.Accepted, or why the report does not
-// count. The gRPC server calls it from one goroutine per router; it does not block on disk or network.
+// acceptReport records a router's report (a Digest on the wire) and returns lease.Accepted, or why the report is
+// rejected. The gRPC server calls it from one goroutine per router; it does not block on disk or network I/O.
 func (c *Controller) acceptReport(report *linkpb.Digest) lease.Reason {
-	// Reports are cumulative, so a controller that runs late can skip the samples of some: a later report repeats them.
-	// A skipped report still shows that its router is alive.
+	// Reports are cumulative, so a controller whose ticks are late can skip the samples of some reports: later ones
+	// include them. A skipped report still shows that its router is alive.
 	read := report.Seq%max(1, c.reportStride.Load()) == 0
 	if !read {
 		c.reportsSkipped.Add(1)
@@ -22,14 +22,14 @@
 	reason := c.leader.AcceptReport(c.now(), report.Major, report.Edge, report.Life, report.Seq, report.Following)
 	if reason == lease.Superseded && !c.supersededLogged {
 		c.supersededLogged = true
-		c.log.Error("superseded by a newer controller; no more votes and leases", "epoch", c.leader.Epoch(), "newer_epoch", c.leader.NewerEpoch())
+		c.log.Error("superseded by a newer controller; stopped voting and granting leases", "epoch", c.leader.Epoch(), "newer_epoch", c.leader.NewerEpoch())
 	}
 	if reason != lease.Accepted {
 		return reason
 	}
 	if report.Terms != c.configHash && !c.mismatchLogged[report.Edge] {
 		c.mismatchLogged[report.Edge] = true
-		c.log.Error("settings differ between controller and router: :rules, :release or :op-types", "router", report.Edge)
+		c.log.Error("router has other settings than the controller in :rules, :release or :op-types", "router", report.Edge)
 	}
 	c.reportsAccepted++
 	if read {
@@ -42,7 +42,7 @@
 	return reason
 }
 
-// evidenceOf converts a report's tallies to policy.Evidence. Failure kinds that the router does not send count as zero.
+// evidenceOf converts a report's tallies to policy.Evidence. Failure kinds that the report does not contain are zero.
 func evidenceOf(report *linkpb.Digest) policy.Evidence {
 	evidence := policy.Evidence{
 		Build:             int(report.Build),
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -9,7 +9,7 @@
 	"flintspread/internal/releases"
 )
 
-// runTicks calls tick until ctx ends, at the intervals that the policy asks for.
+// runTicks calls tick until ctx ends, at the intervals that the policy returns.
 func (c *Controller) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -23,8 +23,8 @@
 	}
 }
 
-// tick expires silent routers, casts the policy's vote if there is one, and notifies the routers of changes. It returns
-// the time until the next tick.
+// tick removes routers that have stopped reporting, casts a vote if the policy returns one, and notifies the routers of
+// changed health marks or verdicts. It returns the time until the next tick.
 func (c *Controller) tick() time.Duration {
 	result, marksChanged := c.tickPolicy()
 	if result.CastVote {
@@ -37,8 +37,8 @@
 	return time.Duration(result.NextTickSeconds * float64(time.Second))
 }
 
-// tickPolicy is the part of a tick that runs under the lock. A superseded controller must not vote, so it ticks as a
-// router.
+// tickPolicy does the part of a tick that needs the controller's lock. A superseded controller must not vote, so it calls
+// the policy's Tick, as a router does.
 func (c *Controller) tickPolicy() (result policy.TickResult, marksChanged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,18 +56,18 @@
 	return result, marksChanged
 }
 
-// expireRouters removes the routers that have been silent for too long. The caller holds the lock.
+// expireRouters removes the routers that have not reported for too long. The caller holds the controller's lock.
 func (c *Controller) expireRouters(now float64) {
 	for _, name := range c.leader.ExpireRouters(now) {
 		c.balancer.DropReport(name)
 		delete(c.mismatchLogged, name)
 		delete(c.routerStatuses, name)
-		c.log.Info("router expired", "router", name)
+		c.log.Info("removed a router that stopped reporting", "router", name)
 	}
 }
 
-// shedLoad reduces optional work while the controller's ticks are late: first the metrics queries, then reading every
-// report. The caller holds the lock.
+// shedLoad reduces optional work while the controller's ticks are late: first it pauses the metrics queries, then it
+// skips reports. The caller holds the controller's lock.
 func (c *Controller) shedLoad(now float64) {
 	lateSeconds := 0.0
 	if c.nextTickAt > 0 {
