--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -11,21 +11,19 @@
 	"flintspread/internal/xds"
 )
 
-// configstate.ErrOvertaken rejects a version that was replaced by a newer one while waiting for the routers. Its text is
-// sent in a NACK.
-
 // configVersions receives configuration versions from control services, proposes each to the routers, and puts it into
-// force once all of them report that they can apply it. Only one version is proposed at a time; a newer one replaces
-// it.
+// force once all live routers report that they can apply it. Only one version is proposed at a time: a version that
+// arrives later replaces it, and the replaced one is rejected with configstate.ErrSuperseded, whose text is sent in a
+// NACK.
 type configVersions struct {
 	controller *Controller
 	store      *revisions.Store
 	state      *configstate.State    // guarded by the controller's lock
-	proposal   *configstate.Proposal // guarded by the controller's lock; nil without one
-	listMu     sync.Mutex            // serializes endpoint lists of control services; taken before the controller's lock
+	proposal   *configstate.Proposal // guarded by the controller's lock; nil if no version is proposed
+	listMu     sync.Mutex            // serializes endpoint list updates of control services; locked before the controller's lock
 }
 
-// openConfigVersions opens the revision history and reapplies the version that was last in force.
+// openConfigVersions opens the revision history and applies the version that was in force last.
 func (c *Controller) openConfigVersions() (v *configVersions, err error) {
 	v = &configVersions{controller: c, state: configstate.NewState(c.settings.Document(), nil, 0, 0)}
 	v.store, err = revisions.Resume(c.settings.StateDir, c.log, func(version *configstate.Version) error {
@@ -44,7 +42,8 @@
 		xds.Handler{OnEndpoints: v.applyEndpointUpdate, OnConfig: v.propose, Recheck: v.recheck})
 }
 
-// applyEndpointUpdate applies an endpoint list from a control service, unless another service has sent a newer one.
+// applyEndpointUpdate applies an endpoint list update from a control service. It rejects an update that is older than the
+// controller's list, or has the same version but other endpoints: another control service may have sent that list.
 func (v *configVersions) applyEndpointUpdate(update *endpoints.Update) error {
 	v.listMu.Lock()
 	defer v.listMu.Unlock()
@@ -58,9 +57,9 @@
 	return c.applyEndpointUpdate(update)
 }
 
-// conditions returns what a version must fit at the controller; routers check their own and report the result. The list
-// version is set to the required one, so that State.Check never waits: Proposal.Decide waits for the list instead. The
-// caller holds the controller's lock.
+// conditions returns the controller's conditions for a version; routers check their own and report the result. The list
+// version is set to the required one, because Proposal.Decide waits for the list, and State.Check must not. The caller
+// holds the controller's lock.
 func (v *configVersions) conditions(version *configstate.Version) configstate.Conditions {
 	conditions := configstate.Conditions{ListVersion: version.RequiredListVersion}
 	for endpoint := range v.controller.endpointList.All() {
@@ -70,7 +69,7 @@
 	return conditions
 }
 
-// propose proposes a version to the routers, which answer in their next reports; recheck then settles the proposal. A
+// propose proposes a version to the routers, which answer in their next reports; recheck then decides the proposal. A
 // version that the controller itself cannot apply is rejected immediately.
 func (v *configVersions) propose(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, err := v.startProposal(version)
@@ -93,7 +92,7 @@
 	return configstate.Waiting, nil
 }
 
-// recheck returns the outcome of a proposed version, and puts the version into force once all routers can apply it.
+// recheck returns the outcome of a proposed version, and puts the version into force if all live routers can apply it.
 func (v *configVersions) recheck(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, decided, err := v.decide(version)
 	if decided {
@@ -102,8 +101,9 @@
 	return outcome, err
 }
 
-// decide settles the proposal of a version if its outcome is known; decided reports whether this call settled it. A
-// version that takes effect is saved while the lock is held, so that a later one cannot precede it in the history.
+// decide returns the outcome of a proposed version, and ends the proposal if the outcome is final; decided is whether this
+// call ended it. A version that takes effect is saved while the lock is held, so that the history has versions in the
+// order in which they took effect.
 func (v *configVersions) decide(version *configstate.Version) (outcome configstate.Outcome, decided bool, err error) {
 	c := v.controller
 	c.mu.Lock()
@@ -126,27 +126,27 @@
 	return outcome, true, err
 }
 
-// putInForce applies a version that all routers can apply, and saves it. The caller holds the controller's lock.
+// putInForce applies a version that all live routers can apply, and saves it. The caller holds the controller's lock.
 func (v *configVersions) putInForce(version *configstate.Version) (configstate.Outcome, error) {
 	c := v.controller
-	before := v.state.Current().Number
+	previous := v.state.Current().Number
 	outcome, err := v.apply(version)
 	if outcome != configstate.Applied {
 		return outcome, err
 	}
 	entry := revisions.Entry{
-		Number: version.Number, Previous: before, InForceSince: c.now(), Hash: version.Hash,
+		Number: version.Number, Previous: previous, InForceSince: c.now(), Hash: version.Hash,
 		RequiredListVersion: version.RequiredListVersion, Text: string(version.Text),
 	}
 	if saveErr := v.store.Add(entry); saveErr != nil {
-		c.log.Error("configuration version not saved", "version", version.Number, "error", saveErr)
+		c.log.Error("failed to save the configuration version", "version", version.Number, "error", saveErr)
 	}
-	c.log.Info("configuration version in force", "version", version.Number, "previous_version", before)
+	c.log.Info("configuration version in force", "version", version.Number, "previous_version", previous)
 	return outcome, err
 }
 
-// apply puts a version into force at the controller; routers learn of it from their next assignment. The caller holds
-// the controller's lock.
+// apply puts a version into force at the controller; routers receive it in their next assignments. The caller holds the
+// controller's lock.
 func (v *configVersions) apply(version *configstate.Version) (configstate.Outcome, error) {
 	outcome, err := v.state.Offer(v.controller.now(), version, v.conditions(version))
 	if outcome == configstate.Applied {
@@ -155,16 +155,16 @@
 	return outcome, err
 }
 
-// onReport records a router's answer to the proposal. The caller holds the controller's lock.
+// onReport records a router's answer to the proposal, if there is one. The caller holds the controller's lock.
 func (v *configVersions) onReport(report *linkpb.Digest) {
 	if v.proposal != nil {
 		v.proposal.OnRouterStatus(report.Edge, report.ConfigNo, report.ConfigFits, report.ConfigRefused, report.ConfigReason)
 	}
 }
 
-// addConfig adds the version in force and the proposed one to an assignment, with the text of whichever the router
-// needs next and lacks. A router receives a proposal only once it runs the version in force. The caller holds the
-// controller's lock.
+// addConfig adds the numbers of the version in force and of the proposed version to an assignment. A router receives the
+// proposal only after it has applied the version in force. Of the version that the router must handle next, the text is
+// added unless the router has it. The caller holds the controller's lock.
 func (v *configVersions) addConfig(assignment *linkpb.View, status routerStatus) {
 	current := v.state.Current()
 	assignment.ConfigNo = current.Number
@@ -179,9 +179,10 @@
 	}
 }
 
-// routerStatus is the configuration and health marks that a router holds, as of its last accepted report.
+// routerStatus holds the versions of the configuration and of the health marks at a router, as of its last accepted
+// report.
 type routerStatus struct {
 	configInForce    uint64 // version number
-	configAcceptable uint64 // number of the proposed version that it can apply, 0: none
+	configAcceptable uint64 // number of the proposed version that the router can apply; 0: none
 	marksVersion     uint64
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -9,33 +9,33 @@
 	"flintspread/internal/lease"
 )
 
-// metric returns the descriptor of one controller metric. Names and labels are fixed; docs/glossary.md maps them to the
-// code's terms.
+// metric returns the descriptor of a controller metric. Metric names and labels cannot change, because operators use
+// them; docs/glossary.md maps them to the terms of the code.
 func metric(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("flintplan_"+name, help, labels, nil)
 }
 
 var (
 	epochDesc             = metric("epoch", "Epoch of this controller process.")
-	leaderDesc            = metric("leads", "1 while no newer controller is known.")
-	routersDesc           = metric("edges", "Routers alive.")
-	leasedShareDesc       = metric("lent", "Sum of the leased shares that may be in use or count still, at most 1.")
+	leaderDesc            = metric("leads", "1 if this controller knows of no newer one, otherwise 0.")
+	routersDesc           = metric("edges", "Live routers.")
+	leasedShareDesc       = metric("lent", "Sum of the leased shares that may be in use or still count in the canary window, at most 1.")
 	reportsDesc           = metric("digests_total", "Reports accepted.")
-	reportsRefusedDesc    = metric("digests_refused_total", "Reports that did not count.", "reason")
-	reportsSkippedDesc    = metric("digests_skipped_total", "Reports that were not read because this controller was late; their routers count as alive.")
-	assignmentsDesc       = metric("views_total", "Assignments made.")
-	endpointListAgeDesc   = metric("list_age_seconds", "Time since the endpoint list was true.")
-	endpointsDesc         = metric("units", "Endpoints known.")
+	reportsRefusedDesc    = metric("digests_refused_total", "Reports rejected, by reason.", "reason")
+	reportsSkippedDesc    = metric("digests_skipped_total", "Reports whose samples were skipped because this controller's ticks were late; the routers still count as alive.")
+	assignmentsDesc       = metric("views_total", "Assignments built.")
+	endpointListAgeDesc   = metric("list_age_seconds", "Age of the endpoint list.")
+	endpointsDesc         = metric("units", "Endpoints in the endpoint list.")
 	markedEndpointsDesc   = metric("health_units_marked", "Endpoints with a health mark.")
-	freshEndpointsDesc    = metric("health_units_known", "Endpoints of which a server's answers are not stale.", "server", "query")
-	disputedEndpointsDesc = metric("health_units_disputed", "Endpoints on which query servers disagree.", "query")
-	verdictDesc           = metric("verdict", "The vote in force: 0 none, 1 promote, 2 hold, 3 roll back.")
+	freshEndpointsDesc    = metric("health_units_known", "Endpoints with fresh answers of a query server to a query.", "server", "query")
+	disputedEndpointsDesc = metric("health_units_disputed", "Endpoints on which the query servers' answers to a query disagree.", "query")
+	verdictDesc           = metric("verdict", "Vote in force: 0 none, 1 promote, 2 hold, 3 roll back.")
 )
 
-// metricsCollector collects a controller's metrics, under the controller's lock, on each scrape.
+// metricsCollector collects a controller's metrics on each scrape, under the controller's lock.
 type metricsCollector struct{ controller *Controller }
 
-// gaugeFunc emits one gauge's value.
+// gaugeFunc emits the value of a gauge.
 type gaugeFunc func(desc *prometheus.Desc, value float64, labels ...string)
 
 // Describe implements prometheus.Collector.
@@ -76,7 +76,7 @@
 	}
 }
 
-// adminHandler serves the metrics of the controller and of its poller.
+// adminHandler returns a handler that serves the metrics of the controller and of its query server poller.
 func (c *Controller) adminHandler() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(metricsCollector{c})
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -12,21 +12,21 @@
 	"flintspread/internal/promclient"
 )
 
-// metricsEvidence connects the controller to its query servers: it feeds the counts merged from their answers to the
-// policy, and health marks to the routers.
+// metricsEvidence connects the controller to its query servers. From their answers it computes evidence for the policy
+// and health marks for the routers.
 type metricsEvidence struct {
 	controller *Controller
 	poller     *promclient.Poller
 
-	mu           sync.Mutex // guards the fields below; taken after the controller's lock, never before it
+	mu           sync.Mutex // guards the fields below; locked after the controller's lock, never before it
 	analysis     *metricsanalysis.Analyzer
-	updated      bool // an answer arrived since the policy last got the counts
+	updated      bool // whether an answer has arrived since the policy last received the evidence
 	marks        []policy.HealthMark
-	marksVersion uint64 // incremented when the routers need the marks again
-	marksAt      float64
+	marksVersion uint64  // incremented when the routers need new marks
+	marksAt      float64 // when the marks were last computed
 }
 
-// newMetricsEvidence sets up polling of the configured query servers; run starts it.
+// newMetricsEvidence prepares polling of the configured query servers; run starts it.
 func (c *Controller) newMetricsEvidence() (m *metricsEvidence, err error) {
 	health := c.settings.Health
 	m = &metricsEvidence{controller: c, analysis: metricsanalysis.New(health.Questions(), len(health.Servers))}
@@ -34,10 +34,10 @@
 	return m, err
 }
 
-// run queries the servers until ctx ends.
+// run polls the query servers until ctx ends.
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
-// applyAnswer records one answer. The poller calls it from several goroutines.
+// applyAnswer records a query server's answer. The poller calls it from several goroutines.
 func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.Answer) metricsanalysis.AnswerResult {
 	now := m.controller.now()
 	m.mu.Lock()
@@ -46,41 +46,41 @@
 	return m.analysis.ApplyAnswer(now, answer)
 }
 
-// setEndpoints passes the controller's endpoint list to the analysis and the poller. The caller holds the controller's
-// lock.
+// setEndpoints passes the controller's endpoint list, without endpoints that are gone, to the analysis and the poller. The
+// caller holds the controller's lock.
 func (m *metricsEvidence) setEndpoints() {
-	var analysed []metricsanalysis.Endpoint
+	var analyzed []metricsanalysis.Endpoint
 	var fleet promclient.Fleet
 	for endpoint := range m.controller.endpointList.All() {
 		if endpoint.State == endpoints.StateGone {
 			continue
 		}
-		analysed = append(analysed, metricsanalysis.Endpoint{ID: endpoint.ID, Build: endpoint.Build, StartedAt: endpoint.StartedAt})
+		analyzed = append(analyzed, metricsanalysis.Endpoint{ID: endpoint.ID, Build: endpoint.Build, StartedAt: endpoint.StartedAt})
 		fleet.Endpoints = append(fleet.Endpoints, promclient.FleetEndpoint{ID: endpoint.ID, Addr: endpoint.Addr, Build: endpoint.Build})
 		fleet.Builds = append(fleet.Builds, endpoint.Build)
 	}
 	slices.Sort(fleet.Builds)
 	fleet.Builds = slices.Compact(fleet.Builds)
 	m.mu.Lock()
-	m.analysis.SetEndpoints(analysed)
+	m.analysis.SetEndpoints(analyzed)
 	m.mu.Unlock()
 	m.poller.SetFleet(fleet)
 }
 
-// setRelease sets the newest build in the analysis. The caller holds the controller's lock.
+// setRelease passes the build of the release in force to the analysis. The caller holds the controller's lock.
 func (m *metricsEvidence) setRelease(build int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.analysis.SetRelease(build)
 }
 
-// tick passes the counts as of now to the policy and recomputes the marks when due. It reports whether the routers need
-// new marks. The caller holds the controller's lock.
+// tick passes the evidence as of now to the policy and recomputes the marks when that is due. It reports whether the
+// routers need new marks. The caller holds the controller's lock.
 func (m *metricsEvidence) tick(now float64) (marksChanged bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	marksDue := now >= m.marksAt+metricsanalysis.MarksIntervalSeconds
-	// Refresh even without a new answer: the answers of an unresponsive server go stale.
+	// The evidence also changes without a new answer, because the answers of an unresponsive server become stale.
 	if m.updated || marksDue {
 		m.controller.balancer.SetMetricsEvidence(m.analysis.Evidence(now))
 		m.updated = false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// addMarks adds the marks to an assignment, if the router has a different version of them. The caller holds the
-// controller's lock.
+// addMarks adds the marks to an assignment if the router has another version of them. The caller holds the controller's
+// lock.
 func (m *metricsEvidence) addMarks(assignment *linkpb.View, now float64, routerVersion uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// collect emits the metrics about marks and query servers. The caller holds the controller's lock.
+// collect emits the metrics of the marks and the query servers' answers. The caller holds the controller's lock.
 func (m *metricsEvidence) collect(now float64, gauge gaugeFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/state_store.go
+++ b/internal/controller/state_store.go
@@ -15,38 +15,38 @@
 	"flintspread/internal/releases"
 )
 
-// StateStore is a controller's state on disk: its epoch, the vote in force, the last release and the last endpoint
-// list. Each change is one transaction, synced before the call returns, so that a crash leaves the state either before
-// or after it. Methods block on disk and are safe for concurrent use.
+// StateStore is a controller's state on disk: its epoch, the vote in force, the last release and the last endpoint list.
+// Each change is one transaction, which is synced before the method returns, so that a crash leaves either the state
+// before the change or the state after it. The methods block on disk I/O and are safe for concurrent use.
 type StateStore struct {
 	db *bolt.DB
 }
 
-// SavedVote is a vote as stored on disk.
+// SavedVote is the stored form of a vote.
 type SavedVote struct {
 	Build        int            `json:"build"`
 	Stage        int            `json:"stage"`
 	Verdict      policy.Verdict `json:"verdict"`
-	CastAt       float64        `json:"at"`   // seconds since 1970
-	OutcomeKnown bool           `json:"sure"` // whether the release service has answered it
+	CastAt       float64        `json:"at"`   // seconds since the Unix epoch
+	OutcomeKnown bool           `json:"sure"` // whether the release service has answered the vote
 }
 
-// SavedState is the content of a store. Fields that were never saved are nil or 0.
+// SavedState is the content of a store. A part that was never saved is nil or 0.
 type SavedState struct {
 	Epoch     uint64           `json:"epoch"`
 	Vote      *SavedVote       `json:"vote,omitempty"`
 	Release   *releases.Update `json:"news,omitempty"`    // AgeSeconds as of ReleaseAt
-	ReleaseAt float64          `json:"news_at,omitempty"` // seconds since 1970
+	ReleaseAt float64          `json:"news_at,omitempty"` // seconds since the Unix epoch
 	Endpoints *endpoints.List  `json:"list,omitempty"`
 }
 
-// savedRelease is a release as stored on disk.
+// savedRelease is the stored form of a release.
 type savedRelease struct {
 	Release releases.Update `json:"news"`
-	At      float64         `json:"at"` // seconds since 1970; Release.AgeSeconds is as of then
+	At      float64         `json:"at"` // seconds since the Unix epoch; Release.AgeSeconds is as of then
 }
 
-// The stored format: one bucket with a key for each part and JSON values.
+// The stored format: one bucket with a key for each part of the state. Values are JSON.
 var (
 	stateBucket  = []byte("planner")
 	epochKey     = []byte("epoch")
@@ -59,17 +59,17 @@
 func stateFile(dir string) string { return filepath.Join(dir, "planner.db") }
 
 // OpenStateStore opens the store in dir, creating the folder if needed, and returns its content. An unreadable file is
-// renamed, and the store starts empty; aside then holds the new name and the reason. The error wraps boltstore.ErrInUse
-// if another process holds the store.
-func OpenStateStore(dir string) (store *StateStore, saved SavedState, aside string, err error) {
+// renamed and replaced by an empty store; renamed then holds the new name and the reason. The error wraps
+// boltstore.ErrInUse if another process has the store open.
+func OpenStateStore(dir string) (store *StateStore, saved SavedState, renamed string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, SavedState{}, "", err
 	}
-	db, aside, err := boltstore.OpenOrSetAside(stateFile(dir), saved.read)
+	db, renamed, err := boltstore.OpenOrSetAside(stateFile(dir), saved.read)
 	if err != nil {
-		return nil, SavedState{}, aside, err
+		return nil, SavedState{}, renamed, err
 	}
-	return &StateStore{db}, saved, aside, nil
+	return &StateStore{db}, saved, renamed, nil
 }
 
 // read replaces s with the content of the store.
@@ -81,8 +81,8 @@
 	}
 	var release savedRelease
 	for _, part := range []struct {
-		key  []byte
-		into any
+		key    []byte
+		target any
 	}{
 		{epochKey, &s.Epoch},
 		{voteKey, &s.Vote},
@@ -93,7 +93,7 @@
 		if text == nil {
 			continue
 		}
-		if err := json.Unmarshal(text, part.into); err != nil {
+		if err := json.Unmarshal(text, part.target); err != nil {
 			return fmt.Errorf("%s: %w", part.key, err)
 		}
 	}
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// put writes one part of the state.
+// put saves one part of the state.
 func (s *StateStore) put(key []byte, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -118,18 +118,19 @@
 	})
 }
 
-// BeginEpoch saves and returns the epoch of a new process. It is greater than before and at least the milliseconds
-// since 1970, so that epochs keep growing even if the state was lost. now is in seconds since 1970.
-func (s *StateStore) BeginEpoch(before uint64, now float64) (uint64, error) {
+// BeginEpoch saves and returns the epoch of a new process. The epoch is higher than the previous one and at least the
+// number of milliseconds since the Unix epoch, so that it increases even if the state was lost. now is in seconds since
+// the Unix epoch.
+func (s *StateStore) BeginEpoch(previous uint64, now float64) (uint64, error) {
 	const epochsPerSecond = 1000
-	epoch := max(before+1, uint64(now*epochsPerSecond))
+	epoch := max(previous+1, uint64(now*epochsPerSecond))
 	return epoch, s.put(epochKey, epoch)
 }
 
-// SaveVote saves the vote that is in force or about to be sent.
+// SaveVote saves a vote that is in force or about to be sent.
 func (s *StateStore) SaveVote(vote SavedVote) error { return s.put(voteKey, vote) }
 
-// SaveRelease saves a release whose AgeSeconds is as of at, in seconds since 1970.
+// SaveRelease saves a release; its AgeSeconds is as of at, in seconds since the Unix epoch.
 func (s *StateStore) SaveRelease(release releases.Update, at float64) error {
 	return s.put(releaseKey, savedRelease{release, at})
 }
@@ -141,7 +142,7 @@
 func (s *StateStore) Close() error { return s.db.Close() }
 
 // PrintState prints the state in a folder as JSON without changing it. It fails if there is no state, or if a running
-// controller holds it.
+// controller has the store open.
 func PrintState(w io.Writer, dir string) error {
 	if _, err := os.Stat(stateFile(dir)); err != nil {
 		return err
@@ -158,7 +159,7 @@
 	return err
 }
 
-// readState reads the store in a folder, opened read-only.
+// readState opens the store in a folder read-only and returns its content.
 func readState(dir string) (saved SavedState, err error) {
 	db, err := boltstore.Open(stateFile(dir), true, saved.read)
 	if err != nil {
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -7,13 +7,13 @@
 	"flintspread/internal/releases"
 )
 
-// notifiedVote is the vote in force that the routers were last notified of.
+// notifiedVote is a vote in force that the routers were notified of.
 type notifiedVote struct {
 	build   int
 	verdict policy.Verdict
 }
 
-// openVoteSender creates the sender of votes to the release service; its Run sends the votes that ticks cast.
+// openVoteSender creates the sender of votes to the release service. Its Run method sends the votes that ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
 		Router: c.settings.Relay, URL: c.settings.Sources.ReleaseServiceURL, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
@@ -22,18 +22,17 @@
 	c.voteSender.Open()
 }
 
-// onVoteSend saves a vote before it is sent: if this process dies now, the next one knows that the vote may have
-// counted.
+// onVoteSend saves a vote before it is sent, so that if this process dies before the reply, the next process knows that
+// the release service may have counted the vote.
 func (c *Controller) onVoteSend(vote releases.Vote) {
 	c.saveVote(vote, false)
 }
 
-// onVoteReply records the release service's reply to a vote: its outcome and, if the reply contains it, the current
-// release.
+// onVoteReply records the outcome of a vote and, if the release service's reply contains one, a release update.
 func (c *Controller) onVoteReply(vote releases.Vote, reply policy.VoteReply, update *releases.Update) {
 	if update != nil {
 		if err := c.applyReleaseUpdate(update); err != nil {
-			c.log.Warn("release update in a vote's reply rejected", "error", err)
+			c.log.Warn("rejected the release update in a vote reply", "error", err)
 		}
 	}
 	c.mu.Lock()
@@ -48,11 +47,11 @@
 	c.notifyVerdict()
 }
 
-// saveVote saves a vote; outcomeKnown says whether the release service has answered it.
+// saveVote saves a vote; outcomeKnown is whether the release service has answered it.
 func (c *Controller) saveVote(vote releases.Vote, outcomeKnown bool) {
 	saved := SavedVote{Build: vote.Build, Stage: vote.Stage, Verdict: vote.Verdict, CastAt: c.now(), OutcomeKnown: outcomeKnown}
 	if err := c.store.SaveVote(saved); err != nil {
-		c.log.Error("vote not saved", "error", err)
+		c.log.Error("failed to save the vote", "error", err)
 	}
 }
 
