--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,9 +10,9 @@
 	"flintspread/internal/releases"
 )
 
-// A controller without state sends complete assignments as soon as it has received the endpoint list and the release,
-// and includes the list only for routers that lack it.
-func TestFirstAssignmentOfEmptyController(t *testing.T) {
+// A controller without saved state sends complete assignments as soon as it has received the endpoint list and the
+// release, and includes the list only for routers that do not have it.
+func TestFirstAssignmentWithoutSavedState(t *testing.T) {
 	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Stage: 1, Phase: "on-trial", CanaryLimit: 0.5, AgeSeconds: 3}}
 	settings := testSettings(t, t.TempDir(), services.serve(t), 1)
 	store, _, _, err := OpenStateStore(settings.StateDir)
@@ -24,7 +24,7 @@
 	c.restore(9, SavedState{})
 	c.acceptReport(canaryFailureReport(1))
 	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 0 || assignment.HasList || assignment.Epoch != 9 || assignment.Echo != 1 || assignment.Share != 0 {
-		t.Error(assignment)
+		t.Error("before any update:", assignment)
 	}
 	if err := c.applyReleaseUpdate(&services.release); err != nil {
 		t.Fatal(err)
@@ -33,23 +33,23 @@
 		t.Fatal(err)
 	}
 	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 4 || assignment.Cap != 0.5 || assignment.Stage != 1 || !assignment.HasList || len(assignment.Units) != 1 {
-		t.Error(assignment)
+		t.Error("router without the list:", assignment)
 	}
 	if assignment := c.nextAssignment("e", 7); assignment.HasList || assignment.ListNo != 7 {
-		t.Error(assignment)
+		t.Error("router with the list:", assignment)
 	}
-	stale := services.release
-	stale.Version, stale.CanaryLimit = 3, 1
-	if err := c.applyReleaseUpdate(&stale); err != nil || c.nextAssignment("e", 7).Cap != 0.5 {
-		t.Error("a stale release update widened the canary limit", err)
+	outdated := services.release
+	outdated.Version, outdated.CanaryLimit = 3, 1
+	if err := c.applyReleaseUpdate(&outdated); err != nil || c.nextAssignment("e", 7).Cap != 0.5 {
+		t.Error("an outdated release update raised the canary traffic limit, or failed:", err)
 	}
 	if err := c.applyReleaseUpdate(&releases.Update{Version: 9, Phase: "later"}); err == nil {
-		t.Error("accepted an unknown phase")
+		t.Error("accepted a release update with an unknown phase")
 	}
 }
 
 // A metrics address that is in use results in an error that names the setting.
-func TestAddressTaken(t *testing.T) {
+func TestMetricsAddressInUse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -22,22 +22,22 @@
 	"flintspread/internal/releases"
 )
 
-// fakeServices are the services that a controller uses: an endpoint list, and a release service in a fixed state that
+// fakeServices fakes the services that a controller uses: an endpoint list, and a release service in a fixed state that
 // records votes.
 type fakeServices struct {
 	mu          sync.Mutex
 	votes       []releases.VoteMessage
 	release     releases.Update
-	holdReplies bool // votes are recorded but not answered
+	holdReplies bool // whether votes are recorded but not answered
 }
 
-// serve serves them until the test ends, and returns their URL.
+// serve serves both until the test ends, and returns their base URL.
 func (f *fakeServices) serve(t testing.TB) string {
 	mux := http.NewServeMux()
 	stream := func(w http.ResponseWriter, req *http.Request, next func() any) {
 		for req.Context().Err() == nil {
 			if err := json.NewEncoder(w).Encode(next()); err != nil {
-				return // the client is gone
+				return // the client has disconnected
 			}
 			if err := http.NewResponseController(w).Flush(); err != nil {
 				return
@@ -70,7 +70,7 @@
 		}
 		reply.Vote = "counted"
 		if err := json.NewEncoder(w).Encode(reply); err != nil {
-			t.Log(err) // the controller did not wait for it
+			t.Log(err) // the controller did not wait for the reply
 		}
 	})
 	server := httptest.NewServer(mux)
@@ -78,7 +78,7 @@
 	return server.URL
 }
 
-// verdicts returns the votes so far, such as "back on 2".
+// verdicts returns the votes received so far, such as "back on 2" for a rollback vote on build 2.
 func (f *fakeServices) verdicts() (verdicts []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +88,7 @@
 	return verdicts
 }
 
-// exampleSettings returns the settings of the example file after some replacements in its text.
+// exampleSettings returns the settings of the example file. changes are pairs of texts to replace and their replacements.
 func exampleSettings(t testing.TB, changes ...string) *config.Controller {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
@@ -101,7 +101,7 @@
 	return settings
 }
 
-// testSettings returns the example's settings with the test's own state folder and services.
+// testSettings returns the example's settings with the given state folder, services and number of votes for a rollback.
 func testSettings(t *testing.T, dir, url string, rollbackVotes int) *config.Controller {
 	settings := exampleSettings(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", rollbackVotes))
 	settings.StateDir, settings.MetricsAddress, settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = dir, "127.0.0.1:0", url+"/list", url
@@ -109,9 +109,9 @@
 	return settings
 }
 
-// canaryFailureReport is the report of a router that saw half of the canary's requests fail.
-func canaryFailureReport(seq uint64) *linkpb.Digest {
-	report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: seq, Build: 2, Rate: 100}
+// canaryFailureReport returns the report of a router at which half of the canary's attempts failed.
+func canaryFailureReport(sequence uint64) *linkpb.Digest {
+	report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: sequence, Build: 2, Rate: 100}
 	for id := range uint32(4) {
 		failures := float32(id/2) * 50
 		report.Tally = append(report.Tally, &linkpb.Tally{Unit: id + 1, Build: 1 + int32(id)/2, N: []float32{100, 100, 100, 100}, Bad: []float32{0, failures, 0, 0}})
@@ -119,7 +119,7 @@
 	return report
 }
 
-// startController runs a controller until stop is called, which returns Run's error.
+// startController runs a controller until stop is called; stop returns Run's error.
 func startController(settings *config.Controller) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -127,7 +127,7 @@
 	return func() error { cancel(); return <-done }
 }
 
-// eventually fails the test if a condition does not become true within 5 s.
+// eventually waits for a condition, and fails the test if it does not become true within 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -136,10 +136,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("not within 5 s: %s", what)
+	t.Errorf("condition not met within 5 s: %s", what)
 }
 
-// discardLog is a logger that drops everything.
+// discardLog returns a logger that discards everything.
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // mustClose closes closer and fails the test on an error.
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -9,9 +9,8 @@
 	"flintspread/internal/releases"
 )
 
-// A controller that runs late reads only one report in several and sends no queries, but still tracks live routers and
-// votes.
-func TestLateControllerSkipsReportsAndQueries(t *testing.T) {
+// A controller whose ticks are late reads only one report in several, but still votes and counts the routers as alive.
+func TestLateControllerSkipsReports(t *testing.T) {
 	c := newController(exampleSettings(t), discardLog(), nil)
 	c.restore(1, SavedState{})
 	c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log}
@@ -20,30 +19,30 @@
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
 		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
 	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
-	c.nextTickAt = c.now() - 2 // as after a pause of two seconds
+	c.nextTickAt = c.now() - 2 // the next tick is two seconds late
 	c.shedLoad(c.now())
 	c.mu.Unlock()
 	if c.reportStride.Load() < 2 {
-		t.Fatal(c.reportStride.Load())
+		t.Fatal("no reports are skipped: stride ", c.reportStride.Load())
 	}
-	for seq := uint64(1); seq < 8; seq++ {
-		if reason := c.acceptReport(canaryFailureReport(seq)); reason != lease.Accepted {
+	for sequence := uint64(1); sequence < 8; sequence++ {
+		if reason := c.acceptReport(canaryFailureReport(sequence)); reason != lease.Accepted {
 			t.Fatal(reason)
 		}
 	}
 	if c.reportsSkipped.Load() != 7 || c.leader.RouterCount() != 1 {
-		t.Errorf("%d skipped, %d routers", c.reportsSkipped.Load(), c.leader.RouterCount())
+		t.Errorf("%d reports skipped, want 7; %d routers alive, want 1", c.reportsSkipped.Load(), c.leader.RouterCount())
 	}
 	c.acceptReport(canaryFailureReport(8))
 	c.mu.Lock()
 	verdict := c.balancer.TickAndVote(c.now()).Verdict
 	c.mu.Unlock()
 	if verdict != policy.VoteRollback {
-		t.Error("no vote on the report that was read")
+		t.Error("no rollback vote after the report that was read; verdict", verdict)
 	}
 	c.tick()
 	c.tick()
 	if c.reportStride.Load() != 1 {
-		t.Errorf("reads one in %d once it is in time again", c.reportStride.Load())
+		t.Errorf("reads only one in %d reports although its ticks are in time again", c.reportStride.Load())
 	}
 }
--- a/internal/controller/state_store_test.go
+++ b/internal/controller/state_store_test.go
@@ -15,10 +15,10 @@
 	"flintspread/internal/endpoints"
 )
 
-// saveDirVariable names the state folder of the child process of TestKilledWhileSaving.
+// saveDirVariable is the environment variable with the state folder for the child process of TestKilledWhileSaving.
 const saveDirVariable = "FLINTSPREAD_TEST_SAVE_DIR"
 
-// TestMain runs the child that saves votes until it is killed, if saveDirVariable is set.
+// TestMain runs the child process, which saves votes and endpoint lists until it is killed, if saveDirVariable is set.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(saveDirVariable); dir != "" {
 		store, saved, _, err := OpenStateStore(dir)
@@ -43,7 +43,7 @@
 	os.Exit(m.Run())
 }
 
-// After a kill at any moment, the state is intact and no older than the last acknowledged save.
+// After a process is killed while saving, the state is intact and no older than the last acknowledged save.
 func TestKilledWhileSaving(t *testing.T) {
 	dir := t.TempDir()
 	last := 0
@@ -67,31 +67,32 @@
 			t.Fatal(err)
 		}
 		if err := cmd.Wait(); err == nil {
-			t.Error("the child ended by itself")
+			t.Error("the child process ended before it was killed")
 		}
 		lines := strings.Fields(string(text))
 		if n := len(lines); n > 0 {
 			if _, err := fmt.Sscan(lines[n-1], &last); err != nil {
-				t.Fatalf("%s", text)
+				t.Fatalf("output of the child process: %s", text)
 			}
 		}
-		store, saved, aside, err := OpenStateStore(dir)
-		if err != nil || aside != "" {
-			t.Fatal(aside, err)
+		store, saved, renamed, err := OpenStateStore(dir)
+		if err != nil || renamed != "" {
+			t.Fatal(renamed, err)
 		}
 		if last > 0 && (saved.Vote == nil || saved.Vote.Build < last || saved.Vote.Build > last+1 || saved.Endpoints.Version < uint64(saved.Vote.Build)) {
-			t.Errorf("acknowledged %d, found %+v", last, saved.Vote)
+			t.Errorf("save %d was acknowledged, the stored vote is %+v", last, saved.Vote)
 		}
 		mustClose(t, store)
 	}
 	if last < 12 {
-		t.Errorf("%d saved in all", last)
+		t.Errorf("only %d saves were acknowledged", last)
 	}
 }
 
-// However a file is broken, it is set aside under another name, and the controller starts empty.
-func TestBrokenState(t *testing.T) {
-	intact := func(dir string) []byte {
+// However the state file is corrupted, it is renamed and the controller starts with an empty state. A file that another
+// controller has open is left alone.
+func TestCorruptStateFile(t *testing.T) {
+	intactFile := func(dir string) []byte {
 		store, _, _, err := OpenStateStore(dir)
 		if err != nil {
 			t.Fatal(err)
@@ -111,12 +112,12 @@
 		}
 		return text
 	}
-	for name, spoil := range map[string]func([]byte) []byte{
-		"empty words":   func([]byte) []byte { return []byte("not a store at all") },
-		"cut short":     func(b []byte) []byte { return b[:len(b)/4] },
-		"cut to a page": func(b []byte) []byte { return b[:4096] },
-		"zeros inside":  func(b []byte) []byte { clear(b[2*4096:]); return b },
-		"noise inside": func(b []byte) []byte {
+	for name, corrupt := range map[string]func([]byte) []byte{
+		"not a database":        func([]byte) []byte { return []byte("not a store at all") },
+		"truncated":             func(b []byte) []byte { return b[:len(b)/4] },
+		"truncated to one page": func(b []byte) []byte { return b[:4096] },
+		"zeros after page two":  func(b []byte) []byte { clear(b[2*4096:]); return b },
+		"noise after page two": func(b []byte) []byte {
 			for i := 2 * 4096; i < len(b); i++ {
 				b[i] = byte(i * 7)
 			}
@@ -125,19 +126,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			if err := os.WriteFile(stateFile(dir), spoil(intact(dir)), 0o600); err != nil {
+			if err := os.WriteFile(stateFile(dir), corrupt(intactFile(dir)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			store, saved, aside, err := OpenStateStore(dir)
+			store, saved, renamed, err := OpenStateStore(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer mustClose(t, store)
-			if aside == "" || saved.Vote != nil || saved.Endpoints != nil {
-				t.Errorf("aside %q, %+v", aside, saved)
+			if renamed == "" || saved.Vote != nil || saved.Endpoints != nil {
+				t.Errorf("renamed file %q, state %+v", renamed, saved)
 			}
-			if kept, _ := filepath.Glob(stateFile(dir) + ".bad-*"); len(kept) != 1 {
-				t.Error(kept)
+			if files, _ := filepath.Glob(stateFile(dir) + ".bad-*"); len(files) != 1 {
+				t.Errorf("renamed files: %q, want one", files)
 			}
 		})
 	}
@@ -148,6 +149,6 @@
 	}
 	defer mustClose(t, store)
 	if _, _, _, err := OpenStateStore(dir); !errors.Is(err, boltstore.ErrInUse) {
-		t.Errorf("a second controller on the same state: %v", err)
+		t.Errorf("opening a store that is in use: %v, want ErrInUse", err)
 	}
 }
--- a/internal/controller/votes_test.go
+++ b/internal/controller/votes_test.go
@@ -14,19 +14,19 @@
 	"flintspread/internal/releases"
 )
 
-// A vote in flight when the controller died may have counted: its successor immediately casts it again or withdraws it.
-// A vote whose outcome is known is left alone.
+// A vote that was in flight when the controller died may have been counted: the next controller process immediately
+// casts the vote again or withdraws it. It sends nothing for a vote whose outcome is known or that is on an earlier build.
 func TestVoteInFlightAtRestart(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		votes int // needed to roll back a build
-		vote  SavedVote
-		want  string
+		name          string
+		rollbackVotes int
+		vote          SavedVote
+		want          string // vote of the next process; "": none
 	}{
-		{"outcome unknown, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "back on 2"},
-		{"outcome known, one vote decides", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback, OutcomeKnown: true}, ""},
-		{"outcome unknown, others are needed, no reason any more", 2, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "none on 2"},
-		{"outcome unknown, of an earlier build", 2, SavedVote{Build: 1, Verdict: policy.VoteRollback}, ""},
+		{"outcome unknown, one vote suffices", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "back on 2"},
+		{"outcome known, one vote suffices", 1, SavedVote{Build: 2, Verdict: policy.VoteRollback, OutcomeKnown: true}, ""},
+		{"outcome unknown, two votes needed, no evidence any more", 2, SavedVote{Build: 2, Verdict: policy.VoteRollback}, "none on 2"},
+		{"outcome unknown, on an earlier build", 2, SavedVote{Build: 1, Verdict: policy.VoteRollback}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "released", CanaryLimit: 1}}
@@ -39,7 +39,7 @@
 			if err := errors.Join(store.SaveVote(test.vote), store.Close()); err != nil {
 				t.Fatal(err)
 			}
-			stop := startController(testSettings(t, dir, services.serve(t), test.votes))
+			stop := startController(testSettings(t, dir, services.serve(t), test.rollbackVotes))
 			if test.want != "" {
 				eventually(t, test.want, func() bool { return strings.Join(services.verdicts(), ", ") == test.want })
 			} else {
@@ -55,8 +55,8 @@
 	}
 }
 
-// A router's evidence leads to a rollback vote. If the controller is killed before the reply, the vote is on disk with
-// its outcome unknown.
+// A router's evidence leads to a rollback vote. If the controller stops before the reply, the vote is on disk with its
+// outcome unknown.
 func TestVoteIsSavedBeforeItIsSent(t *testing.T) {
 	services := &fakeServices{holdReplies: true, release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}}
 	dir := t.TempDir()
@@ -76,7 +76,7 @@
 		t.Fatal(reason)
 	}
 	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.StaleSequence {
-		t.Error("the same report twice:", reason)
+		t.Error("repeated report:", reason)
 	}
 	c.tick()
 	ctx, cancel := context.WithCancel(context.Background())
