--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -14,14 +14,14 @@
 	"flintspread/internal/lease"
 )
 
-// BenchmarkBeat measures one report interval of a controller and its routers, without sockets: each router's report on
-// all endpoints under two builds is encoded, decoded and accepted, the controller ticks, and each router gets its
-// assignment. It reports bytes of reports and assignments per second at the example's interval of 0.1 s, and the share
-// of a core used.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkReportInterval measures the work of one report interval of a controller and its routers, without sockets: each
+// router's report on endpoints of two builds is encoded, decoded and accepted, each router's assignment is encoded, and
+// the controller ticks. It reports the volume of reports and assignments per second at the example's interval of 0.1 s,
+// and the cores used.
+func BenchmarkReportInterval(b *testing.B) {
 	for _, endpointCount := range []int{100, 300, 1000} {
 		for _, routers := range []int{1, 4, 16} {
-			b.Run(fmt.Sprintf("units-%d/edges-%d", endpointCount, routers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("endpoints-%d/routers-%d", endpointCount, routers), func(b *testing.B) {
 				settings := exampleSettings(b)
 				c := newController(settings, discardLog(), nil)
 				c.restore(1, SavedState{})
@@ -38,8 +38,8 @@
 				for i := range reports {
 					report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: c.configHash}
 					for id := range endpointCount {
-						n := float32(100 + id)
-						report.Tally = append(report.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{n, n, n, n}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
+						outcomes := float32(100 + id)
+						report.Tally = append(report.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{outcomes, outcomes, outcomes, outcomes}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
 					}
 					reports[i] = report
 				}
@@ -48,19 +48,19 @@
 					reportBytes, assignmentBytes = 0, 0
 					for _, report := range reports {
 						report.Seq++
-						text, err := proto.Marshal(report)
+						encoded, err := proto.Marshal(report)
 						if err != nil {
 							b.Fatal(err)
 						}
-						reportBytes += len(text)
-						var got linkpb.Digest
-						if err := proto.Unmarshal(text, &got); err != nil {
+						reportBytes += len(encoded)
+						var decoded linkpb.Digest
+						if err := proto.Unmarshal(encoded, &decoded); err != nil {
 							b.Fatal(err)
 						}
-						if reason := c.acceptReport(&got); reason != lease.Accepted {
+						if reason := c.acceptReport(&decoded); reason != lease.Accepted {
 							b.Fatal(reason)
 						}
-						assignment, err := proto.Marshal(c.nextAssignment(report.Edge, got.ListNo))
+						assignment, err := proto.Marshal(c.nextAssignment(report.Edge, decoded.ListNo))
 						if err != nil {
 							b.Fatal(err)
 						}
@@ -71,17 +71,17 @@
 					c.mu.Unlock()
 				}
 				const intervalsPerSecond = 10
-				b.ReportMetric(float64(reportBytes*intervalsPerSecond)/1024, "digest-KiB/s")
-				b.ReportMetric(float64(assignmentBytes*intervalsPerSecond)/1024, "view-KiB/s")
+				b.ReportMetric(float64(reportBytes*intervalsPerSecond)/1024, "report-KiB/s")
+				b.ReportMetric(float64(assignmentBytes*intervalsPerSecond)/1024, "assignment-KiB/s")
 				b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*intervalsPerSecond, "cores")
 			})
 		}
 	}
 }
 
-// BenchmarkFirstView measures the time from a controller's start with saved state until a router applies its first
-// assignment with endpoint list and release, over a socket.
-func BenchmarkFirstView(b *testing.B) {
+// BenchmarkFirstAssignment measures the time from a controller's start with saved state until a router on a socket
+// applies the first assignment with an endpoint list and a release.
+func BenchmarkFirstAssignment(b *testing.B) {
 	settings := exampleSettings(b)
 	settings.StateDir = b.TempDir()
 	settings.MetricsAddress = "127.0.0.1:0"
--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -12,9 +12,9 @@
 	"flintspread/internal/lease"
 )
 
-// A version that the controller accepts but a router rejects is rejected for all; one that all accept takes effect at
-// the controller and is sent to the routers, including one that starts later.
-func TestVersionNeedsAllRouters(t *testing.T) {
+// A version that the controller accepts but one router rejects is rejected for all. A version that all accept takes
+// effect at the controller and is sent to the routers, including a router that starts later.
+func TestVersionRequiresAllRouters(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		t.Fatal(err)
@@ -34,10 +34,10 @@
 		t.Fatal(err)
 	}
 	sequence := uint64(0)
-	report := func(router string, inForce, fits, refused uint64, reason string) *linkpb.View {
+	report := func(router string, inForce, applicable, rejected uint64, reason string) *linkpb.View {
 		sequence++
-		c.acceptReport(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: router, Life: 1, Seq: sequence, ConfigNo: inForce, ConfigFits: fits,
-			ConfigRefused: refused, ConfigReason: reason})
+		c.acceptReport(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: router, Life: 1, Seq: sequence, ConfigNo: inForce, ConfigFits: applicable,
+			ConfigRefused: rejected, ConfigReason: reason})
 		return c.nextAssignment(router, 0)
 	}
 	var proposed *configstate.Version
@@ -51,18 +51,18 @@
 			t.Fatal(outcome, err)
 		}
 	}
-	recheck := func(want configstate.Outcome, why string) {
+	recheck := func(want configstate.Outcome, reason string) {
 		t.Helper()
 		outcome, err := c.configVersions.recheck(proposed)
-		if outcome != want || (err == nil) != (why == "") || err != nil && !strings.Contains(err.Error(), why) {
-			t.Errorf("%v %v, want %v %s", outcome, err, want, why)
+		if outcome != want || (err == nil) != (reason == "") || err != nil && !strings.Contains(err.Error(), reason) {
+			t.Errorf("outcome %v with error %v, want %v with %q", outcome, err, want, reason)
 		}
 	}
 	report("a", 0, 0, 0, "")
 	report("b", 0, 0, 0, "")
 	propose(4, document)
 	if assignment := report("a", 0, 0, 0, ""); assignment.ConfigNext != 4 || assignment.ConfigTextNo != 4 || string(assignment.ConfigText) != document || assignment.ConfigNo != 0 {
-		t.Error(assignment.ConfigNo, assignment.ConfigNext, assignment.ConfigTextNo)
+		t.Error("versions in force, proposed and with text:", assignment.ConfigNo, assignment.ConfigNext, assignment.ConfigTextNo)
 	}
 	recheck(configstate.Waiting, "")
 	report("a", 0, 4, 0, "")
@@ -77,24 +77,24 @@
 	report("b", 0, 5, 0, "")
 	recheck(configstate.Applied, "")
 	if assignment := report("a", 0, 5, 0, ""); assignment.ConfigNo != 5 || assignment.ConfigTextNo != 0 {
-		t.Error("a has the text, and is to put it in force", assignment.ConfigNo, assignment.ConfigTextNo)
+		t.Error("want version 5 in force without text for a router that has it; got versions", assignment.ConfigNo, assignment.ConfigTextNo)
 	}
 	if assignment := report("c", 0, 0, 0, ""); assignment.ConfigNo != 5 || assignment.ConfigTextNo != 5 {
-		t.Error("one that starts lacks the text", assignment.ConfigNo, assignment.ConfigTextNo)
+		t.Error("want version 5 in force with text for a router that starts later; got versions", assignment.ConfigNo, assignment.ConfigTextNo)
 	}
 	old, err := configstate.ParseVersion(4, []byte(document))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if outcome, err := c.configVersions.propose(old); outcome != configstate.Rejected || err == nil {
-		t.Error("went back to 4", outcome, err)
+		t.Error("accepted version 4 after version 5:", outcome, err)
 	}
 	propose(6, document+"  ")
 	time.Sleep(600 * time.Millisecond)
 	recheck(configstate.Rejected, "no word in time from edges a, b, c")
 	mustClose(t, c.configVersions.store)
 	if c.configVersions, err = c.openConfigVersions(); err != nil || c.configVersions.state.Current().Number != 5 {
-		t.Error("after a restart", err)
+		t.Error("version 5 is not in force after a restart:", err)
 	}
 	mustClose(t, c.configVersions.store)
 }
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -30,7 +30,8 @@
 	"flintspread/internal/releases"
 )
 
-// queryServerSettings returns the example's settings with query servers.
+// queryServerSettings returns the example's settings with query servers at the given URLs and one query for each metric of
+// endpointScrape.
 func queryServerSettings(t testing.TB, urls ...string) *config.Controller {
 	var servers []string
 	for i, u := range urls {
@@ -47,19 +48,20 @@
 		"] :queries-a-second 200 :at-once 8 :timeout 1.0 :back-most 0.3 :answer-bytes 8000000 :series 5000 :skew 1.0}\n :rules")
 }
 
-// endpointScrape is one scrape of an endpoint: its counters and gauges.
-func endpointScrape(id, build int, all, wrong, up float64) (list []fakes.Scrape) {
+// endpointScrape returns one scrape of an endpoint: its counters and gauges.
+func endpointScrape(id, build int, answers, wrong, up float64) (scrapes []fakes.Scrape) {
 	labels := map[string]string{"unit": strconv.Itoa(id), "build": strconv.Itoa(build)}
-	for name, value := range map[string]float64{"unit_answers_total": all, "unit_wrong_total": wrong, "unit_errors_total": 0, "unit_probe_success": up,
+	for name, value := range map[string]float64{"unit_answers_total": answers, "unit_wrong_total": wrong, "unit_errors_total": 0, "unit_probe_success": up,
 		"unit_busy": 0.1, "unit_answer_seconds": 0.05} {
-		list = append(list, fakes.Scrape{Name: name, Labels: labels, Value: value})
+		scrapes = append(scrapes, fakes.Scrape{Name: name, Labels: labels, Value: value})
 	}
-	return list
+	return scrapes
 }
 
-// Two query servers beside a router that saw only two wrong answers: their evidence leads to a rollback vote and marks
-// endpoints for the routers. When both servers fail, the marks end and votes depend on the router's reports alone.
-func TestMetricsEvidenceRaisesVoteAndMarks(t *testing.T) {
+// A router's report of two wrong answers leads to no vote. Together with the evidence of two query servers it leads to a
+// rollback vote, and the routers receive health marks. When both servers fail, the marks are cleared and the evidence is
+// empty, so that votes depend on the router's reports alone.
+func TestMetricsEvidenceLeadsToVoteAndMarks(t *testing.T) {
 	var servers []*fakes.QueryServer
 	var urls []string
 	wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
@@ -111,24 +113,25 @@
 	running.Go(func() { c.metricsEvidence.run(ctx) })
 	running.Go(func() { c.voteSender.Run(ctx) })
 	defer func() { cancel(); running.Wait() }()
-	n := 0.0
-	scrape := func(wrong float64) {
-		n += 40
+	answers := 0.0 // per endpoint, so far
+	scrape := func(wrongShare float64) {
+		answers += 40
 		for _, q := range servers {
-			q.Enter(wall(), slices.Concat(endpointScrape(1, 1, n, 0, 0), endpointScrape(2, 1, n, 0, 1), endpointScrape(3, 2, n, wrong*n, 1), endpointScrape(4, 2, n, wrong*n, 1)))
+			q.Enter(wall(), slices.Concat(endpointScrape(1, 1, answers, 0, 0), endpointScrape(2, 1, answers, 0, 1),
+				endpointScrape(3, 2, answers, wrongShare*answers, 1), endpointScrape(4, 2, answers, wrongShare*answers, 1)))
 		}
 		time.Sleep(60 * time.Millisecond)
 		c.tick()
 	}
 	rollbackCast := func() bool { return slices.Contains(services.verdicts(), "back on 2") }
 	for range 20 {
-		sendReport(uint64(n/40+1), 1)
+		sendReport(uint64(answers/40+1), 1)
 		scrape(0)
 		if rollbackCast() {
-			t.Fatal("two wrong answers brought a vote by themselves")
+			t.Fatal("two reported wrong answers led to a rollback vote without metrics evidence")
 		}
 	}
-	eventually(t, "the query servers raise two wrong answers to a vote", func() bool { scrape(0.3); return rollbackCast() })
+	eventually(t, "a rollback vote with the evidence of the query servers", func() bool { scrape(0.3); return rollbackCast() })
 	marks := func() (byEndpoint map[uint32]*linkpb.Mark, version uint64) {
 		c.tick()
 		assignment := c.nextAssignment("e", 1)
@@ -138,29 +141,29 @@
 		}
 		return byEndpoint, assignment.MarksNo
 	}
-	eventually(t, "endpoints are marked", func() bool {
+	eventually(t, "health marks of endpoints 1, 3 and 4", func() bool {
 		scrape(0.3)
 		m, _ := marks()
 		return m[3] != nil && m[3].Wrong > 0.1 && m[4] != nil && m[4].Wrong > 0.1 && m[1] != nil && m[1].Ailing > 0.5 && m[1].Wrong == 0 && m[2] == nil
 	})
-	_, before := marks()
+	_, lastVersion := marks()
 	for _, q := range servers {
 		q.SetFault(fakes.Dead)
 	}
-	eventually(t, "the marks end with the servers", func() bool {
+	eventually(t, "no health marks without query servers", func() bool {
 		m, version := marks()
-		return len(m) == 0 && version > before
+		return len(m) == 0 && version > lastVersion
 	})
 	c.mu.Lock()
-	counts := c.metricsEvidence.analysis.Evidence(c.now())
+	evidence := c.metricsEvidence.analysis.Evidence(c.now())
 	c.mu.Unlock()
-	if len(counts.Samples) > 0 {
-		t.Error("silent query servers still count:", counts)
+	if len(evidence.Samples) > 0 {
+		t.Error("evidence without query servers:", evidence)
 	}
 }
 
-// The example rules and alerts parse, and name metrics that the programs expose.
-func TestRulesFile(t *testing.T) {
+// The example recording and alerting rules parse, and use only metrics that the programs expose.
+func TestExampleRulesFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/prometheus-rules.yml")
 	if err != nil {
 		t.Fatal(err)
@@ -174,9 +177,9 @@
 			}
 		}
 	}
-	d := yaml.NewDecoder(bytes.NewReader(text))
-	d.KnownFields(true)
-	if err := d.Decode(&groups); err != nil {
+	decoder := yaml.NewDecoder(bytes.NewReader(text))
+	decoder.KnownFields(true)
+	if err := decoder.Decode(&groups); err != nil {
 		t.Fatal(err)
 	}
 	exposed := map[string]bool{}
@@ -193,7 +196,7 @@
 	for _, group := range groups.Groups {
 		for _, rule := range group.Rules {
 			if _, err := parser.NewParser(parser.Options{}).ParseExpr(rule.Expr); err != nil || (rule.Record == "") == (rule.Alert == "") {
-				t.Errorf("%s%s: %v", rule.Record, rule.Alert, err)
+				t.Errorf("rule %s%s does not parse, or is not either a record or an alert: %v", rule.Record, rule.Alert, err)
 			}
 			for _, m := range regexp.MustCompile(`\bflint(?:edge|plan)_([a-z_0-9]+)`).FindAllStringSubmatch(rule.Expr, -1) {
 				name := m[1]
@@ -205,22 +208,22 @@
 					name = strings.TrimSuffix(name, suffix)
 				}
 				if !exposed[name] {
-					t.Errorf("%s%s names %s, which no program exposes", rule.Alert, rule.Record, m[0])
+					t.Errorf("rule %s%s uses %s, which no program exposes", rule.Alert, rule.Record, m[0])
 				}
 			}
 		}
 	}
 	if found < 10 {
-		t.Errorf("%d metrics found", found)
+		t.Errorf("only %d uses of metrics found, want 10 or more", found)
 	}
 }
 
-// sourceFiles returns the non-test Go files of some folders.
+// sourceFiles returns the non-test Go files in the given folders.
 func sourceFiles(t *testing.T, dirs ...string) (files []string) {
 	for _, dir := range dirs {
 		found, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(found) == 0 {
-			t.Fatalf("%s: %d Go files, %v", dir, len(found), err)
+			t.Fatalf("%s: found %d Go files, error %v", dir, len(found), err)
 		}
 		for _, file := range found {
 			if !strings.HasSuffix(file, "_test.go") {
@@ -231,12 +234,13 @@
 	return files
 }
 
-// BenchmarkHealth measures a controller's cost of sending five queries to two query servers once a second, all in one
-// process. It reports the cores used when the same answers are queried and discarded, which is the servers' cost; the
-// additional cores used by poller, analysis and ticks; the heap in use, servers included; and the p99 query time.
-func BenchmarkHealth(b *testing.B) {
+// BenchmarkMetricsEvidence measures a controller's cost of sending five queries to each of two query servers once a
+// second, all in one process. It reports the cores used by as many queries whose answers are discarded, which is the
+// servers' cost; the additional cores used by poller, analysis and ticks; the heap in use, including the servers'; and
+// the p99 query time.
+func BenchmarkMetricsEvidence(b *testing.B) {
 	for _, endpointCount := range []int{100, 300, 1000} {
-		b.Run(fmt.Sprintf("units-%d", endpointCount), func(b *testing.B) {
+		b.Run(fmt.Sprintf("endpoints-%d", endpointCount), func(b *testing.B) {
 			wall := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 			var urls []string
 			var servers []*fakes.QueryServer
@@ -257,7 +261,7 @@
 			if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
 				b.Fatal(err)
 			}
-			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not running: votes are never sent
+			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not running, so votes are not sent
 			c.voteSender.Open()
 			update := &endpoints.Update{Version: 1, Full: true}
 			for id := range endpointCount {
@@ -268,28 +272,29 @@
 				b.Fatal(err)
 			}
 			c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
-			n := 0.0
+			answers := 0.0 // per endpoint, so far
 			scrape := func() {
-				n += 10
+				answers += 10
 				for _, q := range servers {
-					var list []fakes.Scrape
+					var scrapes []fakes.Scrape
 					for id := range endpointCount {
-						list = append(list, endpointScrape(id+1, 1+id%2, n, n/10, 1)...)
+						scrapes = append(scrapes, endpointScrape(id+1, 1+id%2, answers, answers/10, 1)...)
 					}
-					q.Enter(wall(), list)
+					q.Enter(wall(), scrapes)
 				}
 			}
 			const measuredSeconds = 4
-			usage := func(into *syscall.Rusage) {
-				if err := syscall.Getrusage(syscall.RUSAGE_SELF, into); err != nil {
+			readUsage := func(usage *syscall.Rusage) {
+				if err := syscall.Getrusage(syscall.RUSAGE_SELF, usage); err != nil {
 					b.Fatal(err)
 				}
 			}
-			used := func(do func(context.Context)) (cpu float64) {
+			// coresUsed runs work for measuredSeconds, while the endpoints are scraped, and returns the CPU cores used.
+			coresUsed := func(work func(context.Context)) float64 {
 				ctx, cancel := context.WithTimeout(context.Background(), measuredSeconds*time.Second)
 				defer cancel()
-				var from, to syscall.Rusage
-				usage(&from)
+				var before, after syscall.Rusage
+				readUsage(&before)
 				var scraping sync.WaitGroup
 				scraping.Go(func() {
 					for ctx.Err() == nil {
@@ -297,15 +302,15 @@
 						time.Sleep(500 * time.Millisecond)
 					}
 				})
-				do(ctx)
+				work(ctx)
 				scraping.Wait()
-				usage(&to)
-				at := func(u syscall.Rusage) float64 { return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9 }
-				return (at(to) - at(from)) / measuredSeconds
+				readUsage(&after)
+				cpuSeconds := func(u syscall.Rusage) float64 { return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9 }
+				return (cpuSeconds(after) - cpuSeconds(before)) / measuredSeconds
 			}
 			var heap runtime.MemStats
 			for b.Loop() {
-				total := used(func(ctx context.Context) {
+				total := coresUsed(func(ctx context.Context) {
 					var ticking sync.WaitGroup
 					ticking.Go(func() {
 						for ctx.Err() == nil {
@@ -322,28 +327,28 @@
 				for _, q := range servers {
 					queries += q.Queries()
 				}
-				serversOnly := used(func(ctx context.Context) { queryAndDiscard(ctx, queries, urls) })
-				b.ReportMetric(total-serversOnly, "planner-cores")
+				serversOnly := coresUsed(func(ctx context.Context) { queryAndDiscard(ctx, queries, urls) })
+				b.ReportMetric(total-serversOnly, "controller-cores")
 				b.ReportMetric(serversOnly, "servers-cores")
 				b.ReportMetric(float64(queries)/measuredSeconds, "queries/s")
-				b.ReportMetric(float64(heap.HeapInuse)/(1<<20), "MiB")
+				b.ReportMetric(float64(heap.HeapInuse)/(1<<20), "heap-MiB")
 				b.ReportMetric(1000*p99(c, b), "p99-ms")
 			}
 		})
 	}
 }
 
-// queryAndDiscard sends as many queries as the poller did, over the same time, and discards the answers.
-func queryAndDiscard(ctx context.Context, n int, urls []string) {
+// queryAndDiscard sends queryCount queries, evenly spread until the deadline of ctx, and discards the answers.
+func queryAndDiscard(ctx context.Context, queryCount int, urls []string) {
 	queries := []string{"unit_wrong_total[3s]", "unit_answers_total[3s]", "unit_errors_total[3s]", "unit_answers_total[3s]", "unit_probe_success",
 		"unit_busy", "unit_answer_seconds[2s]"}
 	end, _ := ctx.Deadline()
-	gap := time.Until(end) / time.Duration(n+1)
-	for i := range n {
+	interval := time.Until(end) / time.Duration(queryCount+1)
+	for i := range queryCount {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(gap):
+		case <-time.After(interval):
 		}
 		resp, err := http.PostForm(urls[i%2]+"/api/v1/query", url.Values{"query": {queries[i/2%len(queries)]}})
 		if err != nil {
@@ -358,19 +363,19 @@
 	<-ctx.Done()
 }
 
-// p99 estimates the p99 query time of the slower server, in seconds, as the upper bound of its histogram bucket.
+// p99 returns the p99 query time of the slowest server in seconds, estimated as the upper bound of its histogram bucket.
 func p99(c *Controller, b *testing.B) (worst float64) {
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(c.metricsEvidence.poller.Collectors()...)
-	families, err := reg.Gather()
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(c.metricsEvidence.poller.Collectors()...)
+	families, err := registry.Gather()
 	if err != nil {
 		b.Fatal(err)
 	}
 	for _, f := range families {
 		for _, m := range f.GetMetric() {
-			h := m.GetHistogram()
-			for _, bucket := range h.GetBucket() {
-				if float64(bucket.GetCumulativeCount()) >= 0.99*float64(h.GetSampleCount()) {
+			histogram := m.GetHistogram()
+			for _, bucket := range histogram.GetBucket() {
+				if float64(bucket.GetCumulativeCount()) >= 0.99*float64(histogram.GetSampleCount()) {
 					worst = max(worst, bucket.GetUpperBound())
 					break
 				}
