--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -21,37 +21,37 @@
 	"flintspread/internal/lease"
 )
 
-// keepAliveIntervals is the number of report intervals after which a router gets an assignment without a notification,
-// as proof that the controller is alive.
+// keepAliveIntervals is the number of report intervals after which a router is sent an assignment even if nothing has
+// changed, to show that the controller is alive.
 const keepAliveIntervals = 2
 
-// ControllerServer is the controller's end of the connections to all its routers. The exported fields must be set
-// before Serve and not changed afterwards.
+// ControllerServer is the controller's side of the connections to its routers. The exported fields must be set before
+// Serve and not changed afterwards.
 type ControllerServer struct {
 	linkpb.UnimplementedPlannerServer
 	Config *config.Link
 	Log    *slog.Logger
 	Relay  string // must match that of every router
-	// AcceptReport records a report and returns whether it was accepted. It is called from one goroutine per router and
-	// must not block.
+	// AcceptReport records a report and returns lease.Accepted, or why the report is rejected. It is called from one
+	// goroutine per router and must not block.
 	AcceptReport func(report *linkpb.Digest) lease.Reason
-	// NextAssignment builds the next assignment for a router that holds listVersion of the endpoint list. It is called
-	// from one goroutine per router and must not block.
+	// NextAssignment builds the next assignment for a router that has version listVersion of the endpoint list. It is
+	// called from one goroutine per router and must not block.
 	NextAssignment func(router string, listVersion uint64) *linkpb.View
 
 	mu      sync.Mutex
 	streams map[*routerStream]struct{} // guarded by mu
 }
 
-// routerStream is one router's open stream.
+// routerStream is the open stream of a router.
 type routerStream struct {
-	wake        chan struct{}
-	listVersion atomic.Uint64 // of the endpoint list that the router holds
+	wake        chan struct{} // capacity 1; a value requests an assignment
+	listVersion atomic.Uint64 // of the endpoint list that the router has
 }
 
-// Listen listens on the configured address. It replaces a socket file left by a killed controller; the caller must hold
-// the lock of the controller's state, so that no other controller is listening there. A file that is not a socket is
-// left alone and results in an error.
+// Listen listens on the configured address. It replaces an existing socket file, which a killed controller has left. The
+// caller must have the controller's state store open, which ensures that no other controller is listening on the socket.
+// A file that is not a socket is not replaced and results in an error.
 func Listen(link *config.Link) (net.Listener, error) {
 	path, ok := link.SocketPath()
 	if !ok {
@@ -59,7 +59,7 @@
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&fs.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s: is no socket", path)
+			return nil, fmt.Errorf("%s: exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, err
@@ -104,7 +104,7 @@
 	}
 }
 
-// Follow implements the Follow RPC: it serves one router until its stream breaks.
+// Follow implements the Follow RPC: it serves a router until the stream fails.
 func (s *ControllerServer) Follow(stream linkpb.Planner_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -118,12 +118,13 @@
 	defer s.unregister(router)
 	s.Log.Info("router connected", "router", first.Edge, "incarnation", first.Life)
 	failed := make(chan error, 1)
-	// Not waited for: Recv returns once gRPC ends the stream, which happens after this method has returned.
+	// This goroutine cannot be waited for here: its Recv returns when gRPC ends the stream, after this method returns.
 	go func() { failed <- s.receiveReports(stream, router, first) }()
 	return s.sendAssignments(stream, router, first.Edge, failed)
 }
 
-// checkCompatible rejects a router with another schema or relay. The status is returned to the router, which logs it.
+// checkCompatible rejects a router with another major schema version or relay. The status is sent to the router, which
+// logs it.
 func (s *ControllerServer) checkCompatible(report *linkpb.Digest) error {
 	if report.Major != lease.SchemaMajor {
 		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", report.Edge, report.Major,
@@ -135,24 +136,25 @@
 	return nil
 }
 
-// register adds a router to those that NotifyAll notifies.
+// register adds a router's stream to those that NotifyAll notifies.
 func (s *ControllerServer) register(router *routerStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams[router] = struct{}{}
 }
 
-// unregister undoes register.
+// unregister removes a router's stream from those that NotifyAll notifies.
 func (s *ControllerServer) unregister(router *routerStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, router)
 }
 
-// receiveReports processes the reports of a stream until it breaks. The first report was read by the caller.
+// receiveReports processes the reports of a stream until the stream fails, and returns the error. first is the report that
+// the caller has already received.
 func (s *ControllerServer) receiveReports(stream linkpb.Planner_FollowServer, router *routerStream, first *linkpb.Digest) error {
 	for report := first; ; {
-		s.enterReport(router, report)
+		s.processReport(router, report)
 		var err error
 		if report, err = stream.Recv(); err != nil {
 			return err
@@ -160,18 +162,18 @@
 	}
 }
 
-// enterReport processes one report. An accepted report is answered by an assignment.
-func (s *ControllerServer) enterReport(router *routerStream, report *linkpb.Digest) {
+// processReport passes a report to AcceptReport, and requests an assignment in reply if the report was accepted.
+func (s *ControllerServer) processReport(router *routerStream, report *linkpb.Digest) {
 	if reason := s.AcceptReport(report); reason != lease.Accepted {
-		s.Log.Info("report refused", "router", report.Edge, "reason", reason, "incarnation", report.Life, "sequence", report.Seq)
+		s.Log.Info("rejected a report", "router", report.Edge, "reason", reason, "incarnation", report.Life, "sequence", report.Seq)
 		return
 	}
 	router.listVersion.Store(report.ListNo)
 	router.notify()
 }
 
-// sendAssignments sends an assignment on every notification and keep-alive interval until the stream breaks. Each is
-// built when it can be sent, so that a slow reader gets fewer assignments, never outdated ones.
+// sendAssignments sends an assignment on every notification and keep-alive interval until the stream fails. An assignment
+// is built when it can be sent, so that a slow reader receives fewer assignments, but no outdated ones.
 func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
 	keepAlive := time.NewTicker(seconds(s.Config.Beat * keepAliveIntervals))
 	defer keepAlive.Stop()
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -46,7 +46,7 @@
 	return slog.New(slog.NewTextHandler(l, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// startController serves assignments for an epoch until stop is called.
+// startController starts a controller of an epoch, which serves assignments until stop is called.
 func startController(t *testing.T, link *config.Link, epoch uint64, log *logBuffer) (addr string, stop func()) {
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, link.LeaseSeconds, 0, 1, 0)
@@ -83,8 +83,8 @@
 	}
 }
 
-// startRouter follows a controller until stop is called. assignments counts the applied assignments, lists those with
-// an endpoint list.
+// startRouter starts a router, which follows a controller until stop is called. assignments counts the assignments that
+// the router applied, lists those of them with an endpoint list.
 func startRouter(t *testing.T, link *config.Link, log *logBuffer) (router *RouterClient, assignments, lists *atomic.Int64, stop func()) {
 	assignments, lists = new(atomic.Int64), new(atomic.Int64)
 	startedAt := time.Now()
@@ -108,7 +108,7 @@
 	}
 }
 
-// eventually fails the test if a condition does not become true within 5 s.
+// eventually waits for a condition, and fails the test if it does not become true within 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -117,7 +117,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("not within 5 s: %s", what)
+	t.Errorf("condition not met within 5 s: %s", what)
 }
 
 // unixLink returns settings for a Unix socket in a temporary folder of the test.
@@ -125,9 +125,9 @@
 	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1}
 }
 
-// A controller that dies and restarts is followed again, even on a socket file left by a killed one; an older
-// controller is not.
-func TestRestarts(t *testing.T) {
+// A router follows a controller again after it restarts with a higher epoch, and does not follow an older one. A controller
+// replaces the socket file of a killed controller, but no other file.
+func TestControllerRestarts(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	link, log := unixLink(t), &logBuffer{}
 	router, assignments, lists, stop := startRouter(t, link, log)
@@ -136,13 +136,13 @@
 		_, end := startController(t, link, epoch, log)
 		before := assignments.Load()
 		eventually(t, "assignments", func() bool { return assignments.Load() > before+5 })
-		if n := router.Stats(); n.Epoch != epoch {
-			t.Errorf("follows %d, not %d", n.Epoch, epoch)
+		if stats := router.Stats(); stats.Epoch != epoch {
+			t.Errorf("router follows epoch %d, want %d", stats.Epoch, epoch)
 		}
 		end()
 	}
 	if n := lists.Load(); n != 1 {
-		t.Errorf("the endpoint list came %d times though it did not change", n)
+		t.Errorf("received an unchanged endpoint list %d times, want once", n)
 	}
 	path, _ := link.SocketPath()
 	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -154,21 +154,21 @@
 		t.Fatal(err)
 	}
 	_, end := startController(t, link, 12, log)
-	eventually(t, "the older controller learns that it is superseded", func() bool { return log.contains("superseded") })
-	if n := router.Stats(); n.Epoch != 13 {
-		t.Errorf("went back to %d", n.Epoch)
+	eventually(t, "the older controller rejects a report as superseded", func() bool { return log.contains("superseded") })
+	if stats := router.Stats(); stats.Epoch != 13 {
+		t.Errorf("router follows epoch %d after epoch 13", stats.Epoch)
 	}
 	end()
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(link); err == nil || !strings.Contains(err.Error(), "is no socket") {
-		t.Error("took over a file that is no socket:", err)
+	if _, err := Listen(link); err == nil || !strings.Contains(err.Error(), "is not a socket") {
+		t.Error("listening on a file that is not a socket:", err)
 	}
 }
 
-// A connection that breaks every 50 ms still delivers assignments, and never an older one.
-func TestFlappingConnectionStillBringsAssignments(t *testing.T) {
+// A connection that breaks every 50 ms still delivers assignments.
+func TestFlappingConnectionDeliversAssignments(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	link, log := unixLink(t), &logBuffer{}
 	_, end := startController(t, link, 10, log)
@@ -180,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var flaps atomic.Int64
+	var connections atomic.Int64
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
@@ -199,47 +199,47 @@
 				time.Sleep(50 * time.Millisecond)
 				client.Close()
 				server.Close()
-				flaps.Add(1)
+				connections.Add(1)
 			})
 		}
 	})
 	_, assignments, _, stop := startRouter(t, &proxied, log)
-	eventually(t, "twenty flaps", func() bool { return flaps.Load() >= 20 })
+	eventually(t, "twenty connections broken", func() bool { return connections.Load() >= 20 })
 	if n := assignments.Load(); n < 10 {
-		t.Errorf("%d assignments over %d flaps", n, flaps.Load())
+		t.Errorf("%d assignments over %d connections, want 10 or more", n, connections.Load())
 	}
 	stop()
 	listener.Close()
 	running.Wait()
 }
 
-// forward copies one direction of a connection until either end fails, and then closes the other end.
+// forward copies one direction of a connection until either connection fails, and then closes the destination.
 func forward(t *testing.T, to, from net.Conn) {
 	if _, err := io.Copy(to, from); err != nil {
-		t.Log("cut:", err)
+		t.Log("connection broken:", err)
 	}
 	to.Close()
 }
 
-// A silent controller is considered dead and does not block the router.
-func TestSilentControllerIsLeft(t *testing.T) {
+// A controller that accepts a connection but sends nothing is considered dead, and does not block the router.
+func TestSilentControllerTimesOut(t *testing.T) {
 	link, log := unixLink(t), &logBuffer{}
 	path, _ := link.SocketPath()
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	_, assignments, _, stop := startRouter(t, link, log) // connects to a listener that never answers
-	eventually(t, "the silence is noticed", func() bool { return log.contains("silent for 0.5 s") || log.contains("Unavailable") })
+	defer listener.Close()
+	_, assignments, _, stop := startRouter(t, link, log) // connects to a listener that sends nothing
+	eventually(t, "the timeout is logged", func() bool { return log.contains("no assignment received for 0.5 s") || log.contains("Unavailable") })
 	stop()
 	if assignments.Load() != 0 {
-		t.Error("assignments from a silent controller")
+		t.Errorf("%d assignments from a silent controller", assignments.Load())
 	}
 }
 
-// A router with another relay or schema is rejected, and the error names both values.
-func TestOtherSchemaOrRelay(t *testing.T) {
+// A router with another relay or major schema version is rejected, and the error names both values.
+func TestSchemaOrRelayMismatch(t *testing.T) {
 	link, log := unixLink(t), &logBuffer{}
 	_, end := startController(t, link, 10, log)
 	defer end()
@@ -249,27 +249,27 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- router.Run(ctx, 0) }()
-	eventually(t, "the relay is named", func() bool { return log.contains(`is of relay \"r2\", this planner of \"r1\"`) })
+	eventually(t, "the router logs both relays", func() bool { return log.contains(`is of relay \"r2\", this planner of \"r1\"`) })
 	cancel()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	err := (&ControllerServer{Relay: "r1"}).Follow(&oneReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&ControllerServer{Relay: "r1"}).Follow(&repeatedReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
 }
 
-// oneReport is a stream that delivers the same report repeatedly.
-type oneReport struct {
+// repeatedReport is a stream on which the same report is received repeatedly.
+type repeatedReport struct {
 	linkpb.Planner_FollowServer
 	report *linkpb.Digest
 }
 
 // Recv returns the report.
-func (o *oneReport) Recv() (*linkpb.Digest, error) { return o.report, nil }
+func (r *repeatedReport) Recv() (*linkpb.Digest, error) { return r.report, nil }
 
-// A new report replaces an unsent one.
+// A new report replaces an unsent one in the queue.
 func TestNewestReportReplacesUnsent(t *testing.T) {
 	router := &RouterClient{Now: func() float64 { return 1 }, FillReport: func(*linkpb.Digest) {}, follower: lease.NewFollower(1)}
 	queue := make(chan *linkpb.Digest, 1)
@@ -277,6 +277,6 @@
 		router.queueReport(queue)
 	}
 	if report := <-queue; report.Seq != 5 || router.Stats().ReportsDropped != 4 {
-		t.Errorf("report %d waits, %d dropped", report.Seq, router.Stats().ReportsDropped)
+		t.Errorf("report %d is queued and %d were dropped, want report 5 and 4", report.Seq, router.Stats().ReportsDropped)
 	}
 }
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -18,45 +18,45 @@
 	"flintspread/internal/watch"
 )
 
-// Backoff of gRPC's own connection attempts, between half a report interval and a whole one.
+// Backoff of gRPC's own connection attempts, whose delay is between half a report interval and a whole one.
 const (
 	connectBackoffMultiplier = 1.2
-	connectBackoffJitter     = 0.3 // fraction of the pause
+	connectBackoffJitter     = 0.3 // fraction of the delay
 )
 
-// RouterClient is the router's end of the connection to its controller. The exported fields must be set before Run and
+// RouterClient is the router's side of the connection to its controller. The exported fields must be set before Run and
 // not changed afterwards.
 type RouterClient struct {
 	Config      *config.Link
 	Log         *slog.Logger
-	Now         func() float64 // seconds since 1970, monotonic
+	Now         func() float64 // seconds since the Unix epoch, monotonic
 	Relay       string         // must match that of the controller
 	Router      string         // this router's name
-	Incarnation uint64         // of this process; greater than that of every earlier process of this router
+	Incarnation uint64         // of this process; higher than that of every earlier process of this router
 	ConfigHash  uint64         // of the settings that must match those of the controller
 	// FillReport adds the router's counts and state to a report. It is called once per report interval, from one
 	// goroutine, and must not block.
 	FillReport func(report *linkpb.Digest)
-	// ApplyAssignment applies an accepted assignment. endpoints and release report whether these parts are new;
-	// leaseEndsAt is the end of its lease on the clock of Now. It is called from one goroutine and may block on disk writes; meanwhile
-	// no further assignment is read, and the silence limit keeps running.
+	// ApplyAssignment applies an accepted assignment. endpoints and release tell whether the endpoint list and the
+	// release must be applied; leaseEndsAt is the end of the lease on the clock of Now. It is called from one goroutine
+	// and may block on disk writes. Meanwhile no further assignment is read, and the silence timeout keeps running.
 	ApplyAssignment func(assignment *linkpb.View, endpoints, release bool, leaseEndsAt float64)
 
 	mu             sync.Mutex // guards the fields below
 	follower       *lease.Follower
 	connects       uint64
 	reportsDropped uint64
-	listVersion    uint64 // of the last endpoint list received in an assignment
-	startedAt      float64
+	listVersion    uint64  // of the last endpoint list received in an assignment
+	startedAt      float64 // when Run was called
 }
 
 // Stats is a snapshot of a RouterClient's state and counters.
 type Stats struct {
-	Epoch, Sequence      uint64 // of the assignment in force; 0: none yet
+	Epoch, Sequence      uint64 // of the last accepted assignment; 0: none yet
 	AssignmentAgeSeconds float64
-	Connects             uint64 // streams on which an assignment arrived
-	ReportsDropped       uint64 // reports that a newer one replaced before they were sent
-	Refused              [lease.ReasonCount]uint64
+	Connects             uint64                    // streams on which at least one assignment arrived
+	ReportsDropped       uint64                    // reports replaced by a newer one before they were sent
+	Refused              [lease.ReasonCount]uint64 // rejected assignments by reason
 }
 
 // Stats returns the current state and counters. It is safe for concurrent use.
@@ -71,8 +71,9 @@
 	return stats
 }
 
-// Run maintains a stream to the controller until ctx ends, and then returns nil; an error means bad settings.
-// endpointsAt is the instant of the endpoint list that the router restored from disk.
+// Run maintains a stream to the controller until ctx ends, and then returns nil. An error means that the settings are
+// invalid or that certificates cannot be loaded. endpointsAt is the instant that the endpoint list restored from disk is
+// as of.
 func (r *RouterClient) Run(ctx context.Context, endpointsAt float64) error {
 	r.mu.Lock()
 	r.follower, r.startedAt = lease.NewFollower(r.Incarnation), r.Now()
@@ -95,24 +96,24 @@
 		if assignments > 0 {
 			failures = 0
 		}
-		pauseSeconds := watch.Backoff(failures, r.Config.Beat/2, r.Config.Beat, rand.Float64())
+		delaySeconds := watch.Backoff(failures, r.Config.Beat/2, r.Config.Beat, rand.Float64())
 		level := slog.LevelWarn
 		if failures > 0 {
-			level = slog.LevelDebug // warn once, not on every retry
+			level = slog.LevelDebug // warn only about the first of several failures in a row
 		}
 		r.Log.Log(ctx, level, "connection to the controller lost", "address", r.Config.Address, "assignments", assignments,
-			"error", err, "retry_in_seconds", pauseSeconds)
+			"error", err, "retry_in_seconds", delaySeconds)
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(pauseSeconds)):
+		case <-time.After(seconds(delaySeconds)):
 		}
 	}
 	return nil
 }
 
-// newConn creates the connection, which gRPC opens when a stream needs it. It is retried within a report interval,
-// because the controller may know of a drain or a lower canary traffic limit that this router does not. Twice the
-// interval must stay well below the grace period of the rules.
+// newConn creates the connection, which gRPC opens when a stream needs it. A failed connection attempt is retried within
+// a report interval, because the controller may know of a drain or a lower canary traffic limit that this router does
+// not know of. Twice the report interval must be well below the grace period of the rules.
 func (r *RouterClient) newConn(transport credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	return grpc.NewClient(dialTarget(r.Config),
 		grpc.WithTransportCredentials(transport),
@@ -136,15 +137,15 @@
 	return "passthrough:///" + link.Address
 }
 
-// runStream runs one stream until it breaks, ctx ends or the controller is silent for too long, and returns the number
-// of assignments received.
+// runStream runs one stream until it fails, ctx ends, or no assignment arrives for too long, and returns the number of
+// assignments received.
 func (r *RouterClient) runStream(ctx context.Context, conn *grpc.ClientConn) (assignments int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := seconds(r.Config.SilenceSeconds)
-	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("silent for %g s", r.Config.SilenceSeconds)) })
+	silenceTimer := time.AfterFunc(silence, func() { cancel(fmt.Errorf("no assignment received for %g s", r.Config.SilenceSeconds)) })
 	defer silenceTimer.Stop()
-	// A cancelled stream only reports that it was cancelled; the context's cause says why.
+	// The error of a canceled stream only says that the stream was canceled; the context's cause says why.
 	causeOf := func(err error) error {
 		if cause := context.Cause(ctx); cause != nil {
 			return cause
@@ -176,7 +177,7 @@
 	}
 }
 
-// sendReports sends queued reports until ctx ends or the stream breaks.
+// sendReports sends queued reports until ctx ends or the stream fails.
 func sendReports(ctx context.Context, stream linkpb.Planner_FollowClient, queue <-chan *linkpb.Digest) {
 	for {
 		select {
@@ -184,7 +185,7 @@
 			return
 		case report := <-queue:
 			if stream.Send(report) != nil {
-				return // Recv returns the reason
+				return // Recv in runStream returns the reason
 			}
 		}
 	}
@@ -204,8 +205,8 @@
 	}
 }
 
-// queueReport builds a report and queues it for the stream. It replaces an unsent report, because reports are
-// cumulative. It must be the only sender on queue, whose capacity is one.
+// queueReport builds a report and queues it for the stream. The report replaces an unsent one, because reports are
+// cumulative. Only one goroutine may call it for a queue, whose capacity must be one.
 func (r *RouterClient) queueReport(queue chan *linkpb.Digest) {
 	report := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: r.Relay, Edge: r.Router, Terms: r.ConfigHash}
 	r.FillReport(report)
@@ -223,7 +224,7 @@
 	queue <- report
 }
 
-// acceptAssignment passes an assignment to ApplyAssignment if the lease rules accept it.
+// acceptAssignment passes an assignment to ApplyAssignment if the follower accepts it.
 func (r *RouterClient) acceptAssignment(assignment *linkpb.View) {
 	header := assignmentHeader(assignment)
 	content := lease.ContentVersions{EndpointsAt: assignment.ListAt, ReleaseVersion: assignment.StageNo}
@@ -236,16 +237,16 @@
 	}
 	r.mu.Unlock()
 	if reason != lease.Accepted {
-		r.Log.Info("assignment refused", "reason", reason, "assignment", header)
+		r.Log.Info("rejected an assignment", "reason", reason, "assignment", header)
 		return
 	}
 	if previousEpoch != assignment.Epoch {
-		r.Log.Info("following controller", "epoch", assignment.Epoch, "previous_epoch", previousEpoch)
+		r.Log.Info("following a new controller", "epoch", assignment.Epoch, "previous_epoch", previousEpoch)
 	}
 	r.ApplyAssignment(assignment, endpoints, release, leaseEndsAt)
 }
 
-// assignmentHeader converts the identification of an assignment from its wire names to those of package lease.
+// assignmentHeader converts the fields that identify an assignment from their wire names to those of package lease.
 func assignmentHeader(assignment *linkpb.View) lease.AssignmentHeader {
 	return lease.AssignmentHeader{Major: assignment.Major, Epoch: assignment.Epoch, Sequence: assignment.Number,
 		Incarnation: assignment.Life, AcknowledgedReport: assignment.Echo}
