--- a/internal/controlrpc/credentials.go
+++ b/internal/controlrpc/credentials.go
@@ -17,8 +17,8 @@
 )
 
 // Credentials returns the transport credentials for a link: mutual TLS 1.3, or none on a Unix socket, where file
-// permissions control who may connect. Certificate files may be replaced while the program runs. An error means that
-// they cannot be loaded now. A rejected peer is logged with the name in its certificate.
+// permissions control who may connect. The certificate files may be replaced while the program runs; an error means that
+// they cannot be loaded now. If a peer is rejected, the name in its certificate is logged.
 func Credentials(link *config.Link, log *slog.Logger) (credentials.TransportCredentials, error) {
 	if _, ok := link.SocketPath(); ok {
 		return insecure.NewCredentials(), nil
@@ -34,8 +34,8 @@
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ServerName: link.Peer,
-		// VerifyConnection verifies the peer on both ends, instead of crypto/tls: it picks up replaced files, and its
-		// error names the peer.
+		// Both sides verify the peer in VerifyConnection instead of the default verification of crypto/tls, because
+		// VerifyConnection uses replaced files and its error names the peer.
 		ClientAuth:           tls.RequireAnyClientCert,
 		InsecureSkipVerify:   true,
 		VerifyConnection:     files.verifyAndLog,
@@ -44,14 +44,14 @@
 	}), nil
 }
 
-// certificateFiles are certificates on disk, reloaded whenever a file has changed, so that they can be replaced without
-// a restart. If a file cannot be used, the last good ones stay in use.
+// certificateFiles loads certificates from disk and reloads them when a file has changed, so that they can be replaced
+// without a restart. If a file cannot be used, the certificates loaded last stay in use.
 type certificateFiles struct {
 	config *config.Link
 	log    *slog.Logger
 
-	mu          sync.Mutex // guards the fields below
-	modifiedAt  [3]time.Time
+	mu          sync.Mutex   // guards the fields below
+	modifiedAt  [3]time.Time // of the certificate, key and CA files, as loaded last
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
@@ -62,13 +62,13 @@
 	defer f.mu.Unlock()
 	err := f.reload()
 	if f.certificate != nil {
-		// The files may be only partly replaced: keep what is loaded until all of them can be used.
-		err = nil
+		err = nil // perhaps only some files have been replaced yet; the loaded certificates stay in use until all are usable
 	}
 	return f.certificate, f.authorities, err
 }
 
-// reload loads the files if one of them has changed. On an error nothing is replaced. The caller holds the lock.
+// reload loads the files if one of them has changed. After an error, the loaded certificates are unchanged. The caller
+// holds the lock.
 func (f *certificateFiles) reload() error {
 	var modifiedAt [3]time.Time
 	for i, name := range []string{f.config.Cert, f.config.Key, f.config.CA} {
@@ -91,27 +91,27 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return fmt.Errorf("%s: no certificate in it", f.config.CA)
+		return fmt.Errorf("%s: contains no PEM certificate", f.config.CA)
 	}
 	f.certificate, f.authorities, f.modifiedAt = &certificate, authorities, modifiedAt
 	return nil
 }
 
-// verifyAndLog rejects a peer whose certificate is invalid. It logs the reason, because the peer only learns that its
-// certificate is bad.
+// verifyAndLog rejects a peer whose certificate is invalid. It logs the reason, because the TLS alert only tells the peer
+// that its certificate is bad.
 func (f *certificateFiles) verifyAndLog(state tls.ConnectionState) error {
 	err := f.verify(state)
 	if err != nil {
-		f.log.Warn("peer refused", "error", err)
+		f.log.Warn("rejected the certificate of the peer", "error", err)
 	}
 	return err
 }
 
-// verify checks a peer's certificate: its validity period, its chain to a trusted authority, and the name expected by
-// the settings.
+// verify checks a peer's certificate: the validity period, the chain to a trusted authority, and the name that the
+// settings expect.
 func (f *certificateFiles) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the other end shows no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	_, authorities, err := f.load()
 	if err != nil {
@@ -124,24 +124,24 @@
 	}
 	subject := fmt.Sprintf("certificate of %q (%s)", certificate.Subject.CommonName, firstDNSName(certificate))
 	if now := time.Now(); now.After(certificate.NotAfter) {
-		return fmt.Errorf("%s: it ended on %s", subject, certificate.NotAfter.UTC().Format(time.RFC3339))
+		return fmt.Errorf("%s: expired on %s", subject, certificate.NotAfter.UTC().Format(time.RFC3339))
 	} else if now.Before(certificate.NotBefore) {
-		return fmt.Errorf("%s: it begins on %s", subject, certificate.NotBefore.UTC().Format(time.RFC3339))
+		return fmt.Errorf("%s: not valid before %s", subject, certificate.NotBefore.UTC().Format(time.RFC3339))
 	}
 	options := x509.VerifyOptions{Roots: authorities, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := certificate.Verify(options); err != nil {
 		return fmt.Errorf("%s: %w", subject, err)
 	}
 	if err := certificate.VerifyHostname(f.config.Peer); err != nil {
-		return fmt.Errorf("%s: not %q (:peer)", subject, f.config.Peer)
+		return fmt.Errorf("%s: not valid for %q (:peer)", subject, f.config.Peer)
 	}
 	return nil
 }
 
-// firstDNSName returns a certificate's first DNS name, for error messages.
+// firstDNSName returns a certificate's first DNS name, or a text that says that there is none, for error messages.
 func firstDNSName(certificate *x509.Certificate) string {
 	if len(certificate.DNSNames) == 0 {
-		return "no name in it"
+		return "no DNS name"
 	}
 	return certificate.DNSNames[0]
 }
--- a/internal/controlrpc/credentials_test.go
+++ b/internal/controlrpc/credentials_test.go
@@ -9,38 +9,39 @@
 	"flintspread/internal/fakes/testca"
 )
 
-// issueLink writes a certificate for a name with an expiry time, and returns settings that use it and expect peer.
-func issueLink(authority *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
-	cert, key := authority.Issue(file, name, ends)
+// issueLink issues a certificate for a name with an expiry time, and returns settings that use the certificate and expect
+// the given name of the peer.
+func issueLink(authority *testca.CA, file, name string, expiresAt time.Time, address, peer string) *config.Link {
+	cert, key := authority.Issue(file, name, expiresAt)
 	return &config.Link{Address: address, Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
 }
 
-// Over TCP each end presents a certificate; a rejected one is logged by name, and a replaced one is used without a
-// restart.
+// Over TCP both sides present a certificate. The reason for rejecting a certificate is logged with the names in it, and a
+// replaced certificate file is used without a restart.
 func TestCertificates(t *testing.T) {
-	good, other := testca.New(t, "hall"), testca.New(t, "elsewhere")
-	hour := time.Now().Add(time.Hour)
+	trusted, other := testca.New(t, "trusted"), testca.New(t, "other")
+	inOneHour := time.Now().Add(time.Hour)
 	log := &logBuffer{}
-	server := issueLink(good, "plan", "plan.example.org", hour, "127.0.0.1:0", "edge.example.org")
+	server := issueLink(trusted, "plan", "plan.example.org", inOneHour, "127.0.0.1:0", "edge.example.org")
 	addr, end := startController(t, server, 10, log)
 	defer end()
 	for _, test := range []struct {
 		name, want string
 		link       *config.Link
 	}{
-		{"stranger", `certificate of \"edge.example.org\" (edge.example.org): x509: certificate signed by unknown authority`,
+		{"router of unknown authority", `certificate of \"edge.example.org\" (edge.example.org): x509: certificate signed by unknown authority`,
 			func() *config.Link {
-				link := issueLink(other, "edge", "edge.example.org", hour, addr, "plan.example.org")
+				link := issueLink(other, "edge", "edge.example.org", inOneHour, addr, "plan.example.org")
 				link.CA = server.CA
 				return link
 			}()},
-		{"expired", "it ended on ", issueLink(good, "old", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")},
-		{"other name", `not \"edge.example.org\" (:peer)`, issueLink(good, "third", "third.example.org", hour, addr, "plan.example.org")},
-		{"controller of other name", `certificate of \"plan.example.org\" (plan.example.org): not \"control.example.org\" (:peer)`,
-			issueLink(good, "edge2", "edge.example.org", hour, addr, "control.example.org")},
-		{"controller unknown", `certificate of \"plan.example.org\" (plan.example.org): x509: certificate signed by unknown authority`,
+		{"expired router", "expired on ", issueLink(trusted, "old", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")},
+		{"router of other name", `not valid for \"edge.example.org\" (:peer)`, issueLink(trusted, "third", "third.example.org", inOneHour, addr, "plan.example.org")},
+		{"controller of other name", `certificate of \"plan.example.org\" (plan.example.org): not valid for \"control.example.org\" (:peer)`,
+			issueLink(trusted, "edge2", "edge.example.org", inOneHour, addr, "control.example.org")},
+		{"controller of unknown authority", `certificate of \"plan.example.org\" (plan.example.org): x509: certificate signed by unknown authority`,
 			func() *config.Link {
-				link := issueLink(good, "edge3", "edge.example.org", hour, addr, "plan.example.org")
+				link := issueLink(trusted, "edge3", "edge.example.org", inOneHour, addr, "plan.example.org")
 				link.CA = other.CAFile()
 				return link
 			}()},
@@ -48,29 +49,29 @@
 		t.Run(test.name, func(t *testing.T) {
 			routerLog := &logBuffer{}
 			_, assignments, _, stop := startRouter(t, test.link, routerLog)
-			eventually(t, "one end says why", func() bool { return routerLog.contains(test.want) || log.contains(test.want) })
+			eventually(t, "one side logs the reason", func() bool { return routerLog.contains(test.want) || log.contains(test.want) })
 			stop()
 			if assignments.Load() != 0 {
-				t.Error("an assignment came")
+				t.Errorf("%d assignments despite a rejected certificate", assignments.Load())
 			}
 		})
 	}
-	t.Run("replaced", func(t *testing.T) {
-		link := issueLink(good, "renew", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")
+	t.Run("replaced file", func(t *testing.T) {
+		link := issueLink(trusted, "renew", "edge.example.org", time.Now().Add(-time.Minute), addr, "plan.example.org")
 		_, assignments, _, stop := startRouter(t, link, &logBuffer{})
 		defer stop()
 		time.Sleep(100 * time.Millisecond)
 		if assignments.Load() != 0 {
-			t.Fatal("an expired certificate was good enough")
+			t.Fatal("the controller accepted an expired certificate")
 		}
-		issueLink(good, "renew", "edge.example.org", hour, addr, "")
-		eventually(t, "assignments with the new one", func() bool { return assignments.Load() > 3 })
-		if err := os.WriteFile(link.Cert, []byte("half a f"), 0o600); err != nil {
+		issueLink(trusted, "renew", "edge.example.org", inOneHour, addr, "")
+		eventually(t, "assignments with the new certificate", func() bool { return assignments.Load() > 3 })
+		if err := os.WriteFile(link.Cert, []byte("truncated"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		files := &certificateFiles{config: link}
 		if _, _, err := files.load(); err == nil {
-			t.Error("a broken file is no error at a start")
+			t.Error("no error from loading a corrupt certificate file for the first time")
 		}
 	})
 }
