--- a/internal/configstate/proposal.go
+++ b/internal/configstate/proposal.go
@@ -18,8 +18,8 @@
 
 // NewProposal returns a proposal of a version; maxWaitSeconds is how long it may wait for the routers and for the endpoint
 // list that the version requires.
-func NewProposal(v *Version, now, maxWaitSeconds float64) *Proposal {
-	return &Proposal{Version: v, decideBy: now + maxWaitSeconds, accepted: map[string]bool{}}
+func NewProposal(version *Version, now, maxWaitSeconds float64) *Proposal {
+	return &Proposal{Version: version, decideBy: now + maxWaitSeconds, accepted: map[string]bool{}}
 }
 
 // OnRouterStatus records a router's report on versions: the number of the version in force there, of the version that
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -69,19 +69,19 @@
 
 // Check returns the outcome that Offer would have for a version, and changes nothing. The error is non-nil if and only if
 // the version would be rejected.
-func (s *State) Check(v *Version, c Conditions) (Outcome, error) {
+func (s *State) Check(version *Version, conditions Conditions) (Outcome, error) {
 	switch current := s.current; {
-	case v.Number == current.Number && v.Hash == current.Hash:
+	case version.Number == current.Number && version.Hash == current.Hash:
 		return AlreadyApplied, nil
-	case v.Number == current.Number:
-		return Rejected, fmt.Errorf("version %d is in force with another text", v.Number)
-	case v.Number < current.Number:
-		return Rejected, fmt.Errorf("version %d is older than %d, which is in force; to go back, send its text as a new version", v.Number, current.Number)
+	case version.Number == current.Number:
+		return Rejected, fmt.Errorf("version %d is in force with another text", version.Number)
+	case version.Number < current.Number:
+		return Rejected, fmt.Errorf("version %d is older than %d, which is in force; to go back, send its text as a new version", version.Number, current.Number)
 	}
-	if err := s.checkConditions(v.Document, c); err != nil {
+	if err := s.checkConditions(version.Document, conditions); err != nil {
 		return Rejected, err
 	}
-	if v.RequiredListVersion > c.ListVersion {
+	if version.RequiredListVersion > conditions.ListVersion {
 		return Waiting, nil
 	}
 	return Applied, nil
@@ -89,16 +89,16 @@
 
 // Offer applies a version, keeps it waiting in place of any other waiting version, or rejects it. The error is non-nil if
 // and only if the version is rejected.
-func (s *State) Offer(now float64, v *Version, c Conditions) (Outcome, error) {
-	outcome, err := s.Check(v, c)
+func (s *State) Offer(now float64, version *Version, conditions Conditions) (Outcome, error) {
+	outcome, err := s.Check(version, conditions)
 	switch outcome {
 	case Waiting:
-		if s.pending == nil || s.pending.Number != v.Number {
+		if s.pending == nil || s.pending.Number != version.Number {
 			s.pendingUntil = now + s.maxWaitSeconds
 		}
-		s.pending = v
+		s.pending = version
 	case Applied:
-		s.apply(v)
+		s.apply(version)
 	}
 	return outcome, err
 }
@@ -106,34 +106,34 @@
 // Recheck re-evaluates the waiting version and returns it with its outcome, or nil if no version is waiting. It applies
 // the version if the endpoint list now allows it, and rejects it if it has waited too long. It must be called
 // periodically, and whenever the endpoint list has changed.
-func (s *State) Recheck(now float64, c Conditions) (*Version, Outcome, error) {
-	v := s.pending
-	if v == nil {
+func (s *State) Recheck(now float64, conditions Conditions) (*Version, Outcome, error) {
+	version := s.pending
+	if version == nil {
 		return nil, Waiting, nil
 	}
-	if v.RequiredListVersion <= c.ListVersion {
+	if version.RequiredListVersion <= conditions.ListVersion {
 		s.pending = nil
-		outcome, err := s.Offer(now, v, c)
-		return v, outcome, err
+		outcome, err := s.Offer(now, version, conditions)
+		return version, outcome, err
 	}
 	if now >= s.pendingUntil {
 		s.pending = nil
-		return v, Rejected, fmt.Errorf("list version %d did not come within %g s of version %d; %d is here", v.RequiredListVersion, s.maxWaitSeconds, v.Number, c.ListVersion)
+		return version, Rejected, fmt.Errorf("list version %d did not come within %g s of version %d; %d is here", version.RequiredListVersion, s.maxWaitSeconds, version.Number, conditions.ListVersion)
 	}
-	return v, Waiting, nil
+	return version, Waiting, nil
 }
 
 // checkConditions returns an error if a version, although valid on its own, is incompatible with the program's current
 // state.
-func (s *State) checkConditions(document *config.Document, c Conditions) error {
-	if err := checkDedupGroups(document, c); err != nil {
+func (s *State) checkConditions(document *config.Document, conditions Conditions) error {
+	if err := checkDedupGroups(document, conditions); err != nil {
 		return err
 	}
-	if err := checkInFlight(document, c.InFlight); err != nil {
+	if err := checkInFlight(document, conditions.InFlight); err != nil {
 		return err
 	}
-	if document.Clients.MaxConns < c.ClientConns {
-		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, c.ClientConns)
+	if document.Clients.MaxConns < conditions.ClientConns {
+		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, conditions.ClientConns)
 	}
 	// Existing counts depend on these rules and would be wrong under other values.
 	current := s.current.Document.Rules
@@ -150,9 +150,9 @@
 }
 
 // checkDedupGroups returns an error for a class whose deduplication scope is a zone or cell while no endpoint is in one.
-func checkDedupGroups(document *config.Document, c Conditions) error {
+func checkDedupGroups(document *config.Document, conditions Conditions) error {
 	for _, class := range document.Classes {
-		if class.DedupScope == "zone" && !c.HasZones || class.DedupScope == "cell" && !c.HasCells {
+		if class.DedupScope == "zone" && !conditions.HasZones || class.DedupScope == "cell" && !conditions.HasCells {
 			return fmt.Errorf(":op-types: %q: no unit of the list is in a %s", class.Name, string(class.DedupScope))
 		}
 	}
@@ -181,9 +181,9 @@
 
 // apply puts a version in force. Known classes keep their index and new ones get new indexes. The index of a removed class
 // stays reserved, because requests received under an earlier version may still refer to it.
-func (s *State) apply(v *Version) {
-	policyConfig := v.Document.Policy()
-	v.classIndex = make(map[string]int, len(v.Document.Classes))
+func (s *State) apply(version *Version) {
+	policyConfig := version.Document.Policy()
+	version.classIndex = make(map[string]int, len(version.Document.Classes))
 	indexes := make(map[string]int, len(s.classNames))
 	for i, name := range s.classNames {
 		indexes[name] = i
@@ -193,16 +193,16 @@
 		classes = append(classes, s.current.Policy.Classes...)
 		policyConfig.HasController = s.current.Policy.HasController // set by the program, not by the configuration
 	}
-	for i, class := range v.Document.Classes {
+	for i, class := range version.Document.Classes {
 		index, ok := indexes[class.Name]
 		if !ok {
 			index = len(s.classNames)
 			s.classNames = append(s.classNames, class.Name)
 			classes = append(classes, policy.RequestClass{})
 		}
-		classes[index], v.classIndex[class.Name] = policyConfig.Classes[i], index
+		classes[index], version.classIndex[class.Name] = policyConfig.Classes[i], index
 	}
 	policyConfig.Classes = classes
-	v.Policy = &policyConfig
-	s.current, s.pending = v, nil
+	version.Policy = &policyConfig
+	s.current, s.pending = version, nil
 }
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -41,14 +41,14 @@
 }
 
 // checkConsistent returns an error if a part of a version belongs to another version.
-func checkConsistent(v *Version) error {
-	if v.Number > 0 && v.Document.Clients.BodyBytes != int64(1000+v.Number) {
-		return fmt.Errorf("version %d has the body size limit of version %d", v.Number, v.Document.Clients.BodyBytes-1000)
+func checkConsistent(version *Version) error {
+	if version.Number > 0 && version.Document.Clients.BodyBytes != int64(1000+version.Number) {
+		return fmt.Errorf("version %d has the body size limit of version %d", version.Number, version.Document.Clients.BodyBytes-1000)
 	}
-	for _, class := range v.Document.Classes {
-		index := v.ClassOf("GET", "/"+class.Name+"/x")
-		if index < 0 || index >= len(v.Policy.Classes) || v.Policy.Classes[index].TimeoutSeconds != class.TimeoutSeconds {
-			return fmt.Errorf("version %d: class %q has index %d of %d, which is out of range or has the timeout of another version", v.Number, class.Name, index, len(v.Policy.Classes))
+	for _, class := range version.Document.Classes {
+		index := version.ClassOf("GET", "/"+class.Name+"/x")
+		if index < 0 || index >= len(version.Policy.Classes) || version.Policy.Classes[index].TimeoutSeconds != class.TimeoutSeconds {
+			return fmt.Errorf("version %d: class %q has index %d of %d, which is out of range or has the timeout of another version", version.Number, class.Name, index, len(version.Policy.Classes))
 		}
 	}
 	return nil
@@ -85,21 +85,21 @@
 
 // conditions returns the conditions under which a version is offered now.
 func (s *simulation) conditions() Conditions {
-	c := Conditions{InFlight: map[string]int{}, ListVersion: s.listVersion}
+	conditions := Conditions{InFlight: map[string]int{}, ListVersion: s.listVersion}
 	for _, r := range s.inFlight {
-		c.InFlight[r.class]++
+		conditions.InFlight[r.class]++
 	}
-	return c
+	return conditions
 }
 
 // checkOutcome checks the outcome of a version, and passes the version to the balancer if it was applied.
-func (s *simulation) checkOutcome(t *rapid.T, v *Version, outcome Outcome, err error) {
+func (s *simulation) checkOutcome(t *rapid.T, version *Version, outcome Outcome, err error) {
 	if outcome == Applied {
-		if v.Number <= s.inForce {
-			t.Fatalf("version %d was applied after %d", v.Number, s.inForce)
+		if version.Number <= s.inForce {
+			t.Fatalf("version %d was applied after %d", version.Number, s.inForce)
 		}
-		s.inForce = v.Number
-		s.balancer.SetConfig(v.Policy)
+		s.inForce = version.Number
+		s.balancer.SetConfig(version.Policy)
 	}
 	if s.state.Current().Number != s.inForce || (outcome == Rejected) != (err != nil) {
 		t.Fatalf("outcome %v with error %v; version %d in force, want %d", outcome, err, s.state.Current().Number, s.inForce)
@@ -109,32 +109,32 @@
 // offer offers a random version twice; if the first offer applies it, the second must find it already applied.
 func (s *simulation) offer(t *rapid.T) {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom(classNames), 1, 4, rapid.ID[string]).Draw(t, "names")
-	v := newVersion(rapid.Uint64Range(1, 30).Draw(t, "number"), names, rapid.Uint64Range(0, 4).Draw(t, "required list"))
-	outcome, err := s.state.Offer(s.now, v, s.conditions())
-	s.checkOutcome(t, v, outcome, err)
-	if again, _ := s.state.Offer(s.now, v, s.conditions()); outcome == Applied && again != AlreadyApplied {
+	version := newVersion(rapid.Uint64Range(1, 30).Draw(t, "number"), names, rapid.Uint64Range(0, 4).Draw(t, "required list"))
+	outcome, err := s.state.Offer(s.now, version, s.conditions())
+	s.checkOutcome(t, version, outcome, err)
+	if again, _ := s.state.Offer(s.now, version, s.conditions()); outcome == Applied && again != AlreadyApplied {
 		t.Fatalf("an applied version that is offered again is %v", again)
 	}
 }
 
 // recheck re-evaluates the waiting version.
 func (s *simulation) recheck(t *rapid.T) {
-	if v, outcome, err := s.state.Recheck(s.now, s.conditions()); v != nil {
-		s.checkOutcome(t, v, outcome, err)
+	if version, outcome, err := s.state.Recheck(s.now, s.conditions()); version != nil {
+		s.checkOutcome(t, version, outcome, err)
 	}
 }
 
 // receive receives a request under the version in force, if that has a class for it.
 func (s *simulation) receive(t *rapid.T) {
-	v := s.state.Current()
+	version := s.state.Current()
 	name := rapid.SampledFrom(classNames).Draw(t, "name")
-	class := v.ClassOf("GET", "/"+name+"/x")
+	class := version.ClassOf("GET", "/"+name+"/x")
 	if class < 0 {
 		return
 	}
-	request := &policy.Request{ID: uint32(len(s.inFlight)), Class: class, Config: v.Policy, ReceivedAt: s.now, Deadline: s.now + v.Policy.Classes[class].TimeoutSeconds}
+	request := &policy.Request{ID: uint32(len(s.inFlight)), Class: class, Config: version.Policy, ReceivedAt: s.now, Deadline: s.now + version.Policy.Classes[class].TimeoutSeconds}
 	s.balancer.Pick(s.now, request)
-	s.inFlight = append(s.inFlight, requestInFlight{request, v, name})
+	s.inFlight = append(s.inFlight, requestInFlight{request, version, name})
 }
 
 // checkVersions checks that every version in use is consistent, and that each request keeps the version that it was
