--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -173,7 +173,7 @@
 		next = v.proposal.Version
 		assignment.ConfigNext = next.Number
 	}
-	routerHasText := status.configInForce == next.Number || status.configAcceptable == next.Number
+	routerHasText := status.configInForce == next.Number || status.configApplicable == next.Number
 	if next.Number > 0 && !routerHasText {
 		assignment.ConfigTextNo, assignment.ConfigText = next.Number, next.Text
 	}
@@ -183,6 +183,6 @@
 // report.
 type routerStatus struct {
 	configInForce    uint64 // version number
-	configAcceptable uint64 // number of the proposed version that the router can apply; 0: none
+	configApplicable uint64 // number of the proposed version that the router can apply; 0: none
 	marksVersion     uint64
 }
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -20,7 +20,7 @@
 
 	mu           sync.Mutex // guards the fields below; locked after the controller's lock, never before it
 	analysis     *metricsanalysis.Analyzer
-	updated      bool // whether an answer has arrived since the policy last received the evidence
+	hasNewAnswer bool // whether an answer has arrived since the policy last received the evidence
 	marks        []policy.HealthMark
 	marksVersion uint64  // incremented when the routers need new marks
 	marksAt      float64 // when the marks were last computed
@@ -42,7 +42,7 @@
 	now := m.controller.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.updated = true
+	m.hasNewAnswer = true
 	return m.analysis.ApplyAnswer(now, answer)
 }
 
@@ -81,9 +81,9 @@
 	defer m.mu.Unlock()
 	marksDue := now >= m.marksAt+metricsanalysis.MarksIntervalSeconds
 	// The evidence also changes without a new answer, because the answers of an unresponsive server become stale.
-	if m.updated || marksDue {
+	if m.hasNewAnswer || marksDue {
 		m.controller.balancer.SetMetricsEvidence(m.analysis.Evidence(now))
-		m.updated = false
+		m.hasNewAnswer = false
 	}
 	if !marksDue {
 		return false
