--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -23,20 +23,20 @@
 		for _, routers := range []int{1, 4, 16} {
 			b.Run(fmt.Sprintf("endpoints-%d/routers-%d", endpointCount, routers), func(b *testing.B) {
 				settings := exampleSettings(b)
-				c := newController(settings, discardLog(), nil)
-				c.restore(1, SavedState{})
+				controller := newController(settings, discardLog(), nil)
+				controller.restore(1, SavedState{})
 				update := endpoints.Update{Version: 1, Full: true}
 				for id := range endpointCount {
 					update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 				}
-				if _, err := c.endpointList.Apply(&update, c.now()); err != nil {
+				if _, err := controller.endpointList.Apply(&update, controller.now()); err != nil {
 					b.Fatal(err)
 				}
-				update.ApplyTo(c.balancer, c.now())
-				c.balancer.ApplyRelease(c.now(), 2, 1, 0, 0.5, 0)
+				update.ApplyTo(controller.balancer, controller.now())
+				controller.balancer.ApplyRelease(controller.now(), 2, 1, 0, 0.5, 0)
 				reports := make([]*linkpb.Digest, routers)
 				for i := range reports {
-					report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: c.configHash}
+					report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: fmt.Sprint("edge", i), Life: 1, Build: 2, Rate: 100, ListNo: 1, Terms: controller.configHash}
 					for id := range endpointCount {
 						outcomes := float32(100 + id)
 						report.Tally = append(report.Tally, &linkpb.Tally{Unit: uint32(id + 1), Build: 1 + int32(id%2), N: []float32{outcomes, outcomes, outcomes, outcomes}, Bad: []float32{0, 1, 2, float32(id%7) / 3}})
@@ -57,18 +57,18 @@
 						if err := proto.Unmarshal(encoded, &decoded); err != nil {
 							b.Fatal(err)
 						}
-						if reason := c.acceptReport(&decoded); reason != lease.Accepted {
+						if reason := controller.acceptReport(&decoded); reason != lease.Accepted {
 							b.Fatal(reason)
 						}
-						assignment, err := proto.Marshal(c.nextAssignment(report.Edge, decoded.ListNo))
+						assignment, err := proto.Marshal(controller.nextAssignment(report.Edge, decoded.ListNo))
 						if err != nil {
 							b.Fatal(err)
 						}
 						assignmentBytes += len(assignment)
 					}
-					c.mu.Lock()
-					c.balancer.TickAndVote(c.now())
-					c.mu.Unlock()
+					controller.mu.Lock()
+					controller.balancer.TickAndVote(controller.now())
+					controller.mu.Unlock()
 				}
 				const intervalsPerSecond = 10
 				b.ReportMetric(float64(reportBytes*intervalsPerSecond)/1024, "report-KiB/s")
--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -28,17 +28,17 @@
 		t.Fatal(err)
 	}
 	defer mustClose(t, store)
-	c := newController(settings, discardLog(), store)
-	c.restore(9, SavedState{})
-	if c.configVersions, err = c.openConfigVersions(); err != nil {
+	controller := newController(settings, discardLog(), store)
+	controller.restore(9, SavedState{})
+	if controller.configVersions, err = controller.openConfigVersions(); err != nil {
 		t.Fatal(err)
 	}
 	sequence := uint64(0)
 	report := func(router string, inForce, applicable, rejected uint64, reason string) *linkpb.View {
 		sequence++
-		c.acceptReport(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: router, Life: 1, Seq: sequence, ConfigNo: inForce, ConfigFits: applicable,
+		controller.acceptReport(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: router, Life: 1, Seq: sequence, ConfigNo: inForce, ConfigFits: applicable,
 			ConfigRefused: rejected, ConfigReason: reason})
-		return c.nextAssignment(router, 0)
+		return controller.nextAssignment(router, 0)
 	}
 	var proposed *configstate.Version
 	propose := func(number uint64, text string) {
@@ -47,13 +47,13 @@
 			t.Fatal(err)
 		}
 		proposed = version
-		if outcome, err := c.configVersions.propose(version); outcome != configstate.Waiting || err != nil {
+		if outcome, err := controller.configVersions.propose(version); outcome != configstate.Waiting || err != nil {
 			t.Fatal(outcome, err)
 		}
 	}
 	recheck := func(want configstate.Outcome, reason string) {
 		t.Helper()
-		outcome, err := c.configVersions.recheck(proposed)
+		outcome, err := controller.configVersions.recheck(proposed)
 		if outcome != want || (err == nil) != (reason == "") || err != nil && !strings.Contains(err.Error(), reason) {
 			t.Errorf("outcome %v with error %v, want %v with %q", outcome, err, want, reason)
 		}
@@ -86,15 +86,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if outcome, err := c.configVersions.propose(old); outcome != configstate.Rejected || err == nil {
+	if outcome, err := controller.configVersions.propose(old); outcome != configstate.Rejected || err == nil {
 		t.Error("accepted version 4 after version 5:", outcome, err)
 	}
 	propose(6, document+"  ")
 	time.Sleep(600 * time.Millisecond)
 	recheck(configstate.Rejected, "no word in time from edges a, b, c")
-	mustClose(t, c.configVersions.store)
-	if c.configVersions, err = c.openConfigVersions(); err != nil || c.configVersions.state.Current().Number != 5 {
+	mustClose(t, controller.configVersions.store)
+	if controller.configVersions, err = controller.openConfigVersions(); err != nil || controller.configVersions.state.Current().Number != 5 {
 		t.Error("version 5 is not in force after a restart:", err)
 	}
-	mustClose(t, c.configVersions.store)
+	mustClose(t, controller.configVersions.store)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -20,30 +20,30 @@
 		t.Fatal(err)
 	}
 	defer mustClose(t, store)
-	c := newController(settings, discardLog(), store)
-	c.restore(9, SavedState{})
-	c.acceptReport(canaryFailureReport(1))
-	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 0 || assignment.HasList || assignment.Epoch != 9 || assignment.Echo != 1 || assignment.Share != 0 {
+	controller := newController(settings, discardLog(), store)
+	controller.restore(9, SavedState{})
+	controller.acceptReport(canaryFailureReport(1))
+	if assignment := controller.nextAssignment("e", 0); assignment.StageNo != 0 || assignment.HasList || assignment.Epoch != 9 || assignment.Echo != 1 || assignment.Share != 0 {
 		t.Error("before any update:", assignment)
 	}
-	if err := c.applyReleaseUpdate(&services.release); err != nil {
+	if err := controller.applyReleaseUpdate(&services.release); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.applyEndpointUpdate(&endpoints.Update{Version: 7, Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
+	if err := controller.applyEndpointUpdate(&endpoints.Update{Version: 7, Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: "ready"}}}); err != nil {
 		t.Fatal(err)
 	}
-	if assignment := c.nextAssignment("e", 0); assignment.StageNo != 4 || assignment.Cap != 0.5 || assignment.Stage != 1 || !assignment.HasList || len(assignment.Units) != 1 {
+	if assignment := controller.nextAssignment("e", 0); assignment.StageNo != 4 || assignment.Cap != 0.5 || assignment.Stage != 1 || !assignment.HasList || len(assignment.Units) != 1 {
 		t.Error("router without the list:", assignment)
 	}
-	if assignment := c.nextAssignment("e", 7); assignment.HasList || assignment.ListNo != 7 {
+	if assignment := controller.nextAssignment("e", 7); assignment.HasList || assignment.ListNo != 7 {
 		t.Error("router with the list:", assignment)
 	}
 	outdated := services.release
 	outdated.Version, outdated.CanaryLimit = 3, 1
-	if err := c.applyReleaseUpdate(&outdated); err != nil || c.nextAssignment("e", 7).Cap != 0.5 {
+	if err := controller.applyReleaseUpdate(&outdated); err != nil || controller.nextAssignment("e", 7).Cap != 0.5 {
 		t.Error("an outdated release update raised the canary traffic limit, or failed:", err)
 	}
-	if err := c.applyReleaseUpdate(&releases.Update{Version: 9, Phase: "later"}); err == nil {
+	if err := controller.applyReleaseUpdate(&releases.Update{Version: 9, Phase: "later"}); err == nil {
 		t.Error("accepted a release update with an unknown phase")
 	}
 }
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -74,30 +74,30 @@
 		servers, urls = append(servers, q), append(urls, q.URL)
 	}
 	settings := queryServerSettings(t, urls...)
-	c := newController(settings, discardLog(), nil)
+	controller := newController(settings, discardLog(), nil)
 	var err error
-	if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
+	if controller.metricsEvidence, err = controller.newMetricsEvidence(); err != nil {
 		t.Fatal(err)
 	}
-	c.restore(1, SavedState{})
+	controller.restore(1, SavedState{})
 	services := &fakeServices{release: releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}}
-	c.store, _, _, err = OpenStateStore(t.TempDir())
+	controller.store, _, _, err = OpenStateStore(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mustClose(t, c.store)
-	c.voteSender = &releases.VoteSender{Router: "r1", URL: services.serve(t), TimeoutSeconds: 0.5, Client: http.DefaultClient, Log: c.log,
-		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
-	c.voteSender.Open()
+	defer mustClose(t, controller.store)
+	controller.voteSender = &releases.VoteSender{Router: "r1", URL: services.serve(t), TimeoutSeconds: 0.5, Client: http.DefaultClient, Log: controller.log,
+		OnSend: controller.onVoteSend, OnReply: controller.onVoteReply}
+	controller.voteSender.Open()
 	update := &endpoints.Update{Version: 1, Full: true}
 	for id := 1; id <= 4; id++ {
 		update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: uint32(id), Addr: "127.0.0.1:1", State: "ready", Build: 1 + (id-1)/2})
 	}
-	c.saveRequests = make(chan struct{}, 1)
-	if err := c.applyEndpointUpdate(update); err != nil {
+	controller.saveRequests = make(chan struct{}, 1)
+	if err := controller.applyEndpointUpdate(update); err != nil {
 		t.Fatal(err)
 	}
-	c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
+	controller.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, controller.now())
 	sendReport := func(sequence uint64, wrongAnswers float32) {
 		report := canaryFailureReport(sequence)
 		for _, tally := range report.Tally {
@@ -106,12 +106,12 @@
 				tally.N, tally.Bad[0] = []float32{30, 30, 30, 30}, wrongAnswers
 			}
 		}
-		c.acceptReport(report)
+		controller.acceptReport(report)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { c.metricsEvidence.run(ctx) })
-	running.Go(func() { c.voteSender.Run(ctx) })
+	running.Go(func() { controller.metricsEvidence.run(ctx) })
+	running.Go(func() { controller.voteSender.Run(ctx) })
 	defer func() { cancel(); running.Wait() }()
 	answers := 0.0 // per endpoint, so far
 	scrape := func(wrongShare float64) {
@@ -121,7 +121,7 @@
 				endpointScrape(3, 2, answers, wrongShare*answers, 1), endpointScrape(4, 2, answers, wrongShare*answers, 1)))
 		}
 		time.Sleep(60 * time.Millisecond)
-		c.tick()
+		controller.tick()
 	}
 	rollbackCast := func() bool { return slices.Contains(services.verdicts(), "back on 2") }
 	for range 20 {
@@ -133,8 +133,8 @@
 	}
 	eventually(t, "a rollback vote with the evidence of the query servers", func() bool { scrape(0.3); return rollbackCast() })
 	marks := func() (byEndpoint map[uint32]*linkpb.Mark, version uint64) {
-		c.tick()
-		assignment := c.nextAssignment("e", 1)
+		controller.tick()
+		assignment := controller.nextAssignment("e", 1)
 		byEndpoint = map[uint32]*linkpb.Mark{}
 		for _, m := range assignment.Marks {
 			byEndpoint[m.Unit] = m
@@ -154,9 +154,9 @@
 		m, version := marks()
 		return len(m) == 0 && version > lastVersion
 	})
-	c.mu.Lock()
-	evidence := c.metricsEvidence.analysis.Evidence(c.now())
-	c.mu.Unlock()
+	controller.mu.Lock()
+	evidence := controller.metricsEvidence.analysis.Evidence(controller.now())
+	controller.mu.Unlock()
 	if len(evidence.Samples) > 0 {
 		t.Error("evidence without query servers:", evidence)
 	}
@@ -256,22 +256,22 @@
 			for i := range settings.Health.Queries {
 				settings.Health.Queries[i].Period, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
 			}
-			c := newController(settings, discardLog(), nil)
+			controller := newController(settings, discardLog(), nil)
 			var err error
-			if c.metricsEvidence, err = c.newMetricsEvidence(); err != nil {
+			if controller.metricsEvidence, err = controller.newMetricsEvidence(); err != nil {
 				b.Fatal(err)
 			}
-			c.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: c.log} // not running, so votes are not sent
-			c.voteSender.Open()
+			controller.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: controller.log} // not running, so votes are not sent
+			controller.voteSender.Open()
 			update := &endpoints.Update{Version: 1, Full: true}
 			for id := range endpointCount {
 				update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: uint32(id + 1), Addr: "127.0.0.1:1", State: "ready", Build: 1 + id%2})
 			}
-			c.restore(1, SavedState{})
-			if err := c.applyEndpointUpdate(update); err != nil {
+			controller.restore(1, SavedState{})
+			if err := controller.applyEndpointUpdate(update); err != nil {
 				b.Fatal(err)
 			}
-			c.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, c.now())
+			controller.applyRelease(releases.Update{Version: 4, Build: 2, Phase: "on-trial", CanaryLimit: 0.2}, controller.now())
 			answers := 0.0 // per endpoint, so far
 			scrape := func() {
 				answers += 10
@@ -314,11 +314,11 @@
 					var ticking sync.WaitGroup
 					ticking.Go(func() {
 						for ctx.Err() == nil {
-							c.tick()
+							controller.tick()
 							time.Sleep(100 * time.Millisecond)
 						}
 					})
-					c.metricsEvidence.run(ctx)
+					controller.metricsEvidence.run(ctx)
 					ticking.Wait()
 				})
 				runtime.GC()
@@ -332,7 +332,7 @@
 				b.ReportMetric(serversOnly, "servers-cores")
 				b.ReportMetric(float64(queries)/measuredSeconds, "queries/s")
 				b.ReportMetric(float64(heap.HeapInuse)/(1<<20), "heap-MiB")
-				b.ReportMetric(1000*p99(c, b), "p99-ms")
+				b.ReportMetric(1000*p99(controller, b), "p99-ms")
 			}
 		})
 	}
--- a/internal/controller/votes_test.go
+++ b/internal/controller/votes_test.go
@@ -65,23 +65,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newController(settings, discardLog(), store)
-	c.restore(1, SavedState{Release: &services.release, ReleaseAt: c.now()})
+	controller := newController(settings, discardLog(), store)
+	controller.restore(1, SavedState{Release: &services.release, ReleaseAt: controller.now()})
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
-		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(c.balancer, c.now())
-	c.voteSender = &releases.VoteSender{Router: "r1", URL: settings.Sources.ReleaseServiceURL, TimeoutSeconds: 0.2, Client: http.DefaultClient, Log: c.log,
-		OnSend: c.onVoteSend, OnReply: c.onVoteReply}
-	c.voteSender.Open()
-	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.Accepted {
+		{ID: 3, Build: 2, State: "ready"}, {ID: 4, Build: 2, State: "ready"}}}).ApplyTo(controller.balancer, controller.now())
+	controller.voteSender = &releases.VoteSender{Router: "r1", URL: settings.Sources.ReleaseServiceURL, TimeoutSeconds: 0.2, Client: http.DefaultClient, Log: controller.log,
+		OnSend: controller.onVoteSend, OnReply: controller.onVoteReply}
+	controller.voteSender.Open()
+	if reason := controller.acceptReport(canaryFailureReport(1)); reason != lease.Accepted {
 		t.Fatal(reason)
 	}
-	if reason := c.acceptReport(canaryFailureReport(1)); reason != lease.StaleSequence {
+	if reason := controller.acceptReport(canaryFailureReport(1)); reason != lease.StaleSequence {
 		t.Error("repeated report:", reason)
 	}
-	c.tick()
+	controller.tick()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { c.voteSender.Run(ctx); close(done) }()
+	go func() { controller.voteSender.Run(ctx); close(done) }()
 	eventually(t, "the vote is sent", func() bool { return strings.Join(services.verdicts(), "") == "back on 2" })
 	cancel()
 	<-done
