--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -9,17 +9,17 @@
 	"flintspread/internal/policy"
 )
 
-// maxClasses bounds the number of request classes over the lifetime of a process: those
-// that a version drops keep their index.
+// maxClasses bounds the number of request classes over the lifetime of a process. Classes that a later version removes
+// keep their index and still count.
 const maxClasses = 1024
 
-// Conditions describes the present situation that a version must fit.
+// Conditions describes the current state of the program, which a version must be compatible with.
 type Conditions struct {
 	InFlight    map[string]int // requests in flight, by class name
 	ClientConns int            // open client connections
-	HasZones    bool           // some endpoint is in a zone
-	HasCells    bool           // some endpoint is in a cell
-	ListVersion uint64         // version of the endpoint list
+	HasZones    bool           // at least one endpoint is in a zone
+	HasCells    bool           // at least one endpoint is in a cell
+	ListVersion uint64         // version of the current endpoint list
 }
 
 // Outcome is the result of offering a version.
@@ -28,30 +28,30 @@
 // The outcomes.
 const (
 	Applied        Outcome = iota
-	AlreadyApplied         // it is already in force, for instance because its acknowledgement was lost
-	Waiting                // it waits for the endpoint list that it requires
-	Rejected               // the accompanying error gives the reason
+	AlreadyApplied         // already in force, for instance sent again because its acknowledgement was lost
+	Waiting                // waiting for the endpoint list that the version requires
+	Rejected               // for the reason in the accompanying error
 )
 
 var outcomeNames = [...]string{Applied: "applied", AlreadyApplied: "again", Waiting: "waits", Rejected: "turned down"}
 
-// String returns the outcome's name, for logs and tests.
+// String returns the outcome's name in logs and tests.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// ErrOvertaken says that a waiting version was rejected because another one came into force first.
-var ErrOvertaken = errors.New("overtaken by another version while it waited")
+// ErrSuperseded is the error for a waiting version that was rejected because another one has replaced it.
+var ErrSuperseded = errors.New("overtaken by another version while it waited")
 
-// State holds the version in force and the one that waits for its endpoint list.
+// State holds the version in force and the one that is waiting for its endpoint list.
 type State struct {
 	current        *Version
 	classNames     []string // by index in Policy.Classes; an index is never reused for another class
 	pending        *Version
-	pendingUntil   float64
+	pendingUntil   float64 // when pending is rejected
 	maxWaitSeconds float64
 }
 
-// NewState returns a state with the configuration of the program's own file in force. maxWaitSeconds is how
-// long a version may wait for its endpoint list.
+// NewState returns a state with the program's configuration file in force, as version 0. maxWaitSeconds is how long a
+// version may wait for the endpoint list that it requires.
 func NewState(document *config.Document, text []byte, hash uint64, maxWaitSeconds float64) *State {
 	s := &State{maxWaitSeconds: maxWaitSeconds}
 	s.apply(&Version{Hash: hash, Text: text, Document: document})
@@ -61,79 +61,81 @@
 // Current returns the version in force.
 func (s *State) Current() *Version { return s.current }
 
-// Pending returns the version that waits, nil for none.
+// Pending returns the version that is waiting, or nil if there is none.
 func (s *State) Pending() *Version { return s.pending }
 
 // ClassName returns the name of the class at an index in Policy.Classes.
 func (s *State) ClassName(index int) string { return s.classNames[index] }
 
-// Check returns what Offer would do with a version, and changes nothing. The error is non-nil
-// if and only if the version would be rejected.
-func (s *State) Check(v *Version, c Conditions) (Outcome, error) {
+// Check returns the outcome that Offer would have for a version, and changes nothing. The error is non-nil if and only if
+// the version would be rejected.
+func (s *State) Check(version *Version, conditions Conditions) (Outcome, error) {
 	switch current := s.current; {
-	case v.Number == current.Number && v.Hash == current.Hash:
+	case version.Number == current.Number && version.Hash == current.Hash:
 		return AlreadyApplied, nil
-	case v.Number == current.Number:
-		return Rejected, fmt.Errorf("version %d is in force with another text", v.Number)
-	case v.Number < current.Number:
-		return Rejected, fmt.Errorf("version %d is older than %d, which is in force; to go back, send its text as a new version", v.Number, current.Number)
+	case version.Number == current.Number:
+		return Rejected, fmt.Errorf("version %d is in force with another text", version.Number)
+	case version.Number < current.Number:
+		return Rejected, fmt.Errorf("version %d is older than %d, which is in force; to go back, send its text as a new version", version.Number, current.Number)
 	}
-	if err := s.checkConditions(v.Document, c); err != nil {
+	if err := s.checkConditions(version.Document, conditions); err != nil {
 		return Rejected, err
 	}
-	if v.RequiredListVersion > c.ListVersion {
+	if version.RequiredListVersion > conditions.ListVersion {
 		return Waiting, nil
 	}
 	return Applied, nil
 }
 
-// Offer applies a version, keeps it waiting in place of any earlier one, or rejects it. The
-// error is non-nil if and only if it is rejected.
-func (s *State) Offer(now float64, v *Version, c Conditions) (Outcome, error) {
-	outcome, err := s.Check(v, c)
+// Offer applies a version, keeps it waiting in place of any other waiting version, or rejects it. The error is non-nil if
+// and only if the version is rejected.
+func (s *State) Offer(now float64, version *Version, conditions Conditions) (Outcome, error) {
+	outcome, err := s.Check(version, conditions)
 	switch outcome {
 	case Waiting:
-		if s.pending == nil || s.pending.Number != v.Number {
+		if s.pending == nil || s.pending.Number != version.Number {
 			s.pendingUntil = now + s.maxWaitSeconds
 		}
-		s.pending = v
+		s.pending = version
 	case Applied:
-		s.apply(v)
+		s.apply(version)
 	}
 	return outcome, err
 }
 
-// Recheck re-evaluates the version that waits and returns it, nil for none: it may be applied now, or have waited for
-// too long. It must be called periodically, and whenever the endpoint list has changed.
-func (s *State) Recheck(now float64, c Conditions) (*Version, Outcome, error) {
-	v := s.pending
-	if v == nil {
+// Recheck re-evaluates the waiting version and returns it with its outcome, or nil if no version is waiting. It applies
+// the version if the endpoint list now allows it, and rejects it if it has waited too long. It must be called
+// periodically, and whenever the endpoint list has changed.
+func (s *State) Recheck(now float64, conditions Conditions) (*Version, Outcome, error) {
+	version := s.pending
+	if version == nil {
 		return nil, Waiting, nil
 	}
-	if v.RequiredListVersion <= c.ListVersion {
+	if version.RequiredListVersion <= conditions.ListVersion {
 		s.pending = nil
-		outcome, err := s.Offer(now, v, c)
-		return v, outcome, err
+		outcome, err := s.Offer(now, version, conditions)
+		return version, outcome, err
 	}
 	if now >= s.pendingUntil {
 		s.pending = nil
-		return v, Rejected, fmt.Errorf("list version %d did not come within %g s of version %d; %d is here", v.RequiredListVersion, s.maxWaitSeconds, v.Number, c.ListVersion)
+		return version, Rejected, fmt.Errorf("list version %d did not come within %g s of version %d; %d is here", version.RequiredListVersion, s.maxWaitSeconds, version.Number, conditions.ListVersion)
 	}
-	return v, Waiting, nil
+	return version, Waiting, nil
 }
 
-// checkConditions returns an error if a version would break work in progress, which its text alone does not show.
-func (s *State) checkConditions(document *config.Document, c Conditions) error {
-	if err := checkDedupGroups(document, c); err != nil {
+// checkConditions returns an error if a version, although valid on its own, is incompatible with the program's current
+// state.
+func (s *State) checkConditions(document *config.Document, conditions Conditions) error {
+	if err := checkDedupGroups(document, conditions); err != nil {
 		return err
 	}
-	if err := checkInFlight(document, c.InFlight); err != nil {
+	if err := checkInFlight(document, conditions.InFlight); err != nil {
 		return err
 	}
-	if document.Clients.MaxConns < c.ClientConns {
-		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, c.ClientConns)
+	if document.Clients.MaxConns < conditions.ClientConns {
+		return fmt.Errorf(":clients :connections: %d, while %d are open", document.Clients.MaxConns, conditions.ClientConns)
 	}
-	// Counts that were made under these rules would be misread under others.
+	// Existing counts depend on these rules and would be wrong under other values.
 	current := s.current.Document.Rules
 	if document.Rules.CanaryLimitPerClass != current.CanaryLimitPerClass {
 		return errors.New(":rules :count-per-op-type: cannot change while the program runs")
@@ -147,18 +149,18 @@
 	return nil
 }
 
-// checkDedupGroups returns an error for a class whose keys are deduplicated within zones or cells that no endpoint has.
-func checkDedupGroups(document *config.Document, c Conditions) error {
+// checkDedupGroups returns an error for a class whose deduplication scope is a zone or cell while no endpoint is in one.
+func checkDedupGroups(document *config.Document, conditions Conditions) error {
 	for _, class := range document.Classes {
-		if class.DedupScope == "zone" && !c.HasZones || class.DedupScope == "cell" && !c.HasCells {
+		if class.DedupScope == "zone" && !conditions.HasZones || class.DedupScope == "cell" && !conditions.HasCells {
 			return fmt.Errorf(":op-types: %q: no unit of the list is in a %s", class.Name, string(class.DedupScope))
 		}
 	}
 	return nil
 }
 
-// checkInFlight returns an error for a class that is dropped while requests of it are in flight. It reports the first
-// by name, so that equal states return equal errors.
+// checkInFlight returns an error for a class that is removed while requests of it are in flight. Of several classes, it
+// reports the first by name, so that equal states return equal errors.
 func checkInFlight(document *config.Document, inFlight map[string]int) error {
 	kept := map[string]bool{}
 	for _, class := range document.Classes {
@@ -177,30 +179,30 @@
 	return nil
 }
 
-// apply puts a version in force. Known classes keep their index, and new ones get new indexes; the index of a dropped
-// class stays reserved, for requests of it that are still in flight.
-func (s *State) apply(v *Version) {
-	policyConfig := v.Document.Policy()
-	v.classIndex = make(map[string]int, len(v.Document.Classes))
-	taken := make(map[string]int, len(s.classNames))
+// apply puts a version in force. Known classes keep their index and new ones get new indexes. The index of a removed class
+// stays reserved, because requests received under an earlier version may still refer to it.
+func (s *State) apply(version *Version) {
+	policyConfig := version.Document.Policy()
+	version.classIndex = make(map[string]int, len(version.Document.Classes))
+	indexes := make(map[string]int, len(s.classNames))
 	for i, name := range s.classNames {
-		taken[name] = i
+		indexes[name] = i
 	}
 	var classes []policy.RequestClass
 	if s.current != nil {
 		classes = append(classes, s.current.Policy.Classes...)
-		policyConfig.HasController = s.current.Policy.HasController // set by the program, not by its configuration
+		policyConfig.HasController = s.current.Policy.HasController // set by the program, not by the configuration
 	}
-	for i, class := range v.Document.Classes {
-		index, ok := taken[class.Name]
+	for i, class := range version.Document.Classes {
+		index, ok := indexes[class.Name]
 		if !ok {
 			index = len(s.classNames)
 			s.classNames = append(s.classNames, class.Name)
 			classes = append(classes, policy.RequestClass{})
 		}
-		classes[index], v.classIndex[class.Name] = policyConfig.Classes[i], index
+		classes[index], version.classIndex[class.Name] = policyConfig.Classes[i], index
 	}
 	policyConfig.Classes = classes
-	v.Policy = &policyConfig
-	s.current, s.pending = v, nil
+	version.Policy = &policyConfig
+	s.current, s.pending = version, nil
 }
--- a/internal/proxy/config_versions_bench_test.go
+++ b/internal/proxy/config_versions_bench_test.go
@@ -25,7 +25,7 @@
 	text := configVersionText(b)
 	b.ReportAllocs()
 	for number := uint64(1); b.Loop(); number++ {
-		version, err := configstate.Read(number, []byte(text))
+		version, err := configstate.ParseVersion(number, []byte(text))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 						return
 					default:
 					}
-					version, err := configstate.Read(number, []byte(text))
+					version, err := configstate.ParseVersion(number, []byte(text))
 					if err != nil {
 						b.Error(err)
 						return
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -94,7 +94,7 @@
 	case v.inForce() == waiting.Number:
 		return configstate.Applied, nil
 	}
-	return configstate.Rejected, configstate.ErrOvertaken
+	return configstate.Rejected, configstate.ErrSuperseded
 }
 
 // inForce returns the number of the version in force, 0 for that of the settings file.
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.bringsNewText(assignment) {
-		version, err := configstate.Read(assignment.ConfigTextNo, assignment.ConfigText)
+		version, err := configstate.ParseVersion(assignment.ConfigTextNo, assignment.ConfigText)
 		if err != nil {
 			c.reject(assignment.ConfigTextNo, err)
 			return
