--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -55,15 +55,15 @@
 func (f *follower) source() watch.Source {
 	n := f.node
 	return watch.Source{
-		SilenceSeconds:    discoverySilenceSeconds,
-		OpenSeconds:       discoveryOpenSeconds,
-		MaxObjectBytes:    n.maxListBytes,
-		BackoffMinSeconds: discoveryBackoffMinSeconds,
-		BackoffMaxSeconds: discoveryBackoffMaxSeconds,
-		Log:               n.log,
-		Client:            n.httpClient,
-		NextURL:           f.nextURL,
-		OnHeartbeat:       f.onHeartbeat,
+		SilenceSeconds:         discoverySilenceSeconds,
+		ResponseTimeoutSeconds: discoveryOpenSeconds,
+		MaxObjectBytes:         n.maxListBytes,
+		BackoffMinSeconds:      discoveryBackoffMinSeconds,
+		BackoffMaxSeconds:      discoveryBackoffMaxSeconds,
+		Log:                    n.log,
+		Client:                 n.httpClient,
+		NextURL:                f.nextURL,
+		OnHeartbeat:            f.onHeartbeat,
 	}
 }
 
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -20,14 +20,14 @@
 
 // Source describes a stream and when it is considered broken.
 type Source struct {
-	URL               string
-	SilenceSeconds    float64      // time without a byte after which the stream is considered broken
-	OpenSeconds       float64      // time in which the response must begin; 0: SilenceSeconds
-	MaxObjectBytes    int64        // maximum size of one object; 0: 64 MiB
-	BackoffMinSeconds float64      // longest pause before the first retry
-	BackoffMaxSeconds float64      // longest pause before any retry
-	Client            *http.Client // must have no timeout of its own
-	Log               *slog.Logger
+	URL                    string
+	SilenceSeconds         float64      // time without a byte after which the stream is considered broken
+	ResponseTimeoutSeconds float64      // time in which the response must begin; 0: SilenceSeconds
+	MaxObjectBytes         int64        // maximum size of one object; 0: 64 MiB
+	BackoffMinSeconds      float64      // longest pause before the first retry
+	BackoffMaxSeconds      float64      // longest pause before any retry
+	Client                 *http.Client // must have no timeout of its own
+	Log                    *slog.Logger
 
 	NextURL     func() string // optional: returns the URL for each try, in place of URL
 	OnHeartbeat func()        // optional: called at each heartbeat between objects, which means that nothing has changed
@@ -121,10 +121,10 @@
 }
 
 func (s *Source) openSeconds() float64 {
-	if s.OpenSeconds == 0 {
+	if s.ResponseTimeoutSeconds == 0 {
 		return s.SilenceSeconds
 	}
-	return s.OpenSeconds
+	return s.ResponseTimeoutSeconds
 }
 
 func (s *Source) maxObjectBytes() int64 {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	heartbeats := 0
-	got, log := follow(t, func(s *Source) { s.OpenSeconds, s.OnHeartbeat = 0.2, func() { heartbeats++ } },
+	got, log := follow(t, func(s *Source) { s.ResponseTimeoutSeconds, s.OnHeartbeat = 0.2, func() { heartbeats++ } },
 		silentAfter(""), silentAfter("\n"), silentAfter("{\"n\":1}\n{\"n\":"), silentAfter("{\"n\":2}\n\n"), silentAfter("{\"n\":3,\n\n"))
 	if got != "1 2 9" || heartbeats != 1 {
 		t.Errorf("%s, %d heartbeats", got, heartbeats)
