--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -17,7 +17,7 @@
 	assignment := &linkpb.View{
 		Major: header.Major, Minor: lease.SchemaMinor,
 		Epoch: header.Epoch, Number: header.Sequence, Life: header.Incarnation, Echo: header.AcknowledgedReport,
-		ListAt: c.endpointList.At, ListNo: c.endpointList.Version,
+		ListAt: c.endpointList.ConfirmedAt, ListNo: c.endpointList.Version,
 		VerdictBuild: int32(build), Verdict: int32(verdict),
 		Share: share, Lease: leaseSeconds,
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -160,7 +160,7 @@
 		c.endpointList.FullUpdate(now).ApplyTo(c.balancer, now)
 		c.endpointsChanged()
 		c.log.Info("endpoint list restored", "endpoints", c.endpointList.Len(), "version", c.endpointList.Version,
-			"age_seconds", now-c.endpointList.At)
+			"age_seconds", now-c.endpointList.ConfirmedAt)
 	}
 	if release := saved.Release; release != nil && release.Check(len(c.settings.Release.StageShares)) == nil {
 		c.applyRelease(*release, saved.ReleaseAt)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -67,7 +67,7 @@
 	}
 	total(assignmentsDesc, c.assignmentsMade)
 	total(reportsSkippedDesc, c.reportsSkipped.Load())
-	gauge(endpointListAgeDesc, now-c.endpointList.At)
+	gauge(endpointListAgeDesc, now-c.endpointList.ConfirmedAt)
 	gauge(endpointsDesc, float64(c.endpointList.Len()))
 	_, verdict := c.balancer.CurrentVote()
 	gauge(verdictDesc, float64(verdict))
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -44,7 +44,7 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	c.expireRouters(now)
-	c.balancer.SetEndpointListAge(now - c.endpointList.At)
+	c.balancer.SetEndpointListAge(now - c.endpointList.ConfirmedAt)
 	c.shedLoad(now)
 	marksChanged = c.metricsEvidence != nil && c.metricsEvidence.tick(now)
 	if c.leader.IsLeader() {
--- a/internal/endpoints/file_test.go
+++ b/internal/endpoints/file_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	loaded, err := Load(file)
-	if e, _ := loaded.Get(1); err != nil || loaded.Version != 7 || loaded.At != 5 || e != endpoint {
+	if e, _ := loaded.Get(1); err != nil || loaded.Version != 7 || loaded.ConfirmedAt != 5 || e != endpoint {
 		t.Fatal(loaded, err)
 	}
 	if _, err := os.Stat(leftover); err == nil {
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	list, err := Load(file)
-	if err != nil || list.Version != 41 || list.At != 1700000098.5 || list.Len() != 2 {
+	if err != nil || list.Version != 41 || list.ConfirmedAt != 1700000098.5 || list.Len() != 2 {
 		t.Fatal(list, err)
 	}
 	for _, want := range []Endpoint{
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -16,9 +16,9 @@
 // update is proportional to its entries, not to the size of the list. A List is not safe for concurrent use, but a
 // Clone may be read while the original changes.
 type List struct {
-	Version uint64
-	At      float64      // when it was true, in seconds since the Unix epoch
-	byID    *endpointMap // nil until the first update
+	Version     uint64
+	ConfirmedAt float64      // when it was true, in seconds since the Unix epoch
+	byID        *endpointMap // nil until the first update
 }
 
 // Len returns the number of endpoints.
@@ -52,7 +52,7 @@
 }
 
 // Clone returns a copy that does not change with the original.
-func (l *List) Clone() *List { return &List{l.Version, l.At, l.byID} }
+func (l *List) Clone() *List { return &List{l.Version, l.ConfirmedAt, l.byID} }
 
 // Apply applies a checked update and returns the resulting changes, which are all that has to be passed on. A partial
 // update of a version older than the list's is an error, because the stream has gone backwards; a full one is accepted,
@@ -73,7 +73,7 @@
 	if byID.Len() > maxEndpoints {
 		return nil, tooManyError(byID.Len())
 	}
-	l.Version, l.At, l.byID = update.Version, now-update.AgeSeconds, byID
+	l.Version, l.ConfirmedAt, l.byID = update.Version, now-update.AgeSeconds, byID
 	return changes, nil
 }
 
@@ -132,7 +132,7 @@
 
 // FullUpdate returns the whole list as one update, for instance after a start from disk.
 func (l *List) FullUpdate(now float64) *Update {
-	return &Update{Version: l.Version, Full: true, AgeSeconds: max(0, now-l.At), Endpoints: slices.Collect(l.All())}
+	return &Update{Version: l.Version, Full: true, AgeSeconds: max(0, now-l.ConfirmedAt), Endpoints: slices.Collect(l.All())}
 }
 
 // savedList is the stored form of a list.
@@ -144,7 +144,7 @@
 
 // MarshalJSON returns the stored form.
 func (l *List) MarshalJSON() ([]byte, error) {
-	return json.Marshal(savedList{l.Version, l.At, slices.Collect(l.All())})
+	return json.Marshal(savedList{l.Version, l.ConfirmedAt, slices.Collect(l.All())})
 }
 
 // UnmarshalJSON reads the stored form, and validates it like an update.
--- a/internal/endpoints/list_test.go
+++ b/internal/endpoints/list_test.go
@@ -10,7 +10,7 @@
 	l := &List{}
 	apply := func(update Update) {
 		changes, err := l.Apply(&update, 100)
-		fmt.Print("version ", l.Version, " at ", l.At, " endpoints ", l.Len())
+		fmt.Print("version ", l.Version, " at ", l.ConfirmedAt, " endpoints ", l.Len())
 		if changes != nil {
 			for _, e := range changes.Endpoints {
 				fmt.Print(" ", e.ID, " ", e.State)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -182,7 +182,7 @@
 		ApplyAssignment: r.applyAssignment,
 	}
 	r.running.Go(func() {
-		if err := r.controller.Run(r.watches, r.endpointList.At); err != nil {
+		if err := r.controller.Run(r.watches, r.endpointList.ConfirmedAt); err != nil {
 			r.failed <- err
 		}
 	})
