--- a/internal/loadshed/connections.go
+++ b/internal/loadshed/connections.go
@@ -1,39 +1,39 @@
 package loadshed
 
-// Shares of a machine's limits. The remaining descriptors are for the listener, the control services, and connections
-// that are closing; the remaining memory is for everything except the heap's objects and the buffers.
+// Shares of the machine's file descriptors and memory. The remaining descriptors are for the listener, the control
+// services, and connections that are closing; the remaining memory is for everything except heap objects and buffers.
 const (
-	clientDescriptors     = 0.55
-	endpointDescriptors   = 0.3
-	evictIdleDescriptors  = 1.0 / 6 // held by clients; above it, each new client evicts an idle one
-	heapMemory            = 0.6
-	bufferMemory          = 0.2
-	closingReserveDivisor = 8 // divisor of the client connections: how many more may be open while others close,
-	minClosingReserve     = 2 // and the minimum of that number
+	clientDescriptorShare    = 0.55
+	endpointDescriptorShare  = 0.3
+	evictIdleDescriptorShare = 1.0 / 6 // used by clients; above it, each new client evicts an idle one
+	heapMemoryShare          = 0.6
+	bufferMemoryShare        = 0.2
+	closingReserveDivisor    = 8 // closing connections may exceed the client limit by the limit divided by this,
+	minClosingReserve        = 2 // and at least by this number
 )
 
 const (
-	endpointIdleShare    = 0.8       // share of the idle time after which endpoints close a connection
+	endpointIdleShare    = 0.8       // the router's idle timeout for endpoint connections, as a share of the endpoints'
 	firstRequestSeconds  = 0.3       // time after connecting in which a client is expected to send its first request
-	evictionReadSeconds  = 0.05      // time to receive a whole request on a connection that is being evicted
+	evictionReadSeconds  = 0.05      // time to receive a complete request on a connection that is being evicted
 	maxPipelinedAnswers  = 64        // pending answers at which reading from a client stops
 	maxUnreadAnswerBytes = 256 << 10 // unread answer bytes at which reading from a client stops
 )
 
 // The order of eviction, first to last.
 const (
-	evictSilent  = iota // clients that never sent a request although they had time to
-	evictIdle           // idle ones
-	evictNew            // clients that have just connected
+	evictSilent  = iota // clients that have sent no request within firstRequestSeconds
+	evictIdle           // idle clients that have sent a request before
+	evictNew            // clients that connected less than firstRequestSeconds ago
 	evictReading        // clients whose first request is being received
 )
 
 // ConnReuseDelaySeconds is the time after an endpoint's answer during which its connection is not reused, in protocols
 // whose answers do not identify their request: the platform's endpoints may send a second answer a few milliseconds
-// late, which would be mistaken for the next request's.
+// late, which would be mistaken for the answer to the next request.
 const ConnReuseDelaySeconds = 0.025
 
-// ResourceLimits is the division of a machine's limits.
+// ResourceLimits holds the limits that SplitLimits derives from a machine's resources.
 type ResourceLimits struct {
 	ClientConns           int   // client connections
 	IdleEvictionThreshold int   // client connections at which idle ones are evicted
@@ -44,31 +44,31 @@
 
 // SplitLimits divides a machine's file descriptors and its memory, in bytes.
 func SplitLimits(descriptors int, memory int64) ResourceLimits {
-	of := func(share float64) int { return int(share * float64(descriptors)) }
+	descriptorCount := func(share float64) int { return int(share * float64(descriptors)) }
 	return ResourceLimits{
-		ClientConns:           of(clientDescriptors),
-		IdleEvictionThreshold: of(evictIdleDescriptors),
-		EndpointConns:         of(endpointDescriptors),
-		HeapBytes:             int64(heapMemory * float64(memory)),
-		BufferBytes:           int64(bufferMemory * float64(memory)),
+		ClientConns:           descriptorCount(clientDescriptorShare),
+		IdleEvictionThreshold: descriptorCount(evictIdleDescriptorShare),
+		EndpointConns:         descriptorCount(endpointDescriptorShare),
+		HeapBytes:             int64(heapMemoryShare * float64(memory)),
+		BufferBytes:           int64(bufferMemoryShare * float64(memory)),
 	}
 }
 
-// OverCapacity reports whether client connections fill even the reserve for closing ones. Without this bound the
-// process would run out of descriptors, and could not connect to endpoints either.
+// OverCapacity reports whether client connections use up both the limit and the reserve for closing ones. Without this
+// bound the process would run out of descriptors and could not connect to endpoints either.
 func OverCapacity(connections, limit int) bool {
 	return connections >= limit+max(minClosingReserve, limit/closingReserveDivisor)
 }
 
-// EndpointIdleSeconds returns how long the router may keep an idle connection to an endpoint
-// that closes it after closesAfterSeconds. It closes first: a request written to a connection as
-// the endpoint closes it may or may not have run.
+// EndpointIdleSeconds returns how long the router may keep an idle connection to an endpoint that closes it after
+// closesAfterSeconds. The router must close it first: if it wrote a request while the endpoint closed the connection,
+// it could not tell whether the request ran.
 func EndpointIdleSeconds(closesAfterSeconds float64) float64 {
 	return endpointIdleShare * closesAfterSeconds
 }
 
-// ReadTimeoutSeconds returns the time in which a request must be received whole. It is short on a connection that is
-// being evicted, whose place others are waiting for.
+// ReadTimeoutSeconds returns the time within which a complete request must be received. It is short on a connection
+// that is being evicted, because another client is waiting for its slot.
 func ReadTimeoutSeconds(normalSeconds float64, evicting bool) float64 {
 	if evicting {
 		return min(normalSeconds, evictionReadSeconds)
@@ -76,30 +76,30 @@
 	return normalSeconds
 }
 
-// MayPipeline reports whether further requests are read from a client, given its pending answers
-// and the answer bytes that it has not read yet.
+// MayPipeline reports whether further requests may be read from a client, given the number of its pending answers and
+// the answer bytes that it has not read yet.
 func MayPipeline(answersPending, unreadBytes int) bool {
 	return answersPending < maxPipelinedAnswers && unreadBytes < maxUnreadAnswerBytes
 }
 
-// ClientConn is the state of a client connection that eviction depends on.
+// ClientConn holds the state of a client connection that decides about its eviction.
 type ClientConn struct {
 	Busy           bool    // a request is being served
 	Reading        bool    // a request is being received
-	HasSentRequest bool    // it has sent a request before
-	IdleSince      float64 // when it became idle, in seconds on the caller's clock
+	HasSentRequest bool    // the client has sent a request before
+	IdleSince      float64 // when the connection became idle, in seconds on the caller's clock
 }
 
-// EvictBefore reports whether a connection is evicted before another: by the order of
-// eviction, and the longest idle first among equals.
+// EvictBefore reports whether c is evicted before other: in the order of eviction, and among equals the longest idle
+// first.
 func (c ClientConn) EvictBefore(now float64, other ClientConn) bool {
-	if a, b := c.evictionRank(now), other.evictionRank(now); a != b {
-		return a < b
+	if rank, otherRank := c.evictionRank(now), other.evictionRank(now); rank != otherRank {
+		return rank < otherRank
 	}
 	return c.IdleSince < other.IdleSince
 }
 
-// Pinned reports whether a connection must not be evicted.
+// Pinned reports whether the connection must not be evicted.
 func (c ClientConn) Pinned() bool { return c.Busy || c.Reading && c.HasSentRequest }
 
 func (c ClientConn) evictionRank(now float64) int {
--- a/internal/loadshed/connections_test.go
+++ b/internal/loadshed/connections_test.go
@@ -7,8 +7,8 @@
 	"flintspread/internal/loadshed"
 )
 
-// The order of eviction: silent clients, then the longest idle, newly connected ones, and
-// those sending a first request.
+// Eviction begins with clients that sent no request in time, then takes the longest idle, newly connected clients, and
+// clients that are sending their first request. The second part shows the split of a machine's descriptors.
 func ExampleClientConn_EvictBefore() {
 	const now = 10
 	conns := map[string]loadshed.ClientConn{
@@ -39,11 +39,12 @@
 		for !loadshed.OverCapacity(limits.ClientConns+closing, limits.ClientConns) {
 			closing++
 		}
-		fmt.Println(descriptors, limits.ClientConns, limits.IdleEvictionThreshold, limits.EndpointConns, "left for the rest:", descriptors-limits.ClientConns-closing-limits.EndpointConns)
+		fmt.Println(descriptors, limits.ClientConns, limits.IdleEvictionThreshold, limits.EndpointConns,
+			"remaining:", descriptors-limits.ClientConns-closing-limits.EndpointConns)
 	}
 	// Output:
 	// [silent longest-idle idle new reading]
-	// 64 35 10 19 left for the rest: 6
-	// 256 140 42 76 left for the rest: 23
-	// 1024 563 170 307 left for the rest: 84
+	// 64 35 10 19 remaining: 6
+	// 256 140 42 76 remaining: 23
+	// 1024 563 170 307 remaining: 84
 }
