--- a/internal/loadshed/shares.go
+++ b/internal/loadshed/shares.go
@@ -8,11 +8,11 @@
 
 // Factors applied to a group's priority.
 const (
-	retryPriority     = 1.0 / 64 // for clients' retries: they come after all first requests
-	aboveFairPriority = 1.0 / 8  // for requests above their client's fair share
+	retryPriority          = 1.0 / 64 // for clients' retries: they rank below all first requests
+	aboveFairSharePriority = 1.0 / 8  // for requests above their client's fair share
 )
 
-// shedGroup identifies requests that are shed alike.
+// shedGroup identifies requests that are shed with the same probability.
 type shedGroup struct {
 	class                 int
 	retry, aboveFairShare bool
@@ -25,33 +25,33 @@
 	score float64
 }
 
-// score returns a group's priority over its cost.
+// score returns a group's priority divided by the cost of a request.
 func (s *Shedder) score(group shedGroup) float64 {
 	score := s.classes[group.class].PriorityWeight / s.Cost(group.class)
 	if group.retry {
 		score *= retryPriority
 	}
 	if group.aboveFairShare {
-		score *= aboveFairPriority
+		score *= aboveFairSharePriority
 	}
 	return score
 }
 
-// shareOf returns the share of a group that is shed. A group that was absent from the last window is treated like the
-// nearest group with the same score or less, so that new groups are not admitted ahead of more valuable ones.
-func (s *Shedder) shareOf(group shedGroup) float64 {
-	if share, ok := s.shareByGroup[group]; ok {
+// shedShareOf returns the share of a group that is shed. A group that was absent from the last window is treated like
+// the group with the nearest score at or below its own, so that it is not admitted ahead of groups with higher scores.
+func (s *Shedder) shedShareOf(group shedGroup) float64 {
+	if share, ok := s.shedShareByGroup[group]; ok {
 		return share
 	}
 	score := s.score(group)
-	belowScore, belowShare := math.Inf(-1), 0.0 // the nearest group with the same score or less
-	aboveScore, aboveShare := math.Inf(1), 0.0  // the nearest group with a higher score
-	for other, share := range s.shareByGroup {
-		switch x := s.score(other); {
-		case x <= score && (x > belowScore || x == belowScore && share < belowShare):
-			belowScore, belowShare = x, share
-		case x > score && (x < aboveScore || x == aboveScore && share > aboveShare):
-			aboveScore, aboveShare = x, share
+	belowScore, belowShare := math.Inf(-1), 0.0 // of the group with the nearest score at or below
+	aboveScore, aboveShare := math.Inf(1), 0.0  // of the group with the nearest score above
+	for other, share := range s.shedShareByGroup {
+		switch otherScore := s.score(other); {
+		case otherScore <= score && (otherScore > belowScore || otherScore == belowScore && share < belowShare):
+			belowScore, belowShare = otherScore, share
+		case otherScore > score && (otherScore < aboveScore || otherScore == aboveScore && share > aboveShare):
+			aboveScore, aboveShare = otherScore, share
 		}
 	}
 	if math.IsInf(belowScore, -1) { // all known groups score higher
@@ -60,17 +60,17 @@
 	return belowShare
 }
 
-// setShares sets, at the end of a window, the share of each group that is shed in the next: the work offered above the
-// limit, taken from the groups with the lowest scores.
-func (s *Shedder) setShares(elapsedSeconds float64) {
+// setShedShares sets the share of each group that is shed in the next window. The work to shed is the work that was
+// offered above the limit in the ending window; it is taken from the groups with the lowest scores.
+func (s *Shedder) setShedShares(elapsedSeconds float64) {
 	s.shedShare = 0
 	if s.offeredWork > s.limit*elapsedSeconds {
 		s.shedShare = 1 - s.limit*elapsedSeconds/s.offeredWork
 	}
 	loads := s.loadsByScore()
-	clear(s.shareByGroup)
-	for left, i := s.shedShare*s.offeredWork, 0; i < len(loads); {
-		// Groups with the same score share the remaining work to shed.
+	clear(s.shedShareByGroup)
+	for workToShed, i := s.shedShare*s.offeredWork, 0; i < len(loads); {
+		// The remaining work to shed is divided among the groups with the same score, in proportion to their work.
 		end, work := i, 0.0
 		for end < len(loads) && loads[end].score == loads[i].score {
 			work += loads[end].work
@@ -78,12 +78,12 @@
 		}
 		share := 0.0
 		if work > 0 {
-			share = max(0, min(1, left/work))
+			share = max(0, min(1, workToShed/work))
 		}
 		for _, load := range loads[i:end] {
-			s.shareByGroup[load.group] = share
+			s.shedShareByGroup[load.group] = share
 		}
-		left, i = left-work, end
+		workToShed, i = workToShed-work, end
 	}
 }
 
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	largeBytes      = 8192.0 // bytes of a request and its answer that cost as much as a small request
-	smoothingWeight = 0.05   // weight of a new sample in a class's typical latency and size
+	bytesPerCostUnit = 8192.0 // bytes of a request and its answer that add the cost of one small request
+	smoothingWeight  = 0.05   // weight of a new sample in a class's typical latency and size
 )
 
 // RequestClass describes a class of requests to the shedder.
@@ -35,26 +35,26 @@
 
 	// The limit (limit.go).
 	limit           float64 // work per second; +Inf: no limit
-	limitNeededAt   float64 // when the limit was last needed
+	limitNeededAt   float64 // when the offered work was last above the limit, or the pressure not low
 	lastCutAt       float64
-	lastCutPressure float64 // pressure at the last cut; 1 once the process has caught up
-	overloadRate    float64 // work per second at which the process last fell behind
+	lastCutPressure float64 // pressure at the last cut; 1 once the pressure is at most 1 again
+	overloadRate    float64 // admitted work per second when the last overload began
 	bestRate        float64 // highest recent work per second answered within its objective
 	delaySeconds    float64 // the process's own delay, as of the last sample
 
-	// The current window of counted work (limit.go).
+	// Work counted in the current window (limit.go).
 	windowStartedAt float64
 	offeredWork     float64
 	admittedWork    float64
 	servedWork      float64 // answered within its objective
 
-	// What is shed (shares.go).
-	shedShare      float64               // share of the offered work, as of the last window
-	shareByGroup   map[shedGroup]float64 // share of each group that is shed, as of the last window
-	offeredByGroup map[shedGroup]float64 // work offered in this window
+	// Shares to shed (shares.go).
+	shedShare        float64               // share of the offered work that is shed, as of the last window
+	shedShareByGroup map[shedGroup]float64 // share of each group that is shed, as of the last window
+	offeredByGroup   map[shedGroup]float64 // work offered in the current window
 
 	// Fairness between clients (fairness.go).
-	workByClient map[uint64]float64 // halved at the end of each window
+	workByClient map[uint64]float64 // decayed at the end of each window
 	clientWork   float64            // sum of workByClient
 
 	// Random draws.
@@ -63,25 +63,26 @@
 	drawHash  hash.Hash64
 }
 
-// New returns a shedder that sheds nothing yet. Equal seeds and equal sequences of calls return equal
-// results; now is in seconds on the caller's clock.
+// New returns a shedder without a limit. Equal seeds and equal sequences of calls return equal results; now is in
+// seconds on the caller's clock.
 func New(classes []RequestClass, seed uint64, now float64) *Shedder {
 	s := &Shedder{
-		limit:           math.Inf(1),
-		limitNeededAt:   now,
-		lastCutAt:       math.Inf(-1),
-		windowStartedAt: now,
-		shareByGroup:    map[shedGroup]float64{},
-		offeredByGroup:  map[shedGroup]float64{},
-		workByClient:    map[uint64]float64{},
-		seed:            seed,
-		drawHash:        fnv.New64a(),
+		limit:            math.Inf(1),
+		limitNeededAt:    now,
+		lastCutAt:        math.Inf(-1),
+		windowStartedAt:  now,
+		shedShareByGroup: map[shedGroup]float64{},
+		offeredByGroup:   map[shedGroup]float64{},
+		workByClient:     map[uint64]float64{},
+		seed:             seed,
+		drawHash:         fnv.New64a(),
 	}
 	s.SetClasses(classes)
 	return s
 }
 
-// SetClasses replaces the classes for subsequent requests. Classes keep their index, and new ones may be appended.
+// SetClasses replaces the classes for subsequent requests. Existing classes must keep their index; new ones may be
+// appended.
 func (s *Shedder) SetClasses(classes []RequestClass) {
 	s.classes, s.shortestObjectiveSeconds = classes, math.Inf(1)
 	for i, class := range classes {
@@ -92,40 +93,40 @@
 	}
 }
 
-// Cost returns the expected work of a request of a class; a small request costs 1. It is rounded to halves, as a few
-// bytes are no reason to prefer one class over another of the same priority.
+// Cost returns the expected work of a request of a class; a small request costs 1. The cost is rounded to halves, so
+// that a difference of a few bytes does not rank one class before another of the same priority.
 func (s *Shedder) Cost(class int) float64 {
-	return 1 + math.Round(2*s.typicalBytes[class]/largeBytes)/2
+	return 1 + math.Round(2*s.typicalBytes[class]/bytesPerCostUnit)/2
 }
 
-// Admit reports whether a request is to be served. It must be called once for each request received.
-func (s *Shedder) Admit(now float64, r Request) bool {
-	cost := s.Cost(r.Class)
+// Admit reports whether to serve a request. It must be called once for each request received.
+func (s *Shedder) Admit(now float64, request Request) bool {
+	cost := s.Cost(request.Class)
 	s.offeredWork += cost
-	s.countClient(r.Client, cost)
-	group := shedGroup{class: r.Class, retry: r.Retry}
-	group.aboveFairShare = s.drawAboveFairShare(r.Client)
+	s.countClient(request.Client, cost)
+	group := shedGroup{class: request.Class, retry: request.Retry}
+	group.aboveFairShare = s.drawAboveFairShare(request.Client)
 	s.offeredByGroup[group] += cost
-	if s.shedShare > 0 && (s.tooLate(r) || s.drawShed(group)) {
+	if s.shedShare > 0 && (s.expectedTooLate(request) || s.drawShed(group)) {
 		return false
 	}
 	s.admittedWork += cost
 	return true
 }
 
-// tooLate reports whether a request's client is expected to give up before the answer. While the process sheds, such
-// requests are shed first, whatever their priority: their answers are of no use.
-func (s *Shedder) tooLate(r Request) bool {
-	return r.RemainingSeconds < s.typicalLatencySeconds[r.Class]+s.delaySeconds
+// expectedTooLate reports whether a request's client is expected to give up before it receives the answer. While the
+// process sheds, all such requests are shed, whatever their priority: nobody would use their answers.
+func (s *Shedder) expectedTooLate(request Request) bool {
+	return request.RemainingSeconds < s.typicalLatencySeconds[request.Class]+s.delaySeconds
 }
 
 // drawShed decides at random whether a request belongs to the share of its group that is shed.
 func (s *Shedder) drawShed(group shedGroup) bool {
-	share := s.shareOf(group)
+	share := s.shedShareOf(group)
 	return share >= 1 || share > 0 && s.draw() < share
 }
 
-// OnSuccess records the latency of a request that succeeded, and the total bytes of the request and its answer.
+// OnSuccess records the latency of a successful request, and the total bytes of the request and its answer.
 func (s *Shedder) OnSuccess(class int, latencySeconds float64, bytes int) {
 	objective := s.classes[class].LatencyObjectiveSeconds
 	if s.typicalLatencySeconds[class] == 0 {
@@ -144,7 +145,7 @@
 // Limit returns the maximum work admitted per second, +Inf if there is no limit.
 func (s *Shedder) Limit() float64 { return s.limit }
 
-// draw returns a pseudo-random number in [0, 1) determined by the seed and the number of earlier draws.
+// draw returns a pseudo-random number in [0, 1) that depends only on the seed and the number of earlier draws.
 func (s *Shedder) draw() float64 {
 	s.drawCount++
 	var buf [16]byte
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -13,23 +13,23 @@
 // capacity is the work per second that a simulated router can do.
 const capacity = 1000.0
 
-// simRouter is a simulated router: requests queue in front of it, as in a kernel's buffers, and are served in order.
-// Their queueing time is the process's delay, as far as a process can measure that.
+// simRouter is a simulated router. Requests wait in a queue, as in a kernel's buffers, and are served in order. The age
+// of the oldest waiting request, up to 0.25 s, is the delay that the process measures.
 type simRouter struct {
 	shedder      *Shedder
 	now          float64
 	waiting      []waitingRequest
-	spareWork    float64 // work that could have been done by now
+	spareWork    float64 // unused work capacity so far, at most 2
 	nextSampleAt float64
-	doneWork     float64 // work done since the last sample
-	shed         [3]int  // requests shed, by class
-	received     [3]int
-	shedShares   []float64 // at each sample
+	doneWork     float64   // work done since the last sample
+	shed         [3]int    // requests shed, by class
+	received     [3]int    // requests received, by class
+	shedShares   []float64 // shed share at each sample
 }
 
 type waitingRequest struct {
 	request Request
-	at      float64
+	arrivedAt      float64
 }
 
 func newSimRouter() *simRouter {
@@ -40,11 +40,11 @@
 	if len(r.waiting) == 0 {
 		return 0
 	}
-	return r.now - r.waiting[0].at
+	return r.now - r.waiting[0].arrivedAt
 }
 
-// offer submits one request, and does the work that fits before the next; done is called
-// with the result of each request.
+// offer adds one request to the queue and serves waiting requests as far as the capacity until the next one allows. done
+// is called with the result of each request served or shed.
 func (r *simRouter) offer(rate float64, request Request, done func(request Request, admitted bool)) {
 	r.now += 1 / rate
 	r.waiting = append(r.waiting, waitingRequest{request, r.now})
@@ -52,12 +52,12 @@
 	for len(r.waiting) > 0 && r.spareWork > 0 {
 		next := r.waiting[0]
 		r.waiting = r.waiting[1:]
-		next.request.RemainingSeconds -= r.now - next.at
+		next.request.RemainingSeconds -= r.now - next.arrivedAt
 		admitted := r.shedder.Admit(r.now, next.request)
 		if done(next.request, admitted); admitted {
 			r.spareWork--
 			r.doneWork++
-			r.shedder.OnSuccess(next.request.Class, r.now-next.at, 100)
+			r.shedder.OnSuccess(next.request.Class, r.now-next.arrivedAt, 100)
 		} else {
 			r.spareWork -= 0.1 // cost of shedding a request
 			r.doneWork += 0.1
@@ -76,12 +76,13 @@
 	r.shedShares = append(r.shedShares, r.shedder.ShedShare())
 }
 
-// run offers requests of each class in turn, at rate requests per second, for the given seconds.
+// run offers requests of the three classes in turn, at rate requests per second, for the given seconds.
 func (r *simRouter) run(rate, seconds float64, client func(i int) (id uint64, retry bool)) {
 	r.shed, r.received, r.shedShares = [3]int{}, [3]int{}, nil
 	for i, end := 0, r.now+seconds; r.now < end; i++ {
 		id, retry := client(i)
-		r.offer(rate, Request{Class: i % 3, Client: id, Retry: retry, RemainingSeconds: 1}, func(request Request, admitted bool) {
+		request := Request{Class: i % 3, Client: id, Retry: retry, RemainingSeconds: 1}
+		r.offer(rate, request, func(request Request, admitted bool) {
 			r.received[request.Class]++
 			r.shed[request.Class] += asInt(!admitted)
 		})
@@ -90,12 +91,14 @@
 
 func twentyClients(i int) (id uint64, retry bool) { return uint64(i % 20), false }
 
-// The limit finds the capacity, sheds the lowest priority first, and is lifted when the load falls.
+// The limit settles near the capacity, requests of the lowest priority are shed first, and shedding ends when the load
+// falls.
 func Example_overload() {
 	r := newSimRouter()
 	show := func(name string) {
-		fmt.Printf("%s: shed %.0f%% of priority 2, %.0f%% of 3, %.0f%% of 1; delay at the end %.2f s\n", name, percent(r.shed[0], r.received[0]), percent(r.shed[1], r.received[1]),
-			percent(r.shed[2], r.received[2]), r.oldestAge())
+		fmt.Printf("%s: shed %.0f%% of priority 2, %.0f%% of 3, %.0f%% of 1; delay at the end %.2f s\n", name,
+			percent(r.shed[0], r.received[0]), percent(r.shed[1], r.received[1]), percent(r.shed[2], r.received[2]),
+			r.oldestAge())
 	}
 	r.run(800, 10, twentyClients)
 	show("below capacity")
@@ -104,29 +107,31 @@
 	show("at twice the capacity")
 	r.run(800, 2, twentyClients)
 	r.run(800, 5, twentyClients)
-	show("below it again")
+	show("below capacity again")
 	// Output:
 	// below capacity: shed 0% of priority 2, 0% of 3, 0% of 1; delay at the end 0.00 s
 	// at twice the capacity: shed 72% of priority 2, 0% of 3, 100% of 1; delay at the end 0.05 s
-	// below it again: shed 0% of priority 2, 0% of 3, 0% of 1; delay at the end 0.00 s
+	// below capacity again: shed 0% of priority 2, 0% of 3, 0% of 1; delay at the end 0.00 s
 }
 
 func percent(n, of int) float64 { return math.Round(100 * float64(n) / float64(max(1, of))) }
 
-// One client sends nine tenths of the load; the others keep their share. Retries are shed before first requests.
+// A client that sends nine tenths of the load is shed before the others, retries are shed before first requests, and
+// while the process sheds, requests whose answer would be too late are shed.
 func Example_fairness() {
 	r := newSimRouter()
 	var shed, received [2]int
-	count := func(hot func(int) bool, retry func(int) bool) {
+	count := func(fromHotClient func(int) bool, retry func(int) bool) {
 		r.run(2000, 3, twentyClients)
 		shed, received = [2]int{}, [2]int{}
 		for i := range 20000 {
 			id := uint64(1 + i%19)
-			if hot(i) {
+			if fromHotClient(i) {
 				id = 0
 			}
-			r.offer(2000, Request{Client: id, Retry: retry(i), RemainingSeconds: 1}, func(request Request, admitted bool) {
-				group := asInt(request.Client == 0 || request.Retry)
+			request := Request{Client: id, Retry: retry(i), RemainingSeconds: 1}
+			r.offer(2000, request, func(request Request, admitted bool) {
+				group := asInt(request.Client == 0 || request.Retry) // 1: from the hot client, or a retry
 				received[group]++
 				shed[group] += asInt(!admitted)
 			})
@@ -134,55 +139,61 @@
 	}
 	never := func(int) bool { return false }
 	count(func(i int) bool { return i%10 != 0 }, never)
-	fmt.Printf("a hot client: %t that it loses half or more, %t that the others lose under 15%%\n", percent(shed[1], received[1]) >= 50, percent(shed[0], received[0]) < 15)
+	fmt.Printf("hot client: half or more of its requests shed: %t, under 15%% of the others' shed: %t\n",
+		percent(shed[1], received[1]) >= 50, percent(shed[0], received[0]) < 15)
 	r = newSimRouter()
 	count(never, func(i int) bool { return i%2 == 0 })
-	fmt.Printf("half are retries: %t that they lose 90%% or more, %t that first requests lose less than half of that\n", percent(shed[1], received[1]) >= 90, 2*percent(shed[0], received[0]) < percent(shed[1], received[1]))
+	fmt.Printf("half are retries: 90%% or more of the retries shed: %t, less than half that share of first requests shed: %t\n",
+		percent(shed[1], received[1]) >= 90, 2*percent(shed[0], received[0]) < percent(shed[1], received[1]))
 	s := New(testClasses, 1, 0)
 	for i := range 1000 {
 		s.Admit(float64(i)/1000, Request{Class: i % 3, Client: uint64(i), RemainingSeconds: 1})
 	}
 	s.OnSuccess(0, 0.2, 100)
-	fmt.Println("no time left, at ease:", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
+	fmt.Println("answer too late, not shedding: admitted", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
 	s.Observe(1, LoadSample{TimerDelaySeconds: 0.06})
-	fmt.Println("no time left, behind:", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
+	fmt.Println("answer too late, shedding: admitted", s.Admit(1, Request{Class: 0, RemainingSeconds: 0.1}))
 	// Output:
-	// a hot client: true that it loses half or more, true that the others lose under 15%
-	// half are retries: true that they lose 90% or more, true that first requests lose less than half of that
-	// no time left, at ease: true
-	// no time left, behind: false
+	// hot client: half or more of its requests shed: true, under 15% of the others' shed: true
+	// half are retries: 90% or more of the retries shed: true, less than half that share of first requests shed: true
+	// answer too late, not shedding: admitted true
+	// answer too late, shedding: admitted false
 }
 
-// Under constant load the shed share settles: over the last half of the run it stays within a band of 0.35.
+// Under constant load the shed share stays within a band of 0.35 over the last half of the run, and most of the capacity
+// is used.
 func TestShedShareDoesNotOscillate(t *testing.T) {
-	for _, times := range []float64{1.2, 1.5, 2, 3, 4} {
+	for _, loadFactor := range []float64{1.2, 1.5, 2, 3, 4} {
 		r := newSimRouter()
-		r.run(1000*times, 60, twentyClients)
-		half := r.shedShares[len(r.shedShares)/2:]
+		r.run(1000*loadFactor, 60, twentyClients)
+		lastHalf := r.shedShares[len(r.shedShares)/2:]
 		low, high := math.Inf(1), 0.0
-		for _, share := range half {
+		for _, share := range lastHalf {
 			low, high = min(low, share), max(high, share)
 		}
 		if high-low > 0.35 {
-			t.Errorf("at %g times the capacity the shed share goes from %.2f to %.2f", times, low, high)
+			t.Errorf("at %g times the capacity, the shed share ranges from %.2f to %.2f, want a range of at most 0.35",
+				loadFactor, low, high)
 		}
 		admitted := 0
 		for i := range r.received {
 			admitted += r.received[i] - r.shed[i]
 		}
-		if got := float64(admitted) / 60 / 1000; got < 0.7*(1-0.1*times)/0.9 {
-			t.Errorf("at %g times the capacity %.2f of it is used", times, got)
+		// At full use, (1-0.1*loadFactor)/0.9 of the capacity serves requests: shedding one takes a tenth of its work.
+		if got, minUse := float64(admitted)/60/1000, 0.7*(1-0.1*loadFactor)/0.9; got < minUse {
+			t.Errorf("at %g times the capacity, %.2f of it is used, want at least %.2f", loadFactor, got, minUse)
 		}
 	}
 }
 
-// After every sample, no group is shed while a group of lower score is admitted, and a
-// higher load never reduces the share that is shed.
+// No group is shed while a group with a lower score is admitted, a higher load never reduces the shed share, and from
+// the same state a longer delay never leads to a higher limit.
 func TestLowestScoreIsShedFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := make([]RequestClass, rapid.IntRange(1, 6).Draw(t, "classes"))
 		for i := range classes {
-			classes[i] = RequestClass{LatencyObjectiveSeconds: 0.3, PriorityWeight: float64(rapid.IntRange(1, 4).Draw(t, "priority"))}
+			weight := float64(rapid.IntRange(1, 4).Draw(t, "priority"))
+			classes[i] = RequestClass{LatencyObjectiveSeconds: 0.3, PriorityWeight: weight}
 		}
 		offered := make([]int, len(classes))
 		sizes := make([]int, len(classes))
@@ -191,42 +202,43 @@
 			sizes[i] = rapid.SampledFrom([]int{0, 8192, 16384}).Draw(t, "bytes")
 		}
 		limit := rapid.Float64Range(1, 200).Draw(t, "limit")
-		loaded := func(times int) *Shedder {
+		newLoadedShedder := func(loadFactor int) *Shedder {
 			s := New(classes, 3, 0)
 			s.limit = limit
 			for class, n := range offered {
 				s.OnSuccess(class, 0.01, sizes[class])
-				for i := range n * times {
+				for i := range n * loadFactor {
 					s.Admit(0.1, Request{Class: class, Client: uint64(i), Retry: i%5 == 0, RemainingSeconds: 1})
 				}
 			}
 			s.Observe(1, LoadSample{})
 			return s
 		}
-		s := loaded(1)
-		for high, highShare := range s.shareByGroup {
-			for low, lowShare := range s.shareByGroup {
+		s := newLoadedShedder(1)
+		for high, highShare := range s.shedShareByGroup {
+			for low, lowShare := range s.shedShareByGroup {
 				if s.score(high) > s.score(low) && highShare > 0 && lowShare < 1 {
-					t.Fatalf("%+v, score %g, loses %g; %+v, score %g, loses %g", high, s.score(high), highShare, low, s.score(low), lowShare)
+					t.Fatalf("share %g of group %+v with score %g is shed, but only %g of group %+v with score %g",
+						highShare, high, s.score(high), lowShare, low, s.score(low))
 				}
 			}
 		}
-		if more := loaded(2); more.ShedShare() < s.ShedShare() {
-			t.Fatalf("shed share %g, with twice the load %g", s.ShedShare(), more.ShedShare())
+		if doubled := newLoadedShedder(2); doubled.ShedShare() < s.ShedShare() {
+			t.Fatalf("the shed share is %g, but %g at twice the load", s.ShedShare(), doubled.ShedShare())
 		}
-		// From the same state, more pressure never leads to a higher limit.
 		delay := rapid.Float64Range(0, 1).Draw(t, "delay")
 		moreDelay := delay + rapid.Float64Range(0, 1).Draw(t, "more delay")
-		calm, hard := loaded(1), loaded(1)
-		for _, s := range []*Shedder{calm, hard} {
+		lessDelayed, moreDelayed := newLoadedShedder(1), newLoadedShedder(1)
+		for _, s := range []*Shedder{lessDelayed, moreDelayed} {
 			for i := range 30 {
 				s.Admit(1.1, Request{Client: uint64(i), RemainingSeconds: 1e9})
 			}
 		}
-		calm.Observe(1.2, LoadSample{TimerDelaySeconds: delay})
-		hard.Observe(1.2, LoadSample{TimerDelaySeconds: moreDelay})
-		if hard.Limit() > calm.Limit() {
-			t.Fatalf("limit %g at a delay of %g, %g at %g", calm.Limit(), delay, hard.Limit(), moreDelay)
+		lessDelayed.Observe(1.2, LoadSample{TimerDelaySeconds: delay})
+		moreDelayed.Observe(1.2, LoadSample{TimerDelaySeconds: moreDelay})
+		if moreDelayed.Limit() > lessDelayed.Limit() {
+			t.Fatalf("the limit is %g at a delay of %g s, but %g at %g s",
+				lessDelayed.Limit(), delay, moreDelayed.Limit(), moreDelay)
 		}
 	})
 }
