--- a/internal/loadshed/controller.go
+++ b/internal/loadshed/controller.go
@@ -1,24 +1,25 @@
 package loadshed
 
-// Lateness of a controller, in report intervals of its routers, above which it skips more and more work.
+// Maximum lateness of a controller, in its routers' report intervals, up to which it still does the named work; and the
+// strides at which it applies reports when it is later than that.
 const (
-	queriesWaitFrom   = 0.5 // intervals; above it, metrics queries wait
-	someReportsFrom   = 2   // intervals; above it, every third report is applied
-	someReportsStride = 3
-	fewReportsFrom    = 8 // intervals; above it, every eighth report is applied
-	fewReportsStride  = 8
+	queryMaxLateIntervals       = 0.5 // above it, no metrics are queried
+	everyReportMaxLateIntervals = 2   // above it, only every third report is applied
+	someReportsStride           = 3
+	someReportsMaxLateIntervals = 8 // above it, only every eighth report is applied
+	fewReportsStride            = 8
 )
 
-// ControllerLoadShedding returns what a controller that is late may skip: it applies one in reportStride of
-// its routers' reports, which loses nothing as reports are cumulative, and queries metrics only if mayQuery is
-// set. Votes and assignments are never skipped.
+// ControllerLoadShedding returns which work a late controller skips: the controller applies one in reportStride of its
+// routers' reports, which loses no data because reports are cumulative, and queries metrics only if mayQuery is true.
+// Votes and assignments are never skipped.
 func ControllerLoadShedding(lateSeconds, reportIntervalSeconds float64) (reportStride int, mayQuery bool) {
 	switch {
-	case lateSeconds > fewReportsFrom*reportIntervalSeconds:
+	case lateSeconds > someReportsMaxLateIntervals*reportIntervalSeconds:
 		return fewReportsStride, false
-	case lateSeconds > someReportsFrom*reportIntervalSeconds:
+	case lateSeconds > everyReportMaxLateIntervals*reportIntervalSeconds:
 		return someReportsStride, false
-	case lateSeconds > queriesWaitFrom*reportIntervalSeconds:
+	case lateSeconds > queryMaxLateIntervals*reportIntervalSeconds:
 		return 1, false
 	}
 	return 1, true
--- a/internal/loadshed/readiness.go
+++ b/internal/loadshed/readiness.go
@@ -1,17 +1,17 @@
 package loadshed
 
-// How long a router waits for discovery, in seconds, before it reports ready without it.
+// Time that a router waits for discovery before it reports ready anyway.
 const (
-	correctListSeconds = 0.5 // for a correction of the endpoint list that the process started with
-	firstListSeconds   = 2.0 // for an endpoint list if there is none
+	listCorrectionWaitSeconds = 0.5 // wait for an update of the endpoint list that was saved by the previous process
+	firstListWaitSeconds      = 2.0 // wait for the first endpoint list if none was saved
 )
 
-// ReadinessDelaySeconds returns how long after its start a router that has not heard from discovery does not report
-// ready. The delay is short: a rolling restart allows only a few seconds for each router, and a router without
-// endpoints rejects requests with a retry-after time.
+// ReadinessDelaySeconds returns how long after its start a router that has received nothing from discovery reports that
+// it is not ready. The delay is short: a rolling restart allows only a few seconds for each router, and a router
+// without endpoints rejects requests with a retry-after time.
 func ReadinessDelaySeconds(hasEndpoints bool) float64 {
 	if hasEndpoints {
-		return correctListSeconds
+		return listCorrectionWaitSeconds
 	}
-	return firstListSeconds
+	return firstListWaitSeconds
 }
