--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -28,8 +28,8 @@
 }
 
 type waitingRequest struct {
-	request Request
-	arrivedAt      float64
+	request   Request
+	arrivedAt float64
 }
 
 func newSimRouter() *simRouter {
