--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -17,13 +17,13 @@
 		"unknown phase": with(func(u *Update) { u.Phase = "later" }),
 		"build below 0": with(func(u *Update) { u.Build = -1 }),
 		"stage below 0": with(func(u *Update) { u.Stage = -1 }),
-		"stage above":   with(func(u *Update) { u.Stage = 2 }),
-		"cap above 1":   with(func(u *Update) { u.CanaryLimit = 1.1 }),
-		"cap NaN":       with(func(u *Update) { u.CanaryLimit = math.NaN() }),
+		"stage above 1": with(func(u *Update) { u.Stage = 2 }),
+		"limit above 1": with(func(u *Update) { u.CanaryLimit = 1.1 }),
+		"limit NaN":     with(func(u *Update) { u.CanaryLimit = math.NaN() }),
 		"age NaN":       with(func(u *Update) { u.AgeSeconds = math.NaN() }),
 	} {
 		if update.Check(2) == nil {
-			t.Errorf("%s: %+v is taken", name, update)
+			t.Errorf("%s: %+v was accepted", name, update)
 		}
 	}
 }
@@ -44,7 +44,8 @@
 	} {
 		reply, update, err := parseReply([]byte(test.text))
 		if reply != test.reply || (update != nil) != test.hasUpdate || (err != nil) != test.hasError {
-			t.Errorf("%s: %v %v %v", test.text, reply, update, err)
+			t.Errorf("%s: got reply %v, update %v, error %v; want reply %v, has update %t, has error %t",
+				test.text, reply, update, err, test.reply, test.hasUpdate, test.hasError)
 		}
 	}
 }
--- a/internal/releases/update.go
+++ b/internal/releases/update.go
@@ -6,16 +6,16 @@
 	"flintspread/internal/policy"
 )
 
-// Update is one message of the release service's stream, or its reply to a vote.
+// Update is one message of the release service's stream, or the service's reply to a vote.
 type Update struct {
 	Version     uint64  `json:"version"` // increases with every change, even across restarts of the service
 	Build       int     `json:"build"`
 	Stage       int     `json:"stage"`           // rollout stage, from 0
 	Phase       string  `json:"phase"`           // a key of phases
-	CanaryLimit float64 `json:"cap"`             // share of requests that the canary may receive in this stage, 0 to 1
+	CanaryLimit float64 `json:"cap"`             // maximum share of requests that the canary receives in this stage, 0 to 1
 	AgeSeconds  float64 `json:"age"`             // seconds since build, stage or phase last changed
 	Vote        string  `json:"vote,omitempty"`  // in a reply: a key of replies
-	Heartbeat   bool    `json:"quiet,omitempty"` // nothing has changed; it only shows that the stream is alive
+	Heartbeat   bool    `json:"quiet,omitempty"` // nothing has changed; the message only keeps the stream alive
 }
 
 // PolicyPhase returns the policy's value for the phase of a checked update.
@@ -27,8 +27,8 @@
 		return fmt.Errorf("unknown phase %q", u.Phase)
 	}
 	validStage := u.Stage >= 0 && u.Stage < stages
-	validCap := u.CanaryLimit >= 0 && u.CanaryLimit <= 1 // not NaN
-	if u.Build < 0 || !validStage || !validCap || !(u.AgeSeconds >= 0) {
+	validLimit := u.CanaryLimit >= 0 && u.CanaryLimit <= 1                 // false for NaN
+	if u.Build < 0 || !validStage || !validLimit || !(u.AgeSeconds >= 0) { // the last condition also rejects NaN
 		return fmt.Errorf("build %d stage %d cap %v age %v: stages are 0 to %d, a cap 0 to 1, none is below 0",
 			u.Build, u.Stage, u.CanaryLimit, u.AgeSeconds, stages-1)
 	}
--- a/internal/releases/wire.go
+++ b/internal/releases/wire.go
@@ -2,7 +2,7 @@
 
 import "flintspread/internal/policy"
 
-// phases maps the protocol's values to the phases of a release.
+// phases maps the protocol's phases to those of the policy.
 var phases = map[string]policy.Phase{
 	"on-trial":   policy.PhaseCanary,
 	"going-back": policy.PhaseRollingBack,
@@ -10,7 +10,7 @@
 	"withdrawn":  policy.PhaseWithdrawn,
 }
 
-// verdicts holds the protocol's values for verdicts.
+// verdicts holds the protocol's value for each verdict of the policy.
 var verdicts = [...]string{
 	policy.VoteNone:     "none",
 	policy.VotePromote:  "on",
@@ -18,14 +18,14 @@
 	policy.VoteRollback: "back",
 }
 
-// replies maps the protocol's values to the replies to a vote.
+// replies maps the protocol's replies to a vote to those of the policy.
 var replies = map[string]policy.VoteReply{
 	"counted": policy.VoteCounted,
 	"moot":    policy.VoteMoot,
 	"refused": policy.VoteRefused,
 }
 
-// replyNames holds the names of replies in logs.
+// replyNames holds the name of each reply in log messages.
 var replyNames = [...]string{
 	policy.VoteCounted: "counted",
 	policy.VoteMoot:    "moot",
