--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -13,7 +13,7 @@
 	"flintspread/internal/xds"
 )
 
-// configVersions puts configuration versions in force and records each in the history on disk. Versions come from
+// configVersions puts configuration versions in force and saves each in the history on disk. Versions are received from
 // control services, which also send the endpoint list, or from a controller.
 type configVersions struct {
 	router  *Router
@@ -24,7 +24,8 @@
 // openConfigVersions opens the history and restores the version that was in force last.
 func (r *Router) openConfigVersions() error {
 	history, err := revisions.Resume(r.config.StateDir, r.log, func(version *configstate.Version) error {
-		_, err := r.proxy.OfferConfig(version) // never waits: a resumed version requires no list, as it was in force with it
+		// The outcome is never Waiting: a version read from the history requires no endpoint list.
+		_, err := r.proxy.OfferConfig(version)
 		return err
 	})
 	if err != nil {
@@ -36,27 +37,28 @@
 
 func (v *configVersions) close() {
 	if err := v.history.Close(); err != nil {
-		v.router.log.Error("configuration history not closed", "error", err)
+		v.router.log.Error("failed to close the configuration history", "error", err)
 	}
 }
 
-// follow watches the control services until ctx ends. Messages are ordered by their version, whichever service they
-// come from.
+// follow applies the messages of the control services until ctx ends. Messages are ordered by their version, whichever
+// service sent them.
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.router.config
 	control := settings.Control
-	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.Relay, recheckSeconds(control),
+	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.Relay, recheckIntervalSeconds(control),
 		xds.Handler{OnEndpoints: v.applyEndpoints, OnConfig: v.offer, Recheck: v.recheck})
 }
 
-// recheckSeconds returns the interval at which a version that waits for its endpoint list is rechecked: a quarter of
-// the time that it may wait, or the silence limit of the control service if that is shorter.
-func recheckSeconds(control *config.Control) float64 {
+// recheckIntervalSeconds returns the interval at which a version that waits for its endpoint list is rechecked: a quarter
+// of the time that it may wait, or the silence limit of the control service if that is shorter.
+func recheckIntervalSeconds(control *config.Control) float64 {
 	return min(control.PairingTimeoutSeconds/4, control.SilenceSeconds)
 }
 
-// applyEndpoints applies an endpoint list. It rejects one that is older than the list in force (it was overtaken, or
-// the service went back), and one that has the same version but differs (two services disagree).
+// applyEndpoints applies an endpoint list. It rejects a list that is older than the list in force, because a newer one
+// overtook it or the service returned to an older state, and a list with the same version but other endpoints, because
+// two services disagree.
 func (v *configVersions) applyEndpoints(update *endpoints.Update) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -66,64 +68,66 @@
 	return v.router.applyEndpointUpdate(update)
 }
 
-// offer offers a version to the proxy and, if it was applied, records it before it is acknowledged, so that it is in
-// force again after a crash. A disk error is only logged.
+// offer offers a version to the proxy. An applied version is saved before it is acknowledged, so that it is in force
+// again after a crash. A disk error is only logged.
 func (v *configVersions) offer(version *configstate.Version) (configstate.Outcome, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	before := v.inForce()
+	previous := v.numberInForce()
 	outcome, err := v.router.proxy.OfferConfig(version)
 	if err == nil && outcome == configstate.Applied {
-		v.record(version, before)
+		v.save(version, previous)
 	}
 	return outcome, err
 }
 
-// recheck rechecks the version that waits for its endpoint list, and returns the outcome for waiting.
+// recheck re-evaluates the version that waits for its endpoint list, and returns the outcome of the version waiting,
+// which may have been applied or replaced since it was offered.
 func (v *configVersions) recheck(waiting *configstate.Version) (configstate.Outcome, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	before := v.inForce()
+	previous := v.numberInForce()
 	version, outcome, err := v.router.proxy.RecheckConfig()
 	if err == nil && version != nil && outcome == configstate.Applied {
-		v.record(version, before)
+		v.save(version, previous)
 	}
 	switch {
 	case version == waiting:
 		return outcome, err
-	case v.inForce() == waiting.Number:
+	case v.numberInForce() == waiting.Number:
 		return configstate.Applied, nil
 	}
 	return configstate.Rejected, configstate.ErrOvertaken
 }
 
-// inForce returns the number of the version in force, 0 for that of the settings file.
-func (v *configVersions) inForce() uint64 { return v.router.proxy.ConfigVersion().Number }
+// numberInForce returns the number of the version in force, 0 for the configuration of the settings file.
+func (v *configVersions) numberInForce() uint64 { return v.router.proxy.ConfigVersion().Number }
 
-func (v *configVersions) record(version *configstate.Version, before uint64) {
+// save adds a version that was put in force to the history; previous is the number of the version that it replaced.
+func (v *configVersions) save(version *configstate.Version, previous uint64) {
 	err := v.history.Add(revisions.Entry{
 		Number:              version.Number,
-		Previous:            before,
+		Previous:            previous,
 		InForceSince:        wallClock(),
 		Hash:                version.Hash,
 		RequiredListVersion: version.RequiredListVersion,
 		Text:                string(version.Text),
 	})
 	if err != nil { // the version stays in force; a restart would restore the previous one
-		v.router.log.Error("configuration version not saved", "version", version.Number, "error", err)
+		v.router.log.Error("failed to save the configuration version", "version", version.Number, "error", err)
 	}
-	v.router.log.Info("configuration version in force", "version", version.Number, "previous_version", before)
+	v.router.log.Info("configuration version in force", "version", version.Number, "previous_version", previous)
 }
 
-// controllerConfig tracks the configuration versions that the controller proposes and rolls out. apply is called from
-// the controller client's goroutine only; mu protects the fields that fillReport reads.
+// controllerConfig tracks the configuration versions that the controller proposes and puts in force. apply is called
+// only from the controller client's goroutine; mu protects the fields that fillReport reads.
 type controllerConfig struct {
 	versions *configVersions
 
 	mu             sync.Mutex
-	proposed       *configstate.Version // the last version whose text arrived
+	lastProposed   *configstate.Version // the last version whose text was received
 	acceptedNumber uint64               // the last proposed version that passed the check
-	rejectedNumber uint64               // the last version that could not be read or put in force
+	rejectedNumber uint64               // the last version that failed to parse, check or apply
 	rejectedReason string
 }
 
@@ -131,33 +135,33 @@
 func (c *controllerConfig) fillReport(report *linkpb.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	report.ConfigNo = c.versions.inForce()
+	report.ConfigNo = c.versions.numberInForce()
 	report.ConfigFits, report.ConfigRefused, report.ConfigReason = c.acceptedNumber, c.rejectedNumber, c.rejectedReason
 }
 
-// apply handles an assignment's fields on configuration versions: it checks a proposed version and puts in force the
-// one that the assignment says is in force. A version that can't be put in force is retried with each assignment.
+// apply handles an assignment's fields on configuration versions: it checks a proposed version, and puts in force the
+// version that is in force at the controller. A version that cannot be put in force is retried with each assignment.
 func (c *controllerConfig) apply(assignment *linkpb.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.bringsNewText(assignment) {
+	if c.hasNewText(assignment) {
 		version, err := configstate.Read(assignment.ConfigTextNo, assignment.ConfigText)
 		if err != nil {
 			c.reject(assignment.ConfigTextNo, err)
 			return
 		}
-		c.proposed = version
+		c.lastProposed = version
 	}
-	if c.proposed == nil {
+	if c.lastProposed == nil {
 		return
 	}
-	switch number := c.proposed.Number; {
-	case number == assignment.ConfigNo && number != c.versions.inForce():
-		if _, err := c.versions.offer(c.proposed); err != nil {
+	switch number := c.lastProposed.Number; {
+	case number == assignment.ConfigNo && number != c.versions.numberInForce():
+		if _, err := c.versions.offer(c.lastProposed); err != nil {
 			c.reject(number, err)
 		}
 	case number == assignment.ConfigNext:
-		if _, err := c.versions.router.proxy.CheckConfig(c.proposed); err != nil {
+		if _, err := c.versions.router.proxy.CheckConfig(c.lastProposed); err != nil {
 			c.reject(number, err)
 		} else {
 			c.acceptedNumber = number
@@ -165,12 +169,13 @@
 	}
 }
 
-// bringsNewText reports whether an assignment contains the text of a version other than the one proposed last.
-func (c *controllerConfig) bringsNewText(assignment *linkpb.View) bool {
+// hasNewText reports whether an assignment contains the text of a version other than lastProposed.
+func (c *controllerConfig) hasNewText(assignment *linkpb.View) bool {
 	if assignment.ConfigTextNo == 0 {
 		return false
 	}
-	return c.proposed == nil || c.proposed.Number != assignment.ConfigTextNo || !bytes.Equal(c.proposed.Text, assignment.ConfigText)
+	return c.lastProposed == nil || c.lastProposed.Number != assignment.ConfigTextNo ||
+		!bytes.Equal(c.lastProposed.Text, assignment.ConfigText)
 }
 
 func (c *controllerConfig) reject(number uint64, reason error) {
--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -40,9 +40,9 @@
 	controlCreds     credentials.TransportCredentials
 	document         string // the example file's
 
-	mu      sync.Mutex
-	answers map[string]int // by "STATUS by version NUMBER"
-	mixed   []string       // answers to one version's routes by another version
+	mu            sync.Mutex
+	answers       map[string]int // by "STATUS by version NUMBER"
+	wrongVersions []string       // answers to one version's routes by another version
 }
 
 var documentPattern = regexp.MustCompile(`(?s):schema.*\}`)
@@ -162,7 +162,7 @@
 	f.answers[got]++
 	var only string
 	if _, err := fmt.Sscanf(path, "/only-%s", &only); err == nil && resp.StatusCode != 404 && strings.TrimSuffix(only, "/") != v {
-		f.mixed = append(f.mixed, path+": "+got)
+		f.wrongVersions = append(f.wrongVersions, path+": "+got)
 	}
 	return got
 }
@@ -256,8 +256,8 @@
 	// The service is down; the router starts with the last good version.
 	stop = f.start()
 	f.eventually("the last version serves", func() bool { return f.get("/only-6/") == "200 by version 6" })
-	if f.mixed != nil {
-		t.Error("served under a mix:", f.mixed[0])
+	if f.wrongVersions != nil {
+		t.Error("served under a mix:", f.wrongVersions[0])
 	}
 	for _, v := range []string{"1", "2", "5"} {
 		if f.answers["200 by version "+v] == 0 {
