--- a/internal/endpoints/file.go
+++ b/internal/endpoints/file.go
@@ -10,11 +10,10 @@
 	"time"
 )
 
-// Name patterns of the files beside a saved file: a new version that is being written, and
-// a corrupt one that was set aside.
+// Suffixes of the files beside a saved file: a new version that is being written, and a corrupt file that was renamed.
 const (
-	newFileSuffix    = ".new-*"
-	brokenFileSuffix = ".bad-%d"
+	newFileSuffix     = ".new-*"
+	corruptFileSuffix = ".bad-%d"
 )
 
 // Save writes the list to a file atomically; see ReplaceFile.
@@ -26,47 +25,47 @@
 	return ReplaceFile(file, text)
 }
 
-// Load reads a saved list and removes what interrupted calls of Save have left. The returned list is never nil, and may
-// be used even with an error; it is empty if the file does not exist, which is no error, or can't be read or decoded. A
-// corrupt file is renamed, with the time in its new name, and the error contains that name.
+// Load reads a saved list and removes the temporary files of interrupted calls of Save. The returned list is never nil
+// and may be used even if there is an error. It is empty if the file does not exist, which is not an error, or cannot be
+// read or decoded. A corrupt file is renamed, with the time in its new name, and the error contains that name.
 func Load(file string) (*List, error) {
-	leftovers := removeLeftovers(file)
+	cleanupErr := removeTemporaryFiles(file)
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		return &List{}, leftovers
+		return &List{}, cleanupErr
 	}
 	if err != nil {
-		return &List{}, errors.Join(err, leftovers)
+		return &List{}, errors.Join(err, cleanupErr)
 	}
 	list := &List{}
 	if err := json.Unmarshal(text, list); err != nil {
-		aside := file + fmt.Sprintf(brokenFileSuffix, time.Now().UnixNano())
-		err = errors.Join(err, os.Rename(file, aside), leftovers)
-		return &List{}, fmt.Errorf("%s: %w; set aside as %s", file, err, aside)
+		corruptFile := file + fmt.Sprintf(corruptFileSuffix, time.Now().UnixNano())
+		err = errors.Join(err, os.Rename(file, corruptFile), cleanupErr)
+		return &List{}, fmt.Errorf("%s: %w; set aside as %s", file, err, corruptFile)
 	}
-	return list, leftovers
+	return list, cleanupErr
 }
 
-// removeLeftovers removes the temporary files that interrupted calls of ReplaceFile have left beside a file.
-func removeLeftovers(file string) error {
-	leftovers, err := filepath.Glob(file + newFileSuffix)
-	for _, leftover := range leftovers {
-		err = errors.Join(err, os.Remove(leftover))
+// removeTemporaryFiles removes the temporary files that interrupted calls of ReplaceFile have left beside a file.
+func removeTemporaryFiles(file string) error {
+	temporaryFiles, err := filepath.Glob(file + newFileSuffix)
+	for _, temporary := range temporaryFiles {
+		err = errors.Join(err, os.Remove(temporary))
 	}
 	return err
 }
 
-// ReplaceFile replaces a file's content atomically: a crash at any point leaves either the
-// old file or the new one, complete.
+// ReplaceFile replaces a file's content atomically: after a crash at any point, the file has either the complete old
+// content or the complete new one.
 func ReplaceFile(file string, text []byte) (err error) {
-	folder := filepath.Dir(file)
-	temporary, err := os.CreateTemp(folder, filepath.Base(file)+newFileSuffix)
+	dir := filepath.Dir(file)
+	temporary, err := os.CreateTemp(dir, filepath.Base(file)+newFileSuffix)
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, removeIfThere(temporary.Name()))
+			err = errors.Join(err, removeIfExists(temporary.Name()))
 		}
 	}()
 	_, err = temporary.Write(text)
@@ -76,19 +75,19 @@
 	if err = os.Rename(temporary.Name(), file); err != nil {
 		return err
 	}
-	return syncFolder(folder)
+	return syncDir(dir)
 }
 
-// syncFolder makes a rename within a folder survive a crash of the machine.
-func syncFolder(folder string) error {
-	d, err := os.Open(folder)
+// syncDir syncs a directory, so that a rename within it survives a crash of the machine.
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func removeIfThere(file string) error {
+func removeIfExists(file string) error {
 	if err := os.Remove(file); !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
