--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -9,7 +9,7 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// endpointMap holds endpoints by id. It is persistent: versions of it share what did not change.
+// endpointMap holds endpoints by id. It is an immutable map whose versions share their unchanged entries.
 type endpointMap = immutable.SortedMap[uint32, Endpoint]
 
 // List is the known list of endpoints; the zero value is an empty list. Copying is cheap, and the cost of a partial
@@ -17,7 +17,7 @@
 // Clone may be read while the original changes.
 type List struct {
 	Version     uint64
-	ConfirmedAt float64      // when it was true, in seconds since the Unix epoch
+	ConfirmedAt float64      // when the list was last known to be current, in seconds since the Unix epoch
 	byID        *endpointMap // nil until the first update
 }
 
@@ -37,7 +37,7 @@
 	return l.byID.Get(id)
 }
 
-// All iterates over the endpoints in the order of their ids.
+// All returns an iterator over the endpoints in the order of their ids.
 func (l *List) All() iter.Seq[Endpoint] {
 	return func(yield func(Endpoint) bool) {
 		if l.byID == nil {
@@ -54,9 +54,9 @@
 // Clone returns a copy that does not change with the original.
 func (l *List) Clone() *List { return &List{l.Version, l.ConfirmedAt, l.byID} }
 
-// Apply applies a checked update and returns the resulting changes, which are all that has to be passed on. A partial
-// update of a version older than the list's is an error, because the stream has gone backwards; a full one is accepted,
-// because the service may have restarted. On an error the list is unchanged.
+// Apply applies a checked update and returns the resulting changes; only these need to be passed on. A partial update
+// with an older version than the list's is an error, because the stream has gone backwards. A full update with an older
+// version is accepted, because the service may have restarted. If there is an error, the list is unchanged.
 func (l *List) Apply(update *Update, now float64) (changes *Update, err error) {
 	if update.Version < l.Version && !update.Full {
 		return nil, fmt.Errorf("changes of version %d after version %d", update.Version, l.Version)
@@ -66,9 +66,9 @@
 		byID = immutable.NewSortedMap[uint32, Endpoint](nil)
 	}
 	changes = &Update{Version: update.Version, AgeSeconds: update.AgeSeconds, Full: update.Full && l.byID == nil}
-	byID, present := setEntries(byID, update, changes)
+	byID, present := applyEntries(byID, update, changes)
 	if update.Full && byID.Len() > present {
-		byID = deleteUnnamed(byID, update, present, changes)
+		byID = deleteMissing(byID, update, present, changes)
 	}
 	if byID.Len() > maxEndpoints {
 		return nil, tooManyError(byID.Len())
@@ -77,16 +77,16 @@
 	return changes, nil
 }
 
-// setEntries applies the entries of an update, appends those that change anything to
-// changes, and counts the entries that are not gone.
-func setEntries(byID *endpointMap, update, changes *Update) (_ *endpointMap, present int) {
+// applyEntries applies the entries of an update, appends those that change the list to changes, and returns the number
+// of entries whose state is not StateGone.
+func applyEntries(byID *endpointMap, update, changes *Update) (_ *endpointMap, present int) {
 	for _, e := range update.Endpoints {
 		gone := e.State == StateGone
 		if !gone {
 			present++
 		}
-		old, known := byID.Get(e.ID)
-		if gone && !known || !gone && known && old == e {
+		previous, known := byID.Get(e.ID)
+		if gone && !known || !gone && known && previous == e {
 			continue
 		}
 		if gone {
@@ -99,14 +99,14 @@
 	return byID, present
 }
 
-// deleteUnnamed deletes the endpoints that a full update does not name, and appends them to changes as gone.
-func deleteUnnamed(byID *endpointMap, update *Update, present int, changes *Update) *endpointMap {
-	named := make(map[uint32]bool, present)
+// deleteMissing deletes the endpoints that a full update does not contain, and appends them to changes as gone.
+func deleteMissing(byID *endpointMap, update *Update, present int, changes *Update) *endpointMap {
+	listed := make(map[uint32]bool, present)
 	for _, e := range update.Endpoints {
-		named[e.ID] = true
+		listed[e.ID] = true
 	}
 	for it := byID.Iterator(); !it.Done(); {
-		if id, _, _ := it.Next(); !named[id] {
+		if id, _, _ := it.Next(); !listed[id] {
 			byID = byID.Delete(id)
 			changes.Endpoints = append(changes.Endpoints, Endpoint{ID: id, State: StateGone})
 		}
@@ -114,8 +114,8 @@
 	return byID
 }
 
-// CheckNewer returns an error if a full update must not replace this list: it is older, or
-// it has the same version but other endpoints.
+// CheckNewer returns an error if a full update must not replace this list, because the update is older or has the same
+// version but other endpoints.
 func (l *List) CheckNewer(update *Update) error {
 	if update.Version < l.Version {
 		return fmt.Errorf("list version %d is older than %d, which is in force", update.Version, l.Version)
@@ -130,24 +130,24 @@
 	return err
 }
 
-// FullUpdate returns the whole list as one update, for instance after a start from disk.
+// FullUpdate returns the whole list as one update, for instance after the list was loaded from disk.
 func (l *List) FullUpdate(now float64) *Update {
 	return &Update{Version: l.Version, Full: true, AgeSeconds: max(0, now-l.ConfirmedAt), Endpoints: slices.Collect(l.All())}
 }
 
-// savedList is the stored form of a list.
+// savedList is the form in which a list is stored as JSON.
 type savedList struct {
-	Version   uint64     `json:"version"`
-	At        float64    `json:"at"`
-	Endpoints []Endpoint `json:"units"`
+	Version     uint64     `json:"version"`
+	ConfirmedAt float64    `json:"at"`
+	Endpoints   []Endpoint `json:"units"`
 }
 
-// MarshalJSON returns the stored form.
+// MarshalJSON returns the stored form of the list.
 func (l *List) MarshalJSON() ([]byte, error) {
 	return json.Marshal(savedList{l.Version, l.ConfirmedAt, slices.Collect(l.All())})
 }
 
-// UnmarshalJSON reads the stored form, and validates it like an update.
+// UnmarshalJSON replaces the list by a stored form, which it checks like an update.
 func (l *List) UnmarshalJSON(text []byte) error {
 	var saved savedList
 	if err := json.Unmarshal(text, &saved); err != nil {
@@ -158,6 +158,6 @@
 		return err
 	}
 	*l = List{}
-	_, err := l.Apply(update, saved.At)
+	_, err := l.Apply(update, saved.ConfirmedAt)
 	return err
 }
--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -10,11 +10,16 @@
 // The values of Endpoint.State.
 const (
 	StateReady    = "ready"
-	StateDraining = "draining" // it accepts no more requests
-	StateGone     = "gone"     // it has left the list
+	StateDraining = "draining" // the endpoint accepts no new requests
+	StateGone     = "gone"     // the endpoint was removed from the list
 )
 
-var policyStates = map[string]policy.EndpointState{StateReady: policy.Ready, StateDraining: policy.Draining, StateGone: policy.Gone}
+// policyStates maps the values of Endpoint.State to those of the policy.
+var policyStates = map[string]policy.EndpointState{
+	StateReady:    policy.Ready,
+	StateDraining: policy.Draining,
+	StateGone:     policy.Gone,
+}
 
 const (
 	maxEndpoints = 100_000
@@ -33,12 +38,12 @@
 	StartedAt float64 `json:"start,omitempty"` // when its process started, in seconds since the Unix epoch; 0: long ago
 }
 
-// Update is one message of the list service. A full update names every endpoint, any other only those that have
-// changed; one that is not full and has no endpoints says that nothing has changed.
+// Update is one message of the list service. A full update contains every endpoint, a partial update only the endpoints
+// that have changed. A partial update without endpoints confirms that nothing has changed.
 type Update struct {
 	Version    uint64     `json:"version"`
 	Full       bool       `json:"full,omitempty"`
-	AgeSeconds float64    `json:"age,omitempty"` // seconds since this was true, by the service's clock
+	AgeSeconds float64    `json:"age,omitempty"` // seconds since the service knew this state to be current, by its clock
 	Endpoints  []Endpoint `json:"units,omitempty"`
 }
 
@@ -47,7 +52,7 @@
 	if len(u.Endpoints) > maxEndpoints {
 		return tooManyError(len(u.Endpoints))
 	}
-	if !(u.AgeSeconds >= 0) { // NaN too
+	if !(u.AgeSeconds >= 0) { // also rejects NaN
 		return fmt.Errorf("age %v", u.AgeSeconds)
 	}
 	seen := make(map[uint32]bool, len(u.Endpoints))
@@ -61,7 +66,7 @@
 	return nil
 }
 
-// defect describes what is wrong with an entry, "" if nothing; seen holds the ids of the entries before it.
+// defect describes why an entry is invalid; "" means that it is valid. seen holds the ids of the preceding entries.
 func (e *Endpoint) defect(seen map[uint32]bool) string {
 	_, knownState := policyStates[e.State]
 	switch {
@@ -73,7 +78,7 @@
 		return fmt.Sprintf("unknown state %q", e.State)
 	case e.Build < 0 || e.Build >= maxBuilds:
 		return fmt.Sprintf("build %d", e.Build)
-	case !(e.Weight >= 0) || !(e.StartedAt >= 0): // NaN too
+	case !(e.Weight >= 0) || !(e.StartedAt >= 0): // also rejects NaN
 		return "heft or start below 0"
 	case e.State == StateGone:
 		return ""
@@ -86,15 +91,15 @@
 
 func tooManyError(n int) error { return fmt.Errorf("%d units; %d at most", n, maxEndpoints) }
 
-// ApplyTo applies a checked update to a policy's endpoint list.
-func (u *Update) ApplyTo(b *policy.Balancer, now float64) {
-	b.SetEndpointListAge(u.AgeSeconds)
+// ApplyTo applies a checked update to a balancer's endpoint list.
+func (u *Update) ApplyTo(balancer *policy.Balancer, now float64) {
+	balancer.SetEndpointListAge(u.AgeSeconds)
 	if !u.Full && len(u.Endpoints) == 0 {
 		return // nothing has changed
 	}
-	b.BeginEndpointList(u.Full)
+	balancer.BeginEndpointList(u.Full)
 	for _, e := range u.Endpoints {
-		b.UpdateEndpoint(e.ID, e.Zone, e.Cell, e.Build, policyStates[e.State], e.Weight, e.StartedAt)
+		balancer.UpdateEndpoint(e.ID, e.Zone, e.Cell, e.Build, policyStates[e.State], e.Weight, e.StartedAt)
 	}
-	b.EndEndpointList(now)
+	balancer.EndEndpointList(now)
 }
--- a/internal/endpoints/update_test.go
+++ b/internal/endpoints/update_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCheck(t *testing.T) {
+func TestCheckRejectsInvalidEntries(t *testing.T) {
 	valid := Endpoint{ID: 1, Addr: "127.0.0.1:1", State: "ready", Build: 1}
 	with := func(edit func(*Endpoint)) Endpoint { e := valid; edit(&e); return e }
 	for want, entries := range map[string][]Endpoint{
@@ -20,7 +20,7 @@
 	} {
 		err := (&Update{Endpoints: entries}).Check()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want %q in it (none if empty)", err, want)
 		}
 	}
 }
