--- a/internal/watch/doc.go
+++ b/internal/watch/doc.go
@@ -1,3 +1,2 @@
-// Package watch reads a stream of JSON objects from an HTTP response, and reconnects with
-// backoff when the stream breaks.
+// Package watch reads a stream of JSON objects from an HTTP response, and reconnects with backoff when the stream breaks.
 package watch
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -16,30 +16,30 @@
 // defaultMaxObjectBytes is used if Source.MaxObjectBytes is 0.
 const defaultMaxObjectBytes = 64 << 20
 
-var errStreamEnded = errors.New("ended by the service")
+var errStreamEnded = errors.New("the service ended the stream")
 
 // Source describes a stream and when it is considered broken.
 type Source struct {
 	URL                    string
 	SilenceSeconds         float64      // time without a byte after which the stream is considered broken
-	ResponseTimeoutSeconds float64      // time in which the response must begin; 0: SilenceSeconds
+	ResponseTimeoutSeconds float64      // time within which the response must begin; 0: SilenceSeconds
 	MaxObjectBytes         int64        // maximum size of one object; 0: 64 MiB
-	BackoffMinSeconds      float64      // longest pause before the first retry
-	BackoffMaxSeconds      float64      // longest pause before any retry
+	BackoffMinSeconds      float64      // maximum pause before the first retry
+	BackoffMaxSeconds      float64      // maximum pause before any retry
 	Client                 *http.Client // must have no timeout of its own
 	Log                    *slog.Logger
 
-	NextURL     func() string // optional: returns the URL for each try, in place of URL
-	OnHeartbeat func()        // optional: called at each heartbeat between objects, which means that nothing has changed
+	NextURL     func() string // optional: returns the URL for each attempt, replacing URL
+	OnHeartbeat func()        // optional: called for each heartbeat between objects, which means that nothing has changed
 }
 
-// Follow passes each object of a stream to handle until ctx ends; objects may be split or grouped in any
-// way. An object that can't be decoded, or for which handle returns an error, breaks the stream: later
-// objects might build on it, so Follow reconnects and reads the stream from its start. lost is called
-// whenever a stream from which objects were handled breaks before ctx has ended. Follow blocks until ctx
-// ends, and calls both functions on the caller's goroutine.
-func Follow[T any](ctx context.Context, source Source, handle func(*T) error, lost func()) {
-	for try := 0; ctx.Err() == nil; try++ {
+// Follow passes each object of a stream to handle until ctx ends. The stream may deliver objects in any pieces. An
+// object that cannot be decoded, or for which handle returns an error, breaks the stream: later objects might depend on
+// it, so Follow reconnects and reads the stream from its start. onBreak is called whenever a stream from which objects
+// were handled breaks before ctx has ended. Follow blocks until ctx ends, and calls both functions on the caller's
+// goroutine.
+func Follow[T any](ctx context.Context, source Source, handle func(*T) error, onBreak func()) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if source.NextURL != nil {
 			source.URL = source.NextURL()
 		}
@@ -48,11 +48,12 @@
 			return
 		}
 		if objects > 0 {
-			try = 0
-			lost()
+			attempt = 0
+			onBreak()
 		}
-		pause := Backoff(try, source.BackoffMinSeconds, source.BackoffMaxSeconds, rand.Float64())
-		source.Log.Warn("stream broke", "url", source.URL, "objects", objects, "error", err, "retry_in_seconds", fmt.Sprintf("%.2f", pause))
+		pause := Backoff(attempt, source.BackoffMinSeconds, source.BackoffMaxSeconds, rand.Float64())
+		source.Log.Warn("stream broke; reconnecting after a pause", "url", source.URL, "objects", objects, "error", err,
+			"retry_in_seconds", fmt.Sprintf("%.2f", pause))
 		select {
 		case <-ctx.Done():
 		case <-time.After(duration(pause)):
@@ -60,20 +61,20 @@
 	}
 }
 
-// followOnce reads one stream to its end, and returns the number of objects handled and why the stream ended.
+// followOnce reads one stream to its end, and returns the number of objects handled and the reason of the end.
 func followOnce[T any](ctx context.Context, source Source, handle func(*T) error) (objects int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := startSilenceTimer(source.openSeconds(), cancel)
+	silence := startSilenceTimer(source.responseTimeoutSeconds(), cancel)
 	defer silence.stop()
 
-	response, err := get(ctx, source)
+	response, err := openStream(ctx, source)
 	if err != nil {
 		return 0, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return 0, errors.New(response.Status)
+		return 0, fmt.Errorf("unexpected response status %s", response.Status)
 	}
 	silence.reset(source.SilenceSeconds)
 
@@ -93,14 +94,14 @@
 		if err := handle(object); err != nil {
 			return objects, fmt.Errorf("object %d: %w", objects+1, err)
 		}
-		if err := reader.startObject(decoder.Buffered()); err != nil {
+		if err := reader.beginNextObject(decoder.Buffered()); err != nil {
 			return objects + 1, err
 		}
 	}
 }
 
-// get requests the stream; the caller must close the response's body.
-func get(ctx context.Context, source Source) (*http.Response, error) {
+// openStream requests the stream; the caller must close the response's body.
+func openStream(ctx context.Context, source Source) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.URL, nil)
 	if err != nil {
 		return nil, err
@@ -120,7 +121,7 @@
 	return err
 }
 
-func (s *Source) openSeconds() float64 {
+func (s *Source) responseTimeoutSeconds() float64 {
 	if s.ResponseTimeoutSeconds == 0 {
 		return s.SilenceSeconds
 	}
@@ -134,11 +135,11 @@
 	return s.MaxObjectBytes
 }
 
-// silenceTimer cancels a stream that has been silent for too long. Its methods must be
-// called only by the stream's goroutine.
+// silenceTimer cancels a stream that has delivered no data for too long. Its methods must be called only from the
+// stream's goroutine.
 type silenceTimer struct {
 	timer          *time.Timer
-	allowedSeconds float64 // written only while the timer is stopped, so that its function can read it without a lock
+	allowedSeconds float64 // written only while the timer is stopped, so that its function can read without a lock
 }
 
 func startSilenceTimer(allowedSeconds float64, cancel context.CancelCauseFunc) *silenceTimer {
@@ -147,8 +148,8 @@
 	return s
 }
 
-// reset restarts the timer. A timer that has fired is not restarted: it has cancelled the
-// stream, and the next read fails.
+// reset restarts the timer. A timer that has fired is not restarted: it has cancelled the stream, and the next read
+// fails.
 func (s *silenceTimer) reset(allowedSeconds float64) {
 	if s.timer.Stop() {
 		s.allowedSeconds = allowedSeconds
@@ -160,8 +161,8 @@
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// objectReader reads a stream's bytes. It reports received bytes and heartbeats, and fails on an object above
-// maxObjectBytes, so that an endless one can't exhaust memory.
+// objectReader reads a stream's bytes. It reports received bytes and heartbeats, and fails on an object larger than
+// maxObjectBytes, so that an endless object cannot exhaust the memory.
 type objectReader struct {
 	body           io.Reader
 	onBytes        func()
@@ -172,13 +173,13 @@
 	inObject    bool  // the next object has started
 }
 
-// startObject records that an object was read completely; buffered is what the decoder has read beyond it.
-func (r *objectReader) startObject(buffered io.Reader) error {
+// beginNextObject must be called when an object is decoded; buffered holds the bytes that the decoder has read beyond it.
+func (r *objectReader) beginNextObject(buffered io.Reader) error {
 	rest, err := io.ReadAll(buffered)
 	if err != nil {
 		return err
 	}
-	r.objectBytes, r.inObject = int64(len(rest)), hasContent(rest)
+	r.objectBytes, r.inObject = int64(len(rest)), hasNonSpace(rest)
 	return nil
 }
 
@@ -189,7 +190,7 @@
 		return n, err
 	}
 	r.onBytes()
-	r.inObject = r.inObject || hasContent(buf[:n])
+	r.inObject = r.inObject || hasNonSpace(buf[:n])
 	if !r.inObject {
 		r.objectBytes = 0
 		if r.onHeartbeat != nil {
@@ -199,9 +200,9 @@
 	}
 	r.objectBytes += int64(n)
 	if r.objectBytes > r.maxObjectBytes {
-		return n, fmt.Errorf("an object above %d bytes", r.maxObjectBytes)
+		return n, fmt.Errorf("larger than the limit of %d bytes", r.maxObjectBytes)
 	}
 	return n, err
 }
 
-func hasContent(text []byte) bool { return len(bytes.TrimSpace(text)) > 0 }
+func hasNonSpace(text []byte) bool { return len(bytes.TrimSpace(text)) > 0 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -17,8 +17,8 @@
 )
 
 func ExampleBackoff() {
-	for _, try := range []int{0, 1, 2, 5, 39, 40, 1 << 40} {
-		fmt.Printf("%.2f to %.2f\n", Backoff(try, 0.1, 5, 1), Backoff(try, 0.1, 5, 0))
+	for _, attempt := range []int{0, 1, 2, 5, 39, 40, 1 << 40} {
+		fmt.Printf("%.2f to %.2f\n", Backoff(attempt, 0.1, 5, 1), Backoff(attempt, 0.1, 5, 0))
 	}
 	// Output:
 	// 0.05 to 0.10
@@ -32,26 +32,26 @@
 
 type object struct{ N int }
 
-// write sends text to a client. It is not an error if the client has gone by then.
+// write sends text to a client. It is not an error if the client has disconnected by then.
 func write(t *testing.T, w http.ResponseWriter, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
-		t.Log("client has gone:", err)
+		t.Log("the client has disconnected:", err)
 	}
 }
 
-// flush sends buffered text to a client. It is not an error if the client has gone by then.
+// flush sends buffered text to a client. It is not an error if the client has disconnected by then.
 func flush(t *testing.T, w http.ResponseWriter) {
 	if err := http.NewResponseController(w).Flush(); err != nil {
-		t.Log("client has gone:", err)
+		t.Log("the client has disconnected:", err)
 	}
 }
 
-// However a stream breaks, Follow reports it and reconnects.
-func TestFollow(t *testing.T) {
+// In whichever way a stream breaks, Follow reports the break and reconnects.
+func TestFollowReconnects(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	var try atomic.Int64
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		switch try.Add(1) {
+	var attempt atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		switch attempt.Add(1) {
 		case 1: // error status
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		case 2: // ends after an object
@@ -76,71 +76,87 @@
 			<-req.Context().Done()
 		}
 	}))
-	defer srv.Close()
+	defer server.Close()
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	var got []string
-	lost := 0
-	Follow(ctx, Source{URL: srv.URL, SilenceSeconds: 0.3, BackoffMinSeconds: 0.001, BackoffMaxSeconds: 0.002, Client: &http.Client{Transport: transport},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
-		func(o *object) error {
-			if o.N < 0 {
-				return errors.New("below 0")
-			}
-			got = append(got, fmt.Sprint(o.N))
-			if o.N == 6 {
-				cancel()
-			}
-			return nil
-		}, func() { lost++ })
-	if s := strings.Join(got, " "); s != "1 2 3 4 5 6" || lost != 5 {
-		t.Errorf("objects %s, lost %d times", s, lost)
+	source := Source{
+		URL:               server.URL,
+		SilenceSeconds:    0.3,
+		BackoffMinSeconds: 0.001,
+		BackoffMaxSeconds: 0.002,
+		Client:            &http.Client{Transport: transport},
+		Log:               slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+	var handled []string
+	breaks := 0
+	Follow(ctx, source, func(o *object) error {
+		if o.N < 0 {
+			return errors.New("below 0")
+		}
+		handled = append(handled, fmt.Sprint(o.N))
+		if o.N == 6 {
+			cancel()
+		}
+		return nil
+	}, func() { breaks++ })
+	if got := strings.Join(handled, " "); got != "1 2 3 4 5 6" || breaks != 5 {
+		t.Errorf("handled objects %s, %d breaks reported; want objects 1 2 3 4 5 6, 5 breaks", got, breaks)
 	}
 }
 
-// follow runs a service that handles each try as given, until the object numbered 9 is
-// handled; it returns the objects handled, and the log.
-func follow(t *testing.T, edit func(*Source), tries ...func(send func(string), gone <-chan struct{})) (got, log string) {
+// attemptHandler handles one request for the stream. clientGone is closed when the client disconnects.
+type attemptHandler func(send func(string), clientGone <-chan struct{})
+
+// follow runs a service that handles each attempt with the next handler, and sends the object numbered 9 after the last.
+// It follows the stream until that object is handled, and returns the numbers of the objects handled, and the log.
+func follow(t *testing.T, edit func(*Source), handlers ...attemptHandler) (got, log string) {
 	t.Helper()
-	var try atomic.Int64
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		i := min(int(try.Add(1)), len(tries)+1) - 1
+	var attempt atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		i := min(int(attempt.Add(1)), len(handlers)+1) - 1
 		send := func(text string) {
 			write(t, w, text)
 			flush(t, w)
 		}
-		if i == len(tries) {
+		if i == len(handlers) {
 			send("{\"n\":9}\n")
 			<-req.Context().Done()
 			return
 		}
-		tries[i](send, req.Context().Done())
+		handlers[i](send, req.Context().Done())
 	}))
-	defer srv.Close()
+	defer server.Close()
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	var out strings.Builder
-	source := Source{URL: srv.URL, SilenceSeconds: 0.3, BackoffMinSeconds: 0.001, BackoffMaxSeconds: 0.002, Client: &http.Client{Transport: transport}, Log: slog.New(slog.NewTextHandler(&out, nil))}
+	var logText strings.Builder
+	source := Source{
+		URL:               server.URL,
+		SilenceSeconds:    0.3,
+		BackoffMinSeconds: 0.001,
+		BackoffMaxSeconds: 0.002,
+		Client:            &http.Client{Transport: transport},
+		Log:               slog.New(slog.NewTextHandler(&logText, nil)),
+	}
 	if edit != nil {
 		edit(&source)
 	}
-	var all []string
+	var handled []string
 	Follow(ctx, source, func(o *object) error {
-		all = append(all, fmt.Sprint(o.N))
+		handled = append(handled, fmt.Sprint(o.N))
 		if o.N == 9 {
 			cancel()
 		}
 		return nil
 	}, func() {})
-	return strings.Join(all, " "), out.String()
+	return strings.Join(handled, " "), logText.String()
 }
 
-// An object may span several lines and arrive in any pieces, and several may arrive at once.
-func TestLayout(t *testing.T) {
+// An object may span several lines and arrive in any pieces, and several objects may arrive at once.
+func TestObjectsInAnyPieces(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	got, _ := follow(t, nil, func(send func(string), _ <-chan struct{}) {
 		send("{\n  \"n\": 1\n}\n\n{\n\n\t\"n\":\n2}")
@@ -150,44 +166,49 @@
 		send("{\"n\":6}{\"n\":7}{\"n\"")
 		send(":8}\n")
 	})
-	if got != "1 2 3 4 5 6 7 8 9" {
-		t.Error(got)
+	if want := "1 2 3 4 5 6 7 8 9"; got != want {
+		t.Errorf("handled objects %s, want %s", got, want)
 	}
 }
 
-// A stream that falls silent anywhere is broken and requested again; heartbeats keep it alive, except within an object.
-func TestSilence(t *testing.T) {
+// A stream that delivers no data for too long must be requested again, at whichever point it stops. White space between
+// objects is a heartbeat, white space within an object is not.
+func TestSilentStreamIsRequestedAgain(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	silentAfter := func(before string) func(func(string), <-chan struct{}) {
-		return func(send func(string), gone <-chan struct{}) {
-			if before != "" {
-				send(before)
+	silentAfter := func(text string) attemptHandler {
+		return func(send func(string), clientGone <-chan struct{}) {
+			if text != "" {
+				send(text)
 			}
-			<-gone
+			<-clientGone
 		}
 	}
 	heartbeats := 0
 	got, log := follow(t, func(s *Source) { s.ResponseTimeoutSeconds, s.OnHeartbeat = 0.2, func() { heartbeats++ } },
-		silentAfter(""), silentAfter("\n"), silentAfter("{\"n\":1}\n{\"n\":"), silentAfter("{\"n\":2}\n\n"), silentAfter("{\"n\":3,\n\n"))
+		silentAfter(""), silentAfter("\n"), silentAfter("{\"n\":1}\n{\"n\":"), silentAfter("{\"n\":2}\n\n"),
+		silentAfter("{\"n\":3,\n\n"))
 	if got != "1 2 9" || heartbeats != 1 {
-		t.Errorf("%s, %d heartbeats", got, heartbeats)
+		t.Errorf("handled objects %s, %d heartbeats; want objects 1 2 9, 1 heartbeat", got, heartbeats)
 	}
-	if n := strings.Count(log, "silent for 0.2 s"); n != 1 || strings.Count(log, "silent for 0.3 s") != 4 {
-		t.Errorf("%d silent before the answer's head:\n%s", n, log)
+	beforeResponse, afterResponse := strings.Count(log, "silent for 0.2 s"), strings.Count(log, "silent for 0.3 s")
+	if beforeResponse != 1 || afterResponse != 4 {
+		t.Errorf("%d streams silent before the response, %d after its start; want 1 and 4; the log is\n%s",
+			beforeResponse, afterResponse, log)
 	}
 }
 
-// An endless object is rejected before it exhausts memory, and the log says so.
-func TestTooLarge(t *testing.T) {
+// An endless object must be rejected before it exhausts the memory, with the limit in the log.
+func TestTooLargeObjectIsRejected(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	got, log := follow(t, func(s *Source) { s.MaxObjectBytes = 1000 }, func(send func(string), gone <-chan struct{}) {
+	got, log := follow(t, func(s *Source) { s.MaxObjectBytes = 1000 }, func(send func(string), clientGone <-chan struct{}) {
 		for range 100 {
 			send("{\"n\":1}" + strings.Repeat(" ", 100) + "\n")
 		}
 		send("{\"n\":2,\"x\":\"" + strings.Repeat("x", 50_000))
-		<-gone
+		<-clientGone
 	})
-	if !strings.HasSuffix(got, "1 1 9") || !strings.Contains(log, "an object above 1000 bytes") {
-		t.Errorf("%s\n%s", got, log)
+	const limitError = "larger than the limit of 1000 bytes"
+	if !strings.HasSuffix(got, "1 1 9") || !strings.Contains(log, limitError) {
+		t.Errorf("handled objects %s, want \"1 1 9\" at the end; want %q in the log\n%s", got, limitError, log)
 	}
 }
