--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -19,39 +19,41 @@
 // alerts depend on them.
 const metricPrefix = "flintedge_"
 
-func newDesc(name, help string, labels ...string) *prometheus.Desc {
+// metric describes a metric of the router. The test of the alerting rules, internal/controller/metrics_evidence_test.go,
+// finds the exposed metrics by searching the sources for calls of this name.
+func metric(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(metricPrefix+name, help, labels, nil)
 }
 
 var (
-	requestsTotal          = newDesc("commands_total", "Requests by final answer; left: the client disconnected before the answer.", "answer")
-	attemptsTotal          = newDesc("deliveries_total", "Attempts by outcome.", "result")
-	refusedTotal           = newDesc("refused_total", "Malformed requests, and client connections refused above the limit.", "what")
-	dialsTotal             = newDesc("unit_dials_total", "Connections dialed to endpoints.")
-	lateAnswersTotal       = newDesc("unit_late_answers_total", "Answers of endpoints to attempts that had already ended.")
-	wrongAnswersTotal      = newDesc("wrong_reports_total", "Wrong answers that clients reported.")
-	openConnections        = newDesc("connections", "Open connections.", "side")
-	requestsInFlight       = newDesc("commands_in_hand", "Requests in flight.")
-	knownEndpoints         = newDesc("units", "Endpoints known.")
-	endpointListAge        = newDesc("list_age_seconds", "Age of the endpoint list.")
-	policySecondsTotal     = newDesc("policy_seconds_total", "Time spent in calls of the balancing policy.")
-	policyCallsTotal       = newDesc("policy_calls_total", "Calls of the balancing policy.")
-	controllerEpoch        = newDesc("planner_epoch", "Epoch of the controller whose assignments are applied; 0: none yet.")
-	assignmentAge          = newDesc("view_age_seconds", "Upper bound of the age of the controller's last assignment.")
-	controllerConnects     = newDesc("links_total", "Connections to the controller on which an assignment arrived.")
-	assignmentsRefused     = newDesc("views_refused_total", "Assignments of the controller refused, by reason.", "reason")
-	reportsDropped         = newDesc("digests_dropped_total", "Reports to the controller replaced by a newer one before they were sent.")
-	shedTotal              = newDesc("shed_total", "Requests rejected because this process is overloaded; they also count as rejected requests.")
-	shedShare              = newDesc("shed_level", "Share of the offered work that is being shed.")
-	timerDelay             = newDesc("timer_late_seconds", "Delay of the router's own timer at the last sample.")
-	schedulerDelay         = newDesc("processor_wait_seconds", "99th percentile of the time that goroutines waited for a processor, since the previous sample.")
-	cpuShare               = newDesc("processor_share", "Share of its processors' time that the router used.")
-	gcShare                = newDesc("collecting_share", "Share of its processors' time spent collecting garbage.")
-	memoryUsed             = newDesc("memory_bytes", "Bytes held by connections and messages, as counted against the memory budget.")
-	memoryPeak             = newDesc("memory_peak_bytes", "Peak of memory_bytes.")
-	readsPausedTotal       = newDesc("reads_paused_total", "Reads from clients that waited for the memory budget.")
-	memoryRefusedTotal     = newDesc("connections_refused_for_room_total", "Connections refused because the memory budget was used up.")
-	acceptOverflowsTotal   = newDesc("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue, of any process, was full.")
+	requestsTotal          = metric("commands_total", "Requests by final answer; left: the client disconnected before the answer.", "answer")
+	attemptsTotal          = metric("deliveries_total", "Attempts by outcome.", "result")
+	refusedTotal           = metric("refused_total", "Malformed requests, and client connections refused above the limit.", "what")
+	dialsTotal             = metric("unit_dials_total", "Connections dialed to endpoints.")
+	lateAnswersTotal       = metric("unit_late_answers_total", "Answers of endpoints to attempts that had already ended.")
+	wrongAnswersTotal      = metric("wrong_reports_total", "Wrong answers that clients reported.")
+	openConnections        = metric("connections", "Open connections.", "side")
+	requestsInFlight       = metric("commands_in_hand", "Requests in flight.")
+	knownEndpoints         = metric("units", "Endpoints known.")
+	endpointListAge        = metric("list_age_seconds", "Age of the endpoint list.")
+	policySecondsTotal     = metric("policy_seconds_total", "Time spent in calls of the balancing policy.")
+	policyCallsTotal       = metric("policy_calls_total", "Calls of the balancing policy.")
+	controllerEpoch        = metric("planner_epoch", "Epoch of the controller whose assignments are applied; 0: none yet.")
+	assignmentAge          = metric("view_age_seconds", "Upper bound of the age of the controller's last assignment.")
+	controllerConnects     = metric("links_total", "Connections to the controller on which an assignment arrived.")
+	assignmentsRefused     = metric("views_refused_total", "Assignments of the controller refused, by reason.", "reason")
+	reportsDropped         = metric("digests_dropped_total", "Reports to the controller replaced by a newer one before they were sent.")
+	shedTotal              = metric("shed_total", "Requests rejected because this process is overloaded; they also count as rejected requests.")
+	shedShare              = metric("shed_level", "Share of the offered work that is being shed.")
+	timerDelay             = metric("timer_late_seconds", "Delay of the router's own timer at the last sample.")
+	schedulerDelay         = metric("processor_wait_seconds", "99th percentile of the time that goroutines waited for a processor, since the previous sample.")
+	cpuShare               = metric("processor_share", "Share of its processors' time that the router used.")
+	gcShare                = metric("collecting_share", "Share of its processors' time spent collecting garbage.")
+	memoryUsed             = metric("memory_bytes", "Bytes held by connections and messages, as counted against the memory budget.")
+	memoryPeak             = metric("memory_peak_bytes", "Peak of memory_bytes.")
+	readsPausedTotal       = metric("reads_paused_total", "Reads from clients that waited for the memory budget.")
+	memoryRefusedTotal     = metric("connections_refused_for_room_total", "Connections refused because the memory budget was used up.")
+	acceptOverflowsTotal   = metric("host_accept_overflows_total", "Connections that the host's kernel dropped because an accept queue, of any process, was full.")
 	answerSecondsHistogram = prometheus.HistogramOpts{
 		Name: "flintedge_answer_seconds", // spelled out, so that a search for the metric finds it
 		Help: "Time from the receipt of a request to its final answer.",
