--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -17,31 +17,31 @@
 
 // Config is a router's configuration, as read from the file that the platform provides.
 type Config struct {
-	Name             string // the router's name on the platform
-	ListenAddress    string // HOST:PORT, like the two below
-	DiscoveryAddress string
-	PlatformAddress  string
-	Seed             uint64
-	Cores            float64            // CPU limit of the process, in cores
-	MemoryBytes      int64              // memory limit of the process
-	Sockets          int                // limit on open file descriptors
-	Release          *releases.Update   // nil: none yet
-	KnownEndpoints   *discovery.Message // nil: none yet
-	Policy           policy.Config
-	ClassNames       []string // of Policy.Classes, in the same order
-	DialSeconds      float64  // timeout for dialing an endpoint
+	Name               string // the router's name on the platform
+	ListenAddress      string // for clients; HOST:PORT
+	DiscoveryAddress   string // of the discovery service; HOST:PORT
+	PlatformAddress    string // of the control service; HOST:PORT
+	Seed               uint64 // for random numbers
+	CPULimitCores      float64
+	MemoryLimitBytes   int64
+	MaxFileDescriptors int
+	Release            *releases.Update   // initial release state; nil if the file has none
+	KnownEndpoints     *discovery.Message // initial endpoint list; nil if the file has none
+	Policy             policy.Config
+	ClassNames         []string // names of Policy.Classes, in the same order
+	DialTimeoutSeconds float64  // for connections to endpoints
 }
 
-// configFile is the file's JSON format.
+// configFile is the JSON format of the configuration file.
 type configFile struct {
 	Name      string `json:"name" validate:"required"`
 	Listen    string `json:"listen" validate:"hostname_port"`
 	Discovery string `json:"discovery" validate:"hostname_port"`
 	Seed      string `json:"seed" validate:"required"`
 	Limits    struct {
-		Cores           float64 `json:"cores" validate:"gt=0"`
-		MemoryMegabytes float64 `json:"memory_mb" validate:"gte=16"`
-		Sockets         int     `json:"sockets" validate:"gte=64"`
+		Cores              float64 `json:"cores" validate:"gt=0"`
+		MemoryMegabytes    float64 `json:"memory_mb" validate:"gte=16"`
+		MaxFileDescriptors int     `json:"sockets" validate:"gte=64"`
 	} `json:"limits"`
 	Platform struct {
 		Address string          `json:"address" validate:"hostname_port"`
@@ -53,20 +53,20 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// ReadConfig reads and validates the file. An error of its content names the file and the key.
+// ReadConfig reads and validates a configuration file. An error names the file and, if a value is invalid, its key.
 func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	settings, err := ParseConfig(text)
+	cfg, err := ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return settings, nil
+	return cfg, nil
 }
 
-// ParseConfig parses and validates the file's text. An error names the key.
+// ParseConfig parses and validates the text of a configuration file. If a value is invalid, the error names its key.
 func ParseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -77,28 +77,28 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %.32q is no number of 16 hex digits", file.Seed)
+		return nil, fmt.Errorf("seed: %.32q is not a number of up to 16 hexadecimal digits", file.Seed)
 	}
-	settings := &Config{
-		Name:             file.Name,
-		ListenAddress:    file.Listen,
-		DiscoveryAddress: file.Discovery,
-		PlatformAddress:  file.Platform.Address,
-		Seed:             seed,
-		Cores:            file.Limits.Cores,
-		MemoryBytes:      int64(file.Limits.MemoryMegabytes * bytesPerMegabyte),
-		Sockets:          file.Limits.Sockets,
+	cfg := &Config{
+		Name:               file.Name,
+		ListenAddress:      file.Listen,
+		DiscoveryAddress:   file.Discovery,
+		PlatformAddress:    file.Platform.Address,
+		Seed:               seed,
+		CPULimitCores:      file.Limits.Cores,
+		MemoryLimitBytes:   int64(file.Limits.MemoryMegabytes * bytesPerMegabyte),
+		MaxFileDescriptors: file.Limits.MaxFileDescriptors,
 	}
-	if err := settings.parsePolicy(file.Settings); err != nil {
+	if err := cfg.parsePolicy(file.Settings); err != nil {
 		return nil, err
 	}
-	if err := settings.parseState(&file); err != nil {
+	if err := cfg.parseState(&file); err != nil {
 		return nil, err
 	}
-	return settings, nil
+	return cfg, nil
 }
 
-// parsePolicy parses the policy's settings.
+// parsePolicy parses the settings of the policy and of the request classes, and the dial timeout.
 func (c *Config) parsePolicy(text json.RawMessage) error {
 	values, err := policyconfig.ParseJSON(text)
 	if err != nil {
@@ -110,11 +110,12 @@
 	if c.ClassNames, err = policyconfig.ClassNames(values); err != nil {
 		return err
 	}
-	c.DialSeconds, err = policyconfig.Seconds(values, "policy_limits.dial_timeout")
+	c.DialTimeoutSeconds, err = policyconfig.Seconds(values, "policy_limits.dial_timeout")
 	return err
 }
 
-// parseState parses the state that the platform knew when it wrote the file: the release and the endpoint list.
+// parseState parses the initial state in the file: the release and the endpoint list that the platform knew when it
+// wrote the file.
 func (c *Config) parseState(file *configFile) (err error) {
 	if c.Release, err = control.ParseRelease(file.Platform.Release, len(c.Policy.StageShares)); err != nil {
 		return fmt.Errorf("platform.news: %w", err)
@@ -128,12 +129,12 @@
 	return nil
 }
 
-// needsRestart reports whether other differs from c in a setting that takes effect only at a restart: any but the
-// addresses that the router connects to. It ignores the seed, the release and the endpoint list, which are initial
-// values only.
+// needsRestart reports whether other differs from c in a value that takes effect only at a restart: any except the
+// addresses that the router connects to. It ignores the seed, the release and the endpoint list, which are used only
+// as initial values.
 func (c *Config) needsRestart(other *Config) bool {
-	rest := *other
-	rest.DiscoveryAddress, rest.PlatformAddress = c.DiscoveryAddress, c.PlatformAddress
-	rest.Seed, rest.Release, rest.KnownEndpoints = c.Seed, c.Release, c.KnownEndpoints
-	return !reflect.DeepEqual(*c, rest)
+	compared := *other
+	compared.DiscoveryAddress, compared.PlatformAddress = c.DiscoveryAddress, c.PlatformAddress
+	compared.Seed, compared.Release, compared.KnownEndpoints = c.Seed, c.Release, c.KnownEndpoints
+	return !reflect.DeepEqual(*c, compared)
 }
--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -22,8 +22,8 @@
 // After a change of address, the old address is followed until the new one sends something, at most for
 // handoverTimeout.
 const (
-	handoverTimeout = 1500 * time.Millisecond
-	handoverCheck   = 100 * time.Millisecond
+	handoverTimeout       = 1500 * time.Millisecond
+	handoverCheckInterval = 100 * time.Millisecond
 )
 
 // follower is a watch of discovery at one address. After a change of address, the old and the new follower run in
@@ -101,7 +101,7 @@
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.newestConnected = max(n.newestConnected, f.number)
+	n.newestConnectedFollower = max(n.newestConnectedFollower, f.number)
 	return n.currentFollower != f.number
 }
 
@@ -109,9 +109,9 @@
 // to do so, or the node stops.
 func (f *follower) waitForHandover() {
 	n := f.node
-	ticker := time.NewTicker(handoverCheck)
+	ticker := time.NewTicker(handoverCheckInterval)
 	defer ticker.Stop()
-	for left := handoverTimeout; left > 0; {
+	for remaining := handoverTimeout; remaining > 0; {
 		select {
 		case <-n.watches.Done():
 			return
@@ -119,10 +119,10 @@
 		}
 		n.mu.Lock()
 		if n.currentFollower != f.number {
-			left -= handoverCheck
+			remaining -= handoverCheckInterval
 		}
-		if n.newestConnected > f.number {
-			left = 0
+		if n.newestConnectedFollower > f.number {
+			remaining = 0
 		}
 		n.mu.Unlock()
 	}
--- a/internal/platform/node/discovery_test.go
+++ b/internal/platform/node/discovery_test.go
@@ -81,22 +81,22 @@
 	s := newSite(t, 0, 1)
 	discovery, platform, endOld := s.startServices(t, nil)
 	startNode(t, discovery, platform, 0, s)
-	eventually(t, "the list", func() bool { return s.node.endpointCount() == 1 })
-	settings := *s.node.settings
-	settings.DiscoveryAddress, settings.PlatformAddress = silent, silent
-	s.node.Reload(&settings)
-	eventually(t, "a connection to the silent one", func() bool { return accepted() >= 2 })
+	waitFor(t, "the list", func() bool { return s.node.endpointCount() == 1 })
+	cfg := *s.node.config
+	cfg.DiscoveryAddress, cfg.PlatformAddress = silent, silent
+	s.node.Reload(&cfg)
+	waitFor(t, "a connection to the silent one", func() bool { return accepted() >= 2 })
 	endOld()
-	settings.DiscoveryAddress, settings.PlatformAddress, _ = s.startServices(t, nil)
-	s.node.Reload(&settings)
+	cfg.DiscoveryAddress, cfg.PlatformAddress, _ = s.startServices(t, nil)
+	s.node.Reload(&cfg)
 	if err := s.StartEndpoint(2, 1, 0); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the list of the third", func() bool { return s.node.endpointCount() == 2 })
+	waitFor(t, "the list of the third", func() bool { return s.node.endpointCount() == 2 })
 	s.stopNode()
 	before, follower := accepted(), s.node.currentFollower
-	settings.DiscoveryAddress, settings.PlatformAddress = silent, silent
-	s.node.Reload(&settings)
+	cfg.DiscoveryAddress, cfg.PlatformAddress = silent, silent
+	s.node.Reload(&cfg)
 	s.node.running.Wait()
 	if accepted() != before || s.node.currentFollower != follower {
 		t.Error("something is followed after the end")
--- a/internal/platform/node/main.go
+++ b/internal/platform/node/main.go
@@ -14,25 +14,26 @@
 // configVariable is the environment variable that names the configuration file.
 const configVariable = "LB_CONFIG"
 
-// Main runs a router, configured by the file that the environment variable LB_CONFIG names, until SIGTERM or an
-// interrupt. On SIGHUP it reads the file again.
+// Main runs a router until SIGTERM or SIGINT. The environment variable LB_CONFIG names its configuration file, which is
+// read again on SIGHUP.
 func Main() error {
 	file := os.Getenv(configVariable)
 	if file == "" {
-		return errors.New(configVariable + ": not set; it names the configuration")
+		return errors.New(configVariable + ": not set; it must name the configuration file")
 	}
-	// From here on SIGHUP does not end the process. One that arrives early is handled once the router starts.
+	// From here on, SIGHUP does not terminate the process. A SIGHUP that arrives before the router starts is handled as
+	// soon as it starts.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	settings, err := ReadConfig(file)
+	cfg, err := ReadConfig(file)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	n := New(settings, log)
-	listener, err := net.Listen("tcp", settings.ListenAddress)
+	n := New(cfg, log)
+	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
 		return err
 	}
@@ -45,7 +46,8 @@
 	return err
 }
 
-// reloadOn reloads the configuration file on each signal until stopped is closed. An invalid file changes nothing.
+// reloadOn reloads the configuration file on each signal until stopped is closed. If the file is invalid, the previous
+// configuration stays in force.
 func (n *Node) reloadOn(signals <-chan os.Signal, file string, stopped <-chan struct{}) {
 	for {
 		select {
@@ -53,12 +55,12 @@
 			return
 		case <-signals:
 		}
-		settings, err := ReadConfig(file)
+		cfg, err := ReadConfig(file)
 		if err != nil {
-			n.log.Error("configuration rejected; the last good one stays", "error", err)
+			n.log.Error("failed to reload the configuration; the previous one stays in force", "error", err)
 			continue
 		}
-		n.log.Info("configuration reloaded", "discovery", settings.DiscoveryAddress, "platform", settings.PlatformAddress)
-		n.Reload(settings)
+		n.log.Info("configuration reloaded", "discovery", cfg.DiscoveryAddress, "platform", cfg.PlatformAddress)
+		n.Reload(cfg)
 	}
 }
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -29,26 +29,26 @@
 	clientReadSeconds     = 2.3                       // for a client's first byte, then for the rest of a request
 	clientIdleSeconds     = 2.2                       // of a client connection; the platform allows closing after 2 s
 	forgetEndpointSeconds = 60.0                      // time to remember an endpoint after it left the list
-	maxRememberedKeys     = 50_000                    // bound on one-way keys
-	keepHostSeconds       = 2 * forgetEndpointSeconds // a host that returns meanwhile keeps its endpoint id
+	maxOneWayKeys         = 50_000                    // bound on one-way keys
+	rememberHostSeconds   = 2 * forgetEndpointSeconds // a host that returns meanwhile keeps its endpoint id
 )
 
 // Node is one router on the platform.
 type Node struct {
-	settings   *Config
+	config     *Config
 	log        *slog.Logger
 	proxy      *proxy.Proxy
 	platform   *control.Client
 	httpClient *http.Client // for discovery
 
-	mu               sync.Mutex // guards the fields up to stopping, and serializes changes of the endpoint list
-	registry         discovery.Registry
-	endpointList     endpoints.List
-	versionGuard     discovery.VersionGuard
-	discoveryAddress string
-	currentFollower  int  // the follower whose full lists count; earlier ones may still deliver changes
-	newestConnected  int  // the newest follower that received something
-	stopping         bool // no more followers are started
+	mu                      sync.Mutex // guards the fields up to stopping, and serializes changes of the endpoint list
+	registry                discovery.Registry
+	endpointList            endpoints.List
+	versionGuard            discovery.VersionGuard
+	discoveryAddress        string
+	currentFollower         int  // the follower whose full lists count; earlier ones may still deliver changes
+	newestConnectedFollower int  // the newest follower that received something
+	stopping                bool // no more followers are started
 
 	shutdownPlan   loadshed.ShutdownPlan
 	readinessDelay time.Duration // after which the router is ready even if discovery sent nothing
@@ -61,52 +61,52 @@
 
 // New creates a router from its configuration, with the release and the endpoint list in it as initial state. It also
 // sets the process-wide GOMAXPROCS and memory limit. The proxy's timer runs from here on; Run ends it.
-func New(settings *Config, log *slog.Logger) *Node {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(settings.Cores))))
-	limits := loadshed.SplitLimits(settings.Sockets, settings.MemoryBytes)
+func New(cfg *Config, log *slog.Logger) *Node {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.CPULimitCores))))
+	limits := loadshed.SplitLimits(cfg.MaxFileDescriptors, cfg.MemoryLimitBytes)
 	debug.SetMemoryLimit(limits.HeapBytes)
-	policyConfig := routerPolicy(settings.Policy)
+	policyConfig := routerPolicy(cfg.Policy)
 	n := &Node{
-		settings:         settings,
+		config:           cfg,
 		log:              log,
-		discoveryAddress: settings.DiscoveryAddress,
+		discoveryAddress: cfg.DiscoveryAddress,
 		maxListBytes:     limits.BufferBytes / 2,
-		registry:         discovery.Registry{KeepSeconds: keepHostSeconds},
+		registry:         discovery.Registry{KeepSeconds: rememberHostSeconds},
 		httpClient:       &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}},
 		shutdownPlan:     loadshed.PlanShutdown(policyConfig.LongestTimeoutSeconds()),
 	}
 	n.watches, n.stopWatches = context.WithCancel(context.Background())
 	n.platform = &control.Client{
 		Stages:        len(policyConfig.StageShares),
-		VoteTimeout:   seconds(policyConfig.VoteTimeoutSeconds),
+		VoteTimeout:   toDuration(policyConfig.VoteTimeoutSeconds),
 		Log:           log,
 		OnRelease:     n.applyRelease,
 		OnWrongAnswer: n.reportWrongAnswer,
 		OnVoteReply:   func(_ releases.Vote, reply policy.VoteReply) { n.proxy.OnVoteReply(reply) },
 	}
-	n.platform.Open(settings.PlatformAddress)
-	n.proxy = proxy.NewRESP(proxySettings(settings, policyConfig, limits), settings.Seed, log, n.castVote)
-	if settings.Release != nil {
-		n.applyRelease(settings.Release)
+	n.platform.Open(cfg.PlatformAddress)
+	n.proxy = proxy.NewRESP(proxySettings(cfg, policyConfig, limits), cfg.Seed, log, n.castVote)
+	if cfg.Release != nil {
+		n.applyRelease(cfg.Release)
 	}
-	if settings.KnownEndpoints != nil {
-		if err := n.applyDiscovery(settings.KnownEndpoints); err != nil {
+	if cfg.KnownEndpoints != nil {
+		if err := n.applyDiscovery(cfg.KnownEndpoints); err != nil {
 			log.Error("endpoint list of the configuration rejected", "error", err) // discovery will send a new one
 		}
 	}
-	n.readinessDelay = seconds(loadshed.ReadinessDelaySeconds(n.endpointCount() > 0))
+	n.readinessDelay = toDuration(loadshed.ReadinessDelaySeconds(n.endpointCount() > 0))
 	return n
 }
 
 // routerPolicy adds the settings that the platform leaves to the router.
-func routerPolicy(settings policy.Config) policy.Config {
-	settings.ForgetEndpointSeconds = forgetEndpointSeconds
-	settings.MaxRememberedKeys = maxRememberedKeys
-	settings.RequestsPerConn = 1 // whatever endpoints allow: the proxy has one attempt in flight per connection
-	return settings
+func routerPolicy(cfg policy.Config) policy.Config {
+	cfg.ForgetEndpointSeconds = forgetEndpointSeconds
+	cfg.MaxRememberedKeys = maxOneWayKeys
+	cfg.RequestsPerConn = 1 // whatever endpoints allow: the proxy has one attempt in flight per connection
+	return cfg
 }
 
-func proxySettings(settings *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
+func proxySettings(cfg *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
 	clients := config.Clients{
 		MaxConns:           limits.ClientConns,
 		EvictIdleFrom:      limits.IdleEvictionThreshold,
@@ -116,10 +116,10 @@
 	upstreams := config.Endpoints{
 		MaxConnsPerEndpoint: limits.EndpointConns,
 		MaxConns:            limits.EndpointConns,
-		DialTimeoutSeconds:  settings.DialSeconds,
+		DialTimeoutSeconds:  cfg.DialTimeoutSeconds,
 		IdleTimeoutSeconds:  loadshed.EndpointIdleSeconds(policyConfig.ConnIdleSeconds),
 	}
-	return config.ForPlatform(settings.Name, policyConfig, settings.ClassNames, clients, upstreams, limits.BufferBytes)
+	return config.ForPlatform(cfg.Name, policyConfig, cfg.ClassNames, clients, upstreams, limits.BufferBytes)
 }
 
 // Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every
@@ -133,17 +133,17 @@
 	n.running.Go(func() { n.logStats(n.watches) })
 	ready := time.AfterFunc(n.readinessDelay, n.proxy.SetReady)
 	defer ready.Stop()
-	n.log.Info("serving", "relay", n.settings.Name, "listen", listener.Addr().String())
+	n.log.Info("serving", "relay", n.config.Name, "listen", listener.Addr().String())
 	var err error
 	select {
 	case <-ctx.Done():
-		n.log.Info("shutting down gracefully", "relay", n.settings.Name)
+		n.log.Info("shutting down gracefully", "relay", n.config.Name)
 		n.stopAccepting(listener)
 	case err = <-failed:
 	}
 	n.drain(listener)
 	n.stop()
-	n.log.Info("stopped", "relay", n.settings.Name)
+	n.log.Info("stopped", "relay", n.config.Name)
 	return err
 }
 
@@ -154,10 +154,10 @@
 func (n *Node) stopAccepting(listener net.Listener) {
 	plan := n.shutdownPlan
 	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
-	closing := time.AfterFunc(seconds(plan.AcceptUntil), func() { proxy.CloseListener(listener) })
-	time.Sleep(seconds(plan.ServeUntil))
+	closing := time.AfterFunc(toDuration(plan.AcceptUntil), func() { proxy.CloseListener(listener) })
+	time.Sleep(toDuration(plan.ServeUntil))
 	n.proxy.StopServing()
-	time.Sleep(seconds(plan.AcceptUntil - plan.ServeUntil))
+	time.Sleep(toDuration(plan.AcceptUntil - plan.ServeUntil))
 	closing.Stop()
 }
 
@@ -165,7 +165,7 @@
 func (n *Node) drain(listener net.Listener) {
 	plan := n.shutdownPlan
 	proxy.CloseListener(listener)
-	ctx, cancel := context.WithTimeout(context.Background(), seconds(plan.GiveUpAt-max(plan.ServeUntil, plan.AcceptUntil)))
+	ctx, cancel := context.WithTimeout(context.Background(), toDuration(plan.GiveUpAt-max(plan.ServeUntil, plan.AcceptUntil)))
 	defer cancel()
 	if err := n.proxy.Drain(ctx); err != nil {
 		n.log.Error("requests left at the end of the drain", "error", err)
@@ -184,18 +184,18 @@
 
 // Reload applies the addresses of a new configuration; other changes are logged and take effect at the next start. It
 // does not block. An old address stays in use until the new one answers; for discovery, at most for handoverTimeout.
-func (n *Node) Reload(settings *Config) {
-	if n.settings.needsRestart(settings) {
+func (n *Node) Reload(cfg *Config) {
+	if n.config.needsRestart(cfg) {
 		n.log.Warn("settings changed that need a restart; only the addresses were applied")
 	}
-	n.platform.SetAddress(settings.PlatformAddress)
+	n.platform.SetAddress(cfg.PlatformAddress)
 	n.mu.Lock()
-	same := n.discoveryAddress == settings.DiscoveryAddress
-	n.discoveryAddress = settings.DiscoveryAddress
+	same := n.discoveryAddress == cfg.DiscoveryAddress
+	n.discoveryAddress = cfg.DiscoveryAddress
 	n.mu.Unlock()
 	if !same {
 		n.followDiscovery()
 	}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -28,16 +28,16 @@
 	var malformed atomic.Int32
 	discovery, platform, endOld := s.startServices(t, func() bool { return malformed.Add(1) <= 3 })
 	startNode(t, discovery, platform, 12, s)
-	eventually(t, "the first vote", func() bool { return s.Votes() > 0 })
+	waitFor(t, "the first vote", func() bool { return s.Votes() > 0 })
 	// New addresses, twice in quick succession; the old ones go away a little later.
-	settings := *s.node.settings
-	settings.DiscoveryAddress, settings.PlatformAddress, _ = s.startServices(t, nil)
-	s.node.Reload(&settings)
-	s.node.Reload(&settings)
+	cfg := *s.node.config
+	cfg.DiscoveryAddress, cfg.PlatformAddress, _ = s.startServices(t, nil)
+	s.node.Reload(&cfg)
+	s.node.Reload(&cfg)
 	time.Sleep(300 * time.Millisecond)
 	endOld()
 	s.List("u1", "127.0.0.1:1", 1, "DRAINING")
-	eventually(t, "the release", s.Released)
+	waitFor(t, "the release", s.Released)
 	time.Sleep(200 * time.Millisecond)
 	s.List("u1", "127.0.0.1:1", 1, "DELETED")
 	close(s.stopClients)
@@ -55,7 +55,7 @@
 	s := newSite(t, 0.2, 1, 1, 1)
 	discovery, platform, _ := s.startServices(t, nil)
 	startNode(t, discovery, platform, 6, s)
-	eventually(t, "traffic", func() bool { return s.node.proxy.Stats().Succeeded > 50 })
+	waitFor(t, "traffic", func() bool { return s.node.proxy.Stats().Succeeded > 50 })
 	s.node.shutdownPlan = loadshed.PlanShutdown(2) // a plan for longer request timeouts than this test has
 	from := s.Clock()
 	s.stopNode()
@@ -122,7 +122,7 @@
 	defer s.stopNode()
 	c := s.dial()
 	c.send("PING")
-	eventually(t, "the connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
+	waitFor(t, "the connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
 	if err := s.StartEndpoint(1, 1, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -139,8 +139,8 @@
 	discovery, platform, _ := s.startServices(t, nil)
 	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	s.t, s.address = t, l.Addr().String()
-	settings := must[*Config](t)(ParseConfig([]byte(s.Config(s.address, discovery, platform))))
-	s.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	cfg := must[*Config](t)(ParseConfig([]byte(s.Config(s.address, discovery, platform))))
+	s.node = New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c := s.dial() // accepted by the kernel, not yet by the program
 	c.send("API.READ", "k", fmt.Sprintf("%016x", 1), "c=lookup,d=500")
 	ctx, stop := context.WithCancel(context.Background())
@@ -151,8 +151,8 @@
 		t.Errorf("%q", got)
 	}
 	other, _, _ := s.startServices(t, nil)
-	settings.DiscoveryAddress = other
-	s.node.Reload(settings)
+	cfg.DiscoveryAddress = other
+	s.node.Reload(cfg)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -26,7 +26,7 @@
 	address     string
 	stopClients chan struct{}
 	clients     sync.WaitGroup
-	life        *invariants.Incarnation
+	incarnation *invariants.Incarnation
 	stopNode    func()
 }
 
@@ -48,11 +48,11 @@
 func startEditedNode(t *testing.T, discovery, platform string, clients int, site *testSite, edit func(*Node)) *testSite {
 	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
 	site.t, site.address, site.stopClients = t, l.Addr().String(), make(chan struct{})
-	settings := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
-	site.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	cfg := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
+	site.node = New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
-	site.life = &invariants.Incarnation{Relay: site.Relay, From: site.Clock()}
-	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.life) })
+	site.incarnation = &invariants.Incarnation{Relay: site.Relay, From: site.Clock()}
+	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.incarnation) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- site.node.Run(ctx, l) }()
@@ -60,7 +60,7 @@
 		site.clients.Go(func() { site.Client(i+1, site.address, site.stopClients) })
 	}
 	site.stopNode = func() {
-		site.life.DrainingFrom = site.Clock()
+		site.incarnation.DrainingFrom = site.Clock()
 		stop()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -70,11 +70,11 @@
 }
 
 // checkInvariants checks the first rules invariants once the clients have ended.
-func (s *testSite) checkInvariants(rules int) *invariants.Report {
+func (s *testSite) checkInvariants(ruleCount int) *invariants.Report {
 	s.clients.Wait()
-	s.life.To = s.Clock()
+	s.incarnation.To = s.Clock()
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
-	for _, rule := range report.Rules[:rules] {
+	for _, rule := range report.Rules[:ruleCount] {
 		if rule.Broken > 0 {
 			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
 		}
@@ -112,10 +112,10 @@
 	}
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 3000 {
-		if is() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/platform/node/statslog.go
+++ b/internal/platform/node/statslog.go
@@ -27,6 +27,6 @@
 			n.log.Error("stats not encoded", "error", err)
 			continue
 		}
-		n.log.Info("stats", "relay", n.settings.Name, "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "counts", string(text))
+		n.log.Info("stats", "relay", n.config.Name, "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "counts", string(text))
 	}
 }
