--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -9,9 +9,10 @@
 	"flintspread/internal/watch"
 )
 
-// Limits of a discovery watch, in seconds. The discovery agent runs on the same machine and sends a heartbeat every 2
-// s. The platform considers a change known 6 s after it was sent, or as soon as the agent is back, and counts the drain
-// grace period from then. Two silent watches and a reconnect fit into that time.
+// Limits of a discovery watch. The discovery agent runs on the same machine and sends a heartbeat every 2 s. The
+// platform considers a change known to the router 6 s after it was sent, or as soon as an agent that was unavailable is
+// back, and counts the drain grace period from then. Two watches that time out for silence, and a reconnect, fit into
+// these 6 s.
 const (
 	discoverySilenceSeconds    = 2.5
 	discoveryOpenSeconds       = 1.0
@@ -19,23 +20,23 @@
 	discoveryBackoffMaxSeconds = 0.25
 )
 
-// After a change of address, the old address is followed until the new one sends something, at most for
+// After a change of address, the old address is followed until data arrives from the new one, at most for
 // handoverTimeout.
 const (
 	handoverTimeout       = 1500 * time.Millisecond
 	handoverCheckInterval = 100 * time.Millisecond
 )
 
-// follower is a watch of discovery at one address. After a change of address, the old and the new follower run in
-// parallel for a while.
+// follower watches the discovery service at one address. After a change of address, the old and the new follower run
+// in parallel until the new one has received data, at most for handoverTimeout.
 type follower struct {
 	node    *Node
-	number  int // increases with each follower
+	number  int // the node numbers its followers from 1, in the order of their start
 	address string
 }
 
-// followDiscovery starts a follower at the current discovery address, with two goroutines in n.running. Earlier
-// followers end once this one has connected or has had time to. It does nothing while the node stops.
+// followDiscovery starts a follower of the current discovery address, with two goroutines in n.running. Older followers
+// end once this one has received data, or after handoverTimeout. It does nothing once the node is stopping.
 func (n *Node) followDiscovery() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// nextURL returns the URL that requests the changes since the list in force.
+// nextURL returns the URL that requests the changes since the endpoint list in force.
 func (f *follower) nextURL() string {
 	n := f.node
 	n.mu.Lock()
@@ -76,7 +77,7 @@
 }
 
 func (f *follower) onHeartbeat() {
-	f.noteConnected()
+	f.recordData()
 	f.node.proxy.ConfirmEndpoints()
 }
 
@@ -84,8 +85,8 @@
 	if err := message.Check(); err != nil {
 		return err
 	}
-	if replaced := f.noteConnected(); replaced && message.Full {
-		return nil // only the newest follower's full lists count
+	if replaced := f.recordData(); replaced && message.Full {
+		return nil // only full lists of the current follower are used
 	}
 	if err := f.node.applyDiscovery(message); err != nil {
 		return err
@@ -96,8 +97,9 @@
 	return nil
 }
 
-// noteConnected records that discovery sent something to this follower, and reports whether there is a newer one.
-func (f *follower) noteConnected() (replaced bool) {
+// recordData records that this follower has received a heartbeat or a valid message, and reports whether a newer
+// follower has replaced it.
+func (f *follower) recordData() (replaced bool) {
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,8 +107,8 @@
 	return n.currentFollower != f.number
 }
 
-// waitForHandover blocks until this follower is no longer needed: a newer one has connected or has had handoverTimeout
-// to do so, or the node stops.
+// waitForHandover blocks until this follower is no longer needed: a newer one has received data or has had
+// handoverTimeout to do so, or the node stops.
 func (f *follower) waitForHandover() {
 	n := f.node
 	ticker := time.NewTicker(handoverCheckInterval)
@@ -128,8 +130,8 @@
 	}
 }
 
-// applyDiscovery applies a checked message of discovery to the endpoint list. Changes older than the list in force,
-// which another follower has already delivered, are skipped. An outdated full list is an error.
+// applyDiscovery applies a validated discovery message to the endpoint list. It skips changes that are older than the
+// list in force, since another follower has already delivered them. An outdated full list is an error.
 func (n *Node) applyDiscovery(message *discovery.Message) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,7 +141,7 @@
 		return nil
 	}
 	if message.Full && !n.versionGuard.Accepts(message.Version, inForce, now, forgetEndpointSeconds) {
-		return fmt.Errorf("list version %d is older than %d, which is in force", message.Version, inForce)
+		return fmt.Errorf("endpoint list version %d is older than version %d, which is in force", message.Version, inForce)
 	}
 	update := n.registry.Update(message, now)
 	if err := update.Check(); err != nil {
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -1,6 +1,7 @@
-// Package node runs a router on the platform: it connects the proxy with the platform's control service and discovery
-// service, as one configuration file describes, and handles the platform's signals. Main is the program's entry point;
-// Node.Run waits for all goroutines. Times in float64 are seconds; instants are on the proxy's clock.
+// Package node runs a router on the platform: it connects the proxy to the platform's control service and discovery
+// service, as described by one configuration file, and handles the signals that the platform sends. Main is the
+// program's entry point; Node.Run returns once all its goroutines have ended. A float64 duration is in seconds; a
+// float64 instant is in seconds on the proxy's clock.
 package node
 
 import (
@@ -24,13 +25,16 @@
 	"flintspread/internal/releases"
 )
 
-// Values that the platform's description prescribes and the configuration file does not contain.
+// Values that the platform's specification prescribes and the configuration file does not contain.
 const (
-	clientReadSeconds     = 2.3                       // for a client's first byte, then for the rest of a request
-	clientIdleSeconds     = 2.2                       // of a client connection; the platform allows closing after 2 s
-	forgetEndpointSeconds = 60.0                      // time to remember an endpoint after it left the list
-	maxOneWayKeys         = 50_000                    // bound on one-way keys
-	rememberHostSeconds   = 2 * forgetEndpointSeconds // a host that returns meanwhile keeps its endpoint id
+	clientReadSeconds     = 2.3    // timeout for the first byte from a client, and again for the rest of a request
+	clientIdleSeconds     = 2.2    // idle timeout of a client connection; the platform allows closing one after 2 s
+	forgetEndpointSeconds = 60.0   // time to remember an endpoint after it left the list
+	maxOneWayKeys         = 50_000 // maximum number of one-way keys to remember
+
+	// rememberHostSeconds is the time to remember a host's endpoint ID after the host left the list. A host that returns
+	// within this time keeps its ID.
+	rememberHostSeconds = 2 * forgetEndpointSeconds
 )
 
 // Node is one router on the platform.
@@ -46,21 +50,21 @@
 	endpointList            endpoints.List
 	versionGuard            discovery.VersionGuard
 	discoveryAddress        string
-	currentFollower         int  // the follower whose full lists count; earlier ones may still deliver changes
-	newestConnectedFollower int  // the newest follower that received something
-	stopping                bool // no more followers are started
+	currentFollower         int  // number of the follower whose full lists are used; older ones may still deliver changes
+	newestConnectedFollower int  // number of the newest follower that has received data
+	stopping                bool // no new followers may be started
 
 	shutdownPlan   loadshed.ShutdownPlan
-	readinessDelay time.Duration // after which the router is ready even if discovery sent nothing
-	maxListBytes   int64         // limit of one discovery message
+	readinessDelay time.Duration // after which the router is ready even without a message from discovery
+	maxListBytes   int64         // maximum size of a discovery message
 
-	watches     context.Context // context of all watches; it outlives the listener
+	watches     context.Context // context of the watches and the stats log; cancelled after the listener is closed
 	stopWatches context.CancelFunc
-	running     sync.WaitGroup
+	running     sync.WaitGroup // all goroutines that Run and Reload started
 }
 
-// New creates a router from its configuration, with the release and the endpoint list in it as initial state. It also
-// sets the process-wide GOMAXPROCS and memory limit. The proxy's timer runs from here on; Run ends it.
+// New creates a router from its configuration, whose release and endpoint list are the initial state. It also sets
+// GOMAXPROCS and the memory limit of the process. It starts the proxy's timer, which Run stops.
 func New(cfg *Config, log *slog.Logger) *Node {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.CPULimitCores))))
 	limits := loadshed.SplitLimits(cfg.MaxFileDescriptors, cfg.MemoryLimitBytes)
@@ -91,18 +95,19 @@
 	}
 	if cfg.KnownEndpoints != nil {
 		if err := n.applyDiscovery(cfg.KnownEndpoints); err != nil {
-			log.Error("endpoint list of the configuration rejected", "error", err) // discovery will send a new one
+			// Not fatal: the discovery service will send a new list.
+			log.Error("failed to apply the endpoint list of the configuration file", "error", err)
 		}
 	}
 	n.readinessDelay = toDuration(loadshed.ReadinessDelaySeconds(n.endpointCount() > 0))
 	return n
 }
 
-// routerPolicy adds the settings that the platform leaves to the router.
+// routerPolicy returns the policy settings with the values that the platform leaves to the router.
 func routerPolicy(cfg policy.Config) policy.Config {
 	cfg.ForgetEndpointSeconds = forgetEndpointSeconds
 	cfg.MaxRememberedKeys = maxOneWayKeys
-	cfg.RequestsPerConn = 1 // whatever endpoints allow: the proxy has one attempt in flight per connection
+	cfg.RequestsPerConn = 1 // even if endpoints allow more: the proxy has only one attempt in flight per connection
 	return cfg
 }
 
@@ -122,14 +127,15 @@
 	return config.ForPlatform(cfg.Name, policyConfig, cfg.ClassNames, clients, upstreams, limits.BufferBytes)
 }
 
-// Run serves until ctx ends, then shuts down gracefully and returns. It closes the listener, and blocks until every
-// goroutine that it started has ended. It must be called only once.
+// Run serves until ctx ends or accepting connections fails, then shuts down gracefully and closes the listener. It
+// blocks until every goroutine that it started has ended, and returns the error of accepting connections, if any. It
+// must be called only once.
 func (n *Node) Run(ctx context.Context, listener net.Listener) error {
 	defer n.stopWatches()
 	n.running.Go(func() { n.platform.Run(n.watches) })
 	n.followDiscovery()
-	failed := make(chan error, 1)
-	n.running.Go(func() { failed <- n.proxy.Serve(listener) })
+	serveEnded := make(chan error, 1)
+	n.running.Go(func() { serveEnded <- n.proxy.Serve(listener) })
 	n.running.Go(func() { n.logStats(n.watches) })
 	ready := time.AfterFunc(n.readinessDelay, n.proxy.SetReady)
 	defer ready.Stop()
@@ -139,7 +145,7 @@
 	case <-ctx.Done():
 		n.log.Info("shutting down gracefully", "relay", n.config.Name)
 		n.stopAccepting(listener)
-	case err = <-failed:
+	case err = <-serveEnded:
 	}
 	n.drain(listener)
 	n.stop()
@@ -147,32 +153,32 @@
 	return err
 }
 
-// stopAccepting follows the shutdown plan up to the point from which no more requests are accepted. It blocks
-// meanwhile. Clients may not know of the shutdown yet, or have no other router, so they are served as long as there is
-// time to answer them. If the longest timeout is below 0.6 s, ServeUntil is before AcceptUntil; otherwise the second
-// sleep is not positive and returns at once.
+// stopAccepting executes the shutdown plan until no more requests are accepted, and blocks until then. Clients may not
+// know of the shutdown yet, or have no other router, so requests are accepted as long as there is time to answer them.
+// ServeUntil is before AcceptUntil only if the longest request timeout is below 0.6 s; otherwise the second sleep's
+// duration is not positive, so it returns immediately.
 func (n *Node) stopAccepting(listener net.Listener) {
 	plan := n.shutdownPlan
 	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
-	closing := time.AfterFunc(toDuration(plan.AcceptUntil), func() { proxy.CloseListener(listener) })
+	closeTimer := time.AfterFunc(toDuration(plan.AcceptUntil), func() { proxy.CloseListener(listener) })
 	time.Sleep(toDuration(plan.ServeUntil))
 	n.proxy.StopServing()
 	time.Sleep(toDuration(plan.AcceptUntil - plan.ServeUntil))
-	closing.Stop()
+	closeTimer.Stop()
 }
 
-// drain closes the listener and waits for the requests in flight, up to the end of the shutdown plan.
+// drain closes the listener and waits for the requests in flight, at most until the end of the shutdown plan.
 func (n *Node) drain(listener net.Listener) {
 	plan := n.shutdownPlan
 	proxy.CloseListener(listener)
 	ctx, cancel := context.WithTimeout(context.Background(), toDuration(plan.GiveUpAt-max(plan.ServeUntil, plan.AcceptUntil)))
 	defer cancel()
 	if err := n.proxy.Drain(ctx); err != nil {
-		n.log.Error("requests left at the end of the drain", "error", err)
+		n.log.Error("failed to complete all requests before the end of the drain", "error", err)
 	}
 }
 
-// stop stops the watches and the proxy, and waits for all goroutines. A later Reload starts no follower.
+// stop stops the watches and the proxy, and waits for all goroutines. Reload starts no follower after that.
 func (n *Node) stop() {
 	n.mu.Lock()
 	n.stopping = true
@@ -182,11 +188,12 @@
 	n.running.Wait()
 }
 
-// Reload applies the addresses of a new configuration; other changes are logged and take effect at the next start. It
-// does not block. An old address stays in use until the new one answers; for discovery, at most for handoverTimeout.
+// Reload applies the addresses of a new configuration without blocking. Other changes are logged and take effect at the
+// next start. An old address stays in use until data arrives from the new one; for discovery, at most for
+// handoverTimeout.
 func (n *Node) Reload(cfg *Config) {
 	if n.config.needsRestart(cfg) {
-		n.log.Warn("settings changed that need a restart; only the addresses were applied")
+		n.log.Warn("configuration changes need a restart to take effect; applied only the addresses")
 	}
 	n.platform.SetAddress(cfg.PlatformAddress)
 	n.mu.Lock()
@@ -198,4 +205,4 @@
 	}
 }
 
-func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/platform/node/release.go
+++ b/internal/platform/node/release.go
@@ -9,8 +9,7 @@
 	n.proxy.ApplyRelease(update.Build, update.Stage, update.PolicyPhase(), update.CanaryLimit, update.AgeSeconds)
 }
 
-// reportWrongAnswer reports to the proxy that an endpoint gave a wrong answer ageSeconds ago. An unknown host is
-// ignored.
+// reportWrongAnswer reports to the proxy that an endpoint gave a wrong answer ageSeconds ago. It ignores unknown hosts.
 func (n *Node) reportWrongAnswer(host string, ageSeconds float64) {
 	n.mu.Lock()
 	id := n.registry.EndpointID(host)
@@ -20,7 +19,7 @@
 	}
 }
 
-// castVote casts a vote of the policy. It does not wait for the reply.
+// castVote sends a vote of the policy to the platform without waiting for the reply.
 func (n *Node) castVote(vote releases.Vote) {
 	if vote.Verdict == policy.VoteRollback {
 		n.logEvidence(vote.Build)
@@ -28,12 +27,14 @@
 	n.platform.Cast(vote)
 }
 
-// buildEvidence is the sum of one build's samples, by failure kind.
+// buildEvidence sums up the samples of one build. The arrays are indexed by failure kind.
 type buildEvidence struct {
-	failingEndpoints, outcomes, failures [len(policy.FailureKinds)]float64
+	failingEndpoints [len(policy.FailureKinds)]float64 // number of endpoints with at least one failure
+	outcomes         [len(policy.FailureKinds)]float64
+	failures         [len(policy.FailureKinds)]float64
 }
 
-// logEvidence logs the evidence for a vote to roll back: the samples of the canary and of the other builds.
+// logEvidence logs the evidence for a rollback vote: the sums of the samples of the canary and of each other build.
 func (n *Node) logEvidence(canary int) {
 	byBuild := map[int]*buildEvidence{}
 	for _, sample := range n.proxy.LocalEvidence().Samples {
--- a/internal/platform/node/statslog.go
+++ b/internal/platform/node/statslog.go
@@ -9,7 +9,7 @@
 
 const statsInterval = 5 * time.Second
 
-// logStats logs the proxy's counters and the process's memory every statsInterval until ctx ends.
+// logStats logs the proxy's stats and the memory use of the process every statsInterval until ctx ends.
 func (n *Node) logStats(ctx context.Context) {
 	ticker := time.NewTicker(statsInterval)
 	defer ticker.Stop()
@@ -24,9 +24,10 @@
 		runtime.ReadMemStats(&memory)
 		text, err := json.Marshal(stats)
 		if err != nil {
-			n.log.Error("stats not encoded", "error", err)
+			n.log.Error("failed to encode the stats", "error", err)
 			continue
 		}
-		n.log.Info("stats", "relay", n.config.Name, "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "counts", string(text))
+		n.log.Info("stats", "relay", n.config.Name, "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10,
+			"counts", string(text))
 	}
 }
