--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -20,22 +20,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A short scenario: endpoints that fail in every way, a release that advances through its stages by votes, malformed
-// messages of discovery, an endpoint that drains, and addresses that change under load. The invariants are checked
-// against the traffic seen on the sockets.
-func TestScenarioWithReleaseAndMoves(t *testing.T) {
+// The invariants hold for the traffic recorded at the clients and endpoints of a short scenario: endpoints fail in every
+// way that the fakes support, votes advance a release through its stages, discovery sends malformed messages, an endpoint
+// drains, and the services' addresses change under load.
+func TestScenarioWithReleaseAndAddressChanges(t *testing.T) {
 	s := newSite(t, 0.05, 1, 1, 1, 1, fakes.PlatformSiteCanary, fakes.PlatformSiteCanary)
-	var malformed atomic.Int32
-	discovery, platform, endOld := s.startServices(t, func() bool { return malformed.Add(1) <= 3 })
+	var discoveryRequests atomic.Int32
+	discovery, platform, stopOld := s.startServices(t, func() bool { return discoveryRequests.Add(1) <= 3 })
 	startNode(t, discovery, platform, 12, s)
 	waitFor(t, "the first vote", func() bool { return s.Votes() > 0 })
-	// New addresses, twice in quick succession; the old ones go away a little later.
+	// Reload with new addresses twice in quick succession; the old services stop a little later.
 	cfg := *s.node.config
 	cfg.DiscoveryAddress, cfg.PlatformAddress, _ = s.startServices(t, nil)
 	s.node.Reload(&cfg)
 	s.node.Reload(&cfg)
 	time.Sleep(300 * time.Millisecond)
-	endOld()
+	stopOld()
 	s.List("u1", "127.0.0.1:1", 1, "DRAINING")
 	waitFor(t, "the release", s.Released)
 	time.Sleep(200 * time.Millisecond)
@@ -45,113 +45,114 @@
 	s.stopNode()
 	report := s.checkInvariants(5)
 	if report.Answers["acked"] < report.Tries*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
-		t.Errorf("%d asked, %v, %v", report.Tries, report.Answers, report.AttemptsByBuild)
+		t.Errorf("%d requests, answers %v, attempts by build %v", report.Tries, report.Answers, report.AttemptsByBuild)
 	}
 }
 
-// After the signal, clients are served on their connections as long as there is time to answer them. Every accepted
-// request is answered, even with unresponsive endpoints, and the router ends before it would be killed.
+// After the stop signal, requests are accepted on open connections as long as there is time to answer them. Every
+// accepted request is answered, even with unresponsive endpoints, and the router ends before it may be killed.
 func TestGracefulShutdown(t *testing.T) {
 	s := newSite(t, 0.2, 1, 1, 1)
 	discovery, platform, _ := s.startServices(t, nil)
 	startNode(t, discovery, platform, 6, s)
 	waitFor(t, "traffic", func() bool { return s.node.proxy.Stats().Succeeded > 50 })
-	s.node.shutdownPlan = loadshed.PlanShutdown(2) // a plan for longer request timeouts than this test has
-	from := s.Clock()
+	// Plan for longer request timeouts than those of this test, so that ServeUntil is after AcceptUntil.
+	s.node.shutdownPlan = loadshed.PlanShutdown(2)
+	signalAt := s.Clock()
 	s.stopNode()
-	if took := s.Clock() - from; took < s.node.shutdownPlan.ServeUntil || took > s.node.shutdownPlan.KillAfter {
-		t.Errorf("%.2f s until the end, planned %+v", took, s.node.shutdownPlan)
+	if took := s.Clock() - signalAt; took < s.node.shutdownPlan.ServeUntil || took > s.node.shutdownPlan.KillAfter {
+		t.Errorf("shutdown took %.2f s, planned %+v", took, s.node.shutdownPlan)
 	}
 	s.checkInvariants(2)
-	late := 0
-	for _, c := range s.Record.Requests {
-		if c.SentAt > from+s.node.shutdownPlan.AcceptUntil && len(c.Answers) == 1 && c.Answers[0].Kind == "acked" {
-			late++
+	servedLate := 0
+	for _, request := range s.Record.Requests {
+		afterClose := request.SentAt > signalAt+s.node.shutdownPlan.AcceptUntil
+		if afterClose && len(request.Answers) == 1 && request.Answers[0].Kind == "acked" {
+			servedLate++
 		}
 	}
-	if late == 0 {
-		t.Error("nobody was served once the listener was closed")
+	if servedLate == 0 {
+		t.Error("no request was served after the listener was closed")
 	}
 }
 
-// A router is ready once it knows endpoints: as soon as discovery's list arrives, or after a short time if discovery
-// sends nothing, with an old list, an empty one or none.
-func TestReady(t *testing.T) {
+// A router becomes ready when an endpoint list with endpoints arrives from discovery. If discovery sends nothing, it
+// becomes ready after a short time, with or without endpoints from the configuration file.
+func TestReadiness(t *testing.T) {
 	silent, accepted := silentListener(t)
 	for _, builds := range [][]int{{1}, nil} {
 		s := startNode(t, silent, silent, 0, newSite(t, 0, builds...))
 		c := s.dial()
 		c.send("PING")
 		if got := c.line(); got != "+PONG" {
-			t.Errorf("%d endpoints known, discovery silent: %q", len(builds), got)
+			t.Errorf("reply to PING with %d known endpoints and a silent discovery: %q", len(builds), got)
 		}
 		s.stopNode()
 	}
 	if accepted() == 0 {
-		t.Error("no connection to discovery")
+		t.Error("the router did not connect to discovery")
 	}
-	// Here the list arrives only while the PING waits. The timeout is off, so that nothing else can answer it.
-	gate := make(chan struct{})
+	// The endpoint list arrives while the PING waits for its reply. The readiness delay is too long to cause the reply.
+	gate := make(chan struct{}) // closed to let discovery answer
 	site := newSite(t, 0)
-	srv := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
-	realDiscovery, _, _ := site.startServices(t, nil)
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	listener := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	discovery, _, _ := site.startServices(t, nil)
+	gatedDiscovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
 		case <-gate:
 		case <-req.Context().Done():
 			return
 		}
-		from, err := http.Get("http://" + realDiscovery + req.URL.String())
+		response, err := http.Get("http://" + discovery + req.URL.String())
 		if err != nil {
 			return
 		}
-		defer from.Body.Close()
+		defer response.Body.Close()
 		var buf [4096]byte
-		n, _ := from.Body.Read(buf[:])
+		n, _ := response.Body.Read(buf[:])
 		if _, err := w.Write(buf[:n]); err != nil {
 			return
 		}
 	})}
 	go func() {
-		if err := web.Serve(srv); !errors.Is(err, http.ErrServerClosed) {
+		if err := gatedDiscovery.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
 	}()
-	defer web.Close()
-	s := startEditedNode(t, srv.Addr().String(), silent, 0, site, func(n *Node) { n.readinessDelay = 1000 * time.Second })
+	defer gatedDiscovery.Close()
+	s := startEditedNode(t, listener.Addr().String(), silent, 0, site, func(n *Node) { n.readinessDelay = 1000 * time.Second })
 	defer s.stopNode()
 	c := s.dial()
 	c.send("PING")
-	waitFor(t, "the connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
+	waitFor(t, "the client's connection", func() bool { return s.node.proxy.Stats().ClientConns == 1 })
 	if err := s.StartEndpoint(1, 1, 0); err != nil {
 		t.Fatal(err)
 	}
 	close(gate)
 	if got := c.line(); got != "+PONG" || s.node.endpointCount() != 1 {
-		t.Errorf("%q with %d endpoints", got, s.node.endpointCount())
+		t.Errorf("reply to PING %q with %d endpoints", got, s.node.endpointCount())
 	}
 }
 
-// With a stop signal before the router serves and a reload during the shutdown, clients that connect are still
-// answered.
-func TestStopBeforeStart(t *testing.T) {
+// A client that connected before the router started is answered, even if the stop signal arrives before the router
+// accepts connections. The router also ends without an error if its configuration is reloaded during the shutdown.
+func TestStopSignalBeforeStart(t *testing.T) {
 	s := newSite(t, 0, 1)
 	discovery, platform, _ := s.startServices(t, nil)
-	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
-	s.t, s.address = t, l.Addr().String()
+	listener := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	s.t, s.address = t, listener.Addr().String()
 	cfg := must[*Config](t)(ParseConfig([]byte(s.Config(s.address, discovery, platform))))
 	s.node = New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c := s.dial() // accepted by the kernel, not yet by the program
+	c := s.dial() // accepted by the kernel, not yet by the router
 	c.send("API.READ", "k", fmt.Sprintf("%016x", 1), "c=lookup,d=500")
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	done := make(chan error, 1)
-	go func() { done <- s.node.Run(ctx, l) }()
+	go func() { done <- s.node.Run(ctx, listener) }()
 	if got := c.line(); got != "$17" {
-		t.Errorf("%q", got)
+		t.Errorf("reply %q, want $17", got)
 	}
-	other, _, _ := s.startServices(t, nil)
-	cfg.DiscoveryAddress = other
+	cfg.DiscoveryAddress, _, _ = s.startServices(t, nil)
 	s.node.Reload(cfg)
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -18,18 +18,19 @@
 	"flintspread/internal/platform/resp"
 )
 
-// testSite is a fake site with a router that runs until the test stops it.
+// testSite is a fake platform site with a router that runs until the test calls stopNode.
 type testSite struct {
 	*fakes.PlatformSite
 	t           *testing.T
 	node        *Node
-	address     string
-	stopClients chan struct{}
+	address     string        // the router's listening address
+	stopClients chan struct{} // closed to stop the clients
 	clients     sync.WaitGroup
 	incarnation *invariants.Incarnation
-	stopNode    func()
+	stopNode    func() // shuts down the router gracefully and waits until it has ended
 }
 
+// must returns a function that returns v, or fails the test if err is not nil.
 func must[T any](t *testing.T) func(v T, err error) T {
 	return func(v T, err error) T {
 		if err != nil {
@@ -39,15 +40,15 @@
 	}
 }
 
-// startNode runs a router on a site, and the given number of clients.
+// startNode starts a router on a site, and the given number of clients.
 func startNode(t *testing.T, discovery, platform string, clients int, site *testSite) *testSite {
 	return startEditedNode(t, discovery, platform, clients, site, func(*Node) {})
 }
 
-// startEditedNode is like startNode; edit changes the router before it runs.
+// startEditedNode is like startNode, but calls edit on the router before running it.
 func startEditedNode(t *testing.T, discovery, platform string, clients int, site *testSite, edit func(*Node)) *testSite {
-	l := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
-	site.t, site.address, site.stopClients = t, l.Addr().String(), make(chan struct{})
+	listener := must[net.Listener](t)(net.Listen("tcp", "127.0.0.1:0"))
+	site.t, site.address, site.stopClients = t, listener.Addr().String(), make(chan struct{})
 	cfg := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
 	site.node = New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
@@ -55,7 +56,7 @@
 	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.incarnation) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- site.node.Run(ctx, l) }()
+	go func() { done <- site.node.Run(ctx, listener) }()
 	for i := range clients {
 		site.clients.Go(func() { site.Client(i+1, site.address, site.stopClients) })
 	}
@@ -69,25 +70,26 @@
 	return site
 }
 
-// checkInvariants checks the first rules invariants once the clients have ended.
+// checkInvariants waits for the clients to end and checks the first ruleCount invariants.
 func (s *testSite) checkInvariants(ruleCount int) *invariants.Report {
 	s.clients.Wait()
 	s.incarnation.To = s.Clock()
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:ruleCount] {
 		if rule.Broken > 0 {
-			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
+			s.t.Errorf("%s: broken in %d of %d checks: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
 		}
 	}
 	return report
 }
 
-// newSite returns a site with an endpoint of each build. A share of the attempts at baseline endpoints fails.
-func newSite(t *testing.T, badShare float64, builds ...int) *testSite {
+// newSite returns a site with one endpoint for each element of builds. On baseline endpoints, failureShare of the
+// attempts fail.
+func newSite(t *testing.T, failureShare float64, builds ...int) *testSite {
 	s := &testSite{PlatformSite: fakes.NewPlatformSite("n1")}
 	t.Cleanup(s.Close)
 	for i, build := range builds {
-		share := badShare
+		share := failureShare
 		if build == fakes.PlatformSiteCanary {
 			share = 0
 		}
@@ -98,9 +100,11 @@
 	return s
 }
 
-// startServices starts a discovery service and a control service.
-func (s *testSite) startServices(t *testing.T, spoil func() bool) (discovery, platform string, end func()) {
-	discovery, endDiscovery, discoveryErr := s.Discovery(spoil)
+// startServices starts a discovery service and a control service, and returns their addresses. Discovery answers a
+// request with a malformed message if sendMalformed is not nil and returns true. stop ends the discovery service and its
+// connections; the control service only stops accepting connections.
+func (s *testSite) startServices(t *testing.T, sendMalformed func() bool) (discovery, platform string, stop func()) {
+	discovery, endDiscovery, discoveryErr := s.Discovery(sendMalformed)
 	platform, endPlatform, platformErr := s.StartControlService()
 	if err := errors.Join(discoveryErr, platformErr); err != nil {
 		t.Fatal(err)
@@ -112,6 +116,7 @@
 	}
 }
 
+// waitFor blocks until condition holds, and fails the test after 30 s; what names the condition.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -120,14 +125,15 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not within 30 s:", what)
+	t.Fatal("timed out after 30 s waiting for", what)
 }
 
-// silentListener accepts connections and never sends anything; accepted counts them.
+// silentListener returns the address of a listener that accepts connections and never sends anything, and a function
+// that returns the number of accepted connections.
 func silentListener(t *testing.T) (address string, accepted func() int) {
-	var n atomic.Int32
-	l, err := fakes.Serve(func(c net.Conn) {
-		n.Add(1)
+	var count atomic.Int32
+	listener, err := fakes.Serve(func(c net.Conn) {
+		count.Add(1)
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			c.Close()
 		}
@@ -135,11 +141,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l.Addr().String(), func() int { return int(n.Load()) }
+	t.Cleanup(func() { listener.Close() })
+	return listener.Addr().String(), func() int { return int(count.Load()) }
 }
 
-// respClient sends requests and reads reply lines.
+// respClient is a RESP2 client that sends commands and reads replies line by line.
 type respClient struct {
 	net.Conn
 	t      *testing.T
@@ -153,17 +159,19 @@
 	return &respClient{Conn: c, t: s.t, reader: bufio.NewReader(c)}
 }
 
-func (c *respClient) send(words ...string) {
+// send sends one command; args starts with its name.
+func (c *respClient) send(args ...string) {
 	c.t.Helper()
-	buf := resp.AppendArray(nil, len(words))
-	for _, word := range words {
-		buf = resp.AppendBulk(buf, word)
+	buf := resp.AppendArray(nil, len(args))
+	for _, arg := range args {
+		buf = resp.AppendBulk(buf, arg)
 	}
 	if _, err := c.Write(buf); err != nil {
 		c.t.Error(err)
 	}
 }
 
+// line returns the next line, or the text of the error.
 func (c *respClient) line() string {
 	text, err := c.reader.ReadString('\n')
 	if err != nil {
