--- a/internal/platform/control/client.go
+++ b/internal/platform/control/client.go
@@ -1,5 +1,5 @@
-// Package control is the client of the platform's control service. It speaks a line protocol on one connection, on
-// which the platform pushes release states and wrong answers, and on which votes are cast. Client.Run owns the
+// Package control is the client of the platform's control service. It uses a line protocol on one connection, on which
+// the platform pushes release states and reports of wrong answers, and the client casts votes. Client.Run owns the
 // connection and reconnects; Client.Cast may be called from any goroutine.
 package control
 
@@ -21,22 +21,23 @@
 )
 
 const (
-	maxLineBytes = 8 << 10
-	silenceLimit = 3 * time.Second // maximum time without a line; the platform sends one every second
-	dialTimeout  = time.Second
+	maxLineBytes   = 8 << 10
+	silenceTimeout = 3 * time.Second // maximum time without a line; the platform sends a line every second
+	dialTimeout    = time.Second
 
-	// Backoff between connections, in seconds.
+	// Limits of the backoff before reconnecting.
 	backoffMinSeconds = 0.05
 	backoffMaxSeconds = 1.0
-	// A connection that lasted longer than this was a working one, so the backoff starts again from its minimum.
-	backoffResetAfter = 2 * silenceLimit
+	// After a connection that lasted longer than backoffResetAfter, the backoff starts again from its minimum: such a
+	// connection must have received data.
+	backoffResetAfter = 2 * silenceTimeout
 )
 
 // Client is a router's connection to the platform. Its exported fields must be set before Run or Cast. The callbacks
 // must not block. They are called from several goroutines, since a vote's timeout has its own.
 type Client struct {
-	Stages        int           // number of rollout stages
-	VoteTimeout   time.Duration // maximum wait for the reply to a vote
+	StageCount    int           // number of rollout stages
+	VoteTimeout   time.Duration // maximum time to wait for the reply to a vote
 	Log           *slog.Logger
 	OnRelease     func(*releases.Update)
 	OnWrongAnswer func(host string, ageSeconds float64) // an endpoint gave a wrong answer ageSeconds ago
@@ -44,15 +45,15 @@
 
 	mu             sync.Mutex
 	address        string
-	addressChanged chan struct{}
-	conn           *connection // the one in use; nil: none
-	following      bool        // the platform accepted the follow call on conn
-	calls          []*call     // awaiting replies on conn, oldest first
+	addressChanges chan struct{}
+	conn           *connection // current connection; nil if there is none
+	followAccepted bool        // whether the platform accepted the follow call on conn
+	pendingCalls   []*call     // calls on conn without a reply, oldest first
 }
 
-// Open sets the platform's address. It must be called once, before any other method.
-func (c *Client) Open(address string) {
-	c.address, c.addressChanged = address, make(chan struct{}, 1)
+// Init sets the platform's address. It must be called once, before any other method.
+func (c *Client) Init(address string) {
+	c.address, c.addressChanges = address, make(chan struct{}, 1)
 }
 
 // SetAddress moves the client to another address: the new connection is established before the current one is closed.
@@ -66,8 +67,8 @@
 		return
 	}
 	select {
-	case c.addressChanged <- struct{}{}:
-	default: // a change is already pending and will use this address
+	case c.addressChanges <- struct{}{}:
+	default: // a pending change will use this address
 	}
 }
 
@@ -83,10 +84,10 @@
 			attempt = 0
 		}
 		pause := watch.Backoff(attempt, backoffMinSeconds, backoffMaxSeconds, rand.Float64())
-		c.Log.Warn("platform connection ended", "error", err, "retry_in_seconds", pause)
+		c.Log.Warn("no connection to the platform; retrying", "error", err, "retry_in_seconds", pause)
 		select {
 		case <-ctx.Done():
-		case <-c.addressChanged:
+		case <-c.addressChanges:
 		case <-time.After(time.Duration(pause * float64(time.Second))):
 		}
 	}
@@ -96,11 +97,12 @@
 type connection struct {
 	net.Conn
 	reader    *bufio.Reader
-	firstByte chan error    // receives nil once data arrived, or the error
-	ended     chan struct{} // closed when reading has ended
-	err       error         // why reading ended; set before ended is closed
+	firstByte chan error    // receives nil when the first byte arrives, or the error of waiting for it
+	ended     chan struct{} // closed when read has returned
+	err       error         // result of read; set before ended is closed
 }
 
+// connect connects to the current address and sends the follow call.
 func (c *Client) connect(ctx context.Context) (*connection, error) {
 	c.mu.Lock()
 	address := c.address
@@ -120,15 +122,16 @@
 		firstByte: make(chan error, 1),
 		ended:     make(chan struct{}),
 	}
-	conn.SetReadDeadline(time.Now().Add(silenceLimit))
-	go func() { // ends with the connection or at the read deadline
+	conn.SetReadDeadline(time.Now().Add(silenceTimeout))
+	go func() { // ends when data arrives, when the connection is closed or at the read deadline
 		_, err := opened.reader.Peek(1)
 		opened.firstByte <- err
 	}()
 	return opened, nil
 }
 
-// serve follows the platform on one connection, and on those that replace it after a change of address, until one ends.
+// serve follows the platform on one connection, and on those that replace it after changes of the address. It returns
+// an error when a connection ends without a replacement, when connecting fails, or when ctx ends.
 func (c *Client) serve(ctx context.Context) error {
 	current, err := c.connect(ctx)
 	if err != nil {
@@ -140,7 +143,7 @@
 	case err = <-current.firstByte:
 	}
 	for err == nil {
-		c.use(current)
+		c.activate(current)
 		go func(conn *connection) {
 			conn.err = c.read(conn)
 			close(conn.ended)
@@ -157,12 +160,12 @@
 	return err
 }
 
-// replacement blocks until the address changes, and returns a connection to the new address once data arrived on it.
-// The current connection is read until then, so that no push is lost. It returns an error if the current connection
-// ends without a replacement, if connecting to the new address fails, or if ctx ends.
+// replacement blocks until the address changes, and returns a connection to the new address once data has arrived on
+// it. The current connection is read until then, so that no push is lost. It returns an error if the current connection
+// ends before the address changes, if connecting to the new address or waiting for its data fails, or if ctx ends.
 func (c *Client) replacement(ctx context.Context, current *connection) (*connection, error) {
 	var next *connection
-	var firstByte chan error // of next; nil blocks forever
+	var firstByte chan error // that of next; while nil, receiving from it blocks
 	ended := current.ended
 	for {
 		select {
@@ -175,14 +178,14 @@
 			if next == nil {
 				return nil, current.err
 			}
-			ended = nil // still wait for next
+			ended = nil // wait only for next from now on
 		case err := <-firstByte:
 			if err != nil {
 				next.Close()
 				return nil, err
 			}
 			return next, nil
-		case <-c.addressChanged:
+		case <-c.addressChanges:
 			if next != nil {
 				next.Close()
 			}
@@ -195,21 +198,20 @@
 	}
 }
 
-// use makes a connection the current one. Votes are cast on it once its follow call is accepted.
-func (c *Client) use(conn *connection) {
+// activate makes conn the current connection. Votes can be cast on it once the platform has accepted its follow call.
+func (c *Client) activate(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.conn, c.following, c.calls = conn, false, []*call{{follow: true}}
+	c.conn, c.followAccepted, c.pendingCalls = conn, false, []*call{{isFollow: true}}
 }
 
-// abandon closes a connection. Votes on it without a reply are reported as VoteUnknown, since they may have been
-// counted.
+// abandon closes conn. The result of its votes without a reply is VoteUnknown, since the platform may have counted them.
 func (c *Client) abandon(conn *connection) {
 	conn.Close()
 	c.mu.Lock()
-	unanswered := c.calls
+	unanswered := c.pendingCalls
 	if c.conn == conn {
-		c.conn, c.calls = nil, nil
+		c.conn, c.pendingCalls = nil, nil
 	}
 	c.mu.Unlock()
 	for _, call := range unanswered {
@@ -217,8 +219,8 @@
 	}
 }
 
-// read handles a connection's lines until it ends. A malformed line ends it, since later replies could be matched to
-// the wrong calls.
+// read handles the lines on conn until the connection ends. A malformed line is an error, since later replies could be
+// matched to the wrong calls.
 func (c *Client) read(conn *connection) error {
 	for {
 		line, err := readLine(conn)
@@ -231,23 +233,24 @@
 	}
 }
 
+// readLine returns the next line without its CRLF.
 func readLine(conn *connection) (string, error) {
-	conn.SetReadDeadline(time.Now().Add(silenceLimit))
+	conn.SetReadDeadline(time.Now().Add(silenceTimeout))
 	text, err := conn.reader.ReadSlice('\n')
 	if err != nil {
 		return "", err
 	}
 	line, ok := strings.CutSuffix(string(text), "\r\n")
 	if !ok {
-		return "", errors.New("a line that does not end in CRLF")
+		return "", errors.New("line does not end in CRLF")
 	}
 	return line, nil
 }
 
-// handle parses a line and calls the callbacks for what it contains.
+// handle parses a line, calls the callbacks for its contents, and finishes the call that it replies to.
 func (c *Client) handle(conn *connection, line string) error {
 	oldest := c.oldestCall(conn)
-	message, err := Parse(line, c.Stages, oldest != nil && oldest.follow)
+	message, err := ParseLine(line, c.StageCount, oldest != nil && oldest.isFollow)
 	if err != nil {
 		return err
 	}
@@ -260,8 +263,8 @@
 	if !message.IsReply {
 		return nil
 	}
-	if oldest == nil || oldest.follow && !message.FollowAccepted {
-		return errors.New("answers nothing")
+	if oldest == nil || oldest.isFollow && !message.FollowAccepted {
+		return errors.New("unexpected reply: no call is pending, or the platform rejected the follow call")
 	}
 	c.removeOldestCall(conn)
 	c.finish(oldest, message.VoteReply, line)
--- a/internal/platform/control/client_test.go
+++ b/internal/platform/control/client_test.go
@@ -16,13 +16,14 @@
 	"flintspread/internal/releases"
 )
 
-// fakePlatform is a platform with scripted replies.
+// fakePlatform is a fake control service that records the lines it receives.
 type fakePlatform struct {
 	listener net.Listener
 	mu       sync.Mutex
 	received []string
 }
 
+// startPlatform starts a fake platform that passes each received line to reply.
 func startPlatform(t *testing.T, reply func(c net.Conn, line string)) *fakePlatform {
 	platform := &fakePlatform{}
 	var err error
@@ -39,6 +40,7 @@
 	return platform
 }
 
+// count returns the number of received lines that start with prefix.
 func (p *fakePlatform) count(prefix string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,16 +52,17 @@
 	return n
 }
 
-// startClient runs a client and returns it with a channel of its callbacks' calls, in order.
+// startClient runs a client with 2 rollout stages, and returns it with a channel that receives a text for each callback
+// that the client calls, in order.
 func startClient(t *testing.T, platform *fakePlatform) (*Client, chan string) {
 	events := make(chan string, 1000)
-	client := &Client{Stages: 2, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	client := &Client{StageCount: 2, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		OnRelease: func(update *releases.Update) {
 			events <- fmt.Sprintf("release %d %d %s", update.Build, update.Stage, update.Phase)
 		},
 		OnWrongAnswer: func(host string, age float64) { events <- fmt.Sprintf("wrong answer %s %g", host, age) },
-		OnVoteReply:   func(_ releases.Vote, reply policy.VoteReply) { events <- fmt.Sprintf("vote %d", reply) }}
-	client.Open(platform.listener.Addr().String())
+		OnVoteReply:   func(_ releases.Vote, reply policy.VoteReply) { events <- "vote " + replyNames[reply] }}
+	client.Init(platform.listener.Addr().String())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { client.Run(ctx); close(done) }()
@@ -67,6 +70,7 @@
 	return client, events
 }
 
+// next returns the text of the next callback.
 func next(t *testing.T, events chan string) string {
 	t.Helper()
 	select {
@@ -78,33 +82,41 @@
 	return ""
 }
 
-// send writes to a client, which may have closed the connection.
+// expect fails the test unless the next callback's text is want.
+func expect(t *testing.T, events chan string, want string) {
+	t.Helper()
+	if got := next(t, events); got != want {
+		t.Errorf("callback %q, want %q", got, want)
+	}
+}
+
+// send writes to a client, and closes the connection if the client has already closed it.
 func send(conn net.Conn, text string) {
 	if _, err := io.WriteString(conn, text); err != nil {
 		conn.Close()
 	}
 }
 
-// stateFields is a release state, as it appears at the end of lines.
+// stateFields holds the fields of a release state, followed by the end of the line.
 const stateFields = "42 1 trial 0.28 310\r\n"
 
-// Each reply to a vote is interpreted correctly and the client continues, on a new connection if a line was malformed.
+// OnVoteReply receives the result of each kind of reply to a vote. The client reconnects only after a malformed line.
 func TestVoteReplies(t *testing.T) {
 	for _, c := range []struct {
 		reply      string
-		want       string
-		reconnects bool // the connection can't be used further
+		want       string // texts of the callbacks, separated by slashes
+		reconnects bool
 	}{
-		{"OK " + stateFields, "release 42 1 on-trial/vote 0", false},
-		{"* progress " + stateFields + "OK " + stateFields, "release 42 1 on-trial/release 42 1 on-trial/vote 0", false},
-		{"ERR ConditionFailed\r\n", "vote 1", false},
-		{"ERR Throttling\r\n", "vote 2", false},
-		{"ERR InternalFailure\r\n", "vote 2", false},
-		{"OK 42 1 tri\r\n", "vote 3", true},
-		{"%&/\r\n", "vote 3", true},
-		{"OK 42 1 trial 0.28 310\n", "vote 3", true},
-		{strings.Repeat("x", 9000), "vote 3", true},
-		{"", "vote 3", false}, // no reply in time; a late one is not taken for the next vote's
+		{"OK " + stateFields, "release 42 1 on-trial/vote counted", false},
+		{"* progress " + stateFields + "OK " + stateFields, "release 42 1 on-trial/release 42 1 on-trial/vote counted", false},
+		{"ERR ConditionFailed\r\n", "vote moot", false},
+		{"ERR Throttling\r\n", "vote refused", false},
+		{"ERR InternalFailure\r\n", "vote refused", false},
+		{"OK 42 1 tri\r\n", "vote unknown", true},
+		{"%&/\r\n", "vote unknown", true},
+		{"OK 42 1 trial 0.28 310\n", "vote unknown", true},
+		{strings.Repeat("x", 9000), "vote unknown", true},
+		{"", "vote unknown", false}, // no reply before the timeout
 	} {
 		platform := startPlatform(t, func(conn net.Conn, line string) {
 			if line == "follow" {
@@ -115,7 +127,7 @@
 		})
 		client, events := startClient(t, platform)
 		if got := next(t, events); got != "release 42 1 on-trial" {
-			t.Fatal(got)
+			t.Fatalf("callback %q after the follow call", got)
 		}
 		client.Cast(releases.Vote{Build: 42, Stage: 1, Verdict: policy.VotePromote})
 		for _, want := range strings.Split(c.want, "/") {
@@ -128,26 +140,26 @@
 				t.Errorf("%.40q: %s on connection %d", c.reply, got, platform.count("follow"))
 			}
 		} else if platform.count("follow") != 1 {
-			t.Errorf("%.40q: %d connections", c.reply, platform.count("follow"))
+			t.Errorf("%.40q: %d connections, want 1", c.reply, platform.count("follow"))
 		}
 		if platform.count("judge 42 1 PROCEED") != 1 {
-			t.Errorf("%q", platform.received)
+			t.Errorf("the platform received %q, want one vote", platform.received)
 		}
 	}
 }
 
-// A vote's late reply is not the next vote's; a vote without a connection is refused.
-func TestLateReplyBelongsToItsVote(t *testing.T) {
+// A reply that arrives after its vote's timeout is not matched to the next vote. A vote without a connection is refused.
+func TestLateReplyAndMissingConnection(t *testing.T) {
 	var mu sync.Mutex
-	held := false
+	firstVoteReceived := false // its reply is delayed until the second vote
 	platform := startPlatform(t, func(conn net.Conn, line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case line == "follow":
 			send(conn, "OK\r\n* progress "+stateFields)
-		case !held:
-			held = true
+		case !firstVoteReceived:
+			firstVoteReceived = true
 		default:
 			send(conn, "ERR Throttling\r\nERR ConditionFailed\r\n")
 		}
@@ -155,85 +167,73 @@
 	client, events := startClient(t, platform)
 	next(t, events)
 	client.Cast(releases.Vote{Build: 42, Verdict: policy.VotePromote})
-	if got := next(t, events); got != "vote 3" {
-		t.Error(got)
-	}
+	expect(t, events, "vote unknown")
 	client.Cast(releases.Vote{Build: 42, Verdict: policy.VoteRollback})
-	if got := next(t, events); got != "vote 1" {
-		t.Error("the second vote got the first one's reply:", got)
+	if got := next(t, events); got != "vote moot" {
+		t.Errorf("the second vote got %q, want its own reply", got)
 	}
 	unconnected := &Client{VoteTimeout: time.Second, Log: client.Log, OnVoteReply: client.OnVoteReply}
-	unconnected.Open("127.0.0.1:1")
+	unconnected.Init("127.0.0.1:1")
 	unconnected.Cast(releases.Vote{})
-	if got := next(t, events); got != "vote 2" {
-		t.Error(got)
-	}
+	expect(t, events, "vote refused")
 }
 
-// At a change of address the new connection is established before the old one is closed, even if the address changes
-// again immediately.
+// After a change of address, the client follows the platform at the new address. If the address changes twice in quick
+// succession, it follows the last one.
 func TestAddressChange(t *testing.T) {
 	follow := func(build int) func(net.Conn, string) {
 		return func(conn net.Conn, line string) {
 			fmt.Fprintf(conn, "OK\r\n* progress %d 0 trial 0.5 0\r\n", build)
 		}
 	}
-	a, b, c := startPlatform(t, follow(1)), startPlatform(t, follow(2)), startPlatform(t, follow(3))
-	client, events := startClient(t, a)
-	if got := next(t, events); got != "release 1 0 on-trial" {
-		t.Error(got)
-	}
-	client.SetAddress(b.listener.Addr().String())
-	client.SetAddress(c.listener.Addr().String())
+	first, second, third := startPlatform(t, follow(1)), startPlatform(t, follow(2)), startPlatform(t, follow(3))
+	client, events := startClient(t, first)
+	expect(t, events, "release 1 0 on-trial")
+	client.SetAddress(second.listener.Addr().String())
+	client.SetAddress(third.listener.Addr().String())
 	for got := ""; got != "release 3 0 on-trial"; {
 		got = next(t, events)
 	}
-	client.SetAddress(c.listener.Addr().String())
-	client.SetAddress(a.listener.Addr().String())
-	for got := ""; got != "release 1 0 on-trial"; { // "release 3" may arrive twice: either change connects to c
+	client.SetAddress(third.listener.Addr().String())
+	client.SetAddress(first.listener.Addr().String())
+	for got := ""; got != "release 1 0 on-trial"; { // "release 3" may arrive twice, since either change may connect to third
 		if got = next(t, events); got == "release 2 0 on-trial" {
-			t.Error("back at the second")
+			t.Error("the client connected to the second address again")
 		}
 	}
 }
 
-// The current connection is used until data arrives on the next one, which the client still waits for if the current
-// one ends. A connection that goes silent is closed, and the client reconnects.
+// The client uses the current connection until data arrives on the next one, and waits for that data even if the current
+// connection ends. It closes a connection that stays silent, and reconnects.
 func TestAddressChangeToSilentPlatform(t *testing.T) {
 	var mu sync.Mutex
-	var present net.Conn
-	a := startPlatform(t, func(conn net.Conn, line string) {
+	var current net.Conn
+	first := startPlatform(t, func(conn net.Conn, line string) {
 		mu.Lock()
 		defer mu.Unlock()
-		present = conn
+		current = conn
 		send(conn, "OK\r\n* progress 1 0 trial 0.5 0\r\n")
 	})
-	gate := make(chan struct{})
+	gate := make(chan struct{}) // closed to let the silent platform reply
 	silent := startPlatform(t, func(conn net.Conn, line string) {
 		<-gate
 		send(conn, "OK\r\n* progress 3 0 trial 0.5 0\r\n")
 	})
-	client, events := startClient(t, a)
-	if got := next(t, events); got != "release 1 0 on-trial" {
-		t.Error(got)
-	}
+	client, events := startClient(t, first)
+	expect(t, events, "release 1 0 on-trial")
 	client.SetAddress(silent.listener.Addr().String())
 	for silent.count("follow") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	mu.Lock()
-	send(present, "* progress 2 0 trial 0.5 0\r\n")
+	send(current, "* progress 2 0 trial 0.5 0\r\n")
 	mu.Unlock()
-	if got := next(t, events); got != "release 2 0 on-trial" {
-		t.Error(got)
-	}
+	expect(t, events, "release 2 0 on-trial")
 	mu.Lock()
-	present.Close()
+	current.Close()
 	mu.Unlock()
 	close(gate)
-	if got := next(t, events); got != "release 3 0 on-trial" {
-		t.Error(got)
-	}
+	expect(t, events, "release 3 0 on-trial")
 	// Nothing more arrives: the client closes the silent connection and reconnects.
 	if got := next(t, events); got != "release 3 0 on-trial" || silent.count("follow") < 2 {
 		t.Errorf("%s on connection %d", got, silent.count("follow"))
--- a/internal/platform/control/protocol.go
+++ b/internal/platform/control/protocol.go
@@ -11,38 +11,43 @@
 	"flintspread/internal/releases"
 )
 
-// The platform's lines end in CRLF, and their fields are separated by one space. A line that starts with pushMark is a
-// push; any other line is the reply to the oldest pending call.
+// The platform's lines end in CRLF, and their fields are separated by one space. A line whose first field is pushPrefix
+// is a push, or a heartbeat if that is its only field; any other line is the reply to the oldest pending call.
 const (
-	pushMark        = "*"
+	pushPrefix      = "*"
 	progressPush    = "progress"  // * progress BUILD STAGE PHASE CAP AGE_MS
 	wrongAnswerPush = "complaint" // * complaint HOST CLASS AGE_MS
 	metricsPush     = "metrics"   // * metrics BUILD CLASS N N N N
 	okReply         = "OK"
 	errorReply      = "ERR"
 
-	progressFields    = 5 // number of fields of a release state
-	wrongAnswerFields = 3
-	metricsFields     = 6
+	progressFieldCount    = 5 // BUILD STAGE PHASE CAP AGE_MS, which a reply to a vote also contains
+	wrongAnswerFieldCount = 3
+	metricsFieldCount     = 6
 )
 
-// phaseNames maps the platform's words to the phases of a releases.Update.
-var phaseNames = map[string]string{"trial": "on-trial", "rolling_back": "going-back", "released": "released", "withdrawn": "withdrawn"}
+// phaseByWord maps the platform's words for phases to the phases of a releases.Update.
+var phaseByWord = map[string]string{
+	"trial":        "on-trial",
+	"rolling_back": "going-back",
+	"released":     "released",
+	"withdrawn":    "withdrawn",
+}
 
-// verdictWords holds the platform's words, indexed by policy.Verdict.
+// verdictWords holds the platform's words for verdicts, indexed by policy.Verdict.
 var verdictWords = [...]string{"WITHDRAW", "PROCEED", "HOLD", "ROLLBACK"}
 
-// errorReplies maps the platform's errors to their meaning for a vote.
-var errorReplies = map[string]policy.VoteReply{
+// voteReplyByError maps the errors that the platform may reply to a vote to the policy's replies.
+var voteReplyByError = map[string]policy.VoteReply{
 	"Throttling":      policy.VoteRefused,
 	"ConditionFailed": policy.VoteMoot,
 	"InternalFailure": policy.VoteRefused,
 	"ValidationError": policy.VoteRefused,
 }
 
-// ParseRelease parses a release state in the JSON form of the platform's configuration file. It returns nil without an
-// error if there is none. stages is the number of rollout stages.
-func ParseRelease(text []byte, stages int) (*releases.Update, error) {
+// ParseRelease parses a release state in the JSON format of the platform's configuration file. If text is empty or null,
+// it returns nil without an error.
+func ParseRelease(text []byte, stageCount int) (*releases.Update, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
 	}
@@ -56,98 +61,107 @@
 	if err := json.Unmarshal(text, &state); err != nil {
 		return nil, err
 	}
-	return newUpdate(state.Build, state.Stage, state.Phase, state.CanaryLimit, state.AgeMilliseconds, stages)
+	return newUpdate(state.Build, state.Stage, state.Phase, state.CanaryLimit, state.AgeMilliseconds, stageCount)
 }
 
-func newUpdate(build, stage int, phaseWord string, canaryLimit, ageMilliseconds float64, stages int) (*releases.Update, error) {
-	phase, ok := phaseNames[phaseWord]
+// newUpdate returns a validated update from the fields of a release state.
+func newUpdate(build, stage int, phaseWord string, canaryLimit, ageMilliseconds float64, stageCount int) (*releases.Update, error) {
+	phase, ok := phaseByWord[phaseWord]
 	if !ok {
 		return nil, fmt.Errorf("unknown phase %.32q", phaseWord)
 	}
-	update := &releases.Update{Build: build, Stage: stage, Phase: phase, CanaryLimit: canaryLimit, AgeSeconds: ageMilliseconds / 1000}
-	return update, update.Check(stages)
+	update := &releases.Update{
+		Build:       build,
+		Stage:       stage,
+		Phase:       phase,
+		CanaryLimit: canaryLimit,
+		AgeSeconds:  ageMilliseconds / 1000,
+	}
+	return update, update.Check(stageCount)
 }
 
 // parseProgress parses the fields BUILD STAGE PHASE CAP AGE_MS of a release state.
-func parseProgress(fields []string, stages int) (*releases.Update, error) {
-	if len(fields) != progressFields {
-		return nil, fmt.Errorf("a release state of %d fields", len(fields))
+func parseProgress(fields []string, stageCount int) (*releases.Update, error) {
+	if len(fields) != progressFieldCount {
+		return nil, fmt.Errorf("release state has %d fields instead of %d", len(fields), progressFieldCount)
 	}
 	build, buildErr := strconv.ParseUint(fields[0], 10, 16)
 	stage, stageErr := strconv.Atoi(fields[1])
 	canaryLimit, limitErr := strconv.ParseFloat(fields[3], 64)
-	age, ageErr := strconv.ParseFloat(fields[4], 64)
+	ageMilliseconds, ageErr := strconv.ParseFloat(fields[4], 64)
 	if err := errors.Join(buildErr, stageErr, limitErr, ageErr); err != nil {
 		return nil, err
 	}
-	return newUpdate(int(build), stage, fields[2], canaryLimit, age, stages)
+	return newUpdate(int(build), stage, fields[2], canaryLimit, ageMilliseconds, stageCount)
 }
 
-// Message is a parsed line of the platform. The zero Message is a heartbeat, or a push that the router does not use.
+// Message is a parsed line from the platform. A heartbeat and a push that the router does not use are the zero Message.
 type Message struct {
-	Release                    *releases.Update // state of the newest build; nil: not in this line
-	WrongAnswerHost            string           // endpoint that gave a wrong answer; "": not in this line
+	Release                    *releases.Update // state of the newest build; nil if the line has none
+	WrongAnswerHost            string           // endpoint that gave a wrong answer; "" if the line has none
 	WrongAnswerAgeMilliseconds float64
-	IsReply                    bool             // the line replies to the oldest pending call
-	VoteReply                  policy.VoteReply // valid for the reply to a vote
-	FollowAccepted             bool             // the line accepts the follow call
+	IsReply                    bool             // whether the line is the reply to the oldest pending call
+	VoteReply                  policy.VoteReply // set if the line is the reply to a vote
+	FollowAccepted             bool             // whether the line accepts the follow call
 }
 
-// Parse parses one line without its CRLF. expectFollow says that the oldest pending call is the follow call. An error
-// means that the line is malformed or unexpected.
-func Parse(line string, stages int, expectFollow bool) (Message, error) {
+// ParseLine parses one line without its CRLF. stageCount is the number of rollout stages; expectFollow tells whether the
+// oldest pending call is the follow call. An error means that the line is malformed or unexpected.
+func ParseLine(line string, stageCount int, expectFollow bool) (Message, error) {
 	fields := strings.Split(line, " ")
 	switch {
-	case line == pushMark:
+	case line == pushPrefix:
 		return Message{}, nil
-	case fields[0] == pushMark:
-		return parsePush(fields[1], fields[2:], stages)
+	case fields[0] == pushPrefix:
+		return parsePush(fields[1], fields[2:], stageCount)
 	default:
-		return parseReply(fields, stages, expectFollow)
+		return parseReply(fields, stageCount, expectFollow)
 	}
 }
 
-func parsePush(kind string, fields []string, stages int) (message Message, err error) {
+func parsePush(kind string, fields []string, stageCount int) (message Message, err error) {
 	switch {
-	case kind == progressPush && len(fields) == progressFields:
-		message.Release, err = parseProgress(fields, stages)
-	case kind == wrongAnswerPush && len(fields) == wrongAnswerFields:
+	case kind == progressPush && len(fields) == progressFieldCount:
+		message.Release, err = parseProgress(fields, stageCount)
+	case kind == wrongAnswerPush && len(fields) == wrongAnswerFieldCount:
 		message.WrongAnswerHost = fields[0]
 		message.WrongAnswerAgeMilliseconds, err = parseAge(fields[2])
-	case kind == metricsPush && len(fields) == metricsFields:
+	case kind == metricsPush && len(fields) == metricsFieldCount:
 		err = checkMetrics(fields)
 	default:
-		err = errors.New("a push of an unknown kind")
+		err = fmt.Errorf("invalid push %.32q with %d fields", kind, len(fields))
 	}
 	return message, err
 }
 
-func parseReply(fields []string, stages int, expectFollow bool) (Message, error) {
+func parseReply(fields []string, stageCount int, expectFollow bool) (Message, error) {
 	switch {
 	case fields[0] == errorReply && len(fields) == 2:
-		reply, ok := errorReplies[fields[1]]
+		reply, ok := voteReplyByError[fields[1]]
 		if !ok {
-			return Message{}, errors.New("unknown error")
+			return Message{}, fmt.Errorf("unknown error %.32q", fields[1])
 		}
 		return Message{IsReply: true, VoteReply: reply}, nil
 	case expectFollow && fields[0] == okReply && len(fields) == 1:
 		return Message{IsReply: true, FollowAccepted: true}, nil
 	case !expectFollow && fields[0] == okReply:
-		state, err := parseProgress(fields[1:], stages)
+		state, err := parseProgress(fields[1:], stageCount)
 		return Message{IsReply: true, VoteReply: policy.VoteCounted, Release: state}, err
 	}
-	return Message{}, errors.New("no reply of the platform")
+	return Message{}, errors.New("neither a push nor a valid reply")
 }
 
+// parseAge parses an age in milliseconds.
 func parseAge(field string) (float64, error) {
 	age, err := strconv.ParseFloat(field, 64)
 	if err == nil && !(age >= 0) { // rejects NaN, too
-		err = fmt.Errorf("age %v", age)
+		err = fmt.Errorf("age %v ms is not a number of at least 0", age)
 	}
 	return age, err
 }
 
-// checkMetrics validates the platform's own counts. They are not used, since the policy keeps its own.
+// checkMetrics validates the fields of a metrics push. The router does not use the platform's counts, since the policy
+// keeps its own.
 func checkMetrics(fields []string) error {
 	for i, field := range fields {
 		if i == 1 { // the request class
--- a/internal/platform/control/protocol_test.go
+++ b/internal/platform/control/protocol_test.go
@@ -7,21 +7,22 @@
 	"flintspread/internal/releases"
 )
 
+// releaseText formats the fields of an update, except those that the platform does not send.
 func releaseText(update *releases.Update) string {
 	return fmt.Sprint(update.Build, update.Stage, " ", update.Phase, " ", update.CanaryLimit, update.AgeSeconds)
 }
 
-func TestParse(t *testing.T) {
+func TestParseLine(t *testing.T) {
 	for _, c := range []struct {
 		line         string
 		expectFollow bool
 		want         string
 	}{
 		{"* progress 42 1 trial 0.28 310", false, "state 42 1 on-trial 0.28 0.31"},
-		{"*", false, "quiet"},
-		{"* metrics 42 lookup 57 2 18.5 900", false, "quiet"},
+		{"*", false, "nothing"},
+		{"* metrics 42 lookup 57 2 18.5 900", false, "nothing"},
 		{"* complaint s-5be2a07c lookup 1200", false, "s-5be2a07c 1200"},
-		{"OK", true, "following"},
+		{"OK", true, "follow accepted"},
 		{"OK 42 1 released 1.0 0", false, "counted state 42 1 released 1 0"},
 		{"ERR Throttling", false, "refused"},
 		{"ERR ConditionFailed", false, "moot"},
@@ -29,12 +30,12 @@
 		{"ERR ValidationError", false, "refused"},
 	} {
 		got := ""
-		message, err := Parse(c.line, 2, c.expectFollow)
+		message, err := ParseLine(c.line, 2, c.expectFollow)
 		switch {
 		case err != nil:
 			got = err.Error()
 		case message.FollowAccepted:
-			got = "following"
+			got = "follow accepted"
 		case message.WrongAnswerHost != "":
 			got = fmt.Sprint(message.WrongAnswerHost, " ", message.WrongAnswerAgeMilliseconds)
 		case message.IsReply:
@@ -45,17 +46,18 @@
 		case message.Release != nil:
 			got = "state " + releaseText(message.Release)
 		default:
-			got = "quiet"
+			got = "nothing"
 		}
 		if got != c.want {
 			t.Errorf("%q: %s, want %s", c.line, got, c.want)
 		}
 	}
+	// Malformed lines, and an acceptance of the follow call while a vote is pending.
 	for _, malformed := range []string{"", "OK", "OK 42", "OK 42 1 trial 0.28", "OK 42 1 trial 0.28 310 7", "OK 42 2 trial 0.28 310", "OK -1 0 trial 0.28 310",
 		"OK 42 1 trail 0.28 310", "OK 42 1 trial 1.28 310", "OK 42 1 trial NaN 310", "OK 42 1 trial 0.28 -1", "ERR", "ERR Throttled", "ok 42 1 trial 0.28 310",
 		"* progress 42 1 trial 0.28", "* progress 42 1 trial 0.28 x", "* complaint s1 lookup", "* complaint s1 lookup x", "* gossip", "* metrics a b c d e f", "\x00\xff"} {
-		if got, err := Parse(malformed, 2, false); err == nil {
-			t.Errorf("%q was read as %+v", malformed, got)
+		if got, err := ParseLine(malformed, 2, false); err == nil {
+			t.Errorf("%q was parsed as %+v, want an error", malformed, got)
 		}
 	}
 }
@@ -65,9 +67,9 @@
 		f.Add(s, false)
 	}
 	f.Fuzz(func(t *testing.T, line string, expectFollow bool) {
-		message, err := Parse(line, 3, expectFollow)
+		message, err := ParseLine(line, 3, expectFollow)
 		if err == nil && message.Release != nil && message.Release.Check(3) != nil {
-			t.Fatalf("%q gave %+v", line, message.Release)
+			t.Fatalf("%q was parsed as the invalid release state %+v", line, message.Release)
 		}
 	})
 }
--- a/internal/platform/control/votes.go
+++ b/internal/platform/control/votes.go
@@ -10,41 +10,41 @@
 	"flintspread/internal/releases"
 )
 
-// voteWriteTimeout bounds the write of a vote, which happens under Client.mu. The kernel accepts a few bytes at once if
-// the platform reads.
+// voteWriteTimeout is the timeout for writing a vote, which is done while Client.mu is held. A vote is a few bytes, which
+// the kernel accepts immediately unless the platform has stopped reading.
 const voteWriteTimeout = 100 * time.Millisecond
 
-// replyNames holds the log values, indexed by policy.VoteReply.
+// replyNames holds the names for the log, indexed by policy.VoteReply.
 var replyNames = [...]string{"counted", "moot", "refused", "unknown"}
 
-// call is a pending request to the platform: the follow call or a vote.
+// call is a request to the platform: the follow call or a vote.
 type call struct {
-	follow   bool
+	isFollow bool
 	vote     releases.Vote
 	timeout  *time.Timer // nil for the follow call
-	reported bool        // OnVoteReply was called for it
+	finished bool        // OnVoteReply was called for the vote
 }
 
-// Cast casts a vote and does not wait for its reply; OnVoteReply receives it. Without a connection on which the
-// platform accepted the follow call, the vote is refused, and the policy casts it again. The write may block for
-// voteWriteTimeout.
+// Cast casts a vote without waiting for the reply, which OnVoteReply receives. If there is no connection on which the
+// platform has accepted the follow call, the reply is VoteRefused, and the policy casts the vote again. Writing the vote
+// may block for voteWriteTimeout.
 func (c *Client) Cast(vote releases.Vote) {
-	cast := &call{vote: vote}
-	cast.timeout = time.AfterFunc(c.VoteTimeout, func() {
-		c.finish(cast, policy.VoteUnknown, "no answer in time")
+	pending := &call{vote: vote}
+	pending.timeout = time.AfterFunc(c.VoteTimeout, func() {
+		c.finish(pending, policy.VoteUnknown, "no reply before the timeout")
 	})
 	c.mu.Lock()
 	conn := c.conn
-	if conn == nil || !c.following {
+	if conn == nil || !c.followAccepted {
 		c.mu.Unlock()
-		go c.finish(cast, policy.VoteRefused, "no connection")
+		go c.finish(pending, policy.VoteRefused, "no connection")
 		return
 	}
-	c.calls = append(c.calls, cast)
+	c.pendingCalls = append(c.pendingCalls, pending)
 	err := writeVote(conn, vote)
 	c.mu.Unlock()
 	if err != nil {
-		conn.Close() // ends read, which leads to abandon and VoteUnknown
+		conn.Close() // makes read return, after which abandon finishes the vote with VoteUnknown
 	}
 }
 
@@ -54,39 +54,39 @@
 	return err
 }
 
-// oldestCall returns the call that the next reply on a connection belongs to, or nil if there is none.
+// oldestCall returns the oldest pending call on conn, to which the next reply belongs, or nil if there is none.
 func (c *Client) oldestCall(conn *connection) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != conn || len(c.calls) == 0 {
+	if c.conn != conn || len(c.pendingCalls) == 0 {
 		return nil
 	}
-	return c.calls[0]
+	return c.pendingCalls[0]
 }
 
-// removeOldestCall removes the call that got its reply. The first one is the follow call, after which votes may be
-// cast.
+// removeOldestCall removes the oldest pending call on conn, which has received its reply. The first call of a connection
+// is the follow call; votes can be cast once it is accepted.
 func (c *Client) removeOldestCall(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == conn {
-		c.calls = slices.Delete(c.calls, 0, 1)
-		c.following = true
+		c.pendingCalls = slices.Delete(c.pendingCalls, 0, 1)
+		c.followAccepted = true
 	}
 }
 
-// finish calls OnVoteReply for a vote. Later calls for the same vote do nothing, since a reply may arrive after the
-// timeout. It does nothing for the follow call.
-func (c *Client) finish(ended *call, reply policy.VoteReply, reason string) {
+// finish logs the result of a vote and calls OnVoteReply. A repeated finish of the same vote does nothing, since a reply
+// may arrive after the timeout. For the follow call, finish does nothing.
+func (c *Client) finish(call *call, reply policy.VoteReply, reason string) {
 	c.mu.Lock()
-	ignore := ended.reported || ended.follow
-	ended.reported = true
+	ignore := call.finished || call.isFollow
+	call.finished = true
 	c.mu.Unlock()
 	if ignore {
 		return
 	}
-	ended.timeout.Stop()
-	vote := ended.vote
+	call.timeout.Stop()
+	vote := call.vote
 	c.Log.Info("vote reply", "build", vote.Build, "stage", vote.Stage, "verdict", verdictWords[vote.Verdict],
 		"reply", replyNames[reply], "reason", reason)
 	c.OnVoteReply(vote, reply)
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -81,14 +81,14 @@
 	}
 	n.watches, n.stopWatches = context.WithCancel(context.Background())
 	n.platform = &control.Client{
-		Stages:        len(policyConfig.StageShares),
+		StageCount:    len(policyConfig.StageShares),
 		VoteTimeout:   toDuration(policyConfig.VoteTimeoutSeconds),
 		Log:           log,
 		OnRelease:     n.applyRelease,
 		OnWrongAnswer: n.reportWrongAnswer,
 		OnVoteReply:   func(_ releases.Vote, reply policy.VoteReply) { n.proxy.OnVoteReply(reply) },
 	}
-	n.platform.Open(cfg.PlatformAddress)
+	n.platform.Init(cfg.PlatformAddress)
 	n.proxy = proxy.NewRESP(proxySettings(cfg, policyConfig, limits), cfg.Seed, log, n.castVote)
 	if cfg.Release != nil {
 		n.applyRelease(cfg.Release)
