--- a/internal/platform/discovery/message.go
+++ b/internal/platform/discovery/message.go
@@ -1,5 +1,5 @@
-// Package discovery parses the endpoint list as sent by the platform's discovery service, and assigns the numeric ids
-// of hosts and zones that the policy uses. It does no I/O and has no locks. Times are seconds unless a name says
+// Package discovery parses the endpoint list that the platform's discovery service sends, and assigns the numeric IDs
+// that the policy uses for hosts and zones. It does no I/O and has no locks. Times are in seconds unless a name says
 // otherwise.
 package discovery
 
@@ -12,10 +12,10 @@
 	"flintspread/internal/endpoints"
 )
 
-// Message is one message of the discovery service: the full list, or the members that changed.
+// Message is one message of the discovery service: the full list of members, or those that changed.
 type Message struct {
-	Version uint64   `json:"seq"`
-	Full    bool     `json:"whole"`
+	Version uint64   `json:"seq"`   // version of the endpoint list after this message
+	Full    bool     `json:"whole"` // whether Members is the full list
 	Members []Member `json:"hosts"`
 }
 
@@ -24,23 +24,23 @@
 	Host                  string  `json:"host"`
 	Address               string  `json:"dial"` // HOST:PORT
 	Zone                  string  `json:"site"`
-	Cell                  float64 `json:"block"`
+	Cell                  float64 `json:"block"`  // number, from 0
 	Health                string  `json:"health"` // SERVING, DRAINING or DELETED
 	Weight                float64 `json:"share"`
-	StartedAtMilliseconds float64 `json:"born_ms"` // Unix time
+	StartedAtMilliseconds float64 `json:"born_ms"` // start of the endpoint, as Unix time
 	Build                 float64 `json:"image_id"`
 }
 
-const maxHostBytes = 256 // length of a host's name
+const maxHostBytes = 256 // maximum length of a host's name
 
-// states maps the service's health words to endpoint states.
-var states = map[string]string{
+// stateByHealth maps the service's health words to endpoint states.
+var stateByHealth = map[string]string{
 	"SERVING":  endpoints.StateReady,
 	"DRAINING": endpoints.StateDraining,
 	"DELETED":  endpoints.StateGone,
 }
 
-// Parse decodes and checks a message.
+// Parse decodes and validates a message.
 func Parse(text []byte) (*Message, error) {
 	message := &Message{}
 	if err := json.Unmarshal(text, message); err != nil {
@@ -49,48 +49,47 @@
 	return message, message.Check()
 }
 
-// Check validates each member on its own. One invalid member rejects the whole message: a member that was skipped might
-// be one that drains.
+// Check validates the members. One invalid member rejects the whole message, since a skipped member might be draining.
 func (m *Message) Check() error {
-	seen := make(map[string]bool, len(m.Members))
+	seenHosts := make(map[string]bool, len(m.Members))
 	for i := range m.Members {
 		member := &m.Members[i]
-		if err := member.check(seen); err != nil {
+		if err := member.check(seenHosts); err != nil {
 			return fmt.Errorf("host %.64q (entry %d): %w", member.Host, i, err)
 		}
-		seen[member.Host] = true
+		seenHosts[member.Host] = true
 	}
 	return nil
 }
 
-// check validates a member; seen holds the hosts before it in the message.
-func (m *Member) check(seen map[string]bool) error {
+// check validates a member; seenHosts holds the hosts of the members before it in the message.
+func (m *Member) check(seenHosts map[string]bool) error {
 	switch {
 	case m.Host == "" || len(m.Host) > maxHostBytes:
-		return errors.New("no name")
-	case seen[m.Host]:
-		return errors.New("named twice")
-	case states[m.Health] == "":
+		return fmt.Errorf("host name has %d bytes instead of 1 to %d", len(m.Host), maxHostBytes)
+	case seenHosts[m.Host]:
+		return errors.New("listed more than once")
+	case stateByHealth[m.Health] == "":
 		return fmt.Errorf("unknown health %.32q", m.Health)
 	case !m.hasValidBuildAndCell():
-		return fmt.Errorf("image_id %v, block %v", m.Build, m.Cell)
+		return fmt.Errorf("image_id %v and block %v must be whole numbers, block from 0 to %d", m.Build, m.Cell, math.MaxUint16-1)
 	}
-	const anyID, anyZone = 1, 0
-	update := endpoints.Update{Endpoints: []endpoints.Endpoint{m.endpoint(anyID, anyZone)}}
+	const placeholderID, placeholderZone = 1, 0
+	update := endpoints.Update{Endpoints: []endpoints.Endpoint{m.endpoint(placeholderID, placeholderZone)}}
 	return update.Check()
 }
 
-// hasValidBuildAndCell reports whether build and cell are whole numbers, not NaN, and the cell fits an endpoint's
-// field.
+// hasValidBuildAndCell reports whether build and cell are whole numbers, not NaN, and the cell's number plus 1 fits the
+// Cell field of an endpoint.
 func (m *Member) hasValidBuildAndCell() bool {
 	return m.Build == math.Trunc(m.Build) && m.Cell == math.Trunc(m.Cell) && m.Cell >= 0 && m.Cell < math.MaxUint16
 }
 
-// endpoint converts a member to an endpoint of the list. Cells are numbered from 1 there: 0 means none.
+// endpoint converts a member to an entry of the endpoint list. The list numbers cells from 1, since 0 means no cell.
 func (m *Member) endpoint(id uint32, zone uint16) endpoints.Endpoint {
 	endpoint := endpoints.Endpoint{
 		ID:        id,
-		State:     states[m.Health],
+		State:     stateByHealth[m.Health],
 		Build:     int(m.Build),
 		Weight:    m.Weight,
 		StartedAt: m.StartedAtMilliseconds / 1000,
--- a/internal/platform/discovery/registry.go
+++ b/internal/platform/discovery/registry.go
@@ -6,11 +6,11 @@
 	"flintspread/internal/endpoints"
 )
 
-// Registry assigns the numeric ids by which the policy knows hosts and zones. A host keeps its id while it is listed
-// and for KeepSeconds after that; then its name is forgotten. An id is never reused for another host. It is not safe
-// for concurrent use.
+// Registry assigns the numeric IDs that the policy uses for hosts and zones. A host keeps its ID while it is listed and
+// for KeepSeconds after it left the list; then it is forgotten. An ID is never reused for another host. A Registry is not
+// safe for concurrent use.
 type Registry struct {
-	KeepSeconds float64
+	KeepSeconds float64 // must not change after the first Update
 
 	hosts  map[string]*host
 	zones  map[string]uint16
@@ -19,10 +19,10 @@
 
 type host struct {
 	id     uint32
-	leftAt float64 // when it left the list; 0 while it is listed
+	leftAt float64 // instant at which the host left the list; 0 while it is listed
 }
 
-// EndpointID returns a host's id, or 0 if the host is not known.
+// EndpointID returns a host's ID, or 0 if the host is not known.
 func (r *Registry) EndpointID(name string) uint32 {
 	if known := r.hosts[name]; known != nil {
 		return known.id
@@ -33,7 +33,7 @@
 // Len returns the number of known hosts.
 func (r *Registry) Len() int { return len(r.hosts) }
 
-// Update converts a checked message to an update of the endpoint list, and assigns ids to new hosts and zones. now is
+// Update converts a validated message to an update of the endpoint list, and assigns IDs to new hosts and zones. now is
 // in seconds on any monotonic clock.
 func (r *Registry) Update(message *Message, now float64) *endpoints.Update {
 	if r.hosts == nil {
@@ -47,7 +47,7 @@
 		member := &message.Members[i]
 		listed := r.host(member.Host)
 		listed.leftAt = 0
-		if states[member.Health] == endpoints.StateGone {
+		if stateByHealth[member.Health] == endpoints.StateGone {
 			listed.leftAt = now
 		}
 		update.Endpoints = append(update.Endpoints, member.endpoint(listed.id, r.zone(member.Zone)))
@@ -56,7 +56,7 @@
 	return update
 }
 
-// markAllLeft marks every listed host as left, before the members of a full list are marked as listed again.
+// markAllLeft marks every listed host as left. The members of a full list are then marked as listed again.
 func (r *Registry) markAllLeft(now float64) {
 	for _, known := range r.hosts {
 		if known.leftAt == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// host returns a host by name, and registers it with a new id if it is not known.
+// host returns a host by name. An unknown host is registered with a new ID.
 func (r *Registry) host(name string) *host {
 	known := r.hosts[name]
 	if known == nil {
@@ -76,7 +76,8 @@
 	return known
 }
 
-// zone returns a zone's id. It returns 0 for an empty name, and for new zones once the ids are used up.
+// zone returns a zone's ID, assigning one to a new zone. It returns 0 for an empty name, and for new zones once all IDs
+// are used.
 func (r *Registry) zone(name string) uint16 {
 	if _, known := r.zones[name]; !known && name != "" && len(r.zones) < math.MaxUint16 {
 		r.zones[name] = uint16(len(r.zones) + 1)
@@ -84,6 +85,7 @@
 	return r.zones[name]
 }
 
+// forget removes the hosts that left the list more than KeepSeconds ago.
 func (r *Registry) forget(now float64) {
 	for name, known := range r.hosts {
 		if known.leftAt > 0 && now-known.leftAt > r.KeepSeconds {
