--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -1,5 +1,5 @@
-// Package policyconfig decodes the named settings of a deployment into a policy.Config, for both the simulator adapter
-// and the router on the platform. Times are milliseconds in the settings and seconds in the result.
+// Package policyconfig decodes the named settings of a deployment into a policy.Config, for the simulator adapter and for
+// the router on the platform. Times are in milliseconds in the settings and in seconds in the result.
 package policyconfig
 
 import (
@@ -10,7 +10,7 @@
 	"flintspread/internal/policy"
 )
 
-// Values are settings by key. Keys are dotted paths.
+// Values holds the text of each setting by its key, a dotted path.
 type Values = map[string]string
 
 const millisecondsPerSecond = 1000
@@ -52,18 +52,20 @@
 	}
 	config.Classes = d.classes()
 	if d.err == nil && len(config.CanaryLimits) != len(config.StageShares) {
-		d.err = fmt.Errorf("settings family_info.exposure_caps and family_info.waves differ in length")
+		d.err = fmt.Errorf("settings family_info.exposure_caps and family_info.waves differ in length: %d and %d",
+			len(config.CanaryLimits), len(config.StageShares))
 	}
 	return config, d.err
 }
 
-// decoder looks up settings and keeps the first error. Its methods read one setting by key; on an error they record it
-// and return an unspecified value.
+// decoder reads settings by key and keeps the first error. After an error, the value that a method returns is
+// unspecified.
 type decoder struct {
 	values Values
 	err    error
 }
 
+// classes reads the settings of all request classes.
 func (d *decoder) classes() (classes []policy.RequestClass) {
 	count := d.integer("classes.count")
 	for i := 0; i < count && d.err == nil; i++ {
@@ -80,6 +82,7 @@
 	return classes
 }
 
+// text reads a setting, which must be present.
 func (d *decoder) text(key string) string {
 	value, ok := d.values[key]
 	if !ok {
@@ -108,7 +111,7 @@
 	for _, text := range strings.Split(d.text(key), ",") {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			d.fail("setting %s is no list of numbers: %q", key, text)
+			d.fail("setting %s is not a list of numbers: element %q", key, text)
 		}
 		list = append(list, value)
 	}
@@ -117,7 +120,7 @@
 
 func (d *decoder) boolean(key string) bool { return d.choice(key, "false", "true") == 1 }
 
-// choice returns the index of a setting's value in words.
+// choice reads a setting that must be one of words, and returns its index in words.
 func (d *decoder) choice(key string, words ...string) int {
 	text := d.text(key)
 	for i, word := range words {
@@ -125,10 +128,11 @@
 			return i
 		}
 	}
-	d.fail("setting %s is none of %s: %q", key, strings.Join(words, ", "), text)
+	d.fail("setting %s is not one of %s: %q", key, strings.Join(words, ", "), text)
 	return 0
 }
 
+// fail records an error unless there is an earlier one.
 func (d *decoder) fail(format string, args ...any) {
 	if d.err == nil {
 		d.err = fmt.Errorf(format, args...)
--- a/internal/policyconfig/parse.go
+++ b/internal/policyconfig/parse.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// ParseLines reads settings from KEY=VALUE lines and ignores other lines.
+// ParseLines parses settings from lines of the form KEY=VALUE, and ignores other lines.
 func ParseLines(text string) Values {
 	values := Values{}
 	for _, line := range strings.Split(text, "\n") {
@@ -19,11 +19,11 @@
 	return values
 }
 
-// ParseJSON reads settings from nested JSON objects, with the same keys as in KEY=VALUE lines. The length of a list is
-// stored as KEY.count; scalar elements are stored as KEY, separated by commas, and objects as KEY.INDEX.
+// ParseJSON parses settings from nested JSON objects into the same keys as in KEY=VALUE lines. A list is stored as its
+// length under KEY.count, its scalar elements under KEY, separated by commas, and its objects under KEY.INDEX.
 func ParseJSON(text []byte) (Values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // keep the digits of numbers
+	decoder.UseNumber() // keeps numbers as they are written
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
 		return nil, err
@@ -35,6 +35,7 @@
 	return values, nil
 }
 
+// flatten stores a JSON value and its descendants. A null is not stored.
 func flatten(values Values, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -62,7 +63,7 @@
 func ClassNames(values Values) ([]string, error) {
 	count, err := strconv.Atoi(values["classes.count"])
 	if err != nil {
-		return nil, fmt.Errorf("setting classes is no list")
+		return nil, fmt.Errorf("setting classes is not a list")
 	}
 	var names []string
 	for i := range count {
@@ -76,7 +77,7 @@
 	return names, nil
 }
 
-// Seconds reads one time setting, which is in milliseconds, and returns it in seconds. It is for settings that Decode
+// Seconds reads one setting, which is a time in milliseconds, and returns it in seconds. It is for settings that Decode
 // ignores.
 func Seconds(values Values, key string) (float64, error) {
 	d := &decoder{values: values}
