--- a/internal/processstats/accept_queue.go
+++ b/internal/processstats/accept_queue.go
@@ -9,12 +9,12 @@
 
 const (
 	netstatFile      = "/proc/net/netstat"
-	netstatPrefix    = "TcpExt:" // starts a line of counter names and the line of their values after it
+	netstatPrefix    = "TcpExt:" // first word of the line of counter names and of the following line of their values
 	overflowsCounter = "ListenOverflows"
 )
 
-// AcceptQueueOverflows returns how many connections this host's kernel has dropped in total because an accept queue, of
-// any process, was full. It returns false if the kernel does not provide the counter.
+// AcceptQueueOverflows returns the total number of connections that this host's kernel has dropped because an accept
+// queue of any process was full. ok is false if the kernel does not provide the counter.
 func AcceptQueueOverflows() (count uint64, ok bool) {
 	file, err := os.Open(netstatFile)
 	if err != nil {
--- a/internal/processstats/doc.go
+++ b/internal/processstats/doc.go
@@ -1,3 +1,4 @@
-// Package processstats measures its own process: goroutine scheduling delay, and the use of garbage collection, CPU and
-// heap. Call New once and Sampler.Sample periodically; a sample is cheap enough to be taken ten times a second.
+// Package processstats measures its own process: the scheduling delay of goroutines, the CPU time of the process and of
+// its garbage collection, and the heap. Call New once and Sampler.Sample periodically; Sample is cheap enough for ten
+// calls per second.
 package processstats
