--- a/internal/platform/control/client.go
+++ b/internal/platform/control/client.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	maxLineBytes   = 8 << 10
+	maxLineBytes   = 8 << 10         // of a line from the platform, with its CRLF
 	silenceTimeout = 3 * time.Second // maximum time without a line; the platform sends a line every second
 	dialTimeout    = time.Second
 
@@ -34,12 +34,12 @@
 )
 
 // Client is a router's connection to the platform. Its exported fields must be set before Run or Cast. The callbacks
-// must not block. They are called from several goroutines, since a vote's timeout has its own.
+// must not block. Several goroutines call them, since each vote's timeout runs on a goroutine of its own.
 type Client struct {
 	StageCount    int           // number of rollout stages
 	VoteTimeout   time.Duration // maximum time to wait for the reply to a vote
 	Log           *slog.Logger
-	OnRelease     func(*releases.Update)
+	OnRelease     func(*releases.Update)                // the platform sent a release state
 	OnWrongAnswer func(host string, ageSeconds float64) // an endpoint gave a wrong answer ageSeconds ago
 	OnVoteReply   func(releases.Vote, policy.VoteReply) // called exactly once per vote
 
@@ -74,16 +74,16 @@
 
 // Run follows the platform until ctx ends, reconnecting with backoff. It must be called once.
 func (c *Client) Run(ctx context.Context) {
-	for attempt := 0; ctx.Err() == nil; attempt++ {
+	for try := 0; ctx.Err() == nil; try++ {
 		startedAt := time.Now()
 		err := c.serve(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if time.Since(startedAt) > backoffResetAfter {
-			attempt = 0
+			try = 0
 		}
-		pause := watch.Backoff(attempt, backoffMinSeconds, backoffMaxSeconds, rand.Float64())
+		pause := watch.Backoff(try, backoffMinSeconds, backoffMaxSeconds, rand.Float64())
 		c.Log.Warn("no connection to the platform; retrying", "error", err, "retry_in_seconds", pause)
 		select {
 		case <-ctx.Done():
--- a/internal/platform/control/protocol_test.go
+++ b/internal/platform/control/protocol_test.go
@@ -7,7 +7,7 @@
 	"flintspread/internal/releases"
 )
 
-// releaseText formats the fields of an update, except those that the platform does not send.
+// releaseText formats the fields of an update that the platform sends.
 func releaseText(update *releases.Update) string {
 	return fmt.Sprint(update.Build, update.Stage, " ", update.Phase, " ", update.CanaryLimit, update.AgeSeconds)
 }
@@ -63,8 +63,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"* progress 42 1 trial 0.28 310", "OK 42 1 trial 0.28 310", "* complaint s lookup 1200", "ERR Throttling", "*", "OK"} {
-		f.Add(s, false)
+	for _, line := range []string{"* progress 42 1 trial 0.28 310", "OK 42 1 trial 0.28 310", "* complaint s lookup 1200", "ERR Throttling", "*", "OK"} {
+		f.Add(line, false)
 	}
 	f.Fuzz(func(t *testing.T, line string, expectFollow bool) {
 		message, err := ParseLine(line, 3, expectFollow)
--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -14,8 +14,8 @@
 // back, and counts the drain grace period from then. Two watches that time out for silence, and a reconnect, fit into
 // these 6 s.
 const (
-	discoverySilenceSeconds    = 2.5
-	discoveryOpenSeconds       = 1.0
+	discoverySilenceSeconds    = 2.5 // time without data after which a watch ends
+	discoveryOpenSeconds       = 1.0 // time within which the response must begin
 	discoveryBackoffMinSeconds = 0.05
 	discoveryBackoffMaxSeconds = 0.25
 )
@@ -24,7 +24,7 @@
 // handoverTimeout.
 const (
 	handoverTimeout       = 1500 * time.Millisecond
-	handoverCheckInterval = 100 * time.Millisecond
+	handoverCheckInterval = 100 * time.Millisecond // between checks for data from the new address
 )
 
 // follower watches the discovery service at one address. After a change of address, the old and the new follower run
