--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -103,9 +103,9 @@
 }
 
 // Questions returns the queries as input for package metricsanalysis.
-func (h *Health) Questions() (questions []metricsanalysis.Question) {
+func (h *Health) Questions() (questions []metricsanalysis.Query) {
 	for _, q := range h.Queries {
-		questions = append(questions, metricsanalysis.Question{
+		questions = append(questions, metricsanalysis.Query{
 			Name:                q.Name,
 			Meaning:             meanings[q.Meaning],
 			Kind:                slices.Index(policy.FailureKinds[:], string(q.Kind)),
--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -7,7 +7,7 @@
 
 // Analyzer accumulates the answers of all query servers and derives evidence and health marks from them.
 type Analyzer struct {
-	questions   []Question
+	questions   []Query
 	servers     [][]serverState // by question and server
 	endpoints   map[uint32]Endpoint
 	build       int // the newest; -1: none yet
@@ -30,7 +30,7 @@
 }
 
 // New returns an analyzer of questions that are sent to a number of servers.
-func New(questions []Question, servers int) *Analyzer {
+func New(questions []Query, servers int) *Analyzer {
 	a := &Analyzer{questions: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, build: -1}
 	for range questions {
 		states := make([]serverState, servers)
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -19,12 +19,12 @@
 	now      float64
 }
 
-func newDriver(servers int, question Question) *driver {
+func newDriver(servers int, question Query) *driver {
 	if question.StaleAfterSeconds == 0 {
 		question.StaleAfterSeconds = 5
 	}
 	question.Weight, question.MaxClockSkewSeconds = 1, 1
-	d := &driver{New([]Question{question}, servers), 1000}
+	d := &driver{New([]Query{question}, servers), 1000}
 	d.analyzer.SetEndpoints([]Endpoint{{1, 7, 0}, {2, 7, 0}, {11, 8, 900}, {12, 8, 900}})
 	d.analyzer.SetRelease(8)
 	return d
@@ -61,7 +61,7 @@
 
 // Counters are tracked from value to value by the timestamps of the scrapes.
 func Example_counters() {
-	d := newDriver(1, Question{Name: "errors", Kind: failedKind})
+	d := newDriver(1, Query{Name: "errors", Kind: failedKind})
 	d.answer(0, 11, 8, [3]float64{998, 100, 50})
 	d.show("first value: what came before is of no known time")
 	d.answer(0, 11, 8, [3]float64{998, 100, 50}, [3]float64{999, 140, 52}, [3]float64{1000, 180, 52})
@@ -111,7 +111,7 @@
 // A process that started while its server was being queried, one without a failure counter yet, and one that left the
 // list.
 func Example_processes() {
-	d := newDriver(1, Question{Name: "wrong", Kind: wrongKind})
+	d := newDriver(1, Query{Name: "wrong", Kind: wrongKind})
 	d.answer(0, 1, 7, [3]float64{999, 10, 0})
 	d.now = 1002
 	d.analyzer.SetEndpoints([]Endpoint{{1, 7, 0}, {2, 7, 0}, {13, 8, 1001}})
@@ -141,7 +141,7 @@
 // Several servers: of two the milder reading counts, of three the middle one; a silent server is ignored.
 func Example_servers() {
 	run := func(name string, servers int, failures ...float64) *driver {
-		d := newDriver(servers, Question{Name: "errors", Kind: failedKind})
+		d := newDriver(servers, Query{Name: "errors", Kind: failedKind})
 		for server, count := range failures {
 			if count >= 0 {
 				d.answer(server, 11, 8, [3]float64{999, 0, 0}, [3]float64{1000, 100, count})
@@ -179,22 +179,22 @@
 
 // Marks from gauges, and their expiry.
 func Example_gauges() {
-	mark := func(name string, question Question, value, ageSeconds float64) {
+	mark := func(name string, question Query, value, ageSeconds float64) {
 		d := newDriver(1, question)
 		d.now = 1000 - ageSeconds
 		d.analyzer.ApplyAnswer(d.now, &Answer{Outcomes: []Series{{1, 7, []Point{{d.now, value}}}}})
 		d.now = 1000
 		d.show(name)
 	}
-	quantile := Question{Name: "p99", Meaning: Quantile, Limit: 0.3}
+	quantile := Query{Name: "p99", Meaning: Quantile, Limit: 0.3}
 	mark("in time", quantile, 0.29, 0)
 	mark("twice the limit", quantile, 0.6, 0)
 	mark("twice the limit, 4 s ago", quantile, 0.6, 4)
 	mark("twice the limit, too long ago", quantile, 0.6, 6)
-	mark("saturated", Question{Name: "busy", Meaning: Saturation, Limit: 0.8}, 1, 0)
-	mark("probe passed", Question{Name: "up", Meaning: Probe}, 1, 0)
-	mark("probe failed", Question{Name: "up", Meaning: Probe}, 0, 0)
-	mark("not a number", Question{Name: "up", Meaning: Probe}, math.NaN(), 0)
+	mark("saturated", Query{Name: "busy", Meaning: Saturation, Limit: 0.8}, 1, 0)
+	mark("probe passed", Query{Name: "up", Meaning: Probe}, 1, 0)
+	mark("probe failed", Query{Name: "up", Meaning: Probe}, 0, 0)
+	mark("not a number", Query{Name: "up", Meaning: Probe}, math.NaN(), 0)
 	// Output:
 	// in time: nothing
 	// twice the limit: mark on 1: wrong 0.00, degraded 0.50;
@@ -210,7 +210,7 @@
 // everything that an endpoint did since it was first seen is counted once its last scrape has arrived.
 func TestCountsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(1, Question{Name: "errors", Kind: failedKind, StaleAfterSeconds: 1e9})
+		d := newDriver(1, Query{Name: "errors", Kind: failedKind, StaleAfterSeconds: 1e9})
 		// One process after the other at endpoint 11, scraped once a second.
 		type scrape struct{ at, outcomes, failures float64 }
 		var scrapes []scrape
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -150,7 +150,7 @@
 }
 
 // read converts the state of one series to a reading.
-func (q *Question) read(now float64, series *seriesState) (r reading) {
+func (q *Query) read(now float64, series *seriesState) (r reading) {
 	switch q.Meaning {
 	case Counts:
 		r.counts, r.share = series.total, series.total.failureShare()
@@ -170,7 +170,7 @@
 
 // isDisputed reports whether servers disagree on an endpoint. Counts are compared only if both servers have seen enough
 // outcomes.
-func (q *Question) isDisputed(readings []reading) bool {
+func (q *Query) isDisputed(readings []reading) bool {
 	lowest, highest := readings[0], readings[0]
 	for _, r := range readings {
 		if r.share < lowest.share {
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -19,8 +19,8 @@
 	Probe                     // 1: passed, 0: failed
 )
 
-// Question is one quantity that every server is queried for periodically.
-type Question struct {
+// Query is one quantity that every server is queried for periodically.
+type Query struct {
 	Name                string
 	Meaning             Meaning
 	Kind                int     // index into policy.FailureKinds, for Counts
@@ -32,11 +32,11 @@
 }
 
 // decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
-func (q *Question) decays() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
+func (q *Query) decays() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
 
 // marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
 // endpoint.
-func (q *Question) marksWrongAnswers() bool {
+func (q *Query) marksWrongAnswers() bool {
 	return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "wrong"
 }
 
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -45,7 +45,7 @@
 // answerReader applies the series of one answer.
 type answerReader struct {
 	now      float64
-	question *Question
+	question *Query
 	server   *serverState
 	result   AnswerResult
 }
