--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -108,7 +108,7 @@
 		questions = append(questions, metricsanalysis.Query{
 			Name:                q.Name,
 			Meaning:             meanings[q.Meaning],
-			Kind:                slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			FailureKind:         slices.Index(policy.FailureKinds[:], string(q.Kind)),
 			StaleAfterSeconds:   q.StaleAfterSeconds,
 			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
 			Weight:              q.Weight,
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -61,7 +61,7 @@
 
 // Counters are tracked from value to value by the timestamps of the scrapes.
 func Example_counters() {
-	d := newDriver(1, Query{Name: "errors", Kind: failedKind})
+	d := newDriver(1, Query{Name: "errors", FailureKind: failedKind})
 	d.answer(0, 11, 8, [3]float64{998, 100, 50})
 	d.show("first value: what came before is of no known time")
 	d.answer(0, 11, 8, [3]float64{998, 100, 50}, [3]float64{999, 140, 52}, [3]float64{1000, 180, 52})
@@ -111,7 +111,7 @@
 // A process that started while its server was being queried, one without a failure counter yet, and one that left the
 // list.
 func Example_processes() {
-	d := newDriver(1, Query{Name: "wrong", Kind: wrongKind})
+	d := newDriver(1, Query{Name: "wrong", FailureKind: wrongKind})
 	d.answer(0, 1, 7, [3]float64{999, 10, 0})
 	d.now = 1002
 	d.analyzer.SetEndpoints([]Endpoint{{1, 7, 0}, {2, 7, 0}, {13, 8, 1001}})
@@ -141,7 +141,7 @@
 // Several servers: of two the milder reading counts, of three the middle one; a silent server is ignored.
 func Example_servers() {
 	run := func(name string, servers int, failures ...float64) *driver {
-		d := newDriver(servers, Query{Name: "errors", Kind: failedKind})
+		d := newDriver(servers, Query{Name: "errors", FailureKind: failedKind})
 		for server, count := range failures {
 			if count >= 0 {
 				d.answer(server, 11, 8, [3]float64{999, 0, 0}, [3]float64{1000, 100, count})
@@ -210,7 +210,7 @@
 // everything that an endpoint did since it was first seen is counted once its last scrape has arrived.
 func TestCountsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(1, Query{Name: "errors", Kind: failedKind, StaleAfterSeconds: 1e9})
+		d := newDriver(1, Query{Name: "errors", FailureKind: failedKind, StaleAfterSeconds: 1e9})
 		// One process after the other at endpoint 11, scraped once a second.
 		type scrape struct{ at, outcomes, failures float64 }
 		var scrapes []scrape
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -34,7 +34,7 @@
 		if question.Meaning != Counts {
 			continue
 		}
-		evidence.Independent[question.Kind] = question.Independent
+		evidence.Independent[question.FailureKind] = question.Independent
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.counts.outcomes == 0 {
 				return
@@ -46,8 +46,8 @@
 				evidence.Samples = append(evidence.Samples, policy.EndpointSample{Endpoint: key.endpoint, Build: key.build})
 			}
 			sample := &evidence.Samples[index]
-			sample.Outcomes[question.Kind] = merged.counts.outcomes * question.Weight
-			sample.Failures[question.Kind] = merged.counts.failures * question.Weight
+			sample.Outcomes[question.FailureKind] = merged.counts.outcomes * question.Weight
+			sample.Failures[question.FailureKind] = merged.counts.failures * question.Weight
 		})
 	}
 	return evidence
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -23,7 +23,7 @@
 type Query struct {
 	Name                string
 	Meaning             Meaning
-	Kind                int     // index into policy.FailureKinds, for Counts
+	FailureKind         int     // index into policy.FailureKinds, for Counts
 	StaleAfterSeconds   float64 // age above which a value is ignored
 	MaxClockSkewSeconds float64 // how far a server's clock may be ahead
 	Weight              float64 // 0 to 1; scales its marks and counts
@@ -32,12 +32,14 @@
 }
 
 // decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
-func (q *Query) decays() bool { return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "slow" }
+func (q *Query) decays() bool {
+	return q.Meaning == Counts && policy.FailureKinds[q.FailureKind] == "slow"
+}
 
 // marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
 // endpoint.
 func (q *Query) marksWrongAnswers() bool {
-	return q.Meaning == Counts && policy.FailureKinds[q.Kind] == "wrong"
+	return q.Meaning == Counts && policy.FailureKinds[q.FailureKind] == "wrong"
 }
 
 // Point is one value of a series.
