--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -106,14 +106,14 @@
 func (h *Health) Questions() (questions []metricsanalysis.Query) {
 	for _, q := range h.Queries {
 		questions = append(questions, metricsanalysis.Query{
-			Name:                q.Name,
-			Meaning:             meanings[q.Meaning],
-			FailureKind:         slices.Index(policy.FailureKinds[:], string(q.Kind)),
-			StaleAfterSeconds:   q.StaleAfterSeconds,
-			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
-			Weight:              q.Weight,
-			Limit:               q.Limit,
-			Independent:         q.IndependentOfRouters,
+			Name:                 q.Name,
+			Meaning:              meanings[q.Meaning],
+			FailureKind:          slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			StaleAfterSeconds:    q.StaleAfterSeconds,
+			MaxClockSkewSeconds:  h.MaxClockSkewSeconds,
+			Weight:               q.Weight,
+			Limit:                q.Limit,
+			IndependentOfRouters: q.IndependentOfRouters,
 		})
 	}
 	return questions
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -34,7 +34,7 @@
 		if question.Meaning != Counts {
 			continue
 		}
-		evidence.Independent[question.FailureKind] = question.Independent
+		evidence.Independent[question.FailureKind] = question.IndependentOfRouters
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.counts.outcomes == 0 {
 				return
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -21,14 +21,14 @@
 
 // Query is one quantity that every server is queried for periodically.
 type Query struct {
-	Name                string
-	Meaning             Meaning
-	FailureKind         int     // index into policy.FailureKinds, for Counts
-	StaleAfterSeconds   float64 // age above which a value is ignored
-	MaxClockSkewSeconds float64 // how far a server's clock may be ahead
-	Weight              float64 // 0 to 1; scales its marks and counts
-	Limit               float64 // an endpoint with a Quantile or Saturation above it is marked
-	Independent         bool    // its counts include no attempts of this relay, so they are independent of the routers' reports
+	Name                 string
+	Meaning              Meaning
+	FailureKind          int     // index into policy.FailureKinds, for Counts
+	StaleAfterSeconds    float64 // age above which a value is ignored
+	MaxClockSkewSeconds  float64 // how far a server's clock may be ahead
+	Weight               float64 // 0 to 1; scales its marks and counts
+	Limit                float64 // an endpoint with a Quantile or Saturation above it is marked
+	IndependentOfRouters bool    // its counts include no attempts of this relay, so they are independent of the routers' reports
 }
 
 // decays reports whether a question's counts decay over time, as those of slow answers do, which vary with the load.
