--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -52,9 +52,9 @@
 	Points   []Point
 }
 
-// Answer is a server's answer to a question. Outcomes holds the values; for Counts, these are the counters of all
+// QueryResult is a server's answer to a question. Outcomes holds the values; for Counts, these are the counters of all
 // outcomes.
-type Answer struct {
+type QueryResult struct {
 	Server, Question int // indexes
 	Outcomes         []Series
 	Failures         []Series // for Counts only; an endpoint that never failed may be missing
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -39,7 +39,7 @@
 }
 
 // ApplyFunc applies an answer and counts its values. It is called from several goroutines and must not block.
-type ApplyFunc func(*metricsanalysis.Answer) metricsanalysis.AnswerResult
+type ApplyFunc func(*metricsanalysis.QueryResult) metricsanalysis.AnswerResult
 
 // Poller periodically sends all configured queries to all servers. Its methods are safe for concurrent use.
 type Poller struct {
@@ -283,7 +283,7 @@
 // applyAnswer applies an answer and updates the metrics of its values.
 func (p *Poller) applyAnswer(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []Row) {
 	query, server := &p.settings.Queries[job.Question], p.settings.Servers[job.Server].Name
-	answer := &metricsanalysis.Answer{Server: job.Server, Question: job.Question}
+	answer := &metricsanalysis.QueryResult{Server: job.Server, Question: job.Question}
 	unknown := 0
 	if chunk.outcomes != "" {
 		answer.Outcomes, unknown = p.seriesOf(query, outcomes)
