--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -43,7 +43,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updated = true
-	return m.analysis.ApplyAnswer(now, answer)
+	return m.analysis.ApplyResult(now, answer)
 }
 
 // setEndpoints passes the controller's endpoint list to the analysis and the poller. The caller holds the controller's
--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// ApplyAnswer applies an answer and counts its values. Values that were applied before are skipped.
-func (a *Analyzer) ApplyAnswer(now float64, answer *QueryResult) AnswerResult {
+// ApplyResult applies an answer and counts its values. Values that were applied before are skipped.
+func (a *Analyzer) ApplyResult(now float64, answer *QueryResult) AnswerResult {
 	server := &a.servers[answer.Question][answer.Server]
 	server.firstAnswerAt = min(server.firstAnswerAt, now)
 	reader := &answerReader{now: now, question: &a.questions[answer.Question], server: server}
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -37,7 +37,7 @@
 		outcomes.Points = append(outcomes.Points, Point{row[0], row[1]})
 		failures.Points = append(failures.Points, Point{row[0], row[2]})
 	}
-	return d.analyzer.ApplyAnswer(d.now, &QueryResult{Server: server, Outcomes: []Series{outcomes}, Failures: []Series{failures}})
+	return d.analyzer.ApplyResult(d.now, &QueryResult{Server: server, Outcomes: []Series{outcomes}, Failures: []Series{failures}})
 }
 
 // show prints the current evidence and marks.
@@ -120,10 +120,10 @@
 	d.answer(0, 1, 7, [3]float64{1002, 110, 0})
 	answer := &QueryResult{Outcomes: []Series{{13, 8, []Point{{1002.5, 60}}}, {1, 7, []Point{{1002.5, 130}}}}}
 	d.now = 1002.5
-	d.analyzer.ApplyAnswer(d.now, answer)
+	d.analyzer.ApplyResult(d.now, answer)
 	d.show("no failures in the answer: none are new")
 	answer.Outcomes = append(answer.Outcomes, answer.Outcomes[0])
-	result := d.analyzer.ApplyAnswer(d.now, answer)
+	result := d.analyzer.ApplyResult(d.now, answer)
 	fmt.Println("an endpoint twice in one answer, refused:", result.RefusedValues[RefusedDuplicate])
 	d.analyzer.SetEndpoints([]Endpoint{{2, 7, 0}, {14, 8, 1002}})
 	d.show("both left the list: their counts stay")
@@ -182,7 +182,7 @@
 	mark := func(name string, question Query, value, ageSeconds float64) {
 		d := newDriver(1, question)
 		d.now = 1000 - ageSeconds
-		d.analyzer.ApplyAnswer(d.now, &QueryResult{Outcomes: []Series{{1, 7, []Point{{d.now, value}}}}})
+		d.analyzer.ApplyResult(d.now, &QueryResult{Outcomes: []Series{{1, 7, []Point{{d.now, value}}}}})
 		d.now = 1000
 		d.show(name)
 	}
