--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -38,7 +38,7 @@
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
 // applyAnswer records one answer. The poller calls it from several goroutines.
-func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.QueryResult) metricsanalysis.AnswerResult {
+func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.QueryResult) metricsanalysis.ApplySummary {
 	now := m.controller.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -87,7 +87,7 @@
 }
 
 // ApplyResult applies an answer and counts its values. Values that were applied before are skipped.
-func (a *Analyzer) ApplyResult(now float64, answer *QueryResult) AnswerResult {
+func (a *Analyzer) ApplyResult(now float64, answer *QueryResult) ApplySummary {
 	server := &a.servers[answer.Question][answer.Server]
 	server.firstAnswerAt = min(server.firstAnswerAt, now)
 	reader := &answerReader{now: now, question: &a.questions[answer.Question], server: server}
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -31,7 +31,7 @@
 }
 
 // answer applies an answer on one endpoint. Each row is the time, outcomes and failures of a scrape.
-func (d *driver) answer(server int, endpoint uint32, build int, rows ...[3]float64) AnswerResult {
+func (d *driver) answer(server int, endpoint uint32, build int, rows ...[3]float64) ApplySummary {
 	outcomes, failures := Series{Endpoint: endpoint, Build: build}, Series{Endpoint: endpoint, Build: build}
 	for _, row := range rows {
 		outcomes.Points = append(outcomes.Points, Point{row[0], row[1]})
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -87,8 +87,8 @@
 	return [...]string{"stale", "ahead", "no number", "nonsense", "no such unit", "too many", "doubled"}[r]
 }
 
-// AnswerResult counts the accepted and refused values of an answer.
-type AnswerResult struct {
+// ApplySummary counts the accepted and refused values of an answer.
+type ApplySummary struct {
 	AcceptedValues int
 	CounterResets  int // counters that restarted
 	RefusedValues  [RefusalCount]int
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -47,7 +47,7 @@
 	now      float64
 	question *Query
 	server   *serverState
-	result   AnswerResult
+	result   ApplySummary
 }
 
 // accepts reports whether a value is valid and recent, and counts the reason if not.
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -39,7 +39,7 @@
 }
 
 // ApplyFunc applies an answer and counts its values. It is called from several goroutines and must not block.
-type ApplyFunc func(*metricsanalysis.QueryResult) metricsanalysis.AnswerResult
+type ApplyFunc func(*metricsanalysis.QueryResult) metricsanalysis.ApplySummary
 
 // Poller periodically sends all configured queries to all servers. Its methods are safe for concurrent use.
 type Poller struct {
