--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -29,8 +29,8 @@
 	build    int
 }
 
-// New returns an analyzer of questions that are sent to a number of servers.
-func New(questions []Query, servers int) *Analyzer {
+// NewAnalyzer returns an analyzer of questions that are sent to a number of servers.
+func NewAnalyzer(questions []Query, servers int) *Analyzer {
 	a := &Analyzer{questions: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, build: -1}
 	for range questions {
 		states := make([]serverState, servers)
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -24,7 +24,7 @@
 		question.StaleAfterSeconds = 5
 	}
 	question.Weight, question.MaxClockSkewSeconds = 1, 1
-	d := &driver{New([]Query{question}, servers), 1000}
+	d := &driver{NewAnalyzer([]Query{question}, servers), 1000}
 	d.analyzer.SetEndpoints([]Endpoint{{1, 7, 0}, {2, 7, 0}, {11, 8, 900}, {12, 8, 900}})
 	d.analyzer.SetRelease(8)
 	return d
