--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -183,13 +183,13 @@
 
 // parseTemplates parses the templates. On an error it also returns the key of the invalid one.
 func (q *Query) parseTemplates() (key string, err error) {
-	if q.queryTemplate, err = promquery.Read(q.Query, q.AnswerForm()); err != nil {
+	if q.queryTemplate, err = promquery.Parse(q.Query, q.AnswerForm()); err != nil {
 		return "query", err
 	}
 	if !q.isCounts() {
 		return "", nil
 	}
-	if q.totalTemplate, err = promquery.Read(q.Total, q.AnswerForm()); err != nil {
+	if q.totalTemplate, err = promquery.Parse(q.Total, q.AnswerForm()); err != nil {
 		return "total", err
 	}
 	return "", nil
--- a/internal/metricsanalysis/promquery/template.go
+++ b/internal/metricsanalysis/promquery/template.go
@@ -58,9 +58,9 @@
 // Units returns the label values of several endpoints as alternatives of a regular expression.
 func (f fill) Units() string { f.named.endpoints = true; return f.endpoints }
 
-// Read parses a template and checks that the query it generates has answers of the given form. Errors are worded for
+// Parse parses a template and checks that the query it generates has answers of the given form. Errors are worded for
 // the author of the template.
-func Read(text string, form Form) (*Template, error) {
+func Parse(text string, form Form) (*Template, error) {
 	query, err := template.New("query").Option("missingkey=error").Parse(text)
 	if err != nil {
 		return nil, withoutPrefix(err)
--- a/internal/metricsanalysis/promquery/template_test.go
+++ b/internal/metricsanalysis/promquery/template_test.go
@@ -29,7 +29,7 @@
 		{``, Instant, "parse error"},
 		{`nosuchfunction(up)`, Instant, "unknown function"},
 	} {
-		_, err := Read(test.text, test.form)
+		_, err := Parse(test.text, test.form)
 		if test.err == "" && err != nil || test.err != "" && (err == nil || !strings.Contains(err.Error(), test.err)) {
 			t.Errorf("%s: %v; expected %q", test.text, err, test.err)
 		}
@@ -49,7 +49,7 @@
 		`up{instance="{{.Unit}}"}`: 250,
 		`up{instance=~"{{.Units}}", build="{{.Build}}"}`: 6,
 	} {
-		query, err := Read(text, Instant)
+		query, err := Parse(text, Instant)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	query, err := Read(`up{instance=~"{{.Units}}"}`, Instant)
+	query, err := Parse(`up{instance=~"{{.Units}}"}`, Instant)
 	if err != nil {
 		t.Fatal(err)
 	}
