--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -7,20 +7,20 @@
 
 // Analyzer accumulates the answers of all query servers and derives evidence and health marks from them.
 type Analyzer struct {
-	questions   []Query
+	queries     []Query
 	servers     [][]serverState // by question and server
 	endpoints   map[uint32]Endpoint
-	build       int // the newest; -1: none yet
+	newestBuild int // the newest; -1: none yet
 	seriesCount int
 	disputed    map[string]int // by question name: endpoints on which servers disagreed at the last comparison
 }
 
 // serverState holds one server's answers to one question.
 type serverState struct {
-	firstAnswerAt float64
-	newestAt      float64 // of the newest value of any series
+	firstResultAt float64
+	newestValueAt float64 // of the newest value of any series
 	series        map[seriesKey]*seriesState
-	departed      map[int]counts // sums of processes that left the endpoint list, by build
+	removed       map[int]counts // sums of processes that left the endpoint list, by build
 }
 
 // seriesKey identifies a series.
@@ -31,15 +31,15 @@
 
 // NewAnalyzer returns an analyzer of questions that are sent to a number of servers.
 func NewAnalyzer(questions []Query, servers int) *Analyzer {
-	a := &Analyzer{questions: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, build: -1}
+	a := &Analyzer{queries: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, newestBuild: -1}
 	for range questions {
 		states := make([]serverState, servers)
 		for i := range states {
 			states[i] = serverState{
-				firstAnswerAt: math.Inf(1),
-				newestAt:      math.Inf(-1),
+				firstResultAt: math.Inf(1),
+				newestValueAt: math.Inf(-1),
 				series:        map[seriesKey]*seriesState{},
-				departed:      map[int]counts{},
+				removed:       map[int]counts{},
 			}
 		}
 		a.servers = append(a.servers, states)
@@ -60,8 +60,8 @@
 				if endpoint, listed := a.endpoints[key.endpoint]; listed && endpoint.Build == key.build {
 					continue
 				}
-				if !a.questions[i].decays() {
-					server.departed[key.build] = server.departed[key.build].plus(series.total)
+				if !a.queries[i].decays() {
+					server.removed[key.build] = server.removed[key.build].plus(series.total)
 				}
 				delete(server.series, key)
 				a.seriesCount--
@@ -72,13 +72,13 @@
 
 // SetRelease resets all counts if build differs from the current newest build, and makes it the newest.
 func (a *Analyzer) SetRelease(build int) {
-	if build == a.build {
+	if build == a.newestBuild {
 		return
 	}
-	a.build = build
+	a.newestBuild = build
 	for _, states := range a.servers {
 		for _, server := range states {
-			clear(server.departed)
+			clear(server.removed)
 			for _, series := range server.series {
 				series.total = counts{}
 			}
@@ -88,47 +88,47 @@
 
 // ApplyResult applies an answer and counts its values. Values that were applied before are skipped.
 func (a *Analyzer) ApplyResult(now float64, answer *QueryResult) ApplySummary {
-	server := &a.servers[answer.Question][answer.Server]
-	server.firstAnswerAt = min(server.firstAnswerAt, now)
-	reader := &answerReader{now: now, question: &a.questions[answer.Question], server: server}
-	refused := &reader.result.RefusedValues
+	server := &a.servers[answer.Query][answer.Server]
+	server.firstResultAt = min(server.firstResultAt, now)
+	reader := &seriesUpdater{now: now, query: &a.queries[answer.Query], server: server}
+	refused := &reader.summary.RejectedValues
 	failures := make(map[seriesKey][]Point, len(answer.Failures))
 	for _, series := range answer.Failures {
 		failures[seriesKey{series.Endpoint, series.Build}] = series.Points
 	}
-	seen := make(map[seriesKey]bool, len(answer.Outcomes))
-	for _, series := range answer.Outcomes {
+	seen := make(map[seriesKey]bool, len(answer.Values))
+	for _, series := range answer.Values {
 		key := seriesKey{series.Endpoint, series.Build}
 		endpoint, listed := a.endpoints[series.Endpoint]
 		switch {
 		case !listed || series.Build != endpoint.Build:
-			refused[RefusedUnknownEndpoint]++
+			refused[RejectedUnknownEndpoint]++
 			continue
 		case seen[key]:
-			refused[RefusedDuplicate]++
+			refused[RejectedDuplicate]++
 			continue
 		}
 		seen[key] = true
-		state := a.follow(server, key)
+		state := a.trackSeries(server, key)
 		if state == nil {
-			refused[RefusedTooManySeries]++
+			refused[RejectedTooManySeries]++
 			continue
 		}
-		if reader.question.Meaning == Counts {
+		if reader.query.Meaning == Counts {
 			points, exists := failures[key]
-			reader.readCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
+			reader.updateCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
 		} else {
-			reader.readGauge(state, series.Points)
+			reader.updateGauge(state, series.Points)
 		}
 		if state.started {
-			server.newestAt = max(server.newestAt, state.at)
+			server.newestValueAt = max(server.newestValueAt, state.valueAt)
 		}
 	}
-	return reader.result
+	return reader.summary
 }
 
-// follow returns the state of a series, which it creates if needed, or nil if too many series are tracked.
-func (a *Analyzer) follow(server *serverState, key seriesKey) *seriesState {
+// trackSeries returns the state of a series, which it creates if needed, or nil if too many series are tracked.
+func (a *Analyzer) trackSeries(server *serverState, key seriesKey) *seriesState {
 	if state := server.series[key]; state != nil {
 		return state
 	}
--- a/internal/metricsanalysis/analyzer_test.go
+++ b/internal/metricsanalysis/analyzer_test.go
@@ -37,7 +37,7 @@
 		outcomes.Points = append(outcomes.Points, Point{row[0], row[1]})
 		failures.Points = append(failures.Points, Point{row[0], row[2]})
 	}
-	return d.analyzer.ApplyResult(d.now, &QueryResult{Server: server, Outcomes: []Series{outcomes}, Failures: []Series{failures}})
+	return d.analyzer.ApplyResult(d.now, &QueryResult{Server: server, Values: []Series{outcomes}, Failures: []Series{failures}})
 }
 
 // show prints the current evidence and marks.
@@ -71,22 +71,22 @@
 	result = d.answer(0, 11, 8, [3]float64{999, 500, 500})
 	d.show(fmt.Sprintf("an older value, %d accepted", result.AcceptedValues))
 	result = d.answer(0, 11, 8, [3]float64{1000.6, math.NaN(), 0}, [3]float64{1000.7, math.Inf(1), 0}, [3]float64{1000.8, 40, -1})
-	d.show(fmt.Sprintf("no numbers, %d refused", result.RefusedValues[RefusedNoNumber]))
+	d.show(fmt.Sprintf("no numbers, %d refused", result.RejectedValues[RejectedInvalidNumber]))
 	result = d.answer(0, 11, 8, [3]float64{1000.9, 50, 60})
-	d.show(fmt.Sprintf("more failures than outcomes, %d refused", result.RefusedValues[RefusedInconsistent]))
+	d.show(fmt.Sprintf("more failures than outcomes, %d refused", result.RejectedValues[RejectedInconsistent]))
 	result = d.answer(0, 11, 8, [3]float64{1500, 1e6, 1e6})
-	d.show(fmt.Sprintf("of the future, %d refused", result.RefusedValues[RefusedFuture]))
+	d.show(fmt.Sprintf("of the future, %d refused", result.RejectedValues[RejectedFuture]))
 	d.now = 1003
 	d.answer(0, 11, 8, [3]float64{1003, 90, 3})
 	d.show("after a gap in the scrapes")
 	result = d.answer(0, 99, 8, [3]float64{1003, 90, 3})
-	d.show(fmt.Sprintf("of an endpoint that is not listed, %d refused", result.RefusedValues[RefusedUnknownEndpoint]))
+	d.show(fmt.Sprintf("of an endpoint that is not listed, %d refused", result.RejectedValues[RejectedUnknownEndpoint]))
 	result = d.answer(0, 1, 8, [3]float64{1003, 90, 3})
-	d.show(fmt.Sprintf("of a build that the endpoint does not run, %d refused", result.RefusedValues[RefusedUnknownEndpoint]))
+	d.show(fmt.Sprintf("of a build that the endpoint does not run, %d refused", result.RejectedValues[RejectedUnknownEndpoint]))
 	d.now = 1009
 	d.show("the server is silent for too long")
 	result = d.answer(0, 11, 8, [3]float64{1003.5, 95, 90})
-	d.show(fmt.Sprintf("and then answers as of long ago, %d refused", result.RefusedValues[RefusedStale]))
+	d.show(fmt.Sprintf("and then answers as of long ago, %d refused", result.RejectedValues[RejectedStale]))
 	d.answer(0, 11, 8, [3]float64{1009, 100, 3})
 	d.show("and is back")
 	d.analyzer.SetRelease(9)
@@ -118,13 +118,13 @@
 	d.answer(0, 13, 8, [3]float64{1002, 40, 10})
 	d.show("began after the server's first answer: all of it counts")
 	d.answer(0, 1, 7, [3]float64{1002, 110, 0})
-	answer := &QueryResult{Outcomes: []Series{{13, 8, []Point{{1002.5, 60}}}, {1, 7, []Point{{1002.5, 130}}}}}
+	answer := &QueryResult{Values: []Series{{13, 8, []Point{{1002.5, 60}}}, {1, 7, []Point{{1002.5, 130}}}}}
 	d.now = 1002.5
 	d.analyzer.ApplyResult(d.now, answer)
 	d.show("no failures in the answer: none are new")
-	answer.Outcomes = append(answer.Outcomes, answer.Outcomes[0])
+	answer.Values = append(answer.Values, answer.Values[0])
 	result := d.analyzer.ApplyResult(d.now, answer)
-	fmt.Println("an endpoint twice in one answer, refused:", result.RefusedValues[RefusedDuplicate])
+	fmt.Println("an endpoint twice in one answer, refused:", result.RejectedValues[RejectedDuplicate])
 	d.analyzer.SetEndpoints([]Endpoint{{2, 7, 0}, {14, 8, 1002}})
 	d.show("both left the list: their counts stay")
 	d.now = 1003
@@ -182,7 +182,7 @@
 	mark := func(name string, question Query, value, ageSeconds float64) {
 		d := newDriver(1, question)
 		d.now = 1000 - ageSeconds
-		d.analyzer.ApplyResult(d.now, &QueryResult{Outcomes: []Series{{1, 7, []Point{{d.now, value}}}}})
+		d.analyzer.ApplyResult(d.now, &QueryResult{Values: []Series{{1, 7, []Point{{d.now, value}}}}})
 		d.now = 1000
 		d.show(name)
 	}
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -12,10 +12,10 @@
 const MarksIntervalSeconds = 0.5
 
 const (
-	minMark            = 1.0 / 32 // smaller marks are dropped
-	priorSuccesses     = 2.0      // prior: recent outcomes without failure that are assumed for every endpoint
-	disputeShare       = 0.1      // servers disagree if their failure shares differ by more,
-	disputeMinOutcomes = 20.0     // and both have seen at least this many outcomes
+	minMark              = 1.0 / 32 // smaller marks are dropped
+	priorSuccesses       = 2.0      // prior: recent outcomes without failure that are assumed for every endpoint
+	disputeMinDifference = 0.1      // servers disagree if their failure shares differ by more,
+	disputeMinOutcomes   = 20.0     // and both have seen at least this many outcomes
 )
 
 // reading is one server's data on a series, or the merged data of several servers.
@@ -27,10 +27,10 @@
 
 // Evidence returns the merged counts of the newest build and of earlier ones, by endpoint and build.
 func (a *Analyzer) Evidence(now float64) policy.MetricsEvidence {
-	evidence := policy.MetricsEvidence{Evidence: policy.Evidence{Build: a.build}}
+	evidence := policy.MetricsEvidence{Evidence: policy.Evidence{Build: a.newestBuild}}
 	indexes := map[seriesKey]int{}
-	for i := range a.questions {
-		question := &a.questions[i]
+	for i := range a.queries {
+		question := &a.queries[i]
 		if question.Meaning != Counts {
 			continue
 		}
@@ -56,8 +56,8 @@
 // HealthMarks returns the marked endpoints in order of ID, each with its strongest mark of any question.
 func (a *Analyzer) HealthMarks(now float64) []policy.HealthMark {
 	byEndpoint := map[uint32]*policy.HealthMark{}
-	for i := range a.questions {
-		question := &a.questions[i]
+	for i := range a.queries {
+		question := &a.queries[i]
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.mark < minMark || a.endpoints[key.endpoint].Build != key.build {
 				return
@@ -67,7 +67,7 @@
 				mark = &policy.HealthMark{Endpoint: key.endpoint}
 				byEndpoint[key.endpoint] = mark
 			}
-			if question.marksWrongAnswers() {
+			if question.countsWrongResponses() {
 				mark.WrongShare = max(mark.WrongShare, merged.mark)
 			} else {
 				mark.DegradedShare = max(mark.DegradedShare, merged.mark)
@@ -89,7 +89,7 @@
 // FreshEndpoints returns the number of series for which a server's answers to a question are not stale.
 func (a *Analyzer) FreshEndpoints(now float64, question, server int) (count int) {
 	for _, series := range a.servers[question][server].series {
-		if series.started && series.at >= now-a.questions[question].StaleAfterSeconds {
+		if series.started && series.valueAt >= now-a.queries[question].StaleAfterSeconds {
 			count++
 		}
 	}
@@ -99,7 +99,7 @@
 // forEachSeries calls visit with the servers' merged reading of each series of a question, ordered by endpoint and
 // build.
 func (a *Analyzer) forEachSeries(now float64, question int, visit func(seriesKey, reading)) {
-	q := &a.questions[question]
+	q := &a.queries[question]
 	readings := a.readings(now, question)
 	keys := make([]seriesKey, 0, len(readings))
 	for key := range readings {
@@ -121,22 +121,22 @@
 // readings returns the readings of a question by series. Servers whose answers are all stale are ignored, including
 // their earlier counts. Counts of endpoints on which no server has fresh values, or that left the list, are kept.
 func (a *Analyzer) readings(now float64, question int) map[seriesKey][]reading {
-	q := &a.questions[question]
+	q := &a.queries[question]
 	fresh, past := map[seriesKey][]reading{}, map[seriesKey][]reading{}
 	for _, server := range a.servers[question] {
-		if server.newestAt < now-q.StaleAfterSeconds {
+		if server.newestValueAt < now-q.StaleAfterSeconds {
 			continue
 		}
 		for key, series := range server.series {
 			switch {
 			case !series.started:
-			case series.at >= now-q.StaleAfterSeconds:
+			case series.valueAt >= now-q.StaleAfterSeconds:
 				fresh[key] = append(fresh[key], q.read(now, series))
 			case q.Meaning == Counts:
 				past[key] = append(past[key], reading{share: series.total.failureShare(), counts: series.total})
 			}
 		}
-		for build, total := range server.departed {
+		for build, total := range server.removed {
 			key := seriesKey{0, build} // no endpoint has ID 0
 			past[key] = append(past[key], reading{share: total.failureShare(), counts: total})
 		}
@@ -164,7 +164,7 @@
 		}
 		r.share = r.mark
 	}
-	r.mark *= q.Weight * math.Exp(-max(0, now-series.at)/markDecaySeconds)
+	r.mark *= q.Weight * math.Exp(-max(0, now-series.valueAt)/markDecaySeconds)
 	return r
 }
 
@@ -180,7 +180,7 @@
 			highest = r
 		}
 	}
-	differ := highest.share-lowest.share > disputeShare
+	differ := highest.share-lowest.share > disputeMinDifference
 	comparable := q.Meaning != Counts || min(lowest.counts.outcomes, highest.counts.outcomes) >= disputeMinOutcomes
 	return differ && comparable
 }
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -36,9 +36,9 @@
 	return q.Meaning == Counts && policy.FailureKinds[q.FailureKind] == "slow"
 }
 
-// marksWrongAnswers reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
+// countsWrongResponses reports whether a question's failures are wrong answers, as opposed to a sign of a degraded
 // endpoint.
-func (q *Query) marksWrongAnswers() bool {
+func (q *Query) countsWrongResponses() bool {
 	return q.Meaning == Counts && policy.FailureKinds[q.FailureKind] == "wrong"
 }
 
@@ -55,9 +55,9 @@
 // QueryResult is a server's answer to a question. Outcomes holds the values; for Counts, these are the counters of all
 // outcomes.
 type QueryResult struct {
-	Server, Question int // indexes
-	Outcomes         []Series
-	Failures         []Series // for Counts only; an endpoint that never failed may be missing
+	Server, Query int // indexes
+	Values        []Series
+	Failures      []Series // for Counts only; an endpoint that never failed may be missing
 }
 
 // Endpoint is one entry of the endpoint list.
@@ -67,23 +67,23 @@
 	StartedAt float64 // start of its process
 }
 
-// Refusal is the reason why a value was refused.
-type Refusal uint8
+// RejectReason is the reason why a value was refused.
+type RejectReason uint8
 
 // The reasons for refusing a value.
 const (
-	RefusedStale           Refusal = iota // older than the question allows
-	RefusedFuture                         // newer than now plus the allowed clock skew
-	RefusedNoNumber                       // NaN, infinite or negative
-	RefusedInconsistent                   // more failures than outcomes, or only the failure counter went backwards
-	RefusedUnknownEndpoint                // of an endpoint that is not listed, or that runs another build
-	RefusedTooManySeries                  // above the limit of tracked series
-	RefusedDuplicate                      // a second series for the same endpoint and build
-	RefusalCount           = int(RefusedDuplicate) + 1
+	RejectedStale           RejectReason = iota // older than the question allows
+	RejectedFuture                              // newer than now plus the allowed clock skew
+	RejectedInvalidNumber                       // NaN, infinite or negative
+	RejectedInconsistent                        // more failures than outcomes, or only the failure counter went backwards
+	RejectedUnknownEndpoint                     // of an endpoint that is not listed, or that runs another build
+	RejectedTooManySeries                       // above the limit of tracked series
+	RejectedDuplicate                           // a second series for the same endpoint and build
+	RejectReasonCount       = int(RejectedDuplicate) + 1
 )
 
 // String returns the reason as used in metric labels.
-func (r Refusal) String() string {
+func (r RejectReason) String() string {
 	return [...]string{"stale", "ahead", "no number", "nonsense", "no such unit", "too many", "doubled"}[r]
 }
 
@@ -91,5 +91,5 @@
 type ApplySummary struct {
 	AcceptedValues int
 	CounterResets  int // counters that restarted
-	RefusedValues  [RefusalCount]int
+	RejectedValues [RejectReasonCount]int
 }
--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -3,10 +3,10 @@
 import "math"
 
 const (
-	minPauseFactor     = 4.0  // minimum time between the starts of a job, in answer times of its server
-	answerTimeGain     = 0.25 // weight of a new value in the moving averages of answer time and lateness
+	minIntervalFactor  = 4.0  // minimum time between the starts of a job, in answer times of its server
+	averageGain        = 0.25 // weight of a new value in the moving averages of answer time and lateness
 	budgetBurstSeconds = 0.25 // of budget that can accumulate for a burst
-	maxBackoffDoubling = 30   // failures after which a pause is no longer doubled
+	maxBackoffFailures = 30   // failures after which a pause is no longer doubled
 )
 
 // Bounds limits the cost of queries over all servers together.
@@ -18,9 +18,9 @@
 
 // Job is a query, or a pair of queries, that is sent periodically.
 type Job struct {
-	Server, Question, Chunk int     // indexes; long queries are sent in chunks of endpoints
-	PeriodSeconds           float64 // minimum time between two starts
-	Queries                 float64 // cost, in queries of the budget
+	Server, Query, Chunk int     // indexes; long queries are sent in chunks of endpoints
+	PeriodSeconds        float64 // minimum time between two starts
+	Cost                 float64 // cost, in queries of the budget
 }
 
 // JobOutcome is the outcome of a started job.
@@ -29,7 +29,7 @@
 // The outcomes of a job.
 const (
 	JobSucceeded JobOutcome = iota
-	JobRefused              // the server is up but refused this question
+	JobFailed               // the server is up but refused this question
 	ServerFailed            // the server does not answer
 )
 
@@ -48,10 +48,10 @@
 
 // scheduledServer is the scheduling state of one server.
 type scheduledServer struct {
-	inFlight      int
-	failures      int     // consecutive
-	answerSeconds float64 // moving average; 0: none yet
-	pausedUntil   float64
+	inFlight        int
+	failures        int     // consecutive
+	responseSeconds float64 // moving average; 0: none yet
+	pausedUntil     float64
 }
 
 // scheduledJob is a job with its scheduling state.
@@ -79,11 +79,11 @@
 	type key struct{ server, question, chunk int }
 	known := map[key]*scheduledJob{}
 	for _, job := range s.jobs {
-		known[key{job.Server, job.Question, job.Chunk}] = job
+		known[key{job.Server, job.Query, job.Chunk}] = job
 	}
 	s.jobs = nil
 	for i, job := range jobs {
-		scheduled := known[key{job.Server, job.Question, job.Chunk}]
+		scheduled := known[key{job.Server, job.Query, job.Chunk}]
 		if scheduled == nil {
 			scheduled = &scheduledJob{dueAt: now + job.PeriodSeconds*float64(i)/float64(len(jobs))}
 		}
@@ -99,20 +99,20 @@
 	if s.inFlight >= s.bounds.MaxInFlight {
 		return started, false, math.Inf(1)
 	}
-	job, latePeriods, waitSeconds := s.latest(now)
+	job, latePeriods, waitSeconds := s.mostOverdue(now)
 	if job == nil {
 		return started, false, waitSeconds
 	}
-	if s.budget < job.Queries {
-		return started, false, (job.Queries - s.budget) / s.bounds.QueriesPerSecond
+	if s.budget < job.Cost {
+		return started, false, (job.Cost - s.budget) / s.bounds.QueriesPerSecond
 	}
-	s.budget -= job.Queries
+	s.budget -= job.Cost
 	server := &s.servers[job.Server]
 	server.inFlight++
 	s.inFlight++
 	job.inFlight = true
-	s.latePeriods += answerTimeGain * (max(0, latePeriods) - s.latePeriods)
-	job.dueAt = now + max(job.PeriodSeconds, minPauseFactor*server.answerSeconds)
+	s.latePeriods += averageGain * (max(0, latePeriods) - s.latePeriods)
+	job.dueAt = now + max(job.PeriodSeconds, minIntervalFactor*server.responseSeconds)
 	return StartedJob{job.Job, job, now}, true, 0
 }
 
@@ -122,9 +122,9 @@
 	s.budgetAt = now
 }
 
-// latest returns the due job that is late by the most of its periods, or nil if none is due. waitSeconds is then the
+// mostOverdue returns the due job that is late by the most of its periods, or nil if none is due. waitSeconds is then the
 // time until one will be.
-func (s *Scheduler) latest(now float64) (latest *scheduledJob, latePeriods, waitSeconds float64) {
+func (s *Scheduler) mostOverdue(now float64) (latest *scheduledJob, latePeriods, waitSeconds float64) {
 	waitSeconds = math.Inf(1)
 	for _, job := range s.jobs {
 		server := &s.servers[job.Server]
@@ -160,15 +160,15 @@
 	if outcome == ServerFailed {
 		server.failures++
 		server.pausedUntil = now + s.pauseSeconds(started.PeriodSeconds, server.failures, retryAfterSeconds)
-		server.answerSeconds = max(server.answerSeconds, answerSeconds)
+		server.responseSeconds = max(server.responseSeconds, answerSeconds)
 		return
 	}
 	server.failures, server.pausedUntil = 0, 0
-	if server.answerSeconds == 0 {
-		server.answerSeconds = answerSeconds
+	if server.responseSeconds == 0 {
+		server.responseSeconds = answerSeconds
 	}
-	server.answerSeconds += answerTimeGain * (answerSeconds - server.answerSeconds)
-	job.dueAt = max(job.dueAt, started.sentAt+minPauseFactor*server.answerSeconds)
+	server.responseSeconds += averageGain * (answerSeconds - server.responseSeconds)
+	job.dueAt = max(job.dueAt, started.sentAt+minIntervalFactor*server.responseSeconds)
 	if outcome == JobSucceeded {
 		job.failures = 0
 		return
@@ -180,7 +180,7 @@
 // pauseSeconds returns the pause after a number of consecutive failures: the period, doubled with each further failure,
 // or the pause that the server asked for if that is longer; at most MaxBackoffSeconds.
 func (s *Scheduler) pauseSeconds(periodSeconds float64, failures int, retryAfterSeconds float64) float64 {
-	backoff := periodSeconds * math.Pow(2, float64(min(failures, maxBackoffDoubling)-1))
+	backoff := periodSeconds * math.Pow(2, float64(min(failures, maxBackoffFailures)-1))
 	return max(min(s.bounds.MaxBackoffSeconds, backoff), min(retryAfterSeconds, s.bounds.MaxBackoffSeconds))
 }
 
--- a/internal/metricsanalysis/scheduler_test.go
+++ b/internal/metricsanalysis/scheduler_test.go
@@ -17,7 +17,7 @@
 		var jobs []Job
 		for q := range rapid.IntRange(1, 6).Draw(t, "questions") {
 			for s := range servers {
-				jobs = append(jobs, Job{Server: s, Question: q, PeriodSeconds: 1, Queries: float64(1 + q%2)})
+				jobs = append(jobs, Job{Server: s, Query: q, PeriodSeconds: 1, Cost: float64(1 + q%2)})
 			}
 		}
 		scheduler.SetJobs(0, jobs)
@@ -39,7 +39,7 @@
 			next := now + 1
 			started, ok, wait := scheduler.Next(now)
 			if ok {
-				spent += started.Queries
+				spent += started.Cost
 				if allowed := max(2, budgetBurstSeconds*bounds.QueriesPerSecond) + bounds.QueriesPerSecond*now; spent > allowed+1e-6 {
 					t.Fatalf("at %g s %g queries, %g allowed", now, spent, allowed)
 				}
@@ -83,7 +83,7 @@
 		}
 		queries := 0.0
 		for _, j := range jobs {
-			queries += j.Queries
+			queries += j.Cost
 		}
 		for _, j := range jobs {
 			n := starts[j]
@@ -92,11 +92,11 @@
 			}
 			// Its fair share of the budget, its server's answer time and its period bound how often it ran; a quarter
 			// of that is expected.
-			least := 60 / max(1, queries/bounds.QueriesPerSecond, minPauseFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
+			least := 60 / max(1, queries/bounds.QueriesPerSecond, minIntervalFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
 			if float64(n) < math.Floor(least) {
 				t.Fatalf("%+v came %d times in 60 s, %g expected at least; answer times %v, failing %v, %+v", j, n, least, answerSeconds, failing, bounds)
 			}
-			if n > 61 || float64(n) > 2+60/(minPauseFactor*answerSeconds[j.Server]) && answerSeconds[j.Server] > 0.25 {
+			if n > 61 || float64(n) > 2+60/(minIntervalFactor*answerSeconds[j.Server]) && answerSeconds[j.Server] > 0.25 {
 				t.Fatalf("%+v came %d times in 60 s at %g s each", j, n, answerSeconds[j.Server])
 			}
 		}
@@ -111,14 +111,14 @@
 // If only one question fails at a server, only that question backs off.
 func TestOnlyFailingQuestionBacksOff(t *testing.T) {
 	scheduler := NewScheduler(Bounds{QueriesPerSecond: 100, MaxInFlight: 4, MaxBackoffSeconds: 8}, 1, 0)
-	scheduler.SetJobs(0, []Job{{Question: 0, PeriodSeconds: 0.5, Queries: 1}, {Question: 1, PeriodSeconds: 0.5, Queries: 1}})
+	scheduler.SetJobs(0, []Job{{Query: 0, PeriodSeconds: 0.5, Cost: 1}, {Query: 1, PeriodSeconds: 0.5, Cost: 1}})
 	queries := [2]int{}
 	for now := 0.0; now < 20; now += 0.01 {
 		if started, ok, _ := scheduler.Next(now); ok {
-			queries[started.Question]++
+			queries[started.Query]++
 			outcome := JobSucceeded
-			if started.Question == 1 {
-				outcome = JobRefused
+			if started.Query == 1 {
+				outcome = JobFailed
 			}
 			scheduler.Done(now+0.001, started, outcome, 0)
 		}
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -14,7 +14,7 @@
 // seriesState is the state of one series of one server, tracked over time.
 type seriesState struct {
 	started  bool
-	at       float64 // of the newest value
+	valueAt  float64 // of the newest value
 	counters counts  // as of then
 	total    counts  // since the current newest build was set
 	recent   counts  // decaying, for the mark
@@ -42,45 +42,45 @@
 	return counts{c.outcomes - other.outcomes, c.failures - other.failures}
 }
 
-// answerReader applies the series of one answer.
-type answerReader struct {
-	now      float64
-	question *Query
-	server   *serverState
-	result   ApplySummary
+// seriesUpdater applies the series of one answer.
+type seriesUpdater struct {
+	now     float64
+	query   *Query
+	server  *serverState
+	summary ApplySummary
 }
 
 // accepts reports whether a value is valid and recent, and counts the reason if not.
-func (r *answerReader) accepts(point Point) bool {
-	refused := &r.result.RefusedValues
+func (r *seriesUpdater) accepts(point Point) bool {
+	refused := &r.summary.RejectedValues
 	switch {
 	case math.IsNaN(point.Value) || math.IsInf(point.Value, 0) || point.Value < 0:
-		refused[RefusedNoNumber]++
-	case point.At > r.now+r.question.MaxClockSkewSeconds:
-		refused[RefusedFuture]++
-	case point.At < r.now-r.question.StaleAfterSeconds:
-		refused[RefusedStale]++
+		refused[RejectedInvalidNumber]++
+	case point.At > r.now+r.query.MaxClockSkewSeconds:
+		refused[RejectedFuture]++
+	case point.At < r.now-r.query.StaleAfterSeconds:
+		refused[RejectedStale]++
 	default:
 		return true
 	}
 	return false
 }
 
-// readGauge applies the values of a series that is not a counter.
-func (r *answerReader) readGauge(series *seriesState, points []Point) {
+// updateGauge applies the values of a series that is not a counter.
+func (r *seriesUpdater) updateGauge(series *seriesState, points []Point) {
 	for _, point := range points {
-		if series.started && point.At <= series.at || !r.accepts(point) {
+		if series.started && point.At <= series.valueAt || !r.accepts(point) {
 			continue
 		}
-		series.at, series.gauge, series.started = point.At, point.Value, true
-		r.result.AcceptedValues++
+		series.valueAt, series.gauge, series.started = point.At, point.Value, true
+		r.summary.AcceptedValues++
 	}
 }
 
-// readCounters applies the values of the two counters of one process.
-func (r *answerReader) readCounters(endpoint Endpoint, series *seriesState, outcomes []Point, failures *failureCounter) {
+// updateCounters applies the values of the two counters of one process.
+func (r *seriesUpdater) updateCounters(endpoint Endpoint, series *seriesState, outcomes []Point, failures *failureCounter) {
 	for _, point := range outcomes {
-		if series.started && point.At <= series.at {
+		if series.started && point.At <= series.valueAt {
 			continue
 		}
 		failure, found := failures.at(point, series)
@@ -88,34 +88,34 @@
 			continue
 		}
 		if failure.Value > point.Value {
-			r.result.RefusedValues[RefusedInconsistent]++
+			r.summary.RejectedValues[RejectedInconsistent]++
 			continue
 		}
 		before := *series
-		series.at, series.counters, series.started = point.At, counts{point.Value, failure.Value}, true
+		series.valueAt, series.counters, series.started = point.At, counts{point.Value, failure.Value}, true
 		increase, known := r.increase(endpoint, &before, series)
 		if !known {
 			continue
 		}
-		r.result.AcceptedValues++
-		series.add(increase, &before, r.question.decays())
+		r.summary.AcceptedValues++
+		series.add(increase, &before, r.query.decays())
 	}
 }
 
 // increase returns the growth of the counters since the previous value, and whether it is known.
-func (r *answerReader) increase(endpoint Endpoint, before, after *seriesState) (increase counts, known bool) {
+func (r *seriesUpdater) increase(endpoint Endpoint, before, after *seriesState) (increase counts, known bool) {
 	increase = after.counters.minus(before.counters)
 	switch {
 	case !before.started:
 		// If the process started after the first answer of this server, everything that it counted is new. Otherwise it
 		// is unknown when its first counts were made.
-		beganWatched := endpoint.StartedAt > r.server.firstAnswerAt && endpoint.StartedAt <= after.at
+		beganWatched := endpoint.StartedAt > r.server.firstResultAt && endpoint.StartedAt <= after.valueAt
 		return after.counters, beganWatched
 	case increase.outcomes < 0: // the process restarted, and so did its counters
-		r.result.CounterResets++
+		r.summary.CounterResets++
 		return after.counters, true
 	case increase.failures < 0 || increase.failures > increase.outcomes:
-		r.result.RefusedValues[RefusedInconsistent]++
+		r.summary.RejectedValues[RejectedInconsistent]++
 		return counts{}, false
 	}
 	return increase, true
@@ -125,11 +125,11 @@
 func (s *seriesState) add(increase counts, before *seriesState, decays bool) {
 	remaining := 0.0
 	if before.started {
-		remaining = math.Exp(-(s.at - before.at) / markDecaySeconds)
+		remaining = math.Exp(-(s.valueAt - before.valueAt) / markDecaySeconds)
 	}
 	s.recent = s.recent.times(remaining).plus(increase)
 	if decays && before.started {
-		s.total = s.total.times(math.Exp(-(s.at - before.at) / slowCountDecaySeconds))
+		s.total = s.total.times(math.Exp(-(s.valueAt - before.valueAt) / slowCountDecaySeconds))
 	}
 	s.total = s.total.plus(increase)
 }
--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -57,7 +57,7 @@
 	case CauseUnreachable, CauseTimedOut, CauseBusy, CauseRedirected:
 		return metricsanalysis.ServerFailed
 	default:
-		return metricsanalysis.JobRefused
+		return metricsanalysis.JobFailed
 	}
 }
 
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -123,7 +123,7 @@
 	}
 	for index := range p.chunks[question] {
 		for server := range p.clients {
-			jobs = append(jobs, metricsanalysis.Job{Server: server, Question: question, Chunk: index, PeriodSeconds: query.Period, Queries: queries})
+			jobs = append(jobs, metricsanalysis.Job{Server: server, Query: question, Chunk: index, PeriodSeconds: query.Period, Cost: queries})
 		}
 	}
 	return jobs
@@ -211,14 +211,14 @@
 	job, ok, waitSeconds = p.scheduler.Next(p.now())
 	p.metrics.latePeriods.Set(p.scheduler.LatePeriods())
 	if ok {
-		chunk = p.chunks[job.Question][job.Chunk]
+		chunk = p.chunks[job.Query][job.Chunk]
 	}
 	return job, chunk, ok, waitSeconds
 }
 
 // runJob sends the queries of a job and applies the answer.
 func (p *Poller) runJob(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk) {
-	query, server := &p.settings.Queries[job.Question], p.settings.Servers[job.Server].Name
+	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
 	sentAt := p.now()
 	rows, outcomes, err := p.send(ctx, job, chunk, sentAt)
 	var refused *RefusedError
@@ -248,7 +248,7 @@
 // send sends a job's queries. The second query has the same evaluation time as the first, so that failures and outcomes
 // match.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []Row, err error) {
-	query, client := &p.settings.Queries[job.Question], p.clients[job.Server]
+	query, client := &p.settings.Queries[job.Query], p.clients[job.Server]
 	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
 	rows, err = client.Query(ctx, request)
 	if err == nil && chunk.outcomes != "" {
@@ -270,7 +270,7 @@
 	p.scheduler.Done(now, job, outcome, retryAfterSeconds)
 	server := p.settings.Servers[job.Server].Name
 	p.metrics.backoffSeconds.WithLabelValues(server).Set(p.scheduler.BackoffSeconds(now, job.Server))
-	asked := target{job.Server, job.Question}
+	asked := target{job.Server, job.Query}
 	before, wasRefused = p.refusals[asked]
 	if refused != nil {
 		p.refusals[asked] = refused.Cause
@@ -282,21 +282,21 @@
 
 // applyAnswer applies an answer and updates the metrics of its values.
 func (p *Poller) applyAnswer(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []Row) {
-	query, server := &p.settings.Queries[job.Question], p.settings.Servers[job.Server].Name
-	answer := &metricsanalysis.QueryResult{Server: job.Server, Question: job.Question}
+	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
+	answer := &metricsanalysis.QueryResult{Server: job.Server, Query: job.Query}
 	unknown := 0
 	if chunk.outcomes != "" {
-		answer.Outcomes, unknown = p.seriesOf(query, outcomes)
+		answer.Values, unknown = p.seriesOf(query, outcomes)
 		answer.Failures, _ = p.seriesOf(query, rows)
 	} else {
-		answer.Outcomes, unknown = p.seriesOf(query, rows)
+		answer.Values, unknown = p.seriesOf(query, rows)
 	}
 	result := p.apply(answer)
-	result.RefusedValues[metricsanalysis.RefusedUnknownEndpoint] += unknown
+	result.RejectedValues[metricsanalysis.RejectedUnknownEndpoint] += unknown
 	p.metrics.valuesAccepted.WithLabelValues(server).Add(float64(result.AcceptedValues))
-	for reason, count := range result.RefusedValues {
+	for reason, count := range result.RejectedValues {
 		if count > 0 {
-			p.metrics.valuesRefused.WithLabelValues(server, metricsanalysis.Refusal(reason).String()).Add(float64(count))
+			p.metrics.valuesRefused.WithLabelValues(server, metricsanalysis.RejectReason(reason).String()).Add(float64(count))
 		}
 	}
 }
