--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -2,37 +2,37 @@
 
 import "math"
 
-// maxSeries bounds the tracked series. More than that is a mistake in the queries, not a large fleet.
+// maxSeries is the maximum number of tracked series. More indicate a mistake in the queries, not a large fleet.
 const maxSeries = 1_000_000
 
-// Analyzer accumulates the answers of all query servers and derives evidence and health marks from them.
+// Analyzer accumulates the results of all query servers and derives evidence and health marks from them.
 type Analyzer struct {
 	queries     []Query
-	servers     [][]serverState // by question and server
+	servers     [][]serverState // by query and server
 	endpoints   map[uint32]Endpoint
-	newestBuild int // the newest; -1: none yet
+	newestBuild int // -1: none yet
 	seriesCount int
-	disputed    map[string]int // by question name: endpoints on which servers disagreed at the last comparison
+	disputed    map[string]int // number of endpoints on which the servers disagreed at the last comparison, by query name
 }
 
-// serverState holds one server's answers to one question.
+// serverState holds the state of one server's results for one query.
 type serverState struct {
-	firstResultAt float64
-	newestValueAt float64 // of the newest value of any series
+	firstResultAt float64 // +Inf: no result yet
+	newestValueAt float64 // timestamp of the newest value of any series; -Inf: no value yet
 	series        map[seriesKey]*seriesState
-	removed       map[int]counts // sums of processes that left the endpoint list, by build
+	removed       map[int]counts // total counts of endpoints that left the list, by build
 }
 
-// seriesKey identifies a series.
+// seriesKey identifies a series of a server.
 type seriesKey struct {
 	endpoint uint32
 	build    int
 }
 
-// NewAnalyzer returns an analyzer of questions that are sent to a number of servers.
-func NewAnalyzer(questions []Query, servers int) *Analyzer {
-	a := &Analyzer{queries: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, newestBuild: -1}
-	for range questions {
+// NewAnalyzer returns an analyzer for the results that a number of servers return for queries.
+func NewAnalyzer(queries []Query, servers int) *Analyzer {
+	a := &Analyzer{queries: queries, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, newestBuild: -1}
+	for range queries {
 		states := make([]serverState, servers)
 		for i := range states {
 			states[i] = serverState{
@@ -47,8 +47,8 @@
 	return a
 }
 
-// SetEndpoints replaces the endpoint list. Counts of processes that left the list are kept, summed per build as if of
-// one endpoint, unless the question's counts decay.
+// SetEndpoints replaces the endpoint list. Counts of endpoints that left the list or changed their build are kept as one
+// sum per build, except those of queries whose counts decay.
 func (a *Analyzer) SetEndpoints(list []Endpoint) {
 	a.endpoints = make(map[uint32]Endpoint, len(list))
 	for _, endpoint := range list {
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetRelease resets all counts if build differs from the current newest build, and makes it the newest.
+// SetRelease makes build the newest build, and resets all counts if it was not the newest before.
 func (a *Analyzer) SetRelease(build int) {
 	if build == a.newestBuild {
 		return
@@ -86,48 +86,48 @@
 	}
 }
 
-// ApplyResult applies an answer and counts its values. Values that were applied before are skipped.
-func (a *Analyzer) ApplyResult(now float64, answer *QueryResult) ApplySummary {
-	server := &a.servers[answer.Query][answer.Server]
+// ApplyResult applies a query result and counts its values. Values that were applied before are skipped.
+func (a *Analyzer) ApplyResult(now float64, result *QueryResult) ApplySummary {
+	server := &a.servers[result.Query][result.Server]
 	server.firstResultAt = min(server.firstResultAt, now)
-	reader := &seriesUpdater{now: now, query: &a.queries[answer.Query], server: server}
-	refused := &reader.summary.RejectedValues
-	failures := make(map[seriesKey][]Point, len(answer.Failures))
-	for _, series := range answer.Failures {
+	updater := &seriesUpdater{now: now, query: &a.queries[result.Query], server: server}
+	rejected := &updater.summary.RejectedValues
+	failures := make(map[seriesKey][]Point, len(result.Failures))
+	for _, series := range result.Failures {
 		failures[seriesKey{series.Endpoint, series.Build}] = series.Points
 	}
-	seen := make(map[seriesKey]bool, len(answer.Values))
-	for _, series := range answer.Values {
+	seen := make(map[seriesKey]bool, len(result.Values))
+	for _, series := range result.Values {
 		key := seriesKey{series.Endpoint, series.Build}
 		endpoint, listed := a.endpoints[series.Endpoint]
 		switch {
 		case !listed || series.Build != endpoint.Build:
-			refused[RejectedUnknownEndpoint]++
+			rejected[RejectedUnknownEndpoint]++
 			continue
 		case seen[key]:
-			refused[RejectedDuplicate]++
+			rejected[RejectedDuplicate]++
 			continue
 		}
 		seen[key] = true
 		state := a.trackSeries(server, key)
 		if state == nil {
-			refused[RejectedTooManySeries]++
+			rejected[RejectedTooManySeries]++
 			continue
 		}
-		if reader.query.Meaning == Counts {
+		if updater.query.Meaning == Counts {
 			points, exists := failures[key]
-			reader.updateCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
+			updater.updateCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
 		} else {
-			reader.updateGauge(state, series.Points)
+			updater.updateGauge(state, series.Points)
 		}
 		if state.started {
 			server.newestValueAt = max(server.newestValueAt, state.valueAt)
 		}
 	}
-	return reader.summary
+	return updater.summary
 }
 
-// trackSeries returns the state of a series, which it creates if needed, or nil if too many series are tracked.
+// trackSeries returns the state of a series, creating it if needed. It returns nil if maxSeries others are tracked.
 func (a *Analyzer) trackSeries(server *serverState, key seriesKey) *seriesState {
 	if state := server.series[key]; state != nil {
 		return state
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -8,33 +8,33 @@
 	"flintspread/internal/policy"
 )
 
-// MarksIntervalSeconds is the interval at which health marks should be recomputed: their evidence fades within seconds.
+// MarksIntervalSeconds is the interval at which to recompute health marks: their evidence decays within seconds.
 const MarksIntervalSeconds = 0.5
 
 const (
 	minMark              = 1.0 / 32 // smaller marks are dropped
-	priorSuccesses       = 2.0      // prior: recent outcomes without failure that are assumed for every endpoint
-	disputeMinDifference = 0.1      // servers disagree if their failure shares differ by more,
-	disputeMinOutcomes   = 20.0     // and both have seen at least this many outcomes
+	priorSuccesses       = 2.0      // prior: successful recent outcomes assumed in addition to those of each endpoint
+	disputeMinDifference = 0.1      // servers disagree if their failure shares differ by more than this,
+	disputeMinOutcomes   = 20.0     // and both have counted at least this many outcomes
 )
 
-// reading is one server's data on a series, or the merged data of several servers.
+// reading is the current state of a series at one server, or merged from several servers.
 type reading struct {
-	share  float64 // of failures; for gauges, the mark before weight and decay
-	counts counts
+	share  float64 // share of failures; for gauges, the mark before weight and decay
+	counts counts  // for Counts only
 	mark   float64 // 0 to 1
 }
 
-// Evidence returns the merged counts of the newest build and of earlier ones, by endpoint and build.
+// Evidence returns the servers' merged counts by endpoint and build, for the newest build and all earlier ones.
 func (a *Analyzer) Evidence(now float64) policy.MetricsEvidence {
 	evidence := policy.MetricsEvidence{Evidence: policy.Evidence{Build: a.newestBuild}}
 	indexes := map[seriesKey]int{}
 	for i := range a.queries {
-		question := &a.queries[i]
-		if question.Meaning != Counts {
+		query := &a.queries[i]
+		if query.Meaning != Counts {
 			continue
 		}
-		evidence.Independent[question.FailureKind] = question.IndependentOfRouters
+		evidence.Independent[query.FailureKind] = query.IndependentOfRouters
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.counts.outcomes == 0 {
 				return
@@ -46,18 +46,18 @@
 				evidence.Samples = append(evidence.Samples, policy.EndpointSample{Endpoint: key.endpoint, Build: key.build})
 			}
 			sample := &evidence.Samples[index]
-			sample.Outcomes[question.FailureKind] = merged.counts.outcomes * question.Weight
-			sample.Failures[question.FailureKind] = merged.counts.failures * question.Weight
+			sample.Outcomes[query.FailureKind] = merged.counts.outcomes * query.Weight
+			sample.Failures[query.FailureKind] = merged.counts.failures * query.Weight
 		})
 	}
 	return evidence
 }
 
-// HealthMarks returns the marked endpoints in order of ID, each with its strongest mark of any question.
+// HealthMarks returns the marked endpoints in order of ID, each with its highest marks over all queries.
 func (a *Analyzer) HealthMarks(now float64) []policy.HealthMark {
 	byEndpoint := map[uint32]*policy.HealthMark{}
 	for i := range a.queries {
-		question := &a.queries[i]
+		query := &a.queries[i]
 		a.forEachSeries(now, i, func(key seriesKey, merged reading) {
 			if merged.mark < minMark || a.endpoints[key.endpoint].Build != key.build {
 				return
@@ -67,7 +67,7 @@
 				mark = &policy.HealthMark{Endpoint: key.endpoint}
 				byEndpoint[key.endpoint] = mark
 			}
-			if question.countsWrongResponses() {
+			if query.countsWrongResponses() {
 				mark.WrongShare = max(mark.WrongShare, merged.mark)
 			} else {
 				mark.DegradedShare = max(mark.DegradedShare, merged.mark)
@@ -82,25 +82,25 @@
 	return marks
 }
 
-// DisputedEndpoints returns the number of endpoints on which the servers disagreed about a question at the last
-// comparison, which Evidence and HealthMarks make.
-func (a *Analyzer) DisputedEndpoints(question string) int { return a.disputed[question] }
+// DisputedEndpoints returns the number of endpoints for which the servers' results for a query differed at the last
+// comparison. Evidence and HealthMarks compare the results.
+func (a *Analyzer) DisputedEndpoints(queryName string) int { return a.disputed[queryName] }
 
-// FreshEndpoints returns the number of series for which a server's answers to a question are not stale.
-func (a *Analyzer) FreshEndpoints(now float64, question, server int) (count int) {
-	for _, series := range a.servers[question][server].series {
-		if series.started && series.valueAt >= now-a.queries[question].StaleAfterSeconds {
+// FreshEndpoints returns the number of endpoints for which a server's newest value for a query is not stale.
+func (a *Analyzer) FreshEndpoints(now float64, query, server int) (count int) {
+	for _, series := range a.servers[query][server].series {
+		if series.started && series.valueAt >= now-a.queries[query].StaleAfterSeconds {
 			count++
 		}
 	}
 	return count
 }
 
-// forEachSeries calls visit with the servers' merged reading of each series of a question, ordered by endpoint and
-// build.
-func (a *Analyzer) forEachSeries(now float64, question int, visit func(seriesKey, reading)) {
-	q := &a.queries[question]
-	readings := a.readings(now, question)
+// forEachSeries calls visit with the servers' merged reading of each series of a query, ordered by endpoint and build.
+// It updates the number of disputed endpoints of the query.
+func (a *Analyzer) forEachSeries(now float64, queryIndex int, visit func(seriesKey, reading)) {
+	q := &a.queries[queryIndex]
+	readings := a.readings(now, queryIndex)
 	keys := make([]seriesKey, 0, len(readings))
 	for key := range readings {
 		keys = append(keys, key)
@@ -118,12 +118,13 @@
 	a.disputed[q.Name] = disputed
 }
 
-// readings returns the readings of a question by series. Servers whose answers are all stale are ignored, including
-// their earlier counts. Counts of endpoints on which no server has fresh values, or that left the list, are kept.
-func (a *Analyzer) readings(now float64, question int) map[seriesKey][]reading {
-	q := &a.queries[question]
-	fresh, past := map[seriesKey][]reading{}, map[seriesKey][]reading{}
-	for _, server := range a.servers[question] {
+// readings returns the servers' readings of each series of a query. Servers whose values are all stale are ignored,
+// including the counts from their earlier results. Otherwise counts are kept for endpoints that left the list, and for
+// those of which no server has a fresh value.
+func (a *Analyzer) readings(now float64, queryIndex int) map[seriesKey][]reading {
+	q := &a.queries[queryIndex]
+	fresh, stale := map[seriesKey][]reading{}, map[seriesKey][]reading{}
+	for _, server := range a.servers[queryIndex] {
 		if server.newestValueAt < now-q.StaleAfterSeconds {
 			continue
 		}
@@ -133,15 +134,15 @@
 			case series.valueAt >= now-q.StaleAfterSeconds:
 				fresh[key] = append(fresh[key], q.read(now, series))
 			case q.Meaning == Counts:
-				past[key] = append(past[key], reading{share: series.total.failureShare(), counts: series.total})
+				stale[key] = append(stale[key], reading{share: series.total.failureShare(), counts: series.total})
 			}
 		}
 		for build, total := range server.removed {
 			key := seriesKey{0, build} // no endpoint has ID 0
-			past[key] = append(past[key], reading{share: total.failureShare(), counts: total})
+			stale[key] = append(stale[key], reading{share: total.failureShare(), counts: total})
 		}
 	}
-	for key, list := range past {
+	for key, list := range stale {
 		if fresh[key] == nil {
 			fresh[key] = list
 		}
@@ -168,8 +169,8 @@
 	return r
 }
 
-// isDisputed reports whether servers disagree on an endpoint. Counts are compared only if both servers have seen enough
-// outcomes.
+// isDisputed reports whether the lowest and the highest of the servers' readings of one series differ too much. Counts
+// are compared only if both servers have counted enough outcomes.
 func (q *Query) isDisputed(readings []reading) bool {
 	lowest, highest := readings[0], readings[0]
 	for _, r := range readings {
@@ -185,9 +186,9 @@
 	return differ && comparable
 }
 
-// lowerMedian merges the servers' readings of one series by picking the lower median. Of two readings this is the
-// milder one, so a failure counts only if both servers see it. Of three or more it is the middle one, so that a single
-// wrong server decides nothing.
+// lowerMedian merges the servers' readings of one series: it returns the one with the lower median of the shares. Of two
+// readings this is the lower one, so that failures count only if both servers report them. With three or more servers, a
+// single faulty server cannot determine the result.
 func lowerMedian(readings []reading) reading {
 	slices.SortStableFunc(readings, func(a, b reading) int { return cmp.Compare(a.share, b.share) })
 	return readings[(len(readings)-1)/2]
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -3,28 +3,28 @@
 import "math"
 
 const (
-	// markDecaySeconds is the time constant (decay to 1/e) of the evidence for marks, the same as of outlier scores in
-	// the policy.
+	// markDecaySeconds is the time constant (decay to 1/e) of the evidence for health marks. The policy's outlier scores
+	// use the same value.
 	markDecaySeconds = 4.0
-	// slowCountDecaySeconds is the time constant (decay to 1/e) of counts of slow answers, the same as in the policy:
-	// load changes.
+	// slowCountDecaySeconds is the time constant (decay to 1/e) of the counts of slow responses, which vary with the
+	// load. The policy uses the same value.
 	slowCountDecaySeconds = 8.2
 )
 
-// seriesState is the state of one series of one server, tracked over time.
+// seriesState is the state of one series of a server.
 type seriesState struct {
-	started  bool
-	valueAt  float64 // of the newest value
-	counters counts  // as of then
-	total    counts  // since the current newest build was set
-	recent   counts  // decaying, for the mark
-	gauge    float64 // newest value, if not a counter
+	started  bool    // a value was accepted
+	valueAt  float64 // timestamp of the newest value
+	counters counts  // newest values of the counters
+	total    counts  // increases since the newest build was set
+	recent   counts  // increases, decaying with markDecaySeconds
+	gauge    float64 // newest value of a series that is not a counter
 }
 
-// counts are outcomes and the failures among them.
+// counts holds a number of outcomes and how many of them are failures.
 type counts struct{ outcomes, failures float64 }
 
-// failureShare returns the share of failures, or 0 without outcomes.
+// failureShare returns the share of outcomes that are failures, or 0 without outcomes.
 func (c counts) failureShare() float64 {
 	if c.outcomes <= 0 {
 		return 0
@@ -42,7 +42,7 @@
 	return counts{c.outcomes - other.outcomes, c.failures - other.failures}
 }
 
-// seriesUpdater applies the series of one answer.
+// seriesUpdater applies the series of one query result and counts its values.
 type seriesUpdater struct {
 	now     float64
 	query   *Query
@@ -50,16 +50,16 @@
 	summary ApplySummary
 }
 
-// accepts reports whether a value is valid and recent, and counts the reason if not.
-func (r *seriesUpdater) accepts(point Point) bool {
-	refused := &r.summary.RejectedValues
+// accepts reports whether a value is valid and recent. If not, it counts the reason.
+func (u *seriesUpdater) accepts(point Point) bool {
+	rejected := &u.summary.RejectedValues
 	switch {
 	case math.IsNaN(point.Value) || math.IsInf(point.Value, 0) || point.Value < 0:
-		refused[RejectedInvalidNumber]++
-	case point.At > r.now+r.query.MaxClockSkewSeconds:
-		refused[RejectedFuture]++
-	case point.At < r.now-r.query.StaleAfterSeconds:
-		refused[RejectedStale]++
+		rejected[RejectedInvalidNumber]++
+	case point.At > u.now+u.query.MaxClockSkewSeconds:
+		rejected[RejectedFuture]++
+	case point.At < u.now-u.query.StaleAfterSeconds:
+		rejected[RejectedStale]++
 	default:
 		return true
 	}
@@ -67,61 +67,62 @@
 }
 
 // updateGauge applies the values of a series that is not a counter.
-func (r *seriesUpdater) updateGauge(series *seriesState, points []Point) {
+func (u *seriesUpdater) updateGauge(series *seriesState, points []Point) {
 	for _, point := range points {
-		if series.started && point.At <= series.valueAt || !r.accepts(point) {
+		if series.started && point.At <= series.valueAt || !u.accepts(point) {
 			continue
 		}
 		series.valueAt, series.gauge, series.started = point.At, point.Value, true
-		r.summary.AcceptedValues++
+		u.summary.AcceptedValues++
 	}
 }
 
-// updateCounters applies the values of the two counters of one process.
-func (r *seriesUpdater) updateCounters(endpoint Endpoint, series *seriesState, outcomes []Point, failures *failureCounter) {
+// updateCounters applies the values of an endpoint's two counters: all outcomes, and the failures among them.
+func (u *seriesUpdater) updateCounters(endpoint Endpoint, series *seriesState, outcomes []Point, failures *failureCounter) {
 	for _, point := range outcomes {
 		if series.started && point.At <= series.valueAt {
 			continue
 		}
 		failure, found := failures.at(point, series)
-		if !found || !r.accepts(point) || !r.accepts(failure) {
+		if !found || !u.accepts(point) || !u.accepts(failure) {
 			continue
 		}
 		if failure.Value > point.Value {
-			r.summary.RejectedValues[RejectedInconsistent]++
+			u.summary.RejectedValues[RejectedInconsistent]++
 			continue
 		}
 		before := *series
 		series.valueAt, series.counters, series.started = point.At, counts{point.Value, failure.Value}, true
-		increase, known := r.increase(endpoint, &before, series)
+		increase, known := u.increase(endpoint, &before, series)
 		if !known {
 			continue
 		}
-		r.summary.AcceptedValues++
-		series.add(increase, &before, r.query.decays())
+		u.summary.AcceptedValues++
+		series.add(increase, &before, u.query.decays())
 	}
 }
 
-// increase returns the growth of the counters since the previous value, and whether it is known.
-func (r *seriesUpdater) increase(endpoint Endpoint, before, after *seriesState) (increase counts, known bool) {
+// increase returns by how much the counters have grown since the previous value. known is false if that cannot be
+// determined.
+func (u *seriesUpdater) increase(endpoint Endpoint, before, after *seriesState) (increase counts, known bool) {
 	increase = after.counters.minus(before.counters)
 	switch {
 	case !before.started:
-		// If the process started after the first answer of this server, everything that it counted is new. Otherwise it
-		// is unknown when its first counts were made.
-		beganWatched := endpoint.StartedAt > r.server.firstResultAt && endpoint.StartedAt <= after.valueAt
-		return after.counters, beganWatched
-	case increase.outcomes < 0: // the process restarted, and so did its counters
-		r.summary.CounterResets++
+		// If the process started after the first result of this server, all of its counts are new. Otherwise it is
+		// unknown when they were counted.
+		startedAfterFirstResult := endpoint.StartedAt > u.server.firstResultAt && endpoint.StartedAt <= after.valueAt
+		return after.counters, startedAfterFirstResult
+	case increase.outcomes < 0: // the process restarted, which resets its counters
+		u.summary.CounterResets++
 		return after.counters, true
 	case increase.failures < 0 || increase.failures > increase.outcomes:
-		r.summary.RejectedValues[RejectedInconsistent]++
+		u.summary.RejectedValues[RejectedInconsistent]++
 		return counts{}, false
 	}
 	return increase, true
 }
 
-// add adds an increase since the previous state to the sums, after decaying them by the time in between.
+// add adds an increase since the previous value to the sums, after decaying them by the time since that value.
 func (s *seriesState) add(increase counts, before *seriesState, decays bool) {
 	remaining := 0.0
 	if before.started {
@@ -134,16 +135,15 @@
 	s.total = s.total.plus(increase)
 }
 
-// failureCounter finds the failures that belong to values of the outcome counter. Calls must be in the order of those
-// values.
+// failureCounter matches values of the failure counter to those of the outcome counter.
 type failureCounter struct {
 	points []Point
 	next   int
-	exists bool // false for an endpoint that has not failed yet
+	exists bool // false if the result has no such counter: the endpoint has not failed yet
 }
 
-// at returns the failures from the same scrape as an outcomes value, which has the same timestamp. found is false if
-// that scrape has none.
+// at returns the failure count from the same scrape as a value of the outcome counter: the one with the same timestamp.
+// found is false if there is none. Calls must be in the order of the timestamps.
 func (f *failureCounter) at(outcome Point, series *seriesState) (failure Point, found bool) {
 	if !f.exists {
 		failure = Point{At: outcome.At}
