--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	minIntervalFactor  = 4.0  // minimum time between the starts of a job, in answer times of its server
-	averageGain        = 0.25 // weight of a new value in the moving averages of answer time and lateness
-	budgetBurstSeconds = 0.25 // of budget that can accumulate for a burst
-	maxBackoffFailures = 30   // failures after which a pause is no longer doubled
+	minIntervalFactor  = 4.0  // minimum time between two starts of a job, in response times of its server
+	averageGain        = 0.25 // weight of a new value in the moving averages of response time and lateness
+	budgetBurstSeconds = 0.25 // budget can accumulate for a burst of this duration
+	maxBackoffFailures = 30   // consecutive failures above which a pause is no longer doubled
 )
 
-// Bounds limits the cost of queries over all servers together.
+// Bounds limits the cost of the queries to all servers together.
 type Bounds struct {
 	QueriesPerSecond  float64 // budget; bursts are limited to budgetBurstSeconds of it
-	MaxInFlight       int     // jobs in flight
-	MaxBackoffSeconds float64 // longest pause of a failing server or question
+	MaxInFlight       int     // maximum number of jobs in flight
+	MaxBackoffSeconds float64 // longest pause of a failing server or query
 }
 
-// Job is a query, or a pair of queries, that is sent periodically.
+// Job is a query, or a pair of queries, that is sent to a server periodically.
 type Job struct {
-	Server, Query, Chunk int     // indexes; long queries are sent in chunks of endpoints
+	Server, Query, Chunk int     // indexes; a query for many endpoints is sent in chunks
 	PeriodSeconds        float64 // minimum time between two starts
-	Cost                 float64 // cost, in queries of the budget
+	Cost                 float64 // number of queries that count towards the budget
 }
 
 // JobOutcome is the outcome of a started job.
@@ -29,28 +29,28 @@
 // The outcomes of a job.
 const (
 	JobSucceeded JobOutcome = iota
-	JobFailed               // the server is up but refused this question
-	ServerFailed            // the server does not answer
+	JobFailed               // the server is available, but the query failed or its result was rejected
+	ServerFailed            // the server is unavailable
 )
 
-// Scheduler decides which job to start when. All jobs share one budget; if it is too small for them, all run less often
-// in proportion to their periods. A slow server is queried less often. A failing one is queried after exponentially
-// growing pauses, one job at a time.
+// Scheduler decides when to start which job. All jobs share one budget of queries per second; if it is too small, all
+// jobs run less often, in proportion to their periods. A slow server is queried less often. A failing server is queried
+// with exponential backoff, one job at a time.
 type Scheduler struct {
 	bounds      Bounds
 	servers     []scheduledServer
 	jobs        []*scheduledJob
 	budget      float64 // queries that may be sent now
-	budgetAt    float64 // when the budget was computed
+	budgetAt    float64 // time of the last refill of the budget
 	inFlight    int
-	latePeriods float64 // moving average
+	latePeriods float64 // moving average of the delay of starts beyond the due time, in periods of the job
 }
 
 // scheduledServer is the scheduling state of one server.
 type scheduledServer struct {
 	inFlight        int
-	failures        int     // consecutive
-	responseSeconds float64 // moving average; 0: none yet
+	failures        int     // number of consecutive ServerFailed outcomes
+	responseSeconds float64 // moving average of the response time; 0: no response yet
 	pausedUntil     float64
 }
 
@@ -59,7 +59,7 @@
 	Job
 	dueAt    float64
 	inFlight bool
-	failures int // consecutive, of this job while the server is up
+	failures int // number of JobFailed outcomes since the last success
 }
 
 // StartedJob is a job in flight. It must be passed to Done exactly once.
@@ -74,16 +74,17 @@
 	return &Scheduler{bounds: bounds, servers: make([]scheduledServer, servers), budgetAt: now}
 }
 
-// SetJobs replaces the jobs. Existing jobs keep their schedule; new ones are spread over their period.
+// SetJobs replaces the jobs. Jobs that exist already keep their schedule. The first starts of new ones are spread over
+// their period.
 func (s *Scheduler) SetJobs(now float64, jobs []Job) {
-	type key struct{ server, question, chunk int }
-	known := map[key]*scheduledJob{}
+	type key struct{ server, query, chunk int }
+	existing := map[key]*scheduledJob{}
 	for _, job := range s.jobs {
-		known[key{job.Server, job.Query, job.Chunk}] = job
+		existing[key{job.Server, job.Query, job.Chunk}] = job
 	}
 	s.jobs = nil
 	for i, job := range jobs {
-		scheduled := known[key{job.Server, job.Query, job.Chunk}]
+		scheduled := existing[key{job.Server, job.Query, job.Chunk}]
 		if scheduled == nil {
 			scheduled = &scheduledJob{dueAt: now + job.PeriodSeconds*float64(i)/float64(len(jobs))}
 		}
@@ -92,8 +93,8 @@
 	}
 }
 
-// Next starts the next job that is due. If ok is false, waitSeconds is the time after which to call again; it is
-// infinite if only Done can make another job startable.
+// Next starts the most overdue job. If none can be started, ok is false and waitSeconds is the time after which to call
+// Next again, which is infinite if no job can start before a call of Done.
 func (s *Scheduler) Next(now float64) (started StartedJob, ok bool, waitSeconds float64) {
 	s.refillBudget(now)
 	if s.inFlight >= s.bounds.MaxInFlight {
@@ -116,15 +117,15 @@
 	return StartedJob{job.Job, job, now}, true, 0
 }
 
-// refillBudget adds the budget for the time since the last call.
+// refillBudget adds the budget for the time since the last refill.
 func (s *Scheduler) refillBudget(now float64) {
 	s.budget = min(s.budget+(now-s.budgetAt)*s.bounds.QueriesPerSecond, max(2, budgetBurstSeconds*s.bounds.QueriesPerSecond))
 	s.budgetAt = now
 }
 
-// mostOverdue returns the due job that is late by the most of its periods, or nil if none is due. waitSeconds is then the
-// time until one will be.
-func (s *Scheduler) mostOverdue(now float64) (latest *scheduledJob, latePeriods, waitSeconds float64) {
+// mostOverdue returns the startable job with the longest delay beyond its due time, measured in its periods. If no job
+// is startable, it returns nil and in waitSeconds the time until the next one is.
+func (s *Scheduler) mostOverdue(now float64) (overdue *scheduledJob, latePeriods, waitSeconds float64) {
 	waitSeconds = math.Inf(1)
 	for _, job := range s.jobs {
 		server := &s.servers[job.Server]
@@ -134,15 +135,15 @@
 		startAt := max(job.dueAt, server.pausedUntil)
 		if startAt > now {
 			waitSeconds = min(waitSeconds, startAt-now)
-		} else if late := (now - job.dueAt) / job.PeriodSeconds; latest == nil || late > latePeriods {
-			latest, latePeriods = job, late
+		} else if late := (now - job.dueAt) / job.PeriodSeconds; overdue == nil || late > latePeriods {
+			overdue, latePeriods = job, late
 		}
 	}
-	return latest, latePeriods, waitSeconds
+	return overdue, latePeriods, waitSeconds
 }
 
-// serverLimit returns the maximum number of jobs in flight at one server: half of the total, so that no server occupies
-// all slots, and one while it is failing.
+// serverLimit returns the maximum number of jobs in flight at one server: half of Bounds.MaxInFlight, rounded
+// up, so that a slow server cannot occupy all slots, or one while the server is failing.
 func (s *Scheduler) serverLimit(server *scheduledServer) int {
 	if server.failures > 0 {
 		return 1
@@ -150,24 +151,24 @@
 	return max(1, (s.bounds.MaxInFlight+1)/2)
 }
 
-// Done records the end of a started job. retryAfterSeconds is the pause that the server asked for, 0 if none.
+// Done records the outcome of a started job. retryAfterSeconds is the pause that the server requested, or 0.
 func (s *Scheduler) Done(now float64, started StartedJob, outcome JobOutcome, retryAfterSeconds float64) {
 	server, job := &s.servers[started.Server], started.scheduled
 	server.inFlight--
 	s.inFlight--
 	job.inFlight = false
-	answerSeconds := now - started.sentAt
+	elapsedSeconds := now - started.sentAt
 	if outcome == ServerFailed {
 		server.failures++
 		server.pausedUntil = now + s.pauseSeconds(started.PeriodSeconds, server.failures, retryAfterSeconds)
-		server.responseSeconds = max(server.responseSeconds, answerSeconds)
+		server.responseSeconds = max(server.responseSeconds, elapsedSeconds)
 		return
 	}
 	server.failures, server.pausedUntil = 0, 0
 	if server.responseSeconds == 0 {
-		server.responseSeconds = answerSeconds
+		server.responseSeconds = elapsedSeconds
 	}
-	server.responseSeconds += averageGain * (answerSeconds - server.responseSeconds)
+	server.responseSeconds += averageGain * (elapsedSeconds - server.responseSeconds)
 	job.dueAt = max(job.dueAt, started.sentAt+minIntervalFactor*server.responseSeconds)
 	if outcome == JobSucceeded {
 		job.failures = 0
@@ -177,17 +178,18 @@
 	job.dueAt = max(job.dueAt, now+s.pauseSeconds(started.PeriodSeconds, job.failures, retryAfterSeconds))
 }
 
-// pauseSeconds returns the pause after a number of consecutive failures: the period, doubled with each further failure,
-// or the pause that the server asked for if that is longer; at most MaxBackoffSeconds.
+// pauseSeconds returns the pause after a number of consecutive failures: the period, doubled for each failure after the
+// first, or the pause that the server requested if that is longer. The pause is at most MaxBackoffSeconds.
 func (s *Scheduler) pauseSeconds(periodSeconds float64, failures int, retryAfterSeconds float64) float64 {
 	backoff := periodSeconds * math.Pow(2, float64(min(failures, maxBackoffFailures)-1))
 	return max(min(s.bounds.MaxBackoffSeconds, backoff), min(retryAfterSeconds, s.bounds.MaxBackoffSeconds))
 }
 
-// LatePeriods returns the recent average lateness of jobs, in their periods, caused by a small budget or slow servers.
+// LatePeriods returns the moving average of the delay of starts beyond the due time, in periods of the job. A budget that
+// is too small or slow servers cause it.
 func (s *Scheduler) LatePeriods() float64 { return s.latePeriods }
 
-// BackoffSeconds returns the remaining pause of a failing server, or 0.
+// BackoffSeconds returns the remaining pause of a failing server, or 0 if it is not paused.
 func (s *Scheduler) BackoffSeconds(now float64, server int) float64 {
 	return max(0, s.servers[server].pausedUntil-now)
 }
--- a/internal/metricsanalysis/scheduler_test.go
+++ b/internal/metricsanalysis/scheduler_test.go
@@ -7,31 +7,31 @@
 	"pgregory.net/rapid"
 )
 
-// With fast, slow and failing servers, the budget and the bounds always hold, no job is in flight twice, and every job
-// of a responding server is started again.
+// With fast, slow and failing servers, the scheduler keeps its budget and bounds, never has a job in flight twice, and
+// keeps starting the jobs of available servers, and of failing ones at least once per backoff.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 4).Draw(t, "servers")
 		bounds := Bounds{QueriesPerSecond: rapid.Float64Range(1, 50).Draw(t, "budget"), MaxInFlight: rapid.IntRange(1, 8).Draw(t, "at once"), MaxBackoffSeconds: 5}
 		scheduler := NewScheduler(bounds, servers, 0)
 		var jobs []Job
-		for q := range rapid.IntRange(1, 6).Draw(t, "questions") {
+		for q := range rapid.IntRange(1, 6).Draw(t, "queries") {
 			for s := range servers {
 				jobs = append(jobs, Job{Server: s, Query: q, PeriodSeconds: 1, Cost: float64(1 + q%2)})
 			}
 		}
 		scheduler.SetJobs(0, jobs)
-		answerSeconds := make([]float64, servers)
+		responseSeconds := make([]float64, servers)
 		failing := make([]bool, servers)
 		for s := range servers {
-			answerSeconds[s] = rapid.Float64Range(0.001, 2).Draw(t, "took")
-			failing[s] = rapid.IntRange(0, 3).Draw(t, "sick") == 0
+			responseSeconds[s] = rapid.Float64Range(0.001, 2).Draw(t, "response seconds")
+			failing[s] = rapid.IntRange(0, 3).Draw(t, "failing") == 0
 		}
-		type flight struct {
+		type inFlightJob struct {
 			job    StartedJob
 			endsAt float64
 		}
-		var inFlight []flight
+		var inFlight []inFlightJob
 		starts := map[Job]int{}
 		spent, now := 0.0, 0.0
 		lastStartAt := map[int]float64{}
@@ -41,23 +41,23 @@
 			if ok {
 				spent += started.Cost
 				if allowed := max(2, budgetBurstSeconds*bounds.QueriesPerSecond) + bounds.QueriesPerSecond*now; spent > allowed+1e-6 {
-					t.Fatalf("at %g s %g queries, %g allowed", now, spent, allowed)
+					t.Fatalf("at %g s %g queries were sent; at most %g are allowed", now, spent, allowed)
 				}
-				sameServer := 0
+				atServer := 0
 				for _, f := range inFlight {
 					if f.job.Job == started.Job {
-						t.Fatalf("%+v is in flight twice", started.Job)
+						t.Fatalf("%+v was started while in flight", started.Job)
 					}
 					if f.job.Server == started.Server {
-						sameServer++
+						atServer++
 					}
 				}
-				if len(inFlight)+1 > bounds.MaxInFlight || sameServer+1 > max(1, (bounds.MaxInFlight+1)/2) {
-					t.Fatalf("%d in flight, %d at one server", len(inFlight)+1, sameServer+1)
+				if len(inFlight)+1 > bounds.MaxInFlight || atServer+1 > max(1, (bounds.MaxInFlight+1)/2) {
+					t.Fatalf("%d jobs are in flight, %d of them at one server; limits: %d and %d", len(inFlight)+1, atServer+1, bounds.MaxInFlight, max(1, (bounds.MaxInFlight+1)/2))
 				}
 				starts[started.Job]++
 				lastStartAt[started.Server] = now
-				inFlight = append(inFlight, flight{started, now + answerSeconds[started.Server]})
+				inFlight = append(inFlight, inFlightJob{started, now + responseSeconds[started.Server]})
 				continue
 			}
 			if wait < next-now {
@@ -81,41 +81,41 @@
 			}
 			inFlight = kept
 		}
-		queries := 0.0
+		totalCost := 0.0
 		for _, j := range jobs {
-			queries += j.Cost
+			totalCost += j.Cost
 		}
 		for _, j := range jobs {
-			n := starts[j]
+			n := starts[j] // number of starts
 			if failing[j.Server] {
 				continue
 			}
-			// Its fair share of the budget, its server's answer time and its period bound how often it ran; a quarter
-			// of that is expected.
-			least := 60 / max(1, queries/bounds.QueriesPerSecond, minIntervalFactor*answerSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
-			if float64(n) < math.Floor(least) {
-				t.Fatalf("%+v came %d times in 60 s, %g expected at least; answer times %v, failing %v, %+v", j, n, least, answerSeconds, failing, bounds)
+			// The period, the fair share of the budget, the server's response time and the limit on jobs in flight bound
+			// how often a job runs. At least a quarter of that is required.
+			minStarts := 60 / max(1, totalCost/bounds.QueriesPerSecond, minIntervalFactor*responseSeconds[j.Server], float64(len(jobs))*2/float64(bounds.MaxInFlight)) / 4
+			if float64(n) < math.Floor(minStarts) {
+				t.Fatalf("%+v started %d times in 60 s, want at least %g; response seconds %v, failing %v, %+v", j, n, minStarts, responseSeconds, failing, bounds)
 			}
-			if n > 61 || float64(n) > 2+60/(minIntervalFactor*answerSeconds[j.Server]) && answerSeconds[j.Server] > 0.25 {
-				t.Fatalf("%+v came %d times in 60 s at %g s each", j, n, answerSeconds[j.Server])
+			if n > 61 || float64(n) > 2+60/(minIntervalFactor*responseSeconds[j.Server]) && responseSeconds[j.Server] > 0.25 {
+				t.Fatalf("%+v started %d times in 60 s, too often for a response time of %g s", j, n, responseSeconds[j.Server])
 			}
 		}
 		for s := range servers {
-			if failing[s] && len(inFlight) == 0 && lastStartAt[s] < 60-3*(bounds.MaxBackoffSeconds+answerSeconds[s])-queries/bounds.QueriesPerSecond*2 && bounds.QueriesPerSecond > 10 {
-				t.Fatalf("failing server %d was last queried at %g", s, lastStartAt[s])
+			if failing[s] && len(inFlight) == 0 && lastStartAt[s] < 60-3*(bounds.MaxBackoffSeconds+responseSeconds[s])-totalCost/bounds.QueriesPerSecond*2 && bounds.QueriesPerSecond > 10 {
+				t.Fatalf("failing server %d was last queried at %g s of 60 s", s, lastStartAt[s])
 			}
 		}
 	})
 }
 
-// If only one question fails at a server, only that question backs off.
-func TestOnlyFailingQuestionBacksOff(t *testing.T) {
+// A query that fails at an available server is paused; the other queries to that server are not.
+func TestOnlyFailingQueryBacksOff(t *testing.T) {
 	scheduler := NewScheduler(Bounds{QueriesPerSecond: 100, MaxInFlight: 4, MaxBackoffSeconds: 8}, 1, 0)
 	scheduler.SetJobs(0, []Job{{Query: 0, PeriodSeconds: 0.5, Cost: 1}, {Query: 1, PeriodSeconds: 0.5, Cost: 1}})
-	queries := [2]int{}
+	starts := [2]int{}
 	for now := 0.0; now < 20; now += 0.01 {
 		if started, ok, _ := scheduler.Next(now); ok {
-			queries[started.Query]++
+			starts[started.Query]++
 			outcome := JobSucceeded
 			if started.Query == 1 {
 				outcome = JobFailed
@@ -123,7 +123,7 @@
 			scheduler.Done(now+0.001, started, outcome, 0)
 		}
 	}
-	if queries[0] < 35 || queries[1] > 8 || queries[1] < 4 {
-		t.Errorf("queried %v times", queries)
+	if starts[0] < 35 || starts[1] > 8 || starts[1] < 4 {
+		t.Errorf("the succeeding and the failing query were started %v times; want at least 35, and 4 to 8", starts)
 	}
 }
