--- a/internal/metricsanalysis/promquery/template.go
+++ b/internal/metricsanalysis/promquery/template.go
@@ -13,67 +13,67 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// Form is the form of the answer to a query.
+// Form is the type of a query and of its result.
 type Form uint8
 
-// The forms of answers.
+// The forms of queries.
 const (
-	Samples Form = iota // a range vector at one instant: the scraped values with their own timestamps
-	Instant             // a vector at one instant; its values have the time of the query
-	Range               // values at regular steps over a time range
+	Samples Form = iota // an instant query of a range vector: the scraped values with their own timestamps
+	Instant             // an instant query of an instant vector: one value per series, as of the query time
+	Range               // a range query: values at regular steps over a time range
 )
 
-// endpointsPerQuery is the maximum number of endpoints in one query.
-const endpointsPerQuery = 100
+// maxEndpointsPerQuery is the maximum number of endpoints in one query.
+const maxEndpointsPerQuery = 100
 
-var grammar = parser.NewParser(parser.Options{})
+var promQLParser = parser.NewParser(parser.Options{})
 
-// Template is a query with placeholders for builds and endpoints: {{.Build}}, {{.Builds}}, {{.Unit}} and {{.Units}}. It
-// is immutable and safe for concurrent use.
+// Template is a PromQL query with placeholders for builds and endpoints: {{.Build}}, {{.Builds}}, {{.Unit}} and
+// {{.Units}}. It is immutable and safe for concurrent use.
 type Template struct {
-	text  string
-	query *template.Template
-	names placeholders
+	text   string
+	parsed *template.Template
+	used   placeholders
 }
 
-// placeholders are the placeholders that a template uses.
+// placeholders records which placeholders a template uses.
 type placeholders struct{ build, builds, endpoint, endpoints bool }
 
-// fill holds the values for the placeholders of a template. Its methods have the names used in templates and record
-// that they were called. Its type name appears in the error for an unknown placeholder.
+// fill holds the values for the placeholders of a template. Its methods are the placeholders, and record in used that
+// they were called. The type name appears in the error text for an unknown placeholder.
 type fill struct {
 	build, builds, endpoint, endpoints string
-	named                              *placeholders
+	used                               *placeholders
 }
 
-// Build returns one build.
-func (f fill) Build() string { f.named.build = true; return f.build }
+// Build returns the label value of one build.
+func (f fill) Build() string { f.used.build = true; return f.build }
 
-// Builds returns all builds as alternatives of a regular expression.
-func (f fill) Builds() string { f.named.builds = true; return f.builds }
+// Builds returns the label values of all builds, as alternatives of a regular expression.
+func (f fill) Builds() string { f.used.builds = true; return f.builds }
 
 // Unit returns the label value of one endpoint.
-func (f fill) Unit() string { f.named.endpoint = true; return f.endpoint }
+func (f fill) Unit() string { f.used.endpoint = true; return f.endpoint }
 
-// Units returns the label values of several endpoints as alternatives of a regular expression.
-func (f fill) Units() string { f.named.endpoints = true; return f.endpoints }
+// Units returns the label values of several endpoints, as alternatives of a regular expression.
+func (f fill) Units() string { f.used.endpoints = true; return f.endpoints }
 
-// Parse parses a template and checks that the query it generates has answers of the given form. Errors are worded for
-// the author of the template.
+// Parse parses a template and checks that the query that it generates is a valid PromQL expression of the given form.
+// Errors are worded for the author of the template.
 func Parse(text string, form Form) (*Template, error) {
-	query, err := template.New("query").Option("missingkey=error").Parse(text)
+	parsed, err := template.New("query").Option("missingkey=error").Parse(text)
 	if err != nil {
-		return nil, withoutPrefix(err)
+		return nil, trimErrorPrefix(err)
 	}
-	t := &Template{text: text, query: query}
-	example, err := t.execute(fill{"1", "1|2", "7", "7|8", &t.names})
+	t := &Template{text: text, parsed: parsed}
+	example, err := t.execute(fill{"1", "1|2", "7", "7|8", &t.used})
 	if err != nil {
 		return nil, err
 	}
-	if t.names.endpoint && t.names.endpoints || t.names.build && t.names.builds {
-		return nil, errors.New("both one and several of the same: .Unit with .Units, or .Build with .Builds")
+	if t.used.endpoint && t.used.endpoints || t.used.build && t.used.builds {
+		return nil, errors.New("must not use both .Unit and .Units, or both .Build and .Builds")
 	}
-	expression, err := grammar.ParseExpr(example)
+	expression, err := promQLParser.ParseExpr(example)
 	if err != nil {
 		return nil, err
 	}
@@ -83,61 +83,61 @@
 		}
 		return t, nil
 	}
-	if got := expression.Type(); got != parser.ValueTypeVector {
-		return nil, fmt.Errorf("gives a %s, where one value a series is needed", got)
+	if valueType := expression.Type(); valueType != parser.ValueTypeVector {
+		return nil, fmt.Errorf("returns a %s; this form requires an instant vector, with one value per series", valueType)
 	}
 	return t, nil
 }
 
-// checkSamples rejects an expression other than a plain range selector at the query time.
+// checkSamples returns an error for any expression other than a range vector selector at the query time.
 func checkSamples(expression parser.Expr) error {
 	matrix, ok := expression.(*parser.MatrixSelector)
 	if !ok {
 		return errors.New("must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages")
 	}
-	if vector, ok := matrix.VectorSelector.(*parser.VectorSelector); !ok || !isPresent(vector) {
-		return errors.New("samples of another time: neither offset nor @")
+	if vector, ok := matrix.VectorSelector.(*parser.VectorSelector); !ok || !isAtQueryTime(vector) {
+		return errors.New("must not use offset or @: the samples must be those up to the query time")
 	}
 	return nil
 }
 
-// isPresent reports whether a selector has neither an offset nor an @ modifier.
-func isPresent(vector *parser.VectorSelector) bool {
+// isAtQueryTime reports whether a selector has neither an offset nor an @ modifier.
+func isAtQueryTime(vector *parser.VectorSelector) bool {
 	hasOffset := vector.OriginalOffset != 0 || vector.OriginalOffsetExpr != nil
-	hasTime := vector.Timestamp != nil || vector.StartOrEnd != 0
-	return !hasOffset && !hasTime
+	hasTimestamp := vector.Timestamp != nil || vector.StartOrEnd != 0
+	return !hasOffset && !hasTimestamp
 }
 
-// execute generates the query for the given values.
+// execute generates the query for the given placeholder values.
 func (t *Template) execute(f fill) (string, error) {
 	var b strings.Builder
-	if err := t.query.Execute(&b, f); err != nil {
-		return "", withoutPrefix(err)
+	if err := t.parsed.Execute(&b, f); err != nil {
+		return "", trimErrorPrefix(err)
 	}
 	return b.String(), nil
 }
 
-// withoutPrefix removes the package name from a template error, which is shown next to the setting that holds the
-// template.
-func withoutPrefix(err error) error {
+// trimErrorPrefix removes the name of package template from its errors, which are shown after the name of the setting
+// that holds the template.
+func trimErrorPrefix(err error) error {
 	return errors.New(strings.TrimPrefix(err.Error(), "template: "))
 }
 
-// Queries generates the queries for builds and endpoints, which are given by their label values. A template with .Build
-// or .Unit yields a query for each build or endpoint, one with .Units a query for each endpointsPerQuery endpoints, and
-// any other a single query.
-func (t *Template) Queries(builds []int, endpoints []string) (queries []string, err error) {
+// Queries generates the queries for the given builds and endpoint label values. A template with .Build yields a query
+// for each build, one with .Unit a query for each endpoint, one with .Units a query for each maxEndpointsPerQuery
+// endpoints, and any other template a single query.
+func (t *Template) Queries(builds []int, endpointLabels []string) (queries []string, err error) {
 	var buildLabels []string
 	for _, build := range builds {
 		buildLabels = append(buildLabels, strconv.Itoa(build))
 	}
-	places := fill{builds: strings.Join(buildLabels, "|"), named: &placeholders{}}
-	for _, f := range t.forEndpoints(places, endpoints) {
-		each := []string{""}
-		if t.names.build {
-			each = buildLabels
+	values := fill{builds: strings.Join(buildLabels, "|"), used: &placeholders{}}
+	for _, f := range t.fillEndpoints(values, endpointLabels) {
+		queryBuilds := []string{""}
+		if t.used.build {
+			queryBuilds = buildLabels
 		}
-		for _, build := range each {
+		for _, build := range queryBuilds {
 			f.build = build
 			query, err := t.execute(f)
 			if err != nil {
@@ -149,19 +149,19 @@
 	return queries, nil
 }
 
-// forEndpoints returns the values for each of the queries that cover the endpoints.
-func (t *Template) forEndpoints(f fill, endpoints []string) (list []fill) {
+// fillEndpoints returns copies of f that hold the endpoints for each of the queries that the template requires.
+func (t *Template) fillEndpoints(f fill, labels []string) (list []fill) {
 	switch {
-	case t.names.endpoint:
-		for _, endpoint := range endpoints {
-			f.endpoint = escape(endpoint)
+	case t.used.endpoint:
+		for _, label := range labels {
+			f.endpoint = escapeString(label)
 			list = append(list, f)
 		}
-	case t.names.endpoints:
-		for from := 0; from < len(endpoints); from += endpointsPerQuery {
+	case t.used.endpoints:
+		for start := 0; start < len(labels); start += maxEndpointsPerQuery {
 			var alternatives []string
-			for _, endpoint := range endpoints[from:min(len(endpoints), from+endpointsPerQuery)] {
-				alternatives = append(alternatives, escape(regexp.QuoteMeta(endpoint)))
+			for _, label := range labels[start:min(len(labels), start+maxEndpointsPerQuery)] {
+				alternatives = append(alternatives, escapeString(regexp.QuoteMeta(label)))
 			}
 			f.endpoints = strings.Join(alternatives, "|")
 			list = append(list, f)
@@ -172,8 +172,8 @@
 	return list
 }
 
-// escape escapes a text for use between double quotes.
-func escape(text string) string {
+// escapeString escapes a text for use in a double-quoted PromQL string.
+func escapeString(text string) string {
 	quoted := strconv.Quote(text)
 	return quoted[1 : len(quoted)-1]
 }
--- a/internal/metricsanalysis/promquery/template_test.go
+++ b/internal/metricsanalysis/promquery/template_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Templates are accepted only if their queries have answers of the given form.
-func TestRead(t *testing.T) {
+// A template is accepted only if its queries are valid and of the given form.
+func TestParse(t *testing.T) {
 	for _, test := range []struct {
 		text string
 		form Form
-		err  string // expected substring; empty: no error
+		err  string // substring of the expected error; empty: no error
 	}{
 		{`unit_errors_total{build=~"{{.Builds}}"}[15s]`, Samples, ""},
 		{`unit_errors_total[15s]`, Samples, ""},
@@ -18,25 +18,25 @@
 		{`histogram_quantile(0.99, sum by (le, unit) (rate(took_bucket{unit=~"{{.Units}}"}[1m])))`, Range, ""},
 		{`unit_errors_total`, Samples, "bare samples"},
 		{`rate(unit_errors_total[15s])`, Samples, "bare samples"},
-		{`unit_errors_total[15s] offset 1d`, Samples, "neither offset nor @"},
-		{`unit_errors_total[15s] @ 1700000000`, Samples, "neither offset nor @"},
-		{`unit_errors_total[15s]`, Instant, "gives a matrix"},
+		{`unit_errors_total[15s] offset 1d`, Samples, "must not use offset or @"},
+		{`unit_errors_total[15s] @ 1700000000`, Samples, "must not use offset or @"},
+		{`unit_errors_total[15s]`, Instant, "returns a matrix"},
 		{`1 + 1`, Instant, "scalar"},
 		{`up{instance=`, Instant, "parse error"},
 		{`up{instance="{{.Unit"}`, Instant, "query:1"},
 		{`up{instance="{{.Zone}}"}`, Instant, "Zone"},
-		{`up{instance="{{.Unit}}", other=~"{{.Units}}"}`, Instant, "both one and several"},
+		{`up{instance="{{.Unit}}", other=~"{{.Units}}"}`, Instant, "must not use both .Unit and .Units"},
 		{``, Instant, "parse error"},
 		{`nosuchfunction(up)`, Instant, "unknown function"},
 	} {
 		_, err := Parse(test.text, test.form)
 		if test.err == "" && err != nil || test.err != "" && (err == nil || !strings.Contains(err.Error(), test.err)) {
-			t.Errorf("%s: %v; expected %q", test.text, err, test.err)
+			t.Errorf("template %s: got error %v, want %q", test.text, err, test.err)
 		}
 	}
 }
 
-// Builds and endpoints are split into as many queries as the template requires, and their labels are escaped.
+// The placeholders of a template determine how many queries it yields. Label values are escaped.
 func TestQueries(t *testing.T) {
 	endpoints := make([]string, 250)
 	for i := range endpoints {
@@ -49,26 +49,26 @@
 		`up{instance="{{.Unit}}"}`: 250,
 		`up{instance=~"{{.Units}}", build="{{.Build}}"}`: 6,
 	} {
-		query, err := Parse(text, Instant)
+		template, err := Parse(text, Instant)
 		if err != nil {
 			t.Fatal(err)
 		}
-		queries, err := query.Queries([]int{3, 4}, endpoints)
+		queries, err := template.Queries([]int{3, 4}, endpoints)
 		if err != nil || len(queries) != want {
-			t.Errorf("%s: %d queries, %v", text, len(queries), err)
+			t.Errorf("template %s: got %d queries and error %v, want %d queries", text, len(queries), err, want)
 		}
-		for _, text := range queries {
-			if _, err := grammar.ParseExpr(text); err != nil {
-				t.Fatalf("%s: %v", text, err)
+		for _, query := range queries {
+			if _, err := promQLParser.ParseExpr(query); err != nil {
+				t.Fatalf("query %s: %v", query, err)
 			}
 		}
 	}
-	query, err := Parse(`up{instance=~"{{.Units}}"}`, Instant)
+	template, err := Parse(`up{instance=~"{{.Units}}"}`, Instant)
 	if err != nil {
 		t.Fatal(err)
 	}
-	queries, err := query.Queries(nil, []string{"10.0.0.1:80"})
+	queries, err := template.Queries(nil, []string{"10.0.0.1:80"})
 	if err != nil || len(queries) != 1 || queries[0] != `up{instance=~"10\\.0\\.0\\.1:80"}` {
-		t.Error(queries, err)
+		t.Errorf("got queries %q and error %v", queries, err)
 	}
 }
