--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -39,8 +39,8 @@
 	CauseTimedOut                   // no complete answer within the timeout
 	CauseBusy                       // status 429 or 503
 	CauseRedirected                 // redirects are not followed
-	CauseFailed                     // another error status, or the server reports that the query failed
-	CauseTooBig                     // above Limits.MaxBytes
+	CauseQueryFailed                // another error status, or the server reports that the query failed
+	CauseTooLarge                   // above Limits.MaxBytes
 	CauseTooManySeries              // above Limits.MaxSeries
 	CausePartial                    // the server returned warnings
 	CauseMalformed                  // not an API response, or not of the requested form
@@ -61,8 +61,8 @@
 	}
 }
 
-// RefusedError is the error for an answer that was refused. All errors of Client.Query are of type *RefusedError.
-type RefusedError struct {
+// QueryError is the error for an answer that was refused. All errors of Client.Query are of type *QueryError.
+type QueryError struct {
 	Server            string // its name in the settings
 	Cause             Cause
 	RetryAfterSeconds float64 // pause that the server asked for; 0: none
@@ -70,7 +70,7 @@
 }
 
 // Error implements error.
-func (r *RefusedError) Error() string {
+func (r *QueryError) Error() string {
 	return fmt.Sprintf("query server %s: %s: %s", r.Server, r.Cause, r.Detail)
 }
 
@@ -98,8 +98,8 @@
 	StepSeconds  float64        // for promquery.Range: time between two values
 }
 
-// Row is one series of an answer, oldest point first.
-type Row struct {
+// LabeledSeries is one series of an answer, oldest point first.
+type LabeledSeries struct {
 	Labels model.Metric
 	Points []metricsanalysis.Point
 }
@@ -108,7 +108,7 @@
 // connect until the first query.
 func NewClient(name, address string, limits Limits) (*Client, error) {
 	transport := &boundedTransport{maxBytes: limits.MaxBytes, next: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: seconds(limits.TimeoutSeconds)}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: toDuration(limits.TimeoutSeconds)}).DialContext,
 		MaxIdleConnsPerHost: idleConnsPerServer,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true, // otherwise a small body could expand to a large answer
@@ -128,27 +128,27 @@
 
 // Query sends one query. It blocks until the answer is read, the timeout expires or ctx ends. All errors are of type
 // *RefusedError.
-func (c *Client) Query(ctx context.Context, request Request) (rows []Row, err error) {
+func (c *Client) Query(ctx context.Context, request Request) (rows []LabeledSeries, err error) {
 	head := &responseHead{}
-	ctx, cancel := context.WithTimeout(context.WithValue(ctx, responseHeadKey{}, head), seconds(c.limits.TimeoutSeconds))
+	ctx, cancel := context.WithTimeout(context.WithValue(ctx, responseHeadKey{}, head), toDuration(c.limits.TimeoutSeconds))
 	defer cancel()
 	defer func() { // a response that makes the decoder panic must not end the process
 		if r := recover(); r != nil {
-			rows, err = nil, c.refuse(head, CauseMalformed, "%v", r)
+			rows, err = nil, c.newError(head, CauseMalformed, "%v", r)
 		}
 	}()
 	value, warnings, err := c.send(ctx, request)
 	if refused := c.checkResponse(ctx, head, err); refused != nil {
 		return nil, refused
 	}
-	rows, err = readRows(value, request.Form)
+	rows, err = convertResult(value, request.Form)
 	switch {
 	case err != nil:
-		return nil, c.refuse(head, CauseMalformed, "%v", err)
+		return nil, c.newError(head, CauseMalformed, "%v", err)
 	case len(rows) > c.limits.MaxSeries:
-		return nil, c.refuse(head, CauseTooManySeries, "above %d: some label has exploded, or the query names too much", c.limits.MaxSeries)
+		return nil, c.newError(head, CauseTooManySeries, "above %d: some label has exploded, or the query names too much", c.limits.MaxSeries)
 	case len(warnings) > 0: // the missing part may hold the failures
-		return nil, c.refuse(head, CausePartial, "warning: %s", truncate(strings.Join(warnings, "; ")))
+		return nil, c.newError(head, CausePartial, "warning: %s", truncate(strings.Join(warnings, "; ")))
 	}
 	return rows, nil
 }
@@ -156,12 +156,12 @@
 // send calls the API.
 func (c *Client) send(ctx context.Context, request Request) (value model.Value, warnings v1.Warnings, err error) {
 	// Ask for one series above the limit, to distinguish a complete answer from a truncated one.
-	options := []v1.Option{v1.WithTimeout(seconds(c.limits.TimeoutSeconds)), v1.WithLimit(uint64(c.limits.MaxSeries) + 1)}
+	options := []v1.Option{v1.WithTimeout(toDuration(c.limits.TimeoutSeconds)), v1.WithLimit(uint64(c.limits.MaxSeries) + 1)}
 	if request.Form == promquery.Range {
-		queried := v1.Range{Start: timeOf(request.At - request.RangeSeconds), End: timeOf(request.At), Step: seconds(request.StepSeconds)}
+		queried := v1.Range{Start: toTime(request.At - request.RangeSeconds), End: toTime(request.At), Step: toDuration(request.StepSeconds)}
 		value, warnings, _, err = c.api.QueryRange(ctx, request.Query, queried, options...)
 	} else {
-		value, warnings, _, err = c.api.Query(ctx, request.Query, timeOf(request.At), options...)
+		value, warnings, _, err = c.api.Query(ctx, request.Query, toTime(request.At), options...)
 	}
 	return value, warnings, err
 }
@@ -171,38 +171,38 @@
 func (c *Client) checkResponse(ctx context.Context, head *responseHead, err error) error {
 	var apiError *v1.Error
 	switch {
-	case head.tooBig:
-		return c.refuse(head, CauseTooBig, "above %d bytes", c.limits.MaxBytes)
+	case head.tooLarge:
+		return c.newError(head, CauseTooLarge, "above %d bytes", c.limits.MaxBytes)
 	case head.status == http.StatusTooManyRequests || head.status == http.StatusServiceUnavailable:
-		return c.refuse(head, CauseBusy, "status %d", head.status)
+		return c.newError(head, CauseBusy, "status %d", head.status)
 	case head.status/100 == 3:
-		return c.refuse(head, CauseRedirected, "status %d to %s; give the address that it leads to", head.status, truncate(head.location))
+		return c.newError(head, CauseRedirected, "status %d to %s; give the address that it leads to", head.status, truncate(head.location))
 	case err == nil:
 		return nil
 	case errors.As(err, &apiError):
-		return c.refuseAPIError(head, apiError)
+		return c.newAPIError(head, apiError)
 	case ctx.Err() != nil || isTimeout(err):
-		return c.refuse(head, CauseTimedOut, "no whole answer within %g s", c.limits.TimeoutSeconds)
+		return c.newError(head, CauseTimedOut, "no whole answer within %g s", c.limits.TimeoutSeconds)
 	default:
-		return c.refuse(head, CauseUnreachable, "%s", truncate(err.Error()))
+		return c.newError(head, CauseUnreachable, "%s", truncate(err.Error()))
 	}
 }
 
-// refuseAPIError returns the refusal for an API error: the query failed, or the response is not valid.
-func (c *Client) refuseAPIError(head *responseHead, apiError *v1.Error) error {
+// newAPIError returns the refusal for an API error: the query failed, or the response is not valid.
+func (c *Client) newAPIError(head *responseHead, apiError *v1.Error) error {
 	switch apiError.Type {
 	case v1.ErrTimeout:
-		return c.refuse(head, CauseTimedOut, "%s", truncate(apiError.Msg))
+		return c.newError(head, CauseTimedOut, "%s", truncate(apiError.Msg))
 	case v1.ErrBadResponse:
-		return c.refuse(head, CauseMalformed, "%s", truncate(apiError.Msg))
+		return c.newError(head, CauseMalformed, "%s", truncate(apiError.Msg))
 	default:
-		return c.refuse(head, CauseFailed, "%s: %s", apiError.Type, truncate(apiError.Msg))
+		return c.newError(head, CauseQueryFailed, "%s: %s", apiError.Type, truncate(apiError.Msg))
 	}
 }
 
-// refuse returns the error for a refused answer.
-func (c *Client) refuse(head *responseHead, cause Cause, format string, args ...any) error {
-	return &RefusedError{Server: c.name, Cause: cause, RetryAfterSeconds: retryAfterSeconds(head.retryAfter, time.Now()),
+// newError returns the error for a refused answer.
+func (c *Client) newError(head *responseHead, cause Cause, format string, args ...any) error {
+	return &QueryError{Server: c.name, Cause: cause, RetryAfterSeconds: retryAfterSeconds(head.retryAfter, time.Now()),
 		Detail: fmt.Sprintf(format, args...)}
 }
 
@@ -232,11 +232,11 @@
 	return s
 }
 
-// seconds converts a duration from the settings.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// toDuration converts a duration from the settings.
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// timeOf converts an instant from seconds since 1970.
-func timeOf(at float64) time.Time {
+// toTime converts an instant from seconds since 1970.
+func toTime(at float64) time.Time {
 	whole, fraction := math.Modf(at)
 	return time.Unix(int64(whole), int64(fraction*1e9))
 }
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -110,7 +110,7 @@
 				last := rows[len(rows)-1].Points
 				got += fmt.Sprintf(", %d points, last %v at %v", points, last[len(last)-1].Value, last[len(last)-1].At)
 			}
-			var refused *RefusedError
+			var refused *QueryError
 			if errors.As(err, &refused) {
 				got = fmt.Sprintf("%s: %s", refused.Cause, refused.Detail)
 				if refused.RetryAfterSeconds > 0 {
@@ -208,7 +208,7 @@
 		}
 		body, code = b, status
 		rows, err := client.Query(context.Background(), Request{Query: "up", Form: promquery.Form(form % 3), At: 1000, RangeSeconds: 5, StepSeconds: 1})
-		var refused *RefusedError
+		var refused *QueryError
 		if err != nil && !errors.As(err, &refused) {
 			t.Fatalf("%T %v", err, err)
 		}
--- a/internal/promclient/metrics.go
+++ b/internal/promclient/metrics.go
@@ -5,9 +5,9 @@
 // pollerMetrics are the poller's metrics. Names and labels are fixed; docs/glossary.md maps them to the code's terms.
 type pollerMetrics struct {
 	querySeconds   *prometheus.HistogramVec
-	answersRefused *prometheus.CounterVec
+	queriesFailed  *prometheus.CounterVec
 	valuesAccepted *prometheus.CounterVec
-	valuesRefused  *prometheus.CounterVec
+	valuesRejected *prometheus.CounterVec
 	backoffSeconds *prometheus.GaugeVec
 	latePeriods    prometheus.Gauge
 }
@@ -20,9 +20,9 @@
 	return pollerMetrics{
 		querySeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "flintplan_health_query_seconds", Help: "Time that a query took.",
 			Buckets: prometheus.ExponentialBucketsRange(timeoutSeconds/1000, timeoutSeconds, queryBuckets)}, []string{"server"}),
-		answersRefused: counter("health_refused_total", "Answers refused whole.", "server", "cause"),
+		queriesFailed:  counter("health_refused_total", "Answers refused whole.", "server", "cause"),
 		valuesAccepted: counter("health_values_total", "Values that counted.", "server"),
-		valuesRefused:  counter("health_values_refused_total", "Values refused.", "server", "cause"),
+		valuesRejected: counter("health_values_refused_total", "Values refused.", "server", "cause"),
 		backoffSeconds: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "flintplan_health_resting_seconds",
 			Help: "How much longer a failing server is left alone."}, []string{"server"}),
 		latePeriods: prometheus.NewGauge(prometheus.GaugeOpts{Name: "flintplan_health_late_periods",
@@ -38,5 +38,5 @@
 // Collectors returns the poller's metrics, to be registered once.
 func (p *Poller) Collectors() []prometheus.Collector {
 	m := &p.metrics
-	return []prometheus.Collector{m.querySeconds, m.answersRefused, m.valuesAccepted, m.valuesRefused, m.backoffSeconds, m.latePeriods}
+	return []prometheus.Collector{m.querySeconds, m.queriesFailed, m.valuesAccepted, m.valuesRejected, m.backoffSeconds, m.latePeriods}
 }
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -59,16 +59,16 @@
 	chunks      [][]queryChunk // by question
 	idByAddress map[string]uint32
 	buildByID   map[uint32]int
-	refusals    map[target]Cause // causes of the last refused answers, so that only changes are logged
+	lastCauses  map[serverQuery]Cause // causes of the last refused answers, so that only changes are logged
 }
 
-// target is a question at a server.
-type target struct{ server, question int }
+// serverQuery is a question at a server.
+type serverQuery struct{ server, question int }
 
 // queryChunk is the part of a question that covers some of the endpoints, as it is sent.
 type queryChunk struct {
-	query    string // for counters: the failures
-	outcomes string // of counters; "" for others
+	query      string // for counters: the failures
+	totalQuery string // of counters; "" for others
 }
 
 // NewPoller returns a poller without a fleet, which passes each answer to apply. now returns seconds since 1970.
@@ -76,7 +76,7 @@
 	p := &Poller{
 		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.TimeoutSeconds),
 		wake: make(chan struct{}, 1), scheduler: metricsanalysis.NewScheduler(settings.Bounds(), len(settings.Servers), now()),
-		chunks: make([][]queryChunk, len(settings.Queries)), refusals: map[target]Cause{},
+		chunks: make([][]queryChunk, len(settings.Queries)), lastCauses: map[serverQuery]Cause{},
 	}
 	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxAnswerBytes, MaxSeries: settings.MaxSeries}
 	for _, server := range settings.Servers {
@@ -107,7 +107,7 @@
 		if query.EndpointLabelHolds == labelledByAddress {
 			labels = addresses
 		}
-		p.chunks[i] = p.writeChunks(query, labels)
+		p.chunks[i] = p.generateChunks(query, labels)
 		jobs = append(jobs, p.jobsOf(i)...)
 	}
 	p.scheduler.SetJobs(p.now(), jobs)
@@ -129,9 +129,9 @@
 	return jobs
 }
 
-// writeChunks generates a question's queries for the endpoints, or none if that fails. For counters, both templates
+// generateChunks generates a question's queries for the endpoints, or none if that fails. For counters, both templates
 // must yield the same number of queries. The caller holds the lock.
-func (p *Poller) writeChunks(query *config.Query, endpoints []string) (chunks []queryChunk) {
+func (p *Poller) generateChunks(query *config.Query, endpoints []string) (chunks []queryChunk) {
 	template, total := query.Templates()
 	queries, err := template.Queries(p.fleet.Builds, endpoints)
 	var outcomes []string
@@ -148,7 +148,7 @@
 	for i := range queries {
 		next := queryChunk{query: queries[i]}
 		if total != nil {
-			next.outcomes = outcomes[i]
+			next.totalQuery = outcomes[i]
 		}
 		chunks = append(chunks, next)
 	}
@@ -185,7 +185,7 @@
 		case <-timer.C:
 		}
 		waitSeconds := p.startJobs(ctx, &inFlight)
-		timer.Reset(seconds(min(waitSeconds, maxWaitSeconds)))
+		timer.Reset(toDuration(min(waitSeconds, maxWaitSeconds)))
 	}
 }
 
@@ -221,10 +221,10 @@
 	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
 	sentAt := p.now()
 	rows, outcomes, err := p.send(ctx, job, chunk, sentAt)
-	var refused *RefusedError
+	var refused *QueryError
 	errors.As(err, &refused)
 	if refused != nil && ctx.Err() == nil {
-		p.metrics.answersRefused.WithLabelValues(server, refused.Cause.String()).Inc()
+		p.metrics.queriesFailed.WithLabelValues(server, refused.Cause.String()).Inc()
 	}
 	answeredAt := p.now()
 	p.metrics.querySeconds.WithLabelValues(server).Observe(answeredAt - sentAt)
@@ -240,19 +240,19 @@
 		if wasRefused {
 			p.log.Info("health answers resumed", "server", server, "query", query.Name)
 		}
-		p.applyAnswer(job, chunk, rows, outcomes)
+		p.applyResult(job, chunk, rows, outcomes)
 	}
 	p.wakeUp()
 }
 
 // send sends a job's queries. The second query has the same evaluation time as the first, so that failures and outcomes
 // match.
-func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []Row, err error) {
+func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []LabeledSeries, err error) {
 	query, client := &p.settings.Queries[job.Query], p.clients[job.Server]
 	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
 	rows, err = client.Query(ctx, request)
-	if err == nil && chunk.outcomes != "" {
-		request.Query = chunk.outcomes
+	if err == nil && chunk.totalQuery != "" {
+		request.Query = chunk.totalQuery
 		outcomes, err = client.Query(ctx, request)
 	}
 	return rows, outcomes, err
@@ -260,7 +260,7 @@
 
 // finishJob reports the end of a job to the scheduler and records why its answer was refused, if it was. It returns
 // whether the previous answer to the question was refused, and why.
-func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, refused *RefusedError) (before Cause, wasRefused bool) {
+func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, refused *QueryError) (before Cause, wasRefused bool) {
 	retryAfterSeconds, outcome := 0.0, metricsanalysis.JobSucceeded
 	if refused != nil {
 		retryAfterSeconds, outcome = refused.RetryAfterSeconds, refused.Cause.jobOutcome()
@@ -270,22 +270,22 @@
 	p.scheduler.Done(now, job, outcome, retryAfterSeconds)
 	server := p.settings.Servers[job.Server].Name
 	p.metrics.backoffSeconds.WithLabelValues(server).Set(p.scheduler.BackoffSeconds(now, job.Server))
-	asked := target{job.Server, job.Query}
-	before, wasRefused = p.refusals[asked]
+	asked := serverQuery{job.Server, job.Query}
+	before, wasRefused = p.lastCauses[asked]
 	if refused != nil {
-		p.refusals[asked] = refused.Cause
+		p.lastCauses[asked] = refused.Cause
 	} else {
-		delete(p.refusals, asked)
+		delete(p.lastCauses, asked)
 	}
 	return before, wasRefused
 }
 
-// applyAnswer applies an answer and updates the metrics of its values.
-func (p *Poller) applyAnswer(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []Row) {
+// applyResult applies an answer and updates the metrics of its values.
+func (p *Poller) applyResult(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []LabeledSeries) {
 	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
 	answer := &metricsanalysis.QueryResult{Server: job.Server, Query: job.Query}
 	unknown := 0
-	if chunk.outcomes != "" {
+	if chunk.totalQuery != "" {
 		answer.Values, unknown = p.seriesOf(query, outcomes)
 		answer.Failures, _ = p.seriesOf(query, rows)
 	} else {
@@ -296,7 +296,7 @@
 	p.metrics.valuesAccepted.WithLabelValues(server).Add(float64(result.AcceptedValues))
 	for reason, count := range result.RejectedValues {
 		if count > 0 {
-			p.metrics.valuesRefused.WithLabelValues(server, metricsanalysis.RejectReason(reason).String()).Add(float64(count))
+			p.metrics.valuesRejected.WithLabelValues(server, metricsanalysis.RejectReason(reason).String()).Add(float64(count))
 		}
 	}
 }
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -12,7 +12,7 @@
 
 // seriesOf converts rows to series by the endpoint and build in their labels, and returns the number of rows whose
 // endpoint is unknown.
-func (p *Poller) seriesOf(query *config.Query, rows []Row) (list []metricsanalysis.Series, unknown int) {
+func (p *Poller) seriesOf(query *config.Query, rows []LabeledSeries) (list []metricsanalysis.Series, unknown int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, row := range rows {
--- a/internal/promclient/transport.go
+++ b/internal/promclient/transport.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// errTooBig is the read error for a response above the byte limit.
-var errTooBig = errors.New("answer above the bytes allowed")
+// errResponseTooLarge is the read error for a response above the byte limit.
+var errResponseTooLarge = errors.New("answer above the bytes allowed")
 
 // responseHead holds the parts of a response that the API client does not return. boundedTransport fills the one that
 // the request's context carries under responseHeadKey.
@@ -15,7 +15,7 @@
 	status     int // 0: no response
 	retryAfter string
 	location   string
-	tooBig     bool
+	tooLarge   bool
 }
 
 type responseHeadKey struct{}
@@ -39,9 +39,9 @@
 	head.status = response.StatusCode
 	head.retryAfter, head.location = response.Header.Get("Retry-After"), response.Header.Get("Location")
 	if response.ContentLength > t.maxBytes {
-		head.tooBig = true
+		head.tooLarge = true
 		response.Body.Close()
-		return nil, errTooBig
+		return nil, errResponseTooLarge
 	}
 	response.Body = &boundedBody{response.Body, t.maxBytes, head}
 	return response, nil
@@ -50,20 +50,20 @@
 // boundedBody fails if more than the remaining bytes are read.
 type boundedBody struct {
 	io.ReadCloser
-	left int64
-	head *responseHead
+	remainingBytes int64
+	head           *responseHead
 }
 
 // Read implements io.Reader. It reads up to one byte above the limit, to distinguish a body of exactly that size from a
 // larger one.
 func (b *boundedBody) Read(p []byte) (int, error) {
-	if int64(len(p)) > b.left+1 {
-		p = p[:b.left+1]
+	if int64(len(p)) > b.remainingBytes+1 {
+		p = p[:b.remainingBytes+1]
 	}
 	n, err := b.ReadCloser.Read(p)
-	if b.left -= int64(n); b.left < 0 {
-		b.head.tooBig = true
-		return 0, errTooBig
+	if b.remainingBytes -= int64(n); b.remainingBytes < 0 {
+		b.head.tooLarge = true
+		return 0, errResponseTooLarge
 	}
 	return n, err
 }
