--- a/internal/promclient/transport.go
+++ b/internal/promclient/transport.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// errResponseTooLarge is the read error for a response above the byte limit.
-var errResponseTooLarge = errors.New("answer above the bytes allowed")
+// errResponseTooLarge is the error of a response that exceeds the byte limit.
+var errResponseTooLarge = errors.New("response exceeds the byte limit")
 
-// responseHead holds the parts of a response that the API client does not return. boundedTransport fills the one that
-// the request's context carries under responseHeadKey.
+// responseHead holds the parts of a response that the API client does not return. boundedTransport stores them in the
+// responseHead in the request's context, which has the key responseHeadKey.
 type responseHead struct {
-	status     int // 0: no response
+	status     int // HTTP status; 0: no response
 	retryAfter string
 	location   string
 	tooLarge   bool
@@ -20,7 +20,7 @@
 
 type responseHeadKey struct{}
 
-// boundedTransport limits the bytes read of a response body, and records the response head.
+// boundedTransport limits the size of response bodies, and records the response head.
 type boundedTransport struct {
 	next     *http.Transport
 	maxBytes int64
@@ -47,15 +47,15 @@
 	return response, nil
 }
 
-// boundedBody fails if more than the remaining bytes are read.
+// boundedBody is a response body of limited size. Reads fail once the body has exceeded the limit.
 type boundedBody struct {
 	io.ReadCloser
 	remainingBytes int64
 	head           *responseHead
 }
 
-// Read implements io.Reader. It reads up to one byte above the limit, to distinguish a body of exactly that size from a
-// larger one.
+// Read implements io.Reader. It reads at most one byte more than the limit, to distinguish a body of exactly that size
+// from a larger one.
 func (b *boundedBody) Read(p []byte) (int, error) {
 	if int64(len(p)) > b.remainingBytes+1 {
 		p = p[:b.remainingBytes+1]
