--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -18,60 +18,61 @@
 const (
 	// pausedRecheckSeconds is the interval at which a paused poller checks whether it may resume.
 	pausedRecheckSeconds = 0.2
-	// maxWaitSeconds is the longest time between two checks of the schedule, unless the poller is woken up earlier.
+	// maxWaitSeconds is the maximum time between two checks of the schedule.
 	maxWaitSeconds = 10.0
-	// labelledByAddress and labelledByID are the settings for what an endpoint label holds: the address or the ID.
-	labelledByAddress = "address"
-	labelledByID      = "id"
+	// labelHoldsAddress and labelHoldsID are the values of config.Query.EndpointLabelHolds.
+	labelHoldsAddress = "address"
+	labelHoldsID      = "id"
 )
 
-// Fleet is the set of endpoints and builds for which queries are generated and answers are interpreted.
+// Fleet is the set of endpoints and builds that the queries cover.
 type Fleet struct {
 	Endpoints []FleetEndpoint
 	Builds    []int // sorted
 }
 
-// FleetEndpoint is one endpoint of the endpoint list.
+// FleetEndpoint is an entry of the endpoint list.
 type FleetEndpoint struct {
 	ID    uint32
 	Addr  string
 	Build int
 }
 
-// ApplyFunc applies an answer and counts its values. It is called from several goroutines and must not block.
+// ApplyFunc applies a query result and counts its values. It is called from several goroutines and must not block.
 type ApplyFunc func(*metricsanalysis.QueryResult) metricsanalysis.ApplySummary
 
 // Poller periodically sends all configured queries to all servers. Its methods are safe for concurrent use.
 type Poller struct {
 	settings *config.Health
 	log      *slog.Logger
-	now      func() float64
+	now      func() float64 // seconds since 1970
 	apply    ApplyFunc
 	clients  []*Client // by server
 	metrics  pollerMetrics
 
 	paused atomic.Bool
-	wake   chan struct{} // signals that the schedule has changed
+	wake   chan struct{} // signals Run to check the schedule again
 
 	mu          sync.Mutex // guards the fields below
 	scheduler   *metricsanalysis.Scheduler
 	fleet       Fleet
-	chunks      [][]queryChunk // by question
+	chunks      [][]queryChunk // by query
 	idByAddress map[string]uint32
 	buildByID   map[uint32]int
-	lastCauses  map[serverQuery]Cause // causes of the last refused answers, so that only changes are logged
+	lastCauses  map[serverQuery]Cause // of the queries that failed last time; only changes are logged
 }
 
-// serverQuery is a question at a server.
-type serverQuery struct{ server, question int }
+// serverQuery identifies a query to a server, by indexes.
+type serverQuery struct{ server, query int }
 
-// queryChunk is the part of a question that covers some of the endpoints, as it is sent.
+// queryChunk is the PromQL text of a query for some of the endpoints.
 type queryChunk struct {
-	query      string // for counters: the failures
-	totalQuery string // of counters; "" for others
+	query      string // for counts, selects the counters of failures
+	totalQuery string // for counts, selects the counters of all outcomes; otherwise empty
 }
 
-// NewPoller returns a poller without a fleet, which passes each answer to apply. now returns seconds since 1970.
+// NewPoller returns a poller, which passes each query result to apply. It sends no queries before SetFleet is called. now
+// returns seconds since 1970.
 func NewPoller(settings *config.Health, log *slog.Logger, now func() float64, apply ApplyFunc) (*Poller, error) {
 	p := &Poller{
 		settings: settings, log: log, now: now, apply: apply, metrics: newPollerMetrics(settings.TimeoutSeconds),
@@ -104,7 +105,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.EndpointLabelHolds == labelledByAddress {
+		if query.EndpointLabelHolds == labelHoldsAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.generateChunks(query, labels)
@@ -114,48 +115,50 @@
 	p.wakeUp()
 }
 
-// jobsOf returns the jobs of a question: each chunk at each server. The caller holds the lock.
-func (p *Poller) jobsOf(question int) (jobs []metricsanalysis.Job) {
-	query := &p.settings.Queries[question]
-	queries := 1.0
+// jobsOf returns the jobs of a query: one for each chunk and server. The caller holds the lock.
+func (p *Poller) jobsOf(queryIndex int) (jobs []metricsanalysis.Job) {
+	query := &p.settings.Queries[queryIndex]
+	cost := 1.0
 	if query.Total != "" {
-		queries = 2
+		cost = 2
 	}
-	for index := range p.chunks[question] {
+	for chunk := range p.chunks[queryIndex] {
 		for server := range p.clients {
-			jobs = append(jobs, metricsanalysis.Job{Server: server, Query: question, Chunk: index, PeriodSeconds: query.Period, Cost: queries})
+			jobs = append(jobs, metricsanalysis.Job{Server: server, Query: queryIndex, Chunk: chunk, PeriodSeconds: query.Period, Cost: cost})
 		}
 	}
 	return jobs
 }
 
-// generateChunks generates a question's queries for the endpoints, or none if that fails. For counters, both templates
-// must yield the same number of queries. The caller holds the lock.
-func (p *Poller) generateChunks(query *config.Query, endpoints []string) (chunks []queryChunk) {
+// generateChunks generates a query's chunks for the endpoints, which are given by their label values. If that fails, it
+// logs the error and returns no chunks. For counts, both templates must yield the same number of chunks. The caller holds
+// the lock.
+func (p *Poller) generateChunks(query *config.Query, endpointLabels []string) (chunks []queryChunk) {
 	template, total := query.Templates()
-	queries, err := template.Queries(p.fleet.Builds, endpoints)
-	var outcomes []string
+	queries, err := template.Queries(p.fleet.Builds, endpointLabels)
+	var totalQueries []string
 	if err == nil && total != nil {
-		outcomes, err = total.Queries(p.fleet.Builds, endpoints)
-		if err == nil && len(outcomes) != len(queries) {
-			err = fmt.Errorf("%d queries for failures, %d for all outcomes: both must name units and builds alike", len(queries), len(outcomes))
+		totalQueries, err = total.Queries(p.fleet.Builds, endpointLabels)
+		if err == nil && len(totalQueries) != len(queries) {
+			err = fmt.Errorf(":query yields %d queries and :total %d: both must use the same placeholders", len(queries), len(totalQueries))
 		}
 	}
 	if err != nil {
-		p.log.Error("query not written", "query", query.Name, "error", err)
+		p.log.Error("failed to generate the PromQL of a query", "query", query.Name, "error", err)
 		return nil
 	}
 	for i := range queries {
-		next := queryChunk{query: queries[i]}
+		chunk := queryChunk{query: queries[i]}
 		if total != nil {
-			next.totalQuery = outcomes[i]
+			chunk.totalQuery = totalQueries[i]
 		}
-		chunks = append(chunks, next)
+		chunks = append(chunks, chunk)
 	}
 	return chunks
 }
 
-// Pause pauses or resumes sending queries; a controller under load has no time for answers. It does not block.
+// Pause pauses or resumes the sending of queries, so that an overloaded controller has no results to process. It does not
+// block.
 func (p *Poller) Pause(paused bool) { p.paused.Store(paused) }
 
 // wakeUp makes Run check the schedule again.
@@ -166,7 +169,8 @@
 	}
 }
 
-// Run sends queries until ctx ends, waits for those in flight, and closes the clients' idle connections. Call it once.
+// Run sends queries until ctx ends. It then waits for those in flight and closes the clients' idle connections. Call it
+// once.
 func (p *Poller) Run(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer func() {
@@ -189,7 +193,7 @@
 	}
 }
 
-// startJobs starts the jobs that are due, and returns the time until more may be.
+// startJobs starts the jobs that are due, and returns the time until the next check of the schedule.
 func (p *Poller) startJobs(ctx context.Context, inFlight *sync.WaitGroup) (waitSeconds float64) {
 	for ctx.Err() == nil {
 		if p.paused.Load() {
@@ -204,7 +208,8 @@
 	return math.Inf(1)
 }
 
-// nextJob starts the next job of the schedule, if one is due, and returns the queries to send for it.
+// nextJob starts the next due job, if there is one, and returns its chunk. Otherwise ok is false and waitSeconds is the
+// time until the next check.
 func (p *Poller) nextJob() (job metricsanalysis.StartedJob, chunk queryChunk, ok bool, waitSeconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,85 +221,85 @@
 	return job, chunk, ok, waitSeconds
 }
 
-// runJob sends the queries of a job and applies the answer.
+// runJob sends the queries of a job and applies the result.
 func (p *Poller) runJob(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk) {
 	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
 	sentAt := p.now()
-	rows, outcomes, err := p.send(ctx, job, chunk, sentAt)
-	var refused *QueryError
-	errors.As(err, &refused)
-	if refused != nil && ctx.Err() == nil {
-		p.metrics.queriesFailed.WithLabelValues(server, refused.Cause.String()).Inc()
+	series, totals, err := p.send(ctx, job, chunk, sentAt)
+	var queryErr *QueryError
+	errors.As(err, &queryErr)
+	if queryErr != nil && ctx.Err() == nil {
+		p.metrics.queriesFailed.WithLabelValues(server, queryErr.Cause.String()).Inc()
 	}
-	answeredAt := p.now()
-	p.metrics.querySeconds.WithLabelValues(server).Observe(answeredAt - sentAt)
-	before, wasRefused := p.finishJob(answeredAt, job, refused)
+	endedAt := p.now()
+	p.metrics.querySeconds.WithLabelValues(server).Observe(endedAt - sentAt)
+	lastCause, wasFailing := p.finishJob(endedAt, job, queryErr)
 	switch {
 	case ctx.Err() != nil:
 		return
 	case err != nil:
-		if !wasRefused || refused == nil || before != refused.Cause {
-			p.log.Warn("health answer refused", "query", query.Name, "error", err)
+		if !wasFailing || queryErr == nil || lastCause != queryErr.Cause {
+			p.log.Warn("query failed or its result was rejected", "query", query.Name, "error", err)
 		}
 	default:
-		if wasRefused {
-			p.log.Info("health answers resumed", "server", server, "query", query.Name)
+		if wasFailing {
+			p.log.Info("query succeeds again", "server", server, "query", query.Name)
 		}
-		p.applyResult(job, chunk, rows, outcomes)
+		p.applyResult(job, chunk, series, totals)
 	}
 	p.wakeUp()
 }
 
-// send sends a job's queries. The second query has the same evaluation time as the first, so that failures and outcomes
-// match.
-func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (rows, outcomes []LabeledSeries, err error) {
+// send sends the query of a job's chunk, and its total query if there is one. Both have the same evaluation time, so that
+// failures and outcomes match.
+func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (series, totals []LabeledSeries, err error) {
 	query, client := &p.settings.Queries[job.Query], p.clients[job.Server]
 	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
-	rows, err = client.Query(ctx, request)
+	series, err = client.Query(ctx, request)
 	if err == nil && chunk.totalQuery != "" {
 		request.Query = chunk.totalQuery
-		outcomes, err = client.Query(ctx, request)
+		totals, err = client.Query(ctx, request)
 	}
-	return rows, outcomes, err
+	return series, totals, err
 }
 
-// finishJob reports the end of a job to the scheduler and records why its answer was refused, if it was. It returns
-// whether the previous answer to the question was refused, and why.
-func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, refused *QueryError) (before Cause, wasRefused bool) {
+// finishJob reports the outcome of a job to the scheduler. queryErr is its error, or nil. The results tell whether the
+// same query to the same server failed last time, and the cause.
+func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, queryErr *QueryError) (lastCause Cause, wasFailing bool) {
 	retryAfterSeconds, outcome := 0.0, metricsanalysis.JobSucceeded
-	if refused != nil {
-		retryAfterSeconds, outcome = refused.RetryAfterSeconds, refused.Cause.jobOutcome()
+	if queryErr != nil {
+		retryAfterSeconds, outcome = queryErr.RetryAfterSeconds, queryErr.Cause.jobOutcome()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.Done(now, job, outcome, retryAfterSeconds)
 	server := p.settings.Servers[job.Server].Name
 	p.metrics.backoffSeconds.WithLabelValues(server).Set(p.scheduler.BackoffSeconds(now, job.Server))
-	asked := serverQuery{job.Server, job.Query}
-	before, wasRefused = p.lastCauses[asked]
-	if refused != nil {
-		p.lastCauses[asked] = refused.Cause
+	key := serverQuery{job.Server, job.Query}
+	lastCause, wasFailing = p.lastCauses[key]
+	if queryErr != nil {
+		p.lastCauses[key] = queryErr.Cause
 	} else {
-		delete(p.lastCauses, asked)
+		delete(p.lastCauses, key)
 	}
-	return before, wasRefused
+	return lastCause, wasFailing
 }
 
-// applyResult applies an answer and updates the metrics of its values.
-func (p *Poller) applyResult(job metricsanalysis.StartedJob, chunk queryChunk, rows, outcomes []LabeledSeries) {
+// applyResult applies the result of a job and counts its values in the metrics.
+func (p *Poller) applyResult(job metricsanalysis.StartedJob, chunk queryChunk, series, totals []LabeledSeries) {
 	query, server := &p.settings.Queries[job.Query], p.settings.Servers[job.Server].Name
-	answer := &metricsanalysis.QueryResult{Server: job.Server, Query: job.Query}
+	result := &metricsanalysis.QueryResult{Server: job.Server, Query: job.Query}
 	unknown := 0
 	if chunk.totalQuery != "" {
-		answer.Values, unknown = p.seriesOf(query, outcomes)
-		answer.Failures, _ = p.seriesOf(query, rows)
+		result.Values, unknown = p.seriesOf(query, totals)
+		result.Failures, _ = p.seriesOf(query, series)
 	} else {
-		answer.Values, unknown = p.seriesOf(query, rows)
+		result.Values, unknown = p.seriesOf(query, series)
 	}
-	result := p.apply(answer)
-	result.RejectedValues[metricsanalysis.RejectedUnknownEndpoint] += unknown
-	p.metrics.valuesAccepted.WithLabelValues(server).Add(float64(result.AcceptedValues))
-	for reason, count := range result.RejectedValues {
+	summary := p.apply(result)
+	summary.RejectedValues[metricsanalysis.RejectedUnknownEndpoint] += unknown
+	p.metrics.valuesAccepted.WithLabelValues(server).Add(float64(summary.AcceptedValues))
+	for reason, count := range summary.RejectedValues {
 		if count > 0 {
 			p.metrics.valuesRejected.WithLabelValues(server, metricsanalysis.RejectReason(reason).String()).Add(float64(count))
 		}
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -10,29 +10,30 @@
 	"flintspread/internal/metricsanalysis"
 )
 
-// seriesOf converts rows to series by the endpoint and build in their labels, and returns the number of rows whose
-// endpoint is unknown.
-func (p *Poller) seriesOf(query *config.Query, rows []LabeledSeries) (list []metricsanalysis.Series, unknown int) {
+// seriesOf converts labeled series to those of endpoints and builds. It returns the number of series whose labels do not
+// identify a listed endpoint and a build.
+func (p *Poller) seriesOf(query *config.Query, labeled []LabeledSeries) (list []metricsanalysis.Series, unknown int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, row := range rows {
-		endpoint, build, known := p.identify(query, row.Labels)
+	for _, series := range labeled {
+		endpoint, build, known := p.identify(query, series.Labels)
 		if !known {
 			unknown++
 			continue
 		}
-		list = append(list, metricsanalysis.Series{Endpoint: endpoint, Build: build, Points: row.Points})
+		list = append(list, metricsanalysis.Series{Endpoint: endpoint, Build: build, Points: series.Points})
 	}
 	return slices.Clip(list), unknown
 }
 
-// identify reads the endpoint and the build from the labels of a series. If no label holds the build, it is taken from
-// the endpoint list. The caller holds the lock.
+// identify returns the endpoint and the build of a series. The build comes from the query's build label if one is
+// configured, otherwise from the endpoint list. known is false if the endpoint is not listed or the build label does not
+// hold a number. The caller holds the lock.
 func (p *Poller) identify(query *config.Query, labels model.Metric) (endpoint uint32, build int, known bool) {
-	label := string(labels[model.LabelName(query.EndpointLabel)])
-	endpoint, known = p.idByAddress[label]
-	if query.EndpointLabelHolds == labelledByID {
-		id, err := strconv.ParseUint(label, 10, 32)
+	value := string(labels[model.LabelName(query.EndpointLabel)])
+	endpoint, known = p.idByAddress[value]
+	if query.EndpointLabelHolds == labelHoldsID {
+		id, err := strconv.ParseUint(value, 10, 32)
 		endpoint, known = uint32(id), err == nil
 	}
 	build, listed := p.buildByID[endpoint]
