--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -142,8 +142,8 @@
 	return overdue, latePeriods, waitSeconds
 }
 
-// serverLimit returns the maximum number of jobs in flight at one server: half of Bounds.MaxInFlight, rounded
-// up, so that a slow server cannot occupy all slots, or one while the server is failing.
+// serverLimit returns the maximum number of jobs in flight at one server: half of Bounds.MaxInFlight, rounded up,
+// so that no server can occupy all slots, or one while the server is failing.
 func (s *Scheduler) serverLimit(server *scheduledServer) int {
 	if server.failures > 0 {
 		return 1
@@ -185,8 +185,8 @@
 	return max(min(s.bounds.MaxBackoffSeconds, backoff), min(retryAfterSeconds, s.bounds.MaxBackoffSeconds))
 }
 
-// LatePeriods returns the moving average of the delay of starts beyond the due time, in periods of the job. A budget that
-// is too small or slow servers cause it.
+// LatePeriods returns the moving average of the delay of starts beyond the due time, in periods of the job. Starts
+// are late if the budget is too small or servers are slow.
 func (s *Scheduler) LatePeriods() float64 { return s.latePeriods }
 
 // BackoffSeconds returns the remaining pause of a failing server, or 0 if it is not paused.
--- a/internal/metricsanalysis/scheduler_test.go
+++ b/internal/metricsanalysis/scheduler_test.go
@@ -8,11 +8,11 @@
 )
 
 // With fast, slow and failing servers, the scheduler keeps its budget and bounds, never has a job in flight twice, and
-// keeps starting the jobs of available servers, and of failing ones at least once per backoff.
+// keeps starting the jobs of all servers, including the failing ones.
 func TestScheduler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 4).Draw(t, "servers")
-		bounds := Bounds{QueriesPerSecond: rapid.Float64Range(1, 50).Draw(t, "budget"), MaxInFlight: rapid.IntRange(1, 8).Draw(t, "at once"), MaxBackoffSeconds: 5}
+		bounds := Bounds{QueriesPerSecond: rapid.Float64Range(1, 50).Draw(t, "budget"), MaxInFlight: rapid.IntRange(1, 8).Draw(t, "max in flight"), MaxBackoffSeconds: 5}
 		scheduler := NewScheduler(bounds, servers, 0)
 		var jobs []Job
 		for q := range rapid.IntRange(1, 6).Draw(t, "queries") {
@@ -100,6 +100,8 @@
 				t.Fatalf("%+v started %d times in 60 s, too often for a response time of %g s", j, n, responseSeconds[j.Server])
 			}
 		}
+		// A failing server is queried again after its backoff. Three backoffs and twice the time that the budget needs for
+		// all jobs are allowed.
 		for s := range servers {
 			if failing[s] && len(inFlight) == 0 && lastStartAt[s] < 60-3*(bounds.MaxBackoffSeconds+responseSeconds[s])-totalCost/bounds.QueriesPerSecond*2 && bounds.QueriesPerSecond > 10 {
 				t.Fatalf("failing server %d was last queried at %g s of 60 s", s, lastStartAt[s])
@@ -108,7 +110,7 @@
 	})
 }
 
-// A query that fails at an available server is paused; the other queries to that server are not.
+// A query that fails at an available server backs off. The other queries to that server do not.
 func TestOnlyFailingQueryBacksOff(t *testing.T) {
 	scheduler := NewScheduler(Bounds{QueriesPerSecond: 100, MaxInFlight: 4, MaxBackoffSeconds: 8}, 1, 0)
 	scheduler.SetJobs(0, []Job{{Query: 0, PeriodSeconds: 0.5, Cost: 1}, {Query: 1, PeriodSeconds: 0.5, Cost: 1}})
