--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -103,17 +103,17 @@
 }
 
 // Questions returns the queries as input for package metricsanalysis.
-func (h *Health) Questions() (questions []metricsanalysis.Question) {
+func (h *Health) Questions() (questions []metricsanalysis.Query) {
 	for _, q := range h.Queries {
-		questions = append(questions, metricsanalysis.Question{
-			Name:                q.Name,
-			Meaning:             meanings[q.Meaning],
-			Kind:                slices.Index(policy.FailureKindNames[:], string(q.Kind)),
-			StaleAfterSeconds:   q.StaleAfterSeconds,
-			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
-			Weight:              q.Weight,
-			Limit:               q.Limit,
-			Independent:         q.IndependentOfRouters,
+		questions = append(questions, metricsanalysis.Query{
+			Name:                 q.Name,
+			Meaning:              meanings[q.Meaning],
+			FailureKind:          slices.Index(policy.FailureKindNames[:], string(q.Kind)),
+			StaleAfterSeconds:    q.StaleAfterSeconds,
+			MaxClockSkewSeconds:  h.MaxClockSkewSeconds,
+			Weight:               q.Weight,
+			Limit:                q.Limit,
+			IndependentOfRouters: q.IndependentOfRouters,
 		})
 	}
 	return questions
@@ -183,13 +183,13 @@
 
 // parseTemplates parses the templates. On an error it also returns the key of the invalid one.
 func (q *Query) parseTemplates() (key string, err error) {
-	if q.queryTemplate, err = promquery.Read(q.Query, q.AnswerForm()); err != nil {
+	if q.queryTemplate, err = promquery.Parse(q.Query, q.AnswerForm()); err != nil {
 		return "query", err
 	}
 	if !q.isCounts() {
 		return "", nil
 	}
-	if q.totalTemplate, err = promquery.Read(q.Total, q.AnswerForm()); err != nil {
+	if q.totalTemplate, err = promquery.Parse(q.Total, q.AnswerForm()); err != nil {
 		return "total", err
 	}
 	return "", nil
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -29,7 +29,7 @@
 // newMetricsEvidence prepares polling of the configured query servers; run starts it.
 func (c *Controller) newMetricsEvidence() (m *metricsEvidence, err error) {
 	health := c.settings.Health
-	m = &metricsEvidence{controller: c, analysis: metricsanalysis.New(health.Questions(), len(health.Servers))}
+	m = &metricsEvidence{controller: c, analysis: metricsanalysis.NewAnalyzer(health.Questions(), len(health.Servers))}
 	m.poller, err = promclient.NewPoller(health, c.log, c.now, m.applyAnswer)
 	return m, err
 }
@@ -38,12 +38,12 @@
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
 // applyAnswer records a query server's answer. The poller calls it from several goroutines.
-func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.Answer) metricsanalysis.AnswerResult {
+func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.QueryResult) metricsanalysis.ApplySummary {
 	now := m.controller.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hasNewAnswer = true
-	return m.analysis.ApplyAnswer(now, answer)
+	return m.analysis.ApplyResult(now, answer)
 }
 
 // setEndpoints passes the controller's endpoint list, without endpoints that are gone, to the analysis and the poller. The
--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -2,44 +2,44 @@
 
 import "math"
 
-// maxSeries bounds the tracked series. More than that is a mistake in the queries, not a large fleet.
+// maxSeries is the maximum number of tracked series. More indicate a mistake in the queries, not a large fleet.
 const maxSeries = 1_000_000
 
-// Analyzer accumulates the answers of all query servers and derives evidence and health marks from them.
+// Analyzer accumulates the results of all query servers and derives evidence and health marks from them.
 type Analyzer struct {
-	questions   []Question
-	servers     [][]serverState // by question and server
+	queries     []Query
+	servers     [][]serverState // by query and server
 	endpoints   map[uint32]Endpoint
-	build       int // the newest; -1: none yet
+	newestBuild int // -1: none yet
 	seriesCount int
-	disputed    map[string]int // by question name: endpoints on which servers disagreed at the last comparison
+	disputed    map[string]int // number of endpoints on which the servers disagreed at the last comparison, by query name
 }
 
-// serverState holds one server's answers to one question.
+// serverState holds the state of one server's results for one query.
 type serverState struct {
-	firstAnswerAt float64
-	newestAt      float64 // of the newest value of any series
+	firstResultAt float64 // +Inf: no result yet
+	newestValueAt float64 // timestamp of the newest value of any series; -Inf: no value yet
 	series        map[seriesKey]*seriesState
-	departed      map[int]counts // sums of processes that left the endpoint list, by build
+	removed       map[int]counts // total counts of endpoints that left the list, by build
 }
 
-// seriesKey identifies a series.
+// seriesKey identifies a series of a server.
 type seriesKey struct {
 	endpoint uint32
 	build    int
 }
 
-// New returns an analyzer of questions that are sent to a number of servers.
-func New(questions []Question, servers int) *Analyzer {
-	a := &Analyzer{questions: questions, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, build: -1}
-	for range questions {
+// NewAnalyzer returns an analyzer for the results that a number of servers return for queries.
+func NewAnalyzer(queries []Query, servers int) *Analyzer {
+	a := &Analyzer{queries: queries, endpoints: map[uint32]Endpoint{}, disputed: map[string]int{}, newestBuild: -1}
+	for range queries {
 		states := make([]serverState, servers)
 		for i := range states {
 			states[i] = serverState{
-				firstAnswerAt: math.Inf(1),
-				newestAt:      math.Inf(-1),
+				firstResultAt: math.Inf(1),
+				newestValueAt: math.Inf(-1),
 				series:        map[seriesKey]*seriesState{},
-				departed:      map[int]counts{},
+				removed:       map[int]counts{},
 			}
 		}
 		a.servers = append(a.servers, states)
@@ -47,8 +47,8 @@
 	return a
 }
 
-// SetEndpoints replaces the endpoint list. Counts of processes that left the list are kept, summed per build as if of
-// one endpoint, unless the question's counts decay.
+// SetEndpoints replaces the endpoint list. Counts of endpoints that left the list or changed their build are kept as one
+// sum per build, except those of queries whose counts decay.
 func (a *Analyzer) SetEndpoints(list []Endpoint) {
 	a.endpoints = make(map[uint32]Endpoint, len(list))
 	for _, endpoint := range list {
@@ -60,8 +60,8 @@
 				if endpoint, listed := a.endpoints[key.endpoint]; listed && endpoint.Build == key.build {
 					continue
 				}
-				if !a.questions[i].decays() {
-					server.departed[key.build] = server.departed[key.build].plus(series.total)
+				if !a.queries[i].decays() {
+					server.removed[key.build] = server.removed[key.build].plus(series.total)
 				}
 				delete(server.series, key)
 				a.seriesCount--
@@ -70,15 +70,15 @@
 	}
 }
 
-// SetRelease resets all counts if build differs from the current newest build, and makes it the newest.
+// SetRelease makes build the newest build, and resets all counts if it was not the newest before.
 func (a *Analyzer) SetRelease(build int) {
-	if build == a.build {
+	if build == a.newestBuild {
 		return
 	}
-	a.build = build
+	a.newestBuild = build
 	for _, states := range a.servers {
 		for _, server := range states {
-			clear(server.departed)
+			clear(server.removed)
 			for _, series := range server.series {
 				series.total = counts{}
 			}
@@ -86,49 +86,49 @@
 	}
 }
 
-// ApplyAnswer applies an answer and counts its values. Values that were applied before are skipped.
-func (a *Analyzer) ApplyAnswer(now float64, answer *Answer) AnswerResult {
-	server := &a.servers[answer.Question][answer.Server]
-	server.firstAnswerAt = min(server.firstAnswerAt, now)
-	reader := &answerReader{now: now, question: &a.questions[answer.Question], server: server}
-	refused := &reader.result.RefusedValues
-	failures := make(map[seriesKey][]Point, len(answer.Failures))
-	for _, series := range answer.Failures {
+// ApplyResult applies a query result and counts its values. Values that were applied before are skipped.
+func (a *Analyzer) ApplyResult(now float64, result *QueryResult) ApplySummary {
+	server := &a.servers[result.Query][result.Server]
+	server.firstResultAt = min(server.firstResultAt, now)
+	updater := &seriesUpdater{now: now, query: &a.queries[result.Query], server: server}
+	rejected := &updater.summary.RejectedValues
+	failures := make(map[seriesKey][]Point, len(result.Failures))
+	for _, series := range result.Failures {
 		failures[seriesKey{series.Endpoint, series.Build}] = series.Points
 	}
-	seen := make(map[seriesKey]bool, len(answer.Outcomes))
-	for _, series := range answer.Outcomes {
+	seen := make(map[seriesKey]bool, len(result.Values))
+	for _, series := range result.Values {
 		key := seriesKey{series.Endpoint, series.Build}
 		endpoint, listed := a.endpoints[series.Endpoint]
 		switch {
 		case !listed || series.Build != endpoint.Build:
-			refused[RefusedUnknownEndpoint]++
+			rejected[RejectedUnknownEndpoint]++
 			continue
 		case seen[key]:
-			refused[RefusedDuplicate]++
+			rejected[RejectedDuplicate]++
 			continue
 		}
 		seen[key] = true
-		state := a.follow(server, key)
+		state := a.trackSeries(server, key)
 		if state == nil {
-			refused[RefusedTooManySeries]++
+			rejected[RejectedTooManySeries]++
 			continue
 		}
-		if reader.question.Meaning == Counts {
+		if updater.query.Meaning == Counts {
 			points, exists := failures[key]
-			reader.readCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
+			updater.updateCounters(endpoint, state, series.Points, &failureCounter{points: points, exists: exists})
 		} else {
-			reader.readGauge(state, series.Points)
+			updater.updateGauge(state, series.Points)
 		}
 		if state.started {
-			server.newestAt = max(server.newestAt, state.at)
+			server.newestValueAt = max(server.newestValueAt, state.valueAt)
 		}
 	}
-	return reader.result
+	return updater.summary
 }
 
-// follow returns the state of a series, which it creates if needed, or nil if too many series are tracked.
-func (a *Analyzer) follow(server *serverState, key seriesKey) *seriesState {
+// trackSeries returns the state of a series, creating it if needed. It returns nil if maxSeries others are tracked.
+func (a *Analyzer) trackSeries(server *serverState, key seriesKey) *seriesState {
 	if state := server.series[key]; state != nil {
 		return state
 	}
