--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -77,14 +77,16 @@
 	return fmt.Sprintf("%v does not do (%s %s)", failure.Value(), failure.Tag(), failure.Param())
 }
 
-var wordBoundary = regexp.MustCompile(`([a-z])([A-Z])`)
-
-// keyOfField converts a field name to its EDN key, such as BackLeast to back-least. It only works for fields named like
-// their keys, as those in gtefield and gtfield tags must be.
-func keyOfField(name string) string {
-	return strings.ToLower(wordBoundary.ReplaceAllString(name, "$1-$2"))
+// comparedKeys are the EDN keys of the fields that gtefield and gtfield tags refer to.
+var comparedKeys = map[string]string{
+	"BackLeast": "back-least",
+	"Beat":      "beat",
+	"Period":    "period",
 }
 
+// keyOfField returns the EDN key of a field that a gtefield or gtfield tag refers to.
+func keyOfField(name string) string { return comparedKeys[name] }
+
 var indexSuffix = regexp.MustCompile(`\[(\d+)\]`)
 
 // namespacePath converts the validator's Router.op-types[0].target to :op-types 0 :target.
