--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -79,9 +79,9 @@
 
 // comparedKeys are the EDN keys of the fields that gtefield and gtfield tags refer to.
 var comparedKeys = map[string]string{
-	"BackLeast": "back-least",
-	"Beat":      "beat",
-	"Period":    "period",
+	"BackLeast":             "back-least",
+	"ReportIntervalSeconds": "beat",
+	"Period":                "period",
 }
 
 // keyOfField returns the EDN key of a field that a gtefield or gtfield tag refers to.
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -10,13 +10,13 @@
 type Link struct {
 	// Address is unix:PATH or HOST:PORT.
 	Address string `edn:"address" validate:"required"`
-	// Beat is the interval of a router's reports, and of its attempts to reconnect, in seconds. Twice this should be
+	// ReportIntervalSeconds is the interval of a router's reports, and of its attempts to reconnect, in seconds. Twice this should be
 	// below Rules.GraceSeconds.
-	Beat float64 `edn:"beat" validate:"gt=0"`
+	ReportIntervalSeconds float64 `edn:"beat" validate:"gt=0"`
 	// SilenceSeconds is the time without a message after which the other end is considered dead.
-	SilenceSeconds float64 `edn:"silence" validate:"gtfield=Beat"`
+	SilenceSeconds float64 `edn:"silence" validate:"gtfield=ReportIntervalSeconds"`
 	// LeaseSeconds is how long a router may use the canary attempts that were leased to it.
-	LeaseSeconds float64 `edn:"lease" validate:"gtfield=Beat"`
+	LeaseSeconds float64 `edn:"lease" validate:"gtfield=ReportIntervalSeconds"`
 	// Cert and Key are PEM files: this program's certificate with its chain, and its private key. Required over TCP, as
 	// are CA and Peer.
 	Cert string `edn:"cert" validate:"omitempty,filepath"`
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -73,7 +73,7 @@
 	if c.nextTickAt > 0 {
 		lateSeconds = max(0, now-c.nextTickAt)
 	}
-	reportStride, queries := loadshed.ControllerLoadShedding(lateSeconds, c.settings.Link.Beat)
+	reportStride, queries := loadshed.ControllerLoadShedding(lateSeconds, c.settings.Link.ReportIntervalSeconds)
 	c.reportStride.Store(uint64(reportStride))
 	if c.metricsEvidence != nil {
 		c.metricsEvidence.poller.Pause(!queries)
--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -173,7 +173,7 @@
 // sendAssignments sends an assignment on every notification and keep-alive interval until the stream breaks. Each is
 // built when it can be sent, so that a slow reader gets fewer assignments, never outdated ones.
 func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
-	keepAlive := time.NewTicker(seconds(s.Config.Beat * keepAliveIntervals))
+	keepAlive := time.NewTicker(seconds(s.Config.ReportIntervalSeconds * keepAliveIntervals))
 	defer keepAlive.Stop()
 	for {
 		select {
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -122,7 +122,7 @@
 
 // unixLink returns settings for a Unix socket in a temporary folder of the test.
 func unixLink(t *testing.T) *config.Link {
-	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1}
+	return &config.Link{Address: "unix:" + filepath.Join(t.TempDir(), "s"), ReportIntervalSeconds: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1}
 }
 
 // A controller that dies and restarts is followed again, even on a socket file left by a killed one; an older
--- a/internal/controlrpc/credentials_test.go
+++ b/internal/controlrpc/credentials_test.go
@@ -12,7 +12,7 @@
 // issueLink writes a certificate for a name with an expiry time, and returns settings that use it and expect peer.
 func issueLink(authority *testca.CA, file, name string, ends time.Time, address, peer string) *config.Link {
 	cert, key := authority.Issue(file, name, ends)
-	return &config.Link{Address: address, Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
+	return &config.Link{Address: address, ReportIntervalSeconds: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
 }
 
 // Over TCP each end presents a certificate; a rejected one is logged by name, and a replaced one is used without a
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -95,7 +95,7 @@
 		if assignments > 0 {
 			failures = 0
 		}
-		pauseSeconds := watch.Backoff(failures, r.Config.Beat/2, r.Config.Beat, rand.Float64())
+		pauseSeconds := watch.Backoff(failures, r.Config.ReportIntervalSeconds/2, r.Config.ReportIntervalSeconds, rand.Float64())
 		level := slog.LevelWarn
 		if failures > 0 {
 			level = slog.LevelDebug // warn once, not on every retry
@@ -118,10 +118,10 @@
 		grpc.WithTransportCredentials(transport),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  seconds(r.Config.Beat / 2),
+				BaseDelay:  seconds(r.Config.ReportIntervalSeconds / 2),
 				Multiplier: connectBackoffMultiplier,
 				Jitter:     connectBackoffJitter,
-				MaxDelay:   seconds(r.Config.Beat),
+				MaxDelay:   seconds(r.Config.ReportIntervalSeconds),
 			},
 			MinConnectTimeout: seconds(r.Config.SilenceSeconds),
 		}),
@@ -192,7 +192,7 @@
 
 // queueReports queues a report immediately and then every report interval, until ctx ends.
 func (r *RouterClient) queueReports(ctx context.Context, queue chan *linkpb.Digest) {
-	ticker := time.NewTicker(seconds(r.Config.Beat))
+	ticker := time.NewTicker(seconds(r.Config.ReportIntervalSeconds))
 	defer ticker.Stop()
 	for {
 		r.queueReport(queue)
