--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -79,7 +79,7 @@
 
 // comparedKeys are the EDN keys of the fields that gtefield and gtfield tags refer to.
 var comparedKeys = map[string]string{
-	"BackLeast":             "back-least",
+	"BackoffMinSeconds":     "back-least",
 	"ReportIntervalSeconds": "beat",
 	"Period":                "period",
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -220,7 +220,7 @@
 func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
-		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackLeast,
+		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackoffMinSeconds,
 			BackoffMaxSeconds: sources.BackMost, Log: c.log, Client: client}
 	}
 	if c.settings.Control == nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -240,7 +240,7 @@
 	return watch.Source{
 		URL:               url,
 		SilenceSeconds:    sources.SilenceSeconds,
-		BackoffMinSeconds: sources.BackLeast,
+		BackoffMinSeconds: sources.BackoffMinSeconds,
 		BackoffMaxSeconds: sources.BackMost,
 		Log:               r.log,
 		Client:            r.httpClient,
