--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -53,9 +53,9 @@
 	Addresses []string `edn:"addresses" validate:"required,min=1,max=8,dive,hostname_port"`
 	// SilenceSeconds is the timeout of a keep-alive ping.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackoffMinSeconds and BackMost bound the exponential backoff between connections, in seconds.
+	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections, in seconds.
 	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
-	BackMost          float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
+	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 	// PairingTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
 	PairingTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
 	// MaxResponseBytes bounds one response.
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -58,9 +58,9 @@
 	ReleaseServiceURL string `edn:"installer" validate:"required,http_url"`
 	// SilenceSeconds is the time without a line after which a watch is considered broken.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackoffMinSeconds and BackMost bound the exponential backoff between connections of a watch, in seconds.
+	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections of a watch, in seconds.
 	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
-	BackMost          float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
+	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 }
 
 // ReadRouter reads and checks a router's settings file. An error in the text is a *FieldError.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -221,7 +221,7 @@
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
 		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackoffMinSeconds,
-			BackoffMaxSeconds: sources.BackMost, Log: c.log, Client: client}
+			BackoffMaxSeconds: sources.BackoffMaxSeconds, Log: c.log, Client: client}
 	}
 	if c.settings.Control == nil {
 		running.Go(func() { watch.Follow(ctx, source(sources.EndpointListURL), c.applyEndpointUpdate, func() {}) })
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -241,7 +241,7 @@
 		URL:               url,
 		SilenceSeconds:    sources.SilenceSeconds,
 		BackoffMinSeconds: sources.BackoffMinSeconds,
-		BackoffMaxSeconds: sources.BackMost,
+		BackoffMaxSeconds: sources.BackoffMaxSeconds,
 		Log:               r.log,
 		Client:            r.httpClient,
 	}
--- a/internal/xds/reconnect_bench_test.go
+++ b/internal/xds/reconnect_bench_test.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var acceptedAt []time.Time
-	settings := &config.Control{Addresses: []string{address}, SilenceSeconds: 2, BackoffMinSeconds: 0.1, BackMost: 5, MaxResponseBytes: 1 << 20}
+	settings := &config.Control{Addresses: []string{address}, SilenceSeconds: 2, BackoffMinSeconds: 0.1, BackoffMaxSeconds: 5, MaxResponseBytes: 1 << 20}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	taker := xds.Handler{
 		OnEndpoints: func(*endpoints.Update) error { return nil },
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -54,7 +54,7 @@
 	for _, address := range control.Addresses {
 		client := &Client{
 			Address: address, Credentials: transport, Log: log, Session: NewSession(node, relay), Relay: relay,
-			BackoffMinSeconds: control.BackoffMinSeconds, BackoffMaxSeconds: control.BackMost, SilenceSeconds: control.SilenceSeconds,
+			BackoffMinSeconds: control.BackoffMinSeconds, BackoffMaxSeconds: control.BackoffMaxSeconds, SilenceSeconds: control.SilenceSeconds,
 			MaxResponseBytes: control.MaxResponseBytes, RecheckSeconds: recheckSeconds, Handler: handler,
 		}
 		group.Go(func() error { return client.Run(ctx) })
