--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -81,7 +81,7 @@
 var comparedKeys = map[string]string{
 	"BackoffMinSeconds":     "back-least",
 	"ReportIntervalSeconds": "beat",
-	"Period":                "period",
+	"PeriodSeconds":         "period",
 }
 
 // keyOfField returns the EDN key of a field that a gtefield or gtfield tag refers to.
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -57,10 +57,10 @@
 	// RangeSeconds and StepSeconds are the length and the resolution of a range query. Required for that form.
 	RangeSeconds float64 `edn:"span" validate:"omitempty,gt=0"`
 	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
-	// Period is the time between two queries, in seconds.
-	Period float64 `edn:"period" validate:"gte=0.05"`
+	// PeriodSeconds is the time between two queries, in seconds.
+	PeriodSeconds float64 `edn:"period" validate:"gte=0.05"`
 	// StaleAfterSeconds is the age above which an answer no longer counts as evidence.
-	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=Period"`
+	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=PeriodSeconds"`
 	// Weight scales the evidence; at most 1.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
 	// Limit is the value above which an endpoint is marked: seconds for a quantile, a share for a saturation. Required
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -250,7 +250,7 @@
 			}
 			settings := queryServerSettings(b, urls...)
 			for i := range settings.Health.Queries {
-				settings.Health.Queries[i].Period, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
+				settings.Health.Queries[i].PeriodSeconds, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
 			}
 			c := newController(settings, discardLog(), nil)
 			var err error
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -123,7 +123,7 @@
 	}
 	for index := range p.chunks[question] {
 		for server := range p.clients {
-			jobs = append(jobs, metricsanalysis.Job{Server: server, Question: question, Chunk: index, PeriodSeconds: query.Period, Queries: queries})
+			jobs = append(jobs, metricsanalysis.Job{Server: server, Question: question, Chunk: index, PeriodSeconds: query.PeriodSeconds, Queries: queries})
 		}
 	}
 	return jobs
