--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -69,10 +69,10 @@
 	// IndependentOfRouters says that the counts include no attempts of this relay's routers. Otherwise those are
 	// subtracted, so that no outcome counts twice. Optional.
 	IndependentOfRouters bool `edn:"apart"`
-	// EndpointLabel is the label that identifies the endpoint; EndpointLabelHolds says whether it holds its ID or its
+	// EndpointLabel is the label that identifies the endpoint; EndpointLabelKind says whether it holds its ID or its
 	// address.
-	EndpointLabel      string      `edn:"unit-label" validate:"required"`
-	EndpointLabelHolds edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
+	EndpointLabel     string      `edn:"unit-label" validate:"required"`
+	EndpointLabelKind edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
 	// BuildLabel is the label that holds the endpoint's build. Optional; without it the build is taken from the
 	// endpoint list.
 	BuildLabel string `edn:"build-label" validate:"omitempty"`
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -104,7 +104,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.EndpointLabelHolds == labelledByAddress {
+		if query.EndpointLabelKind == labelledByAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.writeChunks(query, labels)
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -31,7 +31,7 @@
 func (p *Poller) identify(query *config.Query, labels model.Metric) (endpoint uint32, build int, known bool) {
 	label := string(labels[model.LabelName(query.EndpointLabel)])
 	endpoint, known = p.idByAddress[label]
-	if query.EndpointLabelHolds == labelledByID {
+	if query.EndpointLabelKind == labelledByID {
 		id, err := strconv.ParseUint(label, 10, 32)
 		endpoint, known = uint32(id), err == nil
 	}
