--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -44,9 +44,9 @@
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
 	// DrainTimeoutSeconds is the longest time that a graceful shutdown waits for requests in flight.
 	DrainTimeoutSeconds float64 `edn:"drain-time" validate:"gt=0"`
-	// EvictIdleFrom is the number of connections from which on an idle one is closed for each accepted one; 0: never. It
+	// IdleEvictionThreshold is the number of connections from which on an idle one is closed for each accepted one; 0: never. It
 	// cannot be set in a file.
-	EvictIdleFrom int `edn:"-"`
+	IdleEvictionThreshold int `edn:"-"`
 }
 
 // Endpoints limits the connections to endpoints.
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -108,10 +108,10 @@
 
 func proxySettings(settings *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
 	clients := config.Clients{
-		MaxConns:           limits.ClientConns,
-		EvictIdleFrom:      limits.IdleEvictionThreshold,
-		ReadTimeoutSeconds: clientReadSeconds,
-		IdleTimeoutSeconds: clientIdleSeconds,
+		MaxConns:              limits.ClientConns,
+		IdleEvictionThreshold: limits.IdleEvictionThreshold,
+		ReadTimeoutSeconds:    clientReadSeconds,
+		IdleTimeoutSeconds:    clientIdleSeconds,
 	}
 	upstreams := config.Endpoints{
 		MaxConnsPerEndpoint: limits.EndpointConns,
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -96,14 +96,14 @@
 // overCapacity reports whether so many connections are open, including evicted ones, that file descriptors could run
 // out. The caller holds p.mu.
 func (p *Proxy) overCapacity(limits *config.Clients) bool {
-	return limits.EvictIdleFrom > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
+	return limits.IdleEvictionThreshold > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
 }
 
 // findPlace reports whether one more connection may be admitted: because the count is below the limit, or because
-// another connection could be evicted. From limits.EvictIdleFrom connections on, each new one evicts one. The caller
+// another connection could be evicted. From limits.IdleEvictionThreshold connections on, each new one evicts one. The caller
 // holds p.mu.
 func (p *Proxy) findPlace(limits *config.Clients) bool {
-	evicts := limits.EvictIdleFrom > 0 && len(p.clients) >= limits.EvictIdleFrom
+	evicts := limits.IdleEvictionThreshold > 0 && len(p.clients) >= limits.IdleEvictionThreshold
 	return evicts && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -38,7 +38,7 @@
 	if edit != nil {
 		edit(settings)
 	}
-	settings.Clients.EvictIdleFrom = settings.Clients.MaxConns
+	settings.Clients.IdleEvictionThreshold = settings.Clients.MaxConns
 	p := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
 	p.connReuseDelaySeconds = 0 // most tests count connections
 	p.SetReady()
