--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -56,8 +56,8 @@
 	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections, in seconds.
 	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
 	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
-	// PairingTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
-	PairingTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
+	// RequiredListTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
+	RequiredListTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
 	// MaxResponseBytes bounds one response.
 	MaxResponseBytes int `edn:"most-bytes" validate:"gte=1024"`
 	// Cert, Key, CA and Peer are as in Link: all four or none. Without them the stream is plaintext, for a service on
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -89,7 +89,7 @@
 	if r.Control == nil {
 		return 0
 	}
-	return r.Control.PairingTimeoutSeconds
+	return r.Control.RequiredListTimeoutSeconds
 }
 
 // Check checks conditions on several fields, and sets the derived fields. ParseRouter calls it; call it again after
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -89,7 +89,7 @@
 	if outcome, err := v.state.Check(version, v.conditions(version)); outcome != configstate.Applied {
 		return outcome, err
 	}
-	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.PairingTimeoutSeconds)
+	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.RequiredListTimeoutSeconds)
 	return configstate.Waiting, nil
 }
 
--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -22,7 +22,7 @@
 	document := "{" + string(text[strings.Index(string(text), ":schema"):])
 	services := &fakeServices{}
 	settings := testSettings(t, t.TempDir(), services.serve(t), 1)
-	settings.Control = &config.Control{PairingTimeoutSeconds: 0.5}
+	settings.Control = &config.Control{RequiredListTimeoutSeconds: 0.5}
 	store, _, _, err := OpenStateStore(settings.StateDir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -52,7 +52,7 @@
 // recheckSeconds returns the interval at which a version that waits for its endpoint list is rechecked: a quarter of
 // the time that it may wait, or the silence limit of the control service if that is shorter.
 func recheckSeconds(control *config.Control) float64 {
-	return min(control.PairingTimeoutSeconds/4, control.SilenceSeconds)
+	return min(control.RequiredListTimeoutSeconds/4, control.SilenceSeconds)
 }
 
 // applyEndpoints applies an endpoint list. It rejects one that is older than the list in force (it was overtaken, or
