--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -83,9 +83,9 @@
 	return r, r.Check()
 }
 
-// ConfigWaitSeconds returns how long a configuration version may wait for the endpoint list that it requires, 0 without
+// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires, 0 without
 // a control service.
-func (r *Router) ConfigWaitSeconds() float64 {
+func (r *Router) RequiredListTimeoutSeconds() float64 {
 	if r.Control == nil {
 		return 0
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -104,7 +104,7 @@
 		endpointConns:         map[*endpointConn]struct{}{},
 		clients:               map[*clientConn]struct{}{},
 	}
-	p.configState = configstate.NewState(&settings.Document, nil, 0, settings.ConfigWaitSeconds())
+	p.configState = configstate.NewState(&settings.Document, nil, 0, settings.RequiredListTimeoutSeconds())
 	current := p.configState.Current()
 	p.currentConfig.Store(current)
 	p.balancer = policy.New(*current.Policy, seed, p.clockBaseSeconds)
