--- a/cmd/flintspread-controller/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -44,7 +44,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d request classes, %d stages, link %s\n",
-				file, settings.Relay, len(settings.Classes), len(settings.Release.StageShares), settings.Link.Address)
+				file, settings.RouterGroup, len(settings.Classes), len(settings.Release.StageShares), settings.Link.Address)
 			return nil
 		},
 	}
--- a/cmd/flintspread-router/main.go
+++ b/cmd/flintspread-router/main.go
@@ -54,7 +54,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: relay %q, %d request classes, %d routes, %d stages\n",
-				file, settings.Relay, len(settings.Classes), len(settings.Routes), len(settings.Release.StageShares))
+				file, settings.RouterGroup, len(settings.Classes), len(settings.Routes), len(settings.Release.StageShares))
 			return nil
 		},
 	}
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -4,9 +4,9 @@
 
 // Controller is the settings file of one controller. Rules, Release and Classes must equal those of its routers.
 type Controller struct {
-	// Relay is the name that identifies the controller's routers, as one relay, to the release service and to control
+	// RouterGroup is the name that identifies the controller's routers, as one relay, to the release service and to control
 	// services.
-	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
+	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
 	// StateDir is the folder that stores the epoch, the vote, the last release, the last endpoint list and the
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -39,7 +39,7 @@
 			DedupWindowSeconds:      class.DedupWindowSeconds,
 		})
 	}
-	return &Router{Relay: name, Name: name, Document: document, Overload: &Overload{MemoryBytes: memory}}
+	return &Router{RouterGroup: name, Name: name, Document: document, Overload: &Overload{MemoryBytes: memory}}
 }
 
 // jsonValidator checks validate tags. Its errors name fields by their JSON keys.
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -4,9 +4,9 @@
 
 // Router is the settings file of one router.
 type Router struct {
-	// Relay is the name that identifies the router, together with all that share its controller, to the release service
+	// RouterGroup is the name that identifies the router, together with all that share its controller, to the release service
 	// and to control services.
-	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
+	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// ListenAddress is the HOST:PORT that clients connect to.
 	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
@@ -97,7 +97,7 @@
 func (r *Router) Check() error {
 	src := r.source
 	if r.Name == "" {
-		r.Name = r.Relay
+		r.Name = r.RouterGroup
 	}
 	if err := r.validate(src); err != nil {
 		return err
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -40,7 +40,7 @@
 // follow follows the control services until ctx ends.
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.controller.settings
-	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.Relay, settings.Relay, settings.Link.ReportIntervalSeconds,
+	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.RouterGroup, settings.RouterGroup, settings.Link.ReportIntervalSeconds,
 		xds.Handler{OnEndpoints: v.applyEndpointUpdate, OnConfig: v.propose, Recheck: v.recheck})
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,10 +84,10 @@
 	}
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	c.openVoteSender(client)
-	log.Info("controller started", "relay", settings.Relay, "epoch", c.leader.Epoch(), "link", settings.Link.Address,
+	log.Info("controller started", "relay", settings.RouterGroup, "epoch", c.leader.Epoch(), "link", settings.Link.Address,
 		"admin", listeners.admin.Addr().String())
 	err = c.serve(ctx, client, listeners)
-	log.Info("controller stopped", "relay", settings.Relay)
+	log.Info("controller stopped", "relay", settings.RouterGroup)
 	return err
 }
 
@@ -124,7 +124,7 @@
 		seed = rand.Uint64()
 	}
 	c.balancer = policy.New(settings.Policy(), seed, c.startedAtSeconds)
-	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.Relay,
+	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.RouterGroup,
 		AcceptReport: c.acceptReport, NextAssignment: c.nextAssignment}
 	return c
 }
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -45,7 +45,7 @@
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.router.config
 	control := settings.Control
-	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.Relay, recheckSeconds(control),
+	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.RouterGroup, recheckSeconds(control),
 		xds.Handler{OnEndpoints: v.applyEndpoints, OnConfig: v.offer, Recheck: v.recheck})
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,13 +92,13 @@
 	metricsServer := &http.Server{Handler: r.metricsHandler(r.observeAnswers()), ReadHeaderTimeout: metricsHeaderTimeout}
 	r.running.Go(func() { r.serveMetrics(metricsServer, metricsListener) })
 	r.running.Go(func() { r.failed <- r.proxy.Serve(listener) })
-	log.Info("serving", "relay", settings.Relay, "listen", listener.Addr().String(), "admin", metricsListener.Addr().String())
+	log.Info("serving", "relay", settings.RouterGroup, "listen", listener.Addr().String(), "admin", metricsListener.Addr().String())
 
 	select {
 	case <-ctx.Done():
 	case err = <-r.failed:
 	}
-	log.Info("shutting down gracefully", "relay", settings.Relay)
+	log.Info("shutting down gracefully", "relay", settings.RouterGroup)
 	if unanswered := r.drain(listener); unanswered != nil {
 		log.Error("requests left at the end of the drain", "error", unanswered)
 		err = errors.Join(err, unanswered)
@@ -107,7 +107,7 @@
 	metricsServer.Close()
 	r.proxy.Close()
 	r.running.Wait()
-	log.Info("stopped", "relay", settings.Relay)
+	log.Info("stopped", "relay", settings.RouterGroup)
 	return err
 }
 
@@ -128,7 +128,7 @@
 func (r *Router) startStandalone() error {
 	settings := r.config
 	r.votes = &releases.VoteSender{
-		Router:         settings.Relay,
+		Router:         settings.RouterGroup,
 		URL:            settings.Sources.ReleaseServiceURL,
 		TimeoutSeconds: settings.Release.VoteTimeoutSeconds,
 		Client:         r.httpClient,
@@ -174,7 +174,7 @@
 		Config:          settings.Controller,
 		Log:             r.log,
 		Now:             r.proxy.Now,
-		Relay:           settings.Relay,
+		Relay:           settings.RouterGroup,
 		Router:          settings.Name,
 		Incarnation:     uint64(time.Now().UnixNano()),
 		ConfigHash:      ConfigHash(settings.Policy()),
