--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -15,7 +15,7 @@
 const maxFileBytes = 4 << 20
 
 func tooLarge(file string, size int64) error {
-	return &FieldError{File: file, Line: 1, What: fmt.Sprintf("%d bytes; %d at most", size, maxFileBytes)}
+	return &FieldError{File: file, Line: 1, Problem: fmt.Sprintf("%d bytes; %d at most", size, maxFileBytes)}
 }
 
 func readFile(file string) ([]byte, error) {
@@ -47,7 +47,7 @@
 func decode(file string, text []byte, into any) (*positions, error) {
 	positions, err := findPositions(string(text))
 	if err != nil {
-		return nil, &FieldError{File: file, Line: positions.line, What: err.Error()}
+		return nil, &FieldError{File: file, Line: positions.line, Problem: err.Error()}
 	}
 	if err := edn.Unmarshal(text, into); err != nil {
 		return nil, mistypedError(file, text, positions, into, err)
@@ -65,7 +65,7 @@
 	if err := ednValidator.Struct(into); err != nil {
 		var failures validator.ValidationErrors
 		if !errors.As(err, &failures) {
-			return nil, &FieldError{File: file, Line: 1, What: err.Error()}
+			return nil, &FieldError{File: file, Line: 1, Problem: err.Error()}
 		}
 		return nil, src.fieldError(namespacePath(failures[0].Namespace()), describe(failures[0]))
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,18 +11,18 @@
 
 // FieldError is an error in the text of a settings file or document.
 type FieldError struct {
-	File string // or the name of the document
-	Line int    // starting at 1
-	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
-	What string
+	File    string // or the name of the document
+	Line    int    // starting at 1
+	Key     string // the path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
+	Problem string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string {
 	if e.Key == "" {
-		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
+		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.What)
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Problem)
 }
 
 // IsFieldError reports whether an error is or wraps a *FieldError.
@@ -38,7 +38,7 @@
 }
 
 func (s source) fieldError(path, what string) error {
-	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, What: what}
+	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, Problem: what}
 }
 
 // comparisons are the validator tags whose parameter completes the message.
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -126,7 +126,7 @@
 	}
 	for i, event := range s.Events {
 		if key, problem := s.validateEvent(event); key != "" {
-			return nil, &config.FieldError{File: name, Line: 1, Key: fmt.Sprintf(":events %d :%s", i, key), What: problem}
+			return nil, &config.FieldError{File: name, Line: 1, Key: fmt.Sprintf(":events %d :%s", i, key), Problem: problem}
 		}
 	}
 	return s, nil
