--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -46,19 +46,19 @@
 	if err != nil {
 		return nil, err
 	}
-	src := source{file, positions}
+	loc := locator{file, positions}
 	if key, problem := c.Link.validate(); key != "" {
-		return nil, src.fieldError(":link "+key, problem)
+		return nil, loc.fieldError(":link "+key, problem)
 	}
-	if err := validateSources(src, &c.Sources, c.Control); err != nil {
+	if err := validateSources(loc, &c.Sources, c.Control); err != nil {
 		return nil, err
 	}
 	if c.Health != nil {
-		if err := c.Health.validate(src); err != nil {
+		if err := c.Health.validate(loc); err != nil {
 			return nil, err
 		}
 	}
-	c.policy, err = policyConfig(src, c.Rules, c.Release, c.Classes)
+	c.policy, err = policyConfig(loc, c.Rules, c.Release, c.Classes)
 	return c, err
 }
 
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -52,22 +52,22 @@
 	if err := edn.Unmarshal(text, into); err != nil {
 		return nil, mistypedError(file, text, positions, into, err)
 	}
-	src, target := source{file, positions}, reflect.TypeOf(into).Elem()
+	loc, target := locator{file, positions}, reflect.TypeOf(into).Elem()
 	for _, key := range positions.keys {
 		discarded := strings.Contains(key, "#_")
 		if !discarded && !isKnownPath(target, strings.Fields(key)) {
-			return nil, src.fieldError(key, "unknown key")
+			return nil, loc.fieldError(key, "unknown key")
 		}
 	}
 	if path := missingKey(positions, target, ""); path != "" {
-		return nil, src.fieldError(path, "missing")
+		return nil, loc.fieldError(path, "missing")
 	}
 	if err := ednValidator.Struct(into); err != nil {
 		var failures validator.ValidationErrors
 		if !errors.As(err, &failures) {
 			return nil, &FieldError{File: file, Line: 1, Problem: err.Error()}
 		}
-		return nil, src.fieldError(namespacePath(failures[0].Namespace()), describe(failures[0]))
+		return nil, loc.fieldError(namespacePath(failures[0].Namespace()), describe(failures[0]))
 	}
 	return positions, nil
 }
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	return source{file, positions}.fieldError(path, strings.TrimPrefix(cause.Error(), "edn: "))
+	return locator{file, positions}.fieldError(path, strings.TrimPrefix(cause.Error(), "edn: "))
 }
 
 // childType returns the type of a key or element of a type, or nil if there is none.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return d, d.validate(source{name, positions})
+	return d, d.validate(locator{name, positions})
 }
 
 // Policy returns the configuration of the decision core.
@@ -191,8 +191,8 @@
 }
 
 // validate checks conditions on several fields, and sets the derived fields.
-func (d *Document) validate(src source) (err error) {
-	if d.policy, err = policyConfig(src, d.Rules, d.Release, d.Classes); err != nil {
+func (d *Document) validate(loc locator) (err error) {
+	if d.policy, err = policyConfig(loc, d.Rules, d.Release, d.Classes); err != nil {
 		return err
 	}
 	d.policy.ConnIdleSeconds = d.Endpoints.IdleTimeoutSeconds
@@ -200,24 +200,24 @@
 	for i, class := range d.Classes {
 		d.classByName[class.Name] = i
 	}
-	return d.buildRoutes(src)
+	return d.buildRoutes(loc)
 }
 
 // buildRoutes fills routesByMethod. It fails if a route names an unknown class, two routes have the same method and
 // prefix, or a class has no route.
-func (d *Document) buildRoutes(src source) error {
+func (d *Document) buildRoutes(loc locator) error {
 	d.routesByMethod = map[string]*iradix.Tree[int]{}
 	hasRoute := map[string]bool{}
 	firstWith := map[string]int{} // index into Routes by method and path
 	for i, route := range d.Routes {
 		key := fmt.Sprintf(":routes %d", i)
 		if _, ok := d.classByName[route.Class]; !ok {
-			return src.fieldError(key+" :op-type", fmt.Sprintf("no op type is called %q", route.Class))
+			return loc.fieldError(key+" :op-type", fmt.Sprintf("no op type is called %q", route.Class))
 		}
 		hasRoute[route.Class] = true
 		methodAndPath := route.Method + " " + route.Path
 		if first, twice := firstWith[methodAndPath]; twice {
-			return src.fieldError(key+" :path", fmt.Sprintf("the same as :routes %d", first))
+			return loc.fieldError(key+" :path", fmt.Sprintf("the same as :routes %d", first))
 		}
 		firstWith[methodAndPath] = i
 		tree := d.routesByMethod[route.Method]
@@ -228,7 +228,7 @@
 	}
 	for i, class := range d.Classes {
 		if !hasRoute[class.Name] {
-			return src.fieldError(fmt.Sprintf(":op-types %d :name", i), fmt.Sprintf("no route leads to %q", class.Name))
+			return loc.fieldError(fmt.Sprintf(":op-types %d :name", i), fmt.Sprintf("no route leads to %q", class.Name))
 		}
 	}
 	return nil
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -31,14 +31,14 @@
 	return errors.As(err, &fieldError)
 }
 
-// source creates the errors of one text.
-type source struct {
+// locator creates the errors of one text.
+type locator struct {
 	file      string
 	positions *positions
 }
 
-func (s source) fieldError(path, what string) error {
-	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, Problem: what}
+func (l locator) fieldError(path, problem string) error {
+	return &FieldError{File: l.file, Line: l.positions.nearestLine(path), Key: path, Problem: problem}
 }
 
 // comparisons are the validator tags whose parameter completes the message.
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -125,11 +125,11 @@
 }
 
 // validate checks conditions on several fields, and parses the templates.
-func (h *Health) validate(src source) error {
+func (h *Health) validate(loc locator) error {
 	serverNames := map[string]bool{}
 	for i, server := range h.Servers {
 		if serverNames[server.Name] {
-			return src.fieldError(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q stands twice", server.Name))
+			return loc.fieldError(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q stands twice", server.Name))
 		}
 		serverNames[server.Name] = true
 	}
@@ -138,7 +138,7 @@
 	for i := range h.Queries {
 		q := &h.Queries[i]
 		fieldError := func(key, what string) error {
-			return src.fieldError(fmt.Sprintf(":health :queries %d :%s", i, key), what)
+			return loc.fieldError(fmt.Sprintf(":health :queries %d :%s", i, key), what)
 		}
 		if queryNames[q.Name] {
 			return fieldError("name", fmt.Sprintf("%q stands twice", q.Name))
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -27,12 +27,12 @@
 
 // policyConfig builds the configuration of the decision core. It rejects values that are valid individually but
 // contradict each other.
-func policyConfig(src source, rules Rules, release Release, classes []RequestClass) (policy.Config, error) {
-	if err := validateStages(src, rules, release); err != nil {
+func policyConfig(loc locator, rules Rules, release Release, classes []RequestClass) (policy.Config, error) {
+	if err := validateStages(loc, rules, release); err != nil {
 		return policy.Config{}, err
 	}
 	if rules.OneWayKeys && rules.MaxRememberedKeys == 0 {
-		return policy.Config{}, src.fieldError(":rules :keys-kept", "one-way keys need room for some")
+		return policy.Config{}, loc.fieldError(":rules :keys-kept", "one-way keys need room for some")
 	}
 	c := policy.Config{
 		RouterGroups:             rules.RouterGroups,
@@ -69,10 +69,10 @@
 	for i, class := range classes {
 		key := fmt.Sprintf(":op-types %d", i)
 		if names[class.Name] {
-			return policy.Config{}, src.fieldError(key+" :name", fmt.Sprintf("%q stands twice", class.Name))
+			return policy.Config{}, loc.fieldError(key+" :name", fmt.Sprintf("%q stands twice", class.Name))
 		}
 		names[class.Name] = true
-		if err := validateClass(src, key, class, rules); err != nil {
+		if err := validateClass(loc, key, class, rules); err != nil {
 			return policy.Config{}, err
 		}
 		c.Classes = append(c.Classes, policy.RequestClass{
@@ -88,49 +88,49 @@
 }
 
 // validateStages checks the rollout stages, their canary limits and the window over which these are counted.
-func validateStages(src source, rules Rules, release Release) error {
+func validateStages(loc locator, rules Rules, release Release) error {
 	stages, limits := release.StageShares, release.CanaryLimits
 	if len(limits) != len(stages) {
-		return src.fieldError(":release :caps", fmt.Sprintf("%d caps for %d stages", len(limits), len(stages)))
+		return loc.fieldError(":release :caps", fmt.Sprintf("%d caps for %d stages", len(limits), len(stages)))
 	}
 	for i := 1; i < len(stages); i++ {
 		if stages[i] < stages[i-1] {
-			return src.fieldError(fmt.Sprintf(":release :stages %d", i), "a stage below the one before it")
+			return loc.fieldError(fmt.Sprintf(":release :stages %d", i), "a stage below the one before it")
 		}
 	}
 	if rules.CanaryWindowSeconds < rules.GraceSeconds {
-		return src.fieldError(":rules :window",
+		return loc.fieldError(":rules :window",
 			fmt.Sprintf("below the grace (%g s): a lower cap would bind after the window it is for", rules.GraceSeconds))
 	}
 	for i, limit := range limits {
 		key := fmt.Sprintf(":release :caps %d", i)
 		if limit < stages[i] {
-			return src.fieldError(key,
+			return loc.fieldError(key,
 				fmt.Sprintf("%g of a relay's commands for %g of the fleet: the stage's units could not be used", limit, stages[i]))
 		}
 		if i > 0 && limit < limits[i-1] {
-			return src.fieldError(key, "a cap below that of the stage before it")
+			return loc.fieldError(key, "a cap below that of the stage before it")
 		}
 	}
 	if rules.IdempotentOnlyStages > len(stages) {
-		return src.fieldError(":rules :guarded-stages", fmt.Sprintf("%d of %d stages", rules.IdempotentOnlyStages, len(stages)))
+		return loc.fieldError(":rules :guarded-stages", fmt.Sprintf("%d of %d stages", rules.IdempotentOnlyStages, len(stages)))
 	}
 	return nil
 }
 
 // validateClass checks the request class at a key against the rules.
-func validateClass(src source, key string, class RequestClass, rules Rules) error {
+func validateClass(loc locator, key string, class RequestClass, rules Rules) error {
 	switch {
 	case class.TimeoutSeconds <= minTimeoutTicks*rules.TimerResolutionSeconds:
-		return src.fieldError(key+" :timeout", "not above three rounds (:rules :round): no answer could be in time")
+		return loc.fieldError(key+" :timeout", "not above three rounds (:rules :round): no answer could be in time")
 	case class.LatencyObjectiveSeconds > class.TimeoutSeconds:
-		return src.fieldError(key+" :target", "above the timeout")
+		return loc.fieldError(key+" :target", "above the timeout")
 	case class.TimeoutSeconds >= rules.ForgetEndpointSeconds:
-		return src.fieldError(":rules :forget-units", fmt.Sprintf("not above the timeout of %q", class.Name))
+		return loc.fieldError(":rules :forget-units", fmt.Sprintf("not above the timeout of %q", class.Name))
 	}
 	needsKey := idempotencies[class.Idempotency] == policy.IdempotentWithKey
 	if needsKey && (class.DedupWindowSeconds <= 0 || class.DedupScope == "") {
-		return src.fieldError(key, "a deduplicated op type needs :group and a :window above 0")
+		return loc.fieldError(key, "a deduplicated op type needs :group and a :window above 0")
 	}
 	return nil
 }
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -31,7 +31,7 @@
 	Overload *Overload `edn:"overload"`
 	Document
 
-	source source
+	locator locator
 }
 
 // Overload protects a router against its own overload.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.source = source{file, positions}
+	r.locator = locator{file, positions}
 	return r, r.Check()
 }
 
@@ -95,49 +95,49 @@
 // Check checks conditions on several fields, and sets the derived fields. ParseRouter calls it; call it again after
 // changing fields of a parsed Router.
 func (r *Router) Check() error {
-	src := r.source
+	loc := r.locator
 	if r.Name == "" {
 		r.Name = r.RouterGroup
 	}
-	if err := r.validate(src); err != nil {
+	if err := r.validate(loc); err != nil {
 		return err
 	}
 	switch {
 	case r.Controller != nil:
 		r.policy.HasController = true
-		return r.validateWithController(src)
+		return r.validateWithController(loc)
 	case r.Sources != nil:
-		return validateSources(src, r.Sources, r.Control)
+		return validateSources(loc, r.Sources, r.Control)
 	}
-	return src.fieldError(":sources", "missing; without a :planner the edge asks for itself")
+	return loc.fieldError(":sources", "missing; without a :planner the edge asks for itself")
 }
 
 // validateWithController rejects settings that the controller decides for its routers.
-func (r *Router) validateWithController(src source) error {
+func (r *Router) validateWithController(loc locator) error {
 	if key, problem := r.Controller.validate(); key != "" {
-		return src.fieldError(":planner "+key, problem)
+		return loc.fieldError(":planner "+key, problem)
 	}
 	switch {
 	case r.ReusePort && r.Rules.OneWayKeys:
-		return src.fieldError(":rules :one-way-keys", "edges that share a port do not know each other's keys")
+		return loc.fieldError(":rules :one-way-keys", "edges that share a port do not know each other's keys")
 	case r.Control != nil:
-		return src.fieldError(":control", "with a :planner the versions of the settings are the planner's matter")
+		return loc.fieldError(":control", "with a :planner the versions of the settings are the planner's matter")
 	case r.Sources != nil:
-		return src.fieldError(":sources", "with a :planner the list and the news of releases come from there")
+		return loc.fieldError(":sources", "with a :planner the list and the news of releases come from there")
 	}
 	return nil
 }
 
 // validateSources checks that the endpoint list has exactly one source, and that the control services' credentials are
 // complete.
-func validateSources(src source, s *Sources, c *Control) error {
+func validateSources(loc locator, s *Sources, c *Control) error {
 	switch {
 	case c == nil && s.EndpointListURL == "":
-		return src.fieldError(":sources :list", "missing; without a :control it comes from nowhere else")
+		return loc.fieldError(":sources :list", "missing; without a :control it comes from nowhere else")
 	case c != nil && s.EndpointListURL != "":
-		return src.fieldError(":sources :list", "with a :control the list comes from there")
+		return loc.fieldError(":sources :list", "with a :control the list comes from there")
 	case c != nil && c.hasSomeCredentials() && !c.hasAllCredentials():
-		return src.fieldError(":control", "of :cert, :key, :ca and :peer all are needed, or none")
+		return loc.fieldError(":control", "of :cert, :key, :ca and :peer all are needed, or none")
 	}
 	return nil
 }
