--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -22,12 +22,12 @@
 	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
 	// TimeoutSeconds is the time after which a query is cancelled.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
-	// MaxBackoffSeconds is the maximum backoff of a failing server.
+	// MaxBackoffSeconds is the maximum backoff between queries to a failing server.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
 	// MaxAnswerBytes and MaxSeries bound one answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
 	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
-	// MaxClockSkewSeconds is how far ahead a server's clock may be.
+	// MaxClockSkewSeconds is how far a server's clock may be ahead of this program's.
 	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
 }
 
@@ -42,38 +42,39 @@
 type Query struct {
 	// Name labels the query in metrics and logs.
 	Name string `edn:"name" validate:"required,printascii,excludesall= "`
-	// Meaning is what a value measures of its endpoint: counts of failures, a latency quantile in seconds, a saturation
+	// Meaning is what the answer tells about an endpoint: counts of failures, a latency quantile in seconds, a saturation
 	// from 0 to 1, or whether a probe succeeded.
 	Meaning edn.Keyword `edn:"meaning" validate:"oneof=counts quantile saturation probe"`
-	// Kind is the kind of failure that is counted. Required for counts, not allowed otherwise.
-	Kind edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"`
+	// FailureKind is the kind of failure that is counted. Required for counts, not allowed otherwise.
+	FailureKind edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"`
 	// Form is the form of the answer: samples of a range vector, an instant vector, or a range query. Counts must be
 	// samples.
 	Form edn.Keyword `edn:"form" validate:"oneof=samples instant range"`
-	// Query is a template of PromQL. For counts it selects the counters of failures.
+	// Query is the template of a PromQL expression. For counts it selects the counters of failures.
 	Query string `edn:"query" validate:"required"`
-	// Total selects the counters of all outcomes. Required for counts, not allowed otherwise.
+	// Total is the template of the expression that selects the counters of all outcomes. Required for counts, not
+	// allowed otherwise.
 	Total string `edn:"total" validate:"omitempty"`
 	// RangeSeconds and StepSeconds are the length and the resolution of a range query. Required for that form.
 	RangeSeconds float64 `edn:"span" validate:"omitempty,gt=0"`
 	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
-	// PeriodSeconds is the time between two queries, in seconds.
+	// PeriodSeconds is the time between two queries.
 	PeriodSeconds float64 `edn:"period" validate:"gte=0.05"`
 	// StaleAfterSeconds is the age above which an answer no longer counts as evidence.
 	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=PeriodSeconds"`
 	// Weight scales the evidence; at most 1.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
-	// Limit is the value above which an endpoint is marked: seconds for a quantile, a share for a saturation. Required
-	// for these.
+	// Limit is the value above which an endpoint gets a health mark: seconds for a quantile, a share for a saturation.
+	// Required for these two.
 	Limit float64 `edn:"limit" validate:"omitempty,gt=0"`
-	// IndependentOfRouters says that the counts include no attempts of this relay's routers. Otherwise those are
-	// subtracted, so that no outcome counts twice. Optional.
+	// IndependentOfRouters means that the counts include no attempts of this router group. Without it the group's own
+	// attempts are subtracted from the counts, so that no outcome counts twice. Optional.
 	IndependentOfRouters bool `edn:"apart"`
-	// EndpointLabel is the label that identifies the endpoint; EndpointLabelKind says whether it holds its ID or its
-	// address.
+	// EndpointLabel is the name of the label that identifies the endpoint. EndpointLabelKind is whether the label's value
+	// is the endpoint's ID or its address.
 	EndpointLabel     string      `edn:"unit-label" validate:"required"`
 	EndpointLabelKind edn.Keyword `edn:"unit-by" validate:"oneof=id address"`
-	// BuildLabel is the label that holds the endpoint's build. Optional; without it the build is taken from the
+	// BuildLabel is the name of the label with the endpoint's build. Optional; without it the build is that of the
 	// endpoint list.
 	BuildLabel string `edn:"build-label" validate:"omitempty"`
 
@@ -108,7 +109,7 @@
 		questions = append(questions, metricsanalysis.Question{
 			Name:                q.Name,
 			Meaning:             meanings[q.Meaning],
-			Kind:                slices.Index(policy.FailureKinds[:], string(q.Kind)),
+			Kind:                slices.Index(policy.FailureKinds[:], string(q.FailureKind)),
 			StaleAfterSeconds:   q.StaleAfterSeconds,
 			MaxClockSkewSeconds: h.MaxClockSkewSeconds,
 			Weight:              q.Weight,
@@ -119,7 +120,7 @@
 	return questions
 }
 
-// Bounds returns the limits on the cost of queries.
+// Bounds returns the limits on the cost of the queries.
 func (h *Health) Bounds() metricsanalysis.Bounds {
 	return metricsanalysis.Bounds{QueriesPerSecond: h.QueriesPerSecond, MaxInFlight: h.MaxConcurrentQueries, MaxBackoffSeconds: h.MaxBackoffSeconds}
 }
@@ -129,7 +130,7 @@
 	serverNames := map[string]bool{}
 	for i, server := range h.Servers {
 		if serverNames[server.Name] {
-			return loc.fieldError(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q stands twice", server.Name))
+			return loc.fieldError(fmt.Sprintf(":health :servers %d :name", i), fmt.Sprintf("%q is already the name of another server", server.Name))
 		}
 		serverNames[server.Name] = true
 	}
@@ -141,16 +142,16 @@
 			return loc.fieldError(fmt.Sprintf(":health :queries %d :%s", i, key), what)
 		}
 		if queryNames[q.Name] {
-			return fieldError("name", fmt.Sprintf("%q stands twice", q.Name))
+			return fieldError("name", fmt.Sprintf("%q is already the name of another query", q.Name))
 		}
 		queryNames[q.Name] = true
 		if key, problem := q.validate(); key != "" {
 			return fieldError(key, problem)
 		}
-		if other, ok := countedBy[q.Kind]; ok && q.isCounts() {
-			return fieldError("kind", fmt.Sprintf("%q counts this kind too: the same outcomes would count twice", other))
+		if other, ok := countedBy[q.FailureKind]; ok && q.isCounts() {
+			return fieldError("kind", fmt.Sprintf("query %q already counts this kind; the same outcomes would count twice", other))
 		}
-		countedBy[q.Kind] = q.Name
+		countedBy[q.FailureKind] = q.Name
 		if key, err := q.parseTemplates(); err != nil {
 			return fieldError(key, err.Error())
 		}
@@ -163,20 +164,20 @@
 // validate checks the fields of one query against each other. key is empty if the query is valid.
 func (q *Query) validate() (key, problem string) {
 	needsLimit := q.Meaning == "quantile" || q.Meaning == "saturation"
-	hasCountsFields := q.Kind != "" || q.Total != "" || q.IndependentOfRouters
+	hasCountsFields := q.FailureKind != "" || q.Total != "" || q.IndependentOfRouters
 	switch {
-	case q.isCounts() && q.Kind == "":
-		return "kind", "missing; of :counts it says which failures are counted"
+	case q.isCounts() && q.FailureKind == "":
+		return "kind", "missing; :counts needs the kind of failure that is counted"
 	case q.isCounts() && q.Form != "samples":
-		return "form", "counters are followed by their samples: what is reckoned from them hides resets, gaps and ages"
+		return "form", fmt.Sprintf("%v must be :samples for :counts; values computed from counters hide resets, gaps and ages", q.Form)
 	case q.isCounts() && q.Total == "":
-		return "total", "missing; failures say nothing without the outcomes that they are among"
+		return "total", "missing; :counts needs the counters of all outcomes besides those of failures"
 	case !q.isCounts() && hasCountsFields:
-		return "meaning", "only :counts have :kind, :total and :apart"
+		return "meaning", fmt.Sprintf("%v must be :counts, as only that allows :kind, :total and :apart", q.Meaning)
 	case needsLimit && q.Limit == 0:
-		return "limit", "missing; above it a unit is marked"
+		return "limit", fmt.Sprintf("missing; %v needs the value above which an endpoint is marked", q.Meaning)
 	case q.Form == "range" && (q.RangeSeconds == 0 || q.StepSeconds == 0 || q.StepSeconds > q.RangeSeconds):
-		return "span", "a :range needs a :span, and a :step not above it"
+		return "span", "a :range query needs a :span above 0, and a :step above 0 and at most :span"
 	}
 	return "", ""
 }
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -7,6 +7,7 @@
 	"strings"
 )
 
+// healthText replaces the key :rules of a controller's settings file by a :health section and :rules.
 const healthText = ` :health {:servers [{:name "a" :url "http://127.0.0.1:9090"}
                     {:name "b" :url "http://127.0.0.1:9091"}]
           :queries [{:name "errors" :meaning :counts :kind :failed :form :samples
@@ -18,7 +19,7 @@
           :queries-a-second 20.0 :at-once 4 :timeout 1.0 :back-most 30.0 :answer-bytes 4000000 :series 5000 :skew 1.0}
  :rules`
 
-// Each error in the settings of query servers names file, line and key; queries are checked with the PromQL parser.
+// Each error in the settings of query servers names file, line and key. Queries are checked with the PromQL parser.
 func Example_health() {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
@@ -62,22 +63,22 @@
 		fmt.Println(err)
 	}
 	// Output:
-	// plan.edn:28: :health :servers 1 :name: "a" stands twice
+	// plan.edn:28: :health :servers 1 :name: "a" is already the name of another server
 	// plan.edn:28: :health :servers 1 :url: "127.0.0.1:9091" is no http:// address
 	// plan.edn:29: :health :queries 0 :meaning: :errors must be one of counts quantile saturation probe
-	// plan.edn:29: :health :queries 0 :kind: missing; of :counts it says which failures are counted
+	// plan.edn:29: :health :queries 0 :kind: missing; :counts needs the kind of failure that is counted
 	// plan.edn:29: :health :queries 0 :kind: :late must be one of wrong failed lost slow
-	// plan.edn:29: :health :queries 0 :form: counters are followed by their samples: what is reckoned from them hides resets, gaps and ages
+	// plan.edn:29: :health :queries 0 :form: :instant must be :samples for :counts; values computed from counters hide resets, gaps and ages
 	// plan.edn:30: :health :queries 0 :query: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
 	// plan.edn:31: :health :queries 0 :total: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
 	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Hall>: can't evaluate field Hall in type promquery.fill
 	// plan.edn:33: :health :queries 1 :query: 1:10: parse error: unexpected end of input inside braces
-	// plan.edn:33: :health :queries 1 :span: a :range needs a :span, and a :step not above it
-	// plan.edn:33: :health :queries 1 :limit: missing; above it a unit is marked
+	// plan.edn:33: :health :queries 1 :span: a :range query needs a :span above 0, and a :step above 0 and at most :span
+	// plan.edn:33: :health :queries 1 :limit: missing; :quantile needs the value above which an endpoint is marked
 	// plan.edn:32: :health :queries 0 :stale: 0.5 must be above that of :period
 	// plan.edn:34: :health :queries 1 :weight: 1.5 must be at most 1
 	// plan.edn:34: :health :queries 1 :unit-by: :name must be one of id address
-	// plan.edn:33: :health :queries 1 :name: "errors" stands twice
-	// plan.edn:33: :health :queries 1 :kind: "errors" counts this kind too: the same outcomes would count twice
+	// plan.edn:33: :health :queries 1 :name: "errors" is already the name of another query
+	// plan.edn:33: :health :queries 1 :kind: query "errors" already counts this kind; the same outcomes would count twice
 	// plan.edn:27: :health :queries-a-second: missing
 }
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -10,8 +10,8 @@
 type Link struct {
 	// Address is unix:PATH or HOST:PORT.
 	Address string `edn:"address" validate:"required"`
-	// ReportIntervalSeconds is the interval of a router's reports, and of its attempts to reconnect, in seconds. Twice this should be
-	// below Rules.GraceSeconds.
+	// ReportIntervalSeconds is the interval of a router's reports, and of its attempts to reconnect. Twice the interval
+	// should be below Rules.GraceSeconds.
 	ReportIntervalSeconds float64 `edn:"beat" validate:"gt=0"`
 	// SilenceSeconds is the time without a message after which the other end is considered dead.
 	SilenceSeconds float64 `edn:"silence" validate:"gtfield=ReportIntervalSeconds"`
@@ -41,7 +41,7 @@
 	credentials := []struct{ key, value string }{{":cert", l.Cert}, {":key", l.Key}, {":ca", l.CA}, {":peer", l.Peer}}
 	for _, credential := range credentials {
 		if credential.value == "" {
-			return credential.key, "missing; a link over TCP is encrypted and both ends are known"
+			return credential.key, "missing; a link over TCP uses mutual TLS and needs :cert, :key, :ca and :peer"
 		}
 	}
 	return "", ""
@@ -49,11 +49,11 @@
 
 // Control configures the xDS control services and the connections to them.
 type Control struct {
-	// Addresses are HOST:PORT. All of the services are followed.
+	// Addresses are the HOST:PORT of the services. The program follows all of them.
 	Addresses []string `edn:"addresses" validate:"required,min=1,max=8,dive,hostname_port"`
 	// SilenceSeconds is the timeout of a keep-alive ping.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections, in seconds.
+	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections.
 	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
 	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 	// RequiredListTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
