--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -4,15 +4,14 @@
 
 // Controller is the settings file of one controller. Rules, Release and Classes must equal those of its routers.
 type Controller struct {
-	// RouterGroup is the name that identifies the controller's routers, as one relay, to the release service and to control
-	// services.
+	// RouterGroup is the name by which the release service and the control services know the controller's routers.
 	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that stores the epoch, the vote, the last release, the last endpoint list and the
-	// configuration history. Only one controller may use it at a time.
+	// StateDir is the folder for the epoch, the vote, the last release, the last endpoint list and the configuration
+	// history. Only one controller may use it at a time.
 	StateDir string `edn:"state-dir" validate:"required"`
-	// Seed makes decisions repeatable. Optional; 0: random at each start.
+	// Seed makes decisions repeatable. Optional; 0: a random seed at each start.
 	Seed    uint64  `edn:"seed"`
 	Log     Log     `edn:"log"`
 	Sources Sources `edn:"sources"`
@@ -39,7 +38,7 @@
 	return ParseController(file, text)
 }
 
-// ParseController parses and checks the text of a controller's settings file. file is its name in errors.
+// ParseController parses and checks the text of a controller's settings file. file is the file name in errors.
 func ParseController(file string, text []byte) (*Controller, error) {
 	c := &Controller{}
 	positions, err := decode(file, text, c)
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -4,37 +4,37 @@
 
 // Router is the settings file of one router.
 type Router struct {
-	// RouterGroup is the name that identifies the router, together with all that share its controller, to the release service
-	// and to control services.
+	// RouterGroup is the name by which the release service and the control services know the router, together with all
+	// routers of its controller.
 	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// ListenAddress is the HOST:PORT that clients connect to.
 	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that stores the last endpoint list, the last release and the configuration history.
+	// StateDir is the folder for the last endpoint list, the last release and the configuration history.
 	StateDir string `edn:"state-dir" validate:"required"`
 	// ReusePort lets other routers on this host listen on the same address. Optional.
 	ReusePort bool `edn:"share-port"`
-	// Seed makes decisions repeatable: equal seeds and events lead to equal decisions. Optional; 0: random at each
+	// Seed makes decisions repeatable: equal seeds and events lead to equal decisions. Optional; 0: a random seed at each
 	// start.
 	Seed uint64 `edn:"seed"`
 	Log  Log    `edn:"log"`
-	// Sources is for a router without a controller, which follows the endpoint list and the release service itself.
+	// Sources configures a router without a controller, which follows the endpoint list and the release service itself.
 	Sources *Sources `edn:"sources"`
-	// Controller is for a router with a controller. Exactly one of Sources and Controller must be set.
+	// Controller configures the connection to the router's controller. Exactly one of Sources and Controller must be set.
 	Controller *Link `edn:"planner"`
 	// Name identifies the router among those of its controller. Optional; the default is Relay.
 	Name string `edn:"edge"`
 	// Control configures the control services that send the endpoint list and versions of the document. Optional.
 	Control *Control `edn:"control"`
-	// Overload configures the router's behaviour when it is the bottleneck itself. Optional.
+	// Overload configures the router's protection against its own overload. Optional.
 	Overload *Overload `edn:"overload"`
 	Document
 
 	locator locator
 }
 
-// Overload protects a router against its own overload.
+// Overload configures how a router behaves when it is the bottleneck itself.
 type Overload struct {
 	// Shed enables load shedding: when the process falls behind, requests are rejected, those with the lowest priority
 	// weight first.
@@ -58,7 +58,7 @@
 	ReleaseServiceURL string `edn:"installer" validate:"required,http_url"`
 	// SilenceSeconds is the time without a line after which a watch is considered broken.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections of a watch, in seconds.
+	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections of a watch.
 	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
 	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 }
@@ -72,7 +72,7 @@
 	return ParseRouter(file, text)
 }
 
-// ParseRouter parses and checks the text of a router's settings file. file is its name in errors.
+// ParseRouter parses and checks the text of a router's settings file. file is the file name in errors.
 func ParseRouter(file string, text []byte) (*Router, error) {
 	r := &Router{}
 	positions, err := decode(file, text, r)
@@ -83,8 +83,8 @@
 	return r, r.Check()
 }
 
-// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires, 0 without
-// a control service.
+// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires. It
+// is 0 without a control service.
 func (r *Router) RequiredListTimeoutSeconds() float64 {
 	if r.Control == nil {
 		return 0
@@ -109,7 +109,7 @@
 	case r.Sources != nil:
 		return validateSources(loc, r.Sources, r.Control)
 	}
-	return loc.fieldError(":sources", "missing; without a :planner the edge asks for itself")
+	return loc.fieldError(":sources", "missing; a router without :planner needs :sources")
 }
 
 // validateWithController rejects settings that the controller decides for its routers.
@@ -119,11 +119,11 @@
 	}
 	switch {
 	case r.ReusePort && r.Rules.OneWayKeys:
-		return loc.fieldError(":rules :one-way-keys", "edges that share a port do not know each other's keys")
+		return loc.fieldError(":rules :one-way-keys", "must be false with :share-port; routers that share a port do not know each other's keys")
 	case r.Control != nil:
-		return loc.fieldError(":control", "with a :planner the versions of the settings are the planner's matter")
+		return loc.fieldError(":control", "not allowed with :planner; the controller sends the configuration versions")
 	case r.Sources != nil:
-		return loc.fieldError(":sources", "with a :planner the list and the news of releases come from there")
+		return loc.fieldError(":sources", "not allowed with :planner; the controller sends the endpoint list and the release updates")
 	}
 	return nil
 }
@@ -133,11 +133,11 @@
 func validateSources(loc locator, s *Sources, c *Control) error {
 	switch {
 	case c == nil && s.EndpointListURL == "":
-		return loc.fieldError(":sources :list", "missing; without a :control it comes from nowhere else")
+		return loc.fieldError(":sources :list", "missing; required without :control, which would send the endpoint list")
 	case c != nil && s.EndpointListURL != "":
-		return loc.fieldError(":sources :list", "with a :control the list comes from there")
+		return loc.fieldError(":sources :list", "not allowed with :control, which sends the endpoint list")
 	case c != nil && c.hasSomeCredentials() && !c.hasAllCredentials():
-		return loc.fieldError(":control", "of :cert, :key, :ca and :peer all are needed, or none")
+		return loc.fieldError(":control", "needs all of :cert, :key, :ca and :peer, or none of them")
 	}
 	return nil
 }
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-func example() string {
+// exampleText returns the settings file that the project ships as an example.
+func exampleText() string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
 		panic(err)
@@ -16,9 +17,9 @@
 	return string(text)
 }
 
-// Each error names file, line and key.
+// Each error in a settings file names file, line and key.
 func Example_fieldErrors() {
-	text := example()
+	text := exampleText()
 	for _, change := range [][2]string{
 		{":relay     \"r1\" ", ""},
 		{":relay     \"r1\"", ":relay \"r 1\""},
@@ -88,7 +89,7 @@
 	// edge.edn:73: chute-lookup: stands twice
 }
 
-// Comments, discarded forms and strings that look like keys do not affect positions.
+// Comments, discarded forms, and strings and characters that look like delimiters do not affect positions.
 func Example_positions() {
 	p, err := findPositions("; {:a\n{:a #_ {:x 1} [1 #_2\n\"}:b\" \\} {:c 2}]\n :b #inst \"2026\" #_ :d}")
 	for _, k := range p.keys {
@@ -106,18 +107,19 @@
 	// nested deeper than 64
 }
 
+// The longest prefix of the path decides about the request class, for each method separately.
 func Example_routes() {
-	router, err := ParseRouter("edge.edn", []byte(strings.Replace(example(), "{:method \"GET\"  :path \"/chute/\"",
+	router, err := ParseRouter("edge.edn", []byte(strings.Replace(exampleText(), "{:method \"GET\"  :path \"/chute/\"",
 		"{:method \"GET\" :path \"/chute/b\" :op-type \"batch-table\"} {:method \"GET\" :path \"/chute/\"", 1)))
 	fmt.Println(err)
-	for _, x := range []string{"GET /chute/7", "GET /chute/b7", "POST /chute/7", "GET /", "POST /divert/1"} {
-		method, path, _ := strings.Cut(x, " ")
+	for _, request := range []string{"GET /chute/7", "GET /chute/b7", "POST /chute/7", "GET /", "POST /divert/1"} {
+		method, path, _ := strings.Cut(request, " ")
 		class := router.ClassOf(method, path)
 		if class < 0 {
-			fmt.Println(x, "none")
+			fmt.Println(request, "none")
 			continue
 		}
-		fmt.Println(x, router.Classes[class].Name)
+		fmt.Println(request, router.Classes[class].Name)
 	}
 	// Output:
 	// <nil>
@@ -128,18 +130,18 @@
 	// POST /divert/1 divert-record
 }
 
-// Whatever the text, parsing results in settings or in a FieldError with a line within the text.
-func FuzzParseEdge(f *testing.F) {
-	f.Add(example())
+// Any text results in settings or in a FieldError with a line within the text.
+func FuzzParseRouter(f *testing.F) {
+	f.Add(exampleText())
 	f.Add("{:a [1 #_ 2 \\} \"\\\"\" #{:b} (c)] ;\n}")
 	f.Fuzz(func(t *testing.T, text string) {
 		router, err := ParseRouter("f", []byte(text))
 		var fieldError *FieldError
 		if err != nil && !errors.As(err, &fieldError) {
-			t.Fatalf("no FieldError: %v", err)
+			t.Fatalf("error is not a FieldError: %v", err)
 		}
 		if fieldError != nil && (fieldError.Line < 1 || fieldError.Line > 1+strings.Count(text, "\n")) {
-			t.Fatalf("%v", fieldError)
+			t.Fatalf("line is outside the text: %v", fieldError)
 		}
 		if err == nil && len(router.Policy().Classes) == 0 {
 			t.Fatal("settings without request classes")
