--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -14,7 +14,7 @@
 // maxFileBytes is the size above which a file is rejected without reading it.
 const maxFileBytes = 4 << 20
 
-func tooLarge(file string, size int64) error {
+func tooLargeError(file string, size int64) error {
 	return &FieldError{File: file, Line: 1, Problem: fmt.Sprintf("%d bytes; %d at most", size, maxFileBytes)}
 }
 
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, tooLarge(file, info.Size())
+		return nil, tooLargeError(file, info.Size())
 	}
 	return os.ReadFile(file)
 }
@@ -43,7 +43,7 @@
 	return err
 }
 
-// decode is like Decode, but also returns the positions of the keys, for errors that are found later.
+// decode is like Decode, but also returns the positions of the keys, for the errors of later checks.
 func decode(file string, text []byte, into any) (*positions, error) {
 	positions, err := findPositions(string(text))
 	if err != nil {
@@ -82,8 +82,8 @@
 	return reflect.StructField{}, false
 }
 
-// isKnownPath reports whether a path leads to a field. Below a scalar the EDN decoder itself rejects unexpected
-// content.
+// isKnownPath reports whether a path of EDN keys leads to a field of the type. It does not check what is below a scalar,
+// where the EDN decoder itself rejects unexpected content.
 func isKnownPath(t reflect.Type, path []string) bool {
 	for _, part := range path {
 		if t.Kind() == reflect.Pointer {
@@ -105,9 +105,9 @@
 	return true
 }
 
-// isRequired reports whether the key of a field must be in the text: that of a struct, and of a field with a validate
-// tag that does not begin with omitempty. Presence is checked here because the decoder cannot tell a missing key from
-// 0.
+// isRequired reports whether the key of a field must be in the text. Keys of structs, and of fields with a validate tag
+// that does not begin with omitempty, are required. The validator cannot check this, because the decoder leaves the
+// field of a missing key at 0.
 func isRequired(f reflect.StructField) bool {
 	checks := f.Tag.Get("validate")
 	return f.Type.Kind() == reflect.Struct || checks != "" && !strings.HasPrefix(checks, "omitempty")
@@ -156,8 +156,9 @@
 	}
 }
 
-// mistypedError locates the value that the EDN decoder rejected. The decoder's errors have no position, so the parts of
-// each rejected value are decoded one by one.
+// mistypedError returns an error with the position of the value that the EDN decoder rejected with err. The decoder's
+// errors have no position, so mistypedError decodes the parts of the text one by one, descends into the first one that
+// is rejected, and so on.
 func mistypedError(file string, text []byte, positions *positions, into any, err error) error {
 	path, t, cause := "", reflect.TypeOf(into).Elem(), err
 	for deeper := true; deeper; {
@@ -177,7 +178,8 @@
 	return locator{file, positions}.fieldError(path, strings.TrimPrefix(cause.Error(), "edn: "))
 }
 
-// childType returns the type of a key or element of a type, or nil if there is none.
+// childType returns the type of the value at a key of a struct, or of the elements of a slice, array or map. It returns
+// nil for an unknown key and for other types.
 func childType(t reflect.Type, key string) reflect.Type {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -30,7 +30,7 @@
 	routesByMethod map[string]*iradix.Tree[int] // index into Classes by path prefix
 }
 
-// Clients limits the resources of a router that clients may use.
+// Clients limits the resources that a router spends on its clients.
 type Clients struct {
 	// MaxConns is the maximum number of client connections.
 	MaxConns int `edn:"connections" validate:"gt=0"`
@@ -44,8 +44,8 @@
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
 	// DrainTimeoutSeconds is the longest time that a graceful shutdown waits for requests in flight.
 	DrainTimeoutSeconds float64 `edn:"drain-time" validate:"gt=0"`
-	// IdleEvictionThreshold is the number of connections from which on an idle one is closed for each accepted one; 0: never. It
-	// cannot be set in a file.
+	// IdleEvictionThreshold is the number of client connections at which the router begins to close an idle connection
+	// for each one that it accepts; 0: never. It cannot be set in a file.
 	IdleEvictionThreshold int `edn:"-"`
 }
 
@@ -64,13 +64,13 @@
 	MaxConns int `edn:"-"`
 }
 
-// Rules are the limits that routers observe towards clients and endpoints.
+// Rules are the limits that routers keep when they answer clients and send attempts to endpoints.
 type Rules struct {
-	// RouterGroups is the number of router groups that share the endpoints. Each casts one vote; the routers of one
-	// controller are a group, and a router without a controller is one by itself.
+	// RouterGroups is the number of router groups that share the endpoints. The routers of one controller form a group; a
+	// router without a controller is a group of its own. Each group casts one vote.
 	RouterGroups int `edn:"relays" validate:"gt=0"`
-	// TimerResolutionSeconds is the resolution of the router's timers. Answers are sent two to three times this before
-	// the client's timeout.
+	// TimerResolutionSeconds is the resolution of the router's timers. Answers are sent two to three times this
+	// resolution before the client's timeout.
 	TimerResolutionSeconds float64 `edn:"round" validate:"gt=0"`
 	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int `edn:"deliveries" validate:"gt=0,lte=100"`
@@ -82,13 +82,13 @@
 	SlowStartInitialShare float64 `edn:"cold-from" validate:"gt=0,lte=1"`
 	// SlowStartSeconds is the time until an endpoint reaches its full capacity.
 	SlowStartSeconds float64 `edn:"warm-up" validate:"gte=0"`
-	// SlowStartOverloadFactor and SlowStartOverloadSeconds say when an endpoint in slow start fails: when its traffic over
-	// SlowStartOverloadSeconds is above SlowStartOverloadFactor times the mean traffic per endpoint, scaled by its
-	// current share of its capacity.
+	// SlowStartOverloadFactor and SlowStartOverloadSeconds define the overload of an endpoint in slow start: it fails if
+	// its traffic over SlowStartOverloadSeconds exceeds SlowStartOverloadFactor times the mean traffic per endpoint,
+	// scaled by the share of its capacity that it has at the time.
 	SlowStartOverloadFactor  float64 `edn:"fall-multiple" validate:"gte=1"`
 	SlowStartOverloadSeconds float64 `edn:"fall-time" validate:"gt=0"`
-	// CanaryWindowSeconds is the length of the window over which the canary traffic limit is counted. It must be at
-	// least GraceSeconds.
+	// CanaryWindowSeconds is the length of the window to which the canary traffic limit applies. It must be at least
+	// GraceSeconds.
 	CanaryWindowSeconds float64 `edn:"window" validate:"gt=0"`
 	// GraceSeconds is the time within which drains and lower canary traffic limits must take effect.
 	GraceSeconds float64 `edn:"grace" validate:"gt=0"`
@@ -99,7 +99,7 @@
 	CanaryLimitPerClass bool `edn:"count-per-op-type"`
 	// IdempotentOnlyStages is the number of initial rollout stages in which the canary gets idempotent requests only.
 	IdempotentOnlyStages int `edn:"guarded-stages" validate:"gte=0"`
-	// OneWayKeys forbids sending a key to an earlier build than one that has answered it.
+	// OneWayKeys forbids sending a request to an earlier build than one that has answered a request with the same key.
 	OneWayKeys bool `edn:"one-way-keys"`
 	// MaxRememberedKeys is the maximum number of keys remembered for OneWayKeys.
 	MaxRememberedKeys int `edn:"keys-kept" validate:"gte=0"`
@@ -121,7 +121,7 @@
 	AutomaticStages bool `edn:"by-clock"`
 	// ReplaceInPlace means that canary endpoints replace baseline endpoints, instead of running in addition to them.
 	ReplaceInPlace bool `edn:"replace"`
-	// WrongAnswerPrice is the cost of work that is answered wrongly, StaleBuildPrice that of work that the baseline
+	// WrongAnswerPrice is the cost of work that is answered wrongly, StaleBuildPrice the cost of work that the baseline
 	// serves while a good canary waits. Only their ratio matters.
 	WrongAnswerPrice float64 `edn:"harm-price" validate:"gt=0"`
 	StaleBuildPrice  float64 `edn:"stale-price" validate:"gt=0"`
@@ -131,7 +131,7 @@
 	VoteLifetimeSeconds float64 `edn:"vote-life" validate:"gt=0"`
 	// VoteTimeoutSeconds is how long to wait for the reply to a vote.
 	VoteTimeoutSeconds float64 `edn:"vote-timeout" validate:"gt=0"`
-	// VotesPerSecond is the rate of votes that the release service accepts from all relays together.
+	// VotesPerSecond is the rate of votes that the release service accepts from all router groups together.
 	VotesPerSecond float64 `edn:"votes-a-second" validate:"gt=0"`
 }
 
@@ -162,10 +162,10 @@
 	Class  string `edn:"op-type" validate:"required"`
 }
 
-// ParseDocument parses and checks a separate document, as sent by a control service. name is its name in errors.
+// ParseDocument parses and checks a separate document, as sent by a control service. name is the file name in errors.
 func ParseDocument(name string, text []byte) (*Document, error) {
 	if len(text) > maxFileBytes {
-		return nil, tooLarge(name, int64(len(text)))
+		return nil, tooLargeError(name, int64(len(text)))
 	}
 	d := &Document{}
 	positions, err := decode(name, text, d)
@@ -208,7 +208,7 @@
 func (d *Document) buildRoutes(loc locator) error {
 	d.routesByMethod = map[string]*iradix.Tree[int]{}
 	hasRoute := map[string]bool{}
-	firstWith := map[string]int{} // index into Routes by method and path
+	firstRoute := map[string]int{} // index into Routes by method and path
 	for i, route := range d.Routes {
 		key := fmt.Sprintf(":routes %d", i)
 		if _, ok := d.classByName[route.Class]; !ok {
@@ -216,10 +216,10 @@
 		}
 		hasRoute[route.Class] = true
 		methodAndPath := route.Method + " " + route.Path
-		if first, twice := firstWith[methodAndPath]; twice {
+		if first, duplicate := firstRoute[methodAndPath]; duplicate {
 			return loc.fieldError(key+" :path", fmt.Sprintf("the same as :routes %d", first))
 		}
-		firstWith[methodAndPath] = i
+		firstRoute[methodAndPath] = i
 		tree := d.routesByMethod[route.Method]
 		if tree == nil {
 			tree = iradix.New[int]()
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,9 +11,9 @@
 
 // FieldError is an error in the text of a settings file or document.
 type FieldError struct {
-	File    string // or the name of the document
+	File    string // the name of the settings file or document
 	Line    int    // starting at 1
-	Key     string // the path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
+	Key     string // path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
 	Problem string
 }
 
@@ -31,17 +31,19 @@
 	return errors.As(err, &fieldError)
 }
 
-// locator creates the errors of one text.
+// locator creates errors with the positions of keys in one text.
 type locator struct {
 	file      string
 	positions *positions
 }
 
+// fieldError returns an error at a path. If the path is not in the text, the line is that of the innermost key or element
+// around it that is.
 func (l locator) fieldError(path, problem string) error {
 	return &FieldError{File: l.file, Line: l.positions.nearestLine(path), Key: path, Problem: problem}
 }
 
-// comparisons are the validator tags whose parameter completes the message.
+// comparisons are the messages of the validator tags whose parameter completes the message.
 var comparisons = map[string]string{
 	"gt":         "must be above",
 	"gte":        "must be at least",
@@ -52,7 +54,7 @@
 	"startswith": "must begin with",
 }
 
-// fieldComparisons are the validator tags whose parameter is the Go name of another field.
+// fieldComparisons are the messages of the validator tags whose parameter is the Go name of another field.
 var fieldComparisons = map[string]string{
 	"gtefield": "must be at least that of",
 	"gtfield":  "must be above that of",
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -16,7 +16,7 @@
 	line    int // of the next byte to scan
 	lineOf  map[string]int
 	rangeOf map[string]textRange // of values
-	keys    []string             // in text order
+	keys    []string             // paths of all keys, in text order
 }
 
 // textRange is a range of bytes.
@@ -48,7 +48,7 @@
 	return 1
 }
 
-// children returns the paths of a value's keys or elements, in text order.
+// children returns the paths of the keys or elements of the value at a path, in text order. t is the value's type.
 func (p *positions) children(path string, t reflect.Type) (paths []string) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -95,6 +95,7 @@
 	}
 }
 
+// scanValue scans one value and records the positions of its keys and elements. depth is the nesting depth of the value.
 func (p *positions) scanValue(path string, depth int) error {
 	if depth > maxNestingDepth {
 		return fmt.Errorf("nested deeper than %d", maxNestingDepth)
@@ -135,8 +136,7 @@
 	return nil
 }
 
-// scanEnd reports whether the next token is the given closing delimiter, and if so skips it. It skips discarded forms
-// before it.
+// scanEnd skips discarded forms, and then the given closing delimiter if it comes next. It reports whether it did.
 func (p *positions) scanEnd(delimiter byte) (bool, error) {
 	for {
 		p.skipBlank()
@@ -184,7 +184,7 @@
 			return err
 		}
 		key := strings.TrimSpace(path + " " + p.text[from:p.offset])
-		if _, twice := p.lineOf[key]; twice {
+		if _, duplicate := p.lineOf[key]; duplicate {
 			return fmt.Errorf("%s: stands twice", key)
 		}
 		p.lineOf[key] = p.line
