--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -16,7 +16,7 @@
 	"flintspread/internal/watch"
 )
 
-// minKeepAliveSeconds is the shortest idle time after which a service is pinged; gRPC allows no shorter one.
+// minKeepAliveSeconds is the shortest idle time before a keep-alive ping; gRPC allows no shorter one.
 const minKeepAliveSeconds = 10
 
 // Client follows one control service. Its fields must be set before Run and not changed afterwards.
@@ -25,20 +25,20 @@
 	Credentials credentials.TransportCredentials
 	Log         *slog.Logger
 	Session     *Session // not shared with other clients
-	Relay       string   // the name of the resources to subscribe to
+	RouterGroup string   // the name of the resources to subscribe to
 	Handler     Handler  // called from Run's goroutine
 
 	BackoffMinSeconds float64 // initial backoff between connections
 	BackoffMaxSeconds float64 // maximum backoff between connections
-	SilenceSeconds    float64 // timeout of a keep-alive ping; also the idle time before one, if above 10 s
+	SilenceSeconds    float64 // timeout of a keep-alive ping; also the idle time before a ping, if above 10 s
 	RecheckSeconds    float64 // interval at which a waiting version is rechecked
-	MaxResponseBytes  int     // bounds one response; a larger one breaks the stream before it is buffered
+	MaxResponseBytes  int     // maximum size of a response; a larger one breaks the stream before it is buffered
 }
 
 // discoveryStream is the client side of the xDS stream.
 type discoveryStream = discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 
-// Run follows the service until ctx ends, and then returns nil; an error means bad settings.
+// Run follows the service until ctx ends, and then returns nil. An error means that the settings are invalid.
 func (c *Client) Run(ctx context.Context) error {
 	conn, err := grpc.NewClient("passthrough:///"+c.Address,
 		grpc.WithTransportCredentials(c.Credentials),
@@ -60,9 +60,9 @@
 		if responses > 0 {
 			failures = 0
 		}
-		// Jitter keeps relays that lost the service together from reconnecting together.
+		// Jitter spreads the reconnections of clients that lost the service at the same time.
 		pauseSeconds := watch.Backoff(failures, c.BackoffMinSeconds, c.BackoffMaxSeconds, rand.Float64())
-		c.Log.Warn("control stream lost", "address", c.Address, "responses", responses, "error", err, "retry_in_seconds", pauseSeconds)
+		c.Log.Warn("control stream failed; reconnecting after a delay", "address", c.Address, "responses", responses, "error", err, "retry_in_seconds", pauseSeconds)
 		select {
 		case <-ctx.Done():
 		case <-time.After(seconds(pauseSeconds)):
@@ -84,11 +84,11 @@
 			return 0, streamError(rpc, err)
 		}
 	}
-	arrivals := make(chan arrival)
+	results := make(chan received)
 	var receiving sync.WaitGroup
 	defer receiving.Wait()
-	defer cancel() // stops the receiver before receiving.Wait
-	receiving.Go(func() { receive(ctx, rpc, arrivals) })
+	defer cancel() // runs before receiving.Wait and ends receive
+	receiving.Go(func() { receive(ctx, rpc, results) })
 	recheck := time.NewTicker(seconds(c.RecheckSeconds))
 	defer recheck.Stop()
 	stream := &clientStream{client: c, rpc: rpc}
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 			return responses, ctx.Err()
 		case <-recheck.C:
-		case next := <-arrivals:
+		case next := <-results:
 			if next.err != nil {
 				return responses, next.err
 			}
@@ -120,18 +120,18 @@
 	return sendErr
 }
 
-// arrival is a received response, or the error that ended the stream.
-type arrival struct {
+// received is a response from the service, or the error that ended the stream.
+type received struct {
 	response *discovery.DiscoveryResponse
 	err      error
 }
 
-// receive forwards responses to arrivals until the stream breaks or ctx ends.
-func receive(ctx context.Context, rpc discoveryStream, arrivals chan<- arrival) {
+// receive sends responses to results until the stream breaks or ctx ends.
+func receive(ctx context.Context, rpc discoveryStream, results chan<- received) {
 	for {
 		response, err := rpc.Recv()
 		select {
-		case arrivals <- arrival{response, err}:
+		case results <- received{response, err}:
 		case <-ctx.Done():
 			return
 		}
@@ -141,7 +141,7 @@
 	}
 }
 
-// clientStream is one open stream. It is used by one goroutine.
+// clientStream is one open stream. It is not safe for concurrent use.
 type clientStream struct {
 	client  *Client
 	rpc     discoveryStream
@@ -154,7 +154,8 @@
 	version  *configstate.Version
 }
 
-// onResponse processes one response, and answers it unless its version has to wait. An error breaks the stream.
+// onResponse processes one response, and answers it unless its version has to wait. An error means that the stream must
+// be closed.
 func (s *clientStream) onResponse(response *discovery.DiscoveryResponse) error {
 	isNew, answer, err := s.client.Session.OnResponse(response)
 	if err != nil {
@@ -169,7 +170,7 @@
 	if response.TypeUrl == TypeEndpoints {
 		return s.answer(response, s.applyEndpoints(response))
 	}
-	return s.offerVersion(response)
+	return s.handleVersion(response)
 }
 
 // applyEndpoints passes an endpoint list to the handler; an error rejects it.
@@ -181,24 +182,25 @@
 	return s.client.Handler.OnEndpoints(update)
 }
 
-// offerVersion passes a configuration version to the handler, and answers it unless it has to wait. It replaces a
-// waiting version.
-func (s *clientStream) offerVersion(response *discovery.DiscoveryResponse) error {
+// handleVersion passes a configuration version to the handler, and answers the response unless the version has to wait.
+// A version that was waiting before is dropped.
+func (s *clientStream) handleVersion(response *discovery.DiscoveryResponse) error {
 	s.waiting = nil
-	version, err := ReadDocument(response, s.client.Relay)
+	version, err := ReadDocument(response, s.client.RouterGroup)
 	if err != nil {
 		return s.answer(response, err)
 	}
 	outcome, err := s.client.Handler.OnConfig(version)
 	if outcome == configstate.Waiting && err == nil {
-		s.client.Log.Info("configuration version waits", "version", version.Number, "required_list_version", version.RequiredListVersion)
+		s.client.Log.Info("configuration version waits for the endpoint list that it requires", "version", version.Number, "required_list_version", version.RequiredListVersion)
 		s.waiting = &waitingVersion{response, version}
 		return nil
 	}
 	return s.answer(response, err)
 }
 
-// recheck answers the waiting version, if its outcome is known by now.
+// recheck asks the handler again about the waiting version, if any, and answers its response if the version is now
+// accepted or rejected.
 func (s *clientStream) recheck() error {
 	if s.waiting == nil {
 		return nil
@@ -220,7 +222,7 @@
 	} else {
 		log.Info("resources accepted")
 	}
-	if request := s.client.Session.Settle(response, reason); request != nil {
+	if request := s.client.Session.Acknowledge(response, reason); request != nil {
 		return s.rpc.Send(request)
 	}
 	return nil
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -12,9 +12,9 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// ReadDocument reads the single document of a response as a configuration version for a relay, with the checks that a
-// settings file gets. Its error is sent to the service as the reason of the rejection.
-func ReadDocument(response *discovery.DiscoveryResponse, relay string) (*configstate.Version, error) {
+// ReadDocument reads the single document of a response as a configuration version for a router group, with the checks
+// that a settings file gets. The service receives its error as the reason of the rejection.
+func ReadDocument(response *discovery.DiscoveryResponse, routerGroup string) (*configstate.Version, error) {
 	if len(response.Resources) != 1 {
 		return nil, fmt.Errorf("%d documents; one is wanted", len(response.Resources))
 	}
@@ -25,7 +25,7 @@
 	if err := proto.Unmarshal(response.Resources[0].Value, &document); err != nil {
 		return nil, err
 	}
-	if document.Name != relay {
+	if document.Name != routerGroup {
 		return nil, fmt.Errorf("a document for %q", document.Name)
 	}
 	if document.Number == 0 {
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -16,8 +16,8 @@
 // Session is the xDS protocol state of one client: the accepted version of each resource type, across streams, and the
 // nonces of the current stream. It does no I/O and is not safe for concurrent use.
 //
-// Call Open at the start of a stream and OnResponse for each response. A new response is applied and then passed to
-// Settle, before or after newer responses of its type.
+// Call Open at the start of a stream and OnResponse for each response. Apply a new response and then pass it to
+// Acknowledge, which may happen after newer responses of its type have arrived.
 type Session struct {
 	node          *core.Node
 	resourceNames []string
@@ -28,15 +28,16 @@
 type subscription struct {
 	accepted string                       // last accepted version; "" if none
 	nonce    string                       // of the last response on the current stream
-	answer   *discovery.DiscoveryRequest  // to that response; nil until it is settled
-	pending  *discovery.DiscoveryResponse // received but not settled yet
+	answer   *discovery.DiscoveryRequest  // ACK or NACK of that response; nil before Acknowledge
+	pending  *discovery.DiscoveryResponse // the last response, until Acknowledge; then nil
 }
 
-// NewSession returns the session of a client that identifies itself as node and subscribes to the resources of a relay.
-func NewSession(node, relay string) *Session {
+// NewSession returns the session of a client that identifies itself as node and subscribes to the resources of a router
+// group.
+func NewSession(node, routerGroup string) *Session {
 	s := &Session{
-		node:          &core.Node{Id: node, Cluster: relay, UserAgentName: userAgent},
-		resourceNames: []string{relay},
+		node:          &core.Node{Id: node, Cluster: routerGroup, UserAgentName: userAgent},
+		resourceNames: []string{routerGroup},
 		subscriptions: map[string]*subscription{},
 	}
 	for _, typeURL := range Types {
@@ -45,8 +46,8 @@
 	return s
 }
 
-// Open returns the requests that begin a stream. They carry the accepted versions, so that the service need not resend
-// them, but no nonce, because nonces belong to one stream.
+// Open returns the requests that begin a stream. They contain the accepted versions, so that the service need not
+// resend them, but no nonces, because a nonce is valid on one stream only.
 func (s *Session) Open() (requests []*discovery.DiscoveryRequest) {
 	for _, typeURL := range Types {
 		sub := s.subscriptions[typeURL]
@@ -57,29 +58,29 @@
 	return requests
 }
 
-// OnResponse reports whether a response is new; if so, the caller must apply its resources and call Settle. Otherwise
-// answer is the request to send, or nil. A repeated nonce gets the same answer and is not applied twice. An error means
-// that the response violates the protocol: the caller must close the stream.
+// OnResponse reports whether a response is new. If so, the caller must apply its resources and call Acknowledge. If the
+// response repeats the last nonce, it must not be applied again, and answer is the answer to send again, or nil if
+// there is none yet. An error means that the response violates the protocol and the caller must close the stream.
 func (s *Session) OnResponse(response *discovery.DiscoveryResponse) (isNew bool, answer *discovery.DiscoveryRequest, err error) {
 	sub := s.subscriptions[response.TypeUrl]
 	switch {
 	case sub == nil:
-		return false, nil, fmt.Errorf("a response of type %q, which was not asked for", response.TypeUrl)
+		return false, nil, fmt.Errorf("response of type %q, which has no subscription", response.TypeUrl)
 	case response.Nonce == "":
-		return false, nil, fmt.Errorf("a response of type %q without a nonce", response.TypeUrl)
+		return false, nil, fmt.Errorf("response of type %q has no nonce", response.TypeUrl)
 	case response.Nonce == sub.nonce:
-		return false, sub.answer, nil // nil until it is settled
+		return false, sub.answer, nil
 	}
 	sub.nonce, sub.pending, sub.answer = response.Nonce, response, nil
 	return true, nil, nil
 }
 
-// Settle returns the request that accepts a response, or rejects it if reason is not nil. It returns nil if a newer
-// response has arrived, whose answer covers the resource type.
-func (s *Session) Settle(response *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
+// Acknowledge returns the request that accepts a response (ACK), or rejects it if reason is not nil (NACK). It returns
+// nil if a newer response of the type has arrived, because the answer to that one covers both.
+func (s *Session) Acknowledge(response *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
 	sub := s.subscriptions[response.TypeUrl]
 	if reason == nil {
-		sub.accepted = response.VersionInfo // in force even if no answer is sent
+		sub.accepted = response.VersionInfo // in force even if this returns nil
 	}
 	if sub.pending != response {
 		return nil
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -7,7 +7,8 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// Responses and their answers over two streams.
+// The answers to responses on two streams: ACK, NACK, a repeated nonce, a response that arrives before the previous one
+// is answered, and violations of the protocol.
 func Example_session() {
 	s := NewSession("edge", "r1")
 	show := func(what string, request *discovery.DiscoveryRequest) {
@@ -29,13 +30,13 @@
 	}
 	fmt.Println(len(s.Open()), "types")
 	first := receive("v1", "n1")
-	receive("v1", "n1") // not settled yet
-	show("settled", s.Settle(first, nil))
+	receive("v1", "n1") // repeated before the answer
+	show("accepted", s.Acknowledge(first, nil))
 	receive("v1", "n1")
 	second := receive("v2", "n2")
-	third := receive("v3", "n3") // before the previous one is settled
-	show("overtaken", s.Settle(second, nil))
-	show("rejected", s.Settle(third, errors.New("no caps")))
+	third := receive("v3", "n3") // before the previous one is answered
+	show("overtaken", s.Acknowledge(second, nil))
+	show("rejected", s.Acknowledge(third, errors.New("no caps")))
 	show("a new stream", s.Open()[1])
 	receive("v4", "")
 	if isNew, answer, err := s.OnResponse(&discovery.DiscoveryResponse{TypeUrl: "elsewhere", Nonce: "x"}); err != nil {
@@ -46,7 +47,7 @@
 	// 2 types
 	// v1 n1 new true answer: nothing
 	// v1 n1 new false answer: nothing
-	// settled: version "v1" nonce "n1" reason ""
+	// accepted: version "v1" nonce "n1" reason ""
 	// v1 n1 new false answer: version "v1" nonce "n1" reason ""
 	// v2 n2 new true answer: nothing
 	// v3 n3 new true answer: nothing
@@ -54,7 +55,7 @@
 	// rejected: version "v2" nonce "n3" reason "no caps"
 	// a new stream: version "v2" nonce "" reason ""
 	// v4  new false answer: nothing
-	// a response of type "type.googleapis.com/flintspread.config.v1.Document" without a nonce
+	// response of type "type.googleapis.com/flintspread.config.v1.Document" has no nonce
 	// elsewhere new false answer <nil>
-	// a response of type "elsewhere", which was not asked for
+	// response of type "elsewhere", which has no subscription
 }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -33,15 +33,15 @@
 type Handler struct {
 	// OnEndpoints applies an endpoint list; an error rejects it.
 	OnEndpoints func(*endpoints.Update) error
-	// OnConfig applies a version, rejects it with an error, or returns configstate.Waiting if it cannot decide yet.
+	// OnConfig applies a version, rejects it with an error, or returns configstate.Waiting if it cannot do either yet.
 	OnConfig func(*configstate.Version) (configstate.Outcome, error)
-	// Recheck decides again on a waiting version. It is called after each response and once per recheck interval.
+	// Recheck is like OnConfig for a version that waits. It is called after each response and at each recheck interval.
 	Recheck func(*configstate.Version) (configstate.Outcome, error)
 }
 
 // FollowAll follows all configured control services until ctx ends, and then returns nil. node identifies this program
-// to them, relay names the resources to subscribe to. An error means bad settings.
-func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, relay string, recheckSeconds float64, handler Handler) error {
+// to them, and routerGroup is the name of the resources to subscribe to. An error means that the settings are invalid.
+func FollowAll(ctx context.Context, control *config.Control, log *slog.Logger, node, routerGroup string, recheckSeconds float64, handler Handler) error {
 	transport := insecure.NewCredentials()
 	if control.Cert != "" {
 		var err error
@@ -53,7 +53,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	for _, address := range control.Addresses {
 		client := &Client{
-			Address: address, Credentials: transport, Log: log, Session: NewSession(node, relay), Relay: relay,
+			Address: address, Credentials: transport, Log: log, Session: NewSession(node, routerGroup), RouterGroup: routerGroup,
 			BackoffMinSeconds: control.BackoffMinSeconds, BackoffMaxSeconds: control.BackoffMaxSeconds, SilenceSeconds: control.SilenceSeconds,
 			MaxResponseBytes: control.MaxResponseBytes, RecheckSeconds: recheckSeconds, Handler: handler,
 		}
