--- a/internal/xds/backoff_bench_test.go
+++ b/internal/xds/backoff_bench_test.go
@@ -8,14 +8,14 @@
 	"flintspread/internal/watch"
 )
 
-// BenchmarkHerd simulates a hundred clients that lose a service together and retry until it is back. It reports the
-// most clients that reconnect within a tenth of a second, with and without jitter, and when the last one does. Times
-// are computed, not waited for.
-func BenchmarkHerd(b *testing.B) {
+// BenchmarkReconnectBackoff simulates a hundred clients that lose a service at the same time and retry until it is
+// available again. With and without jitter, it reports the maximum number of clients that reconnect within a tenth of a
+// second, and the time from the end of the outage until the last client has reconnected. The simulation does not wait.
+func BenchmarkReconnectBackoff(b *testing.B) {
 	for _, jitter := range []bool{true, false} {
-		name := "half-chance"
+		name := "jitter"
 		if !jitter {
-			name = "none"
+			name = "no-jitter"
 		}
 		b.Run(name, func(b *testing.B) {
 			const clients, outageSeconds = 100, 30.0
@@ -26,19 +26,19 @@
 				for range clients {
 					at := 0.0
 					for failures := 0; at < outageSeconds; failures++ {
-						chance := 0.0
+						jitterDraw := 0.0
 						if jitter {
-							chance = random.Float64()
+							jitterDraw = random.Float64()
 						}
-						at += watch.Backoff(failures, 0.1, 5, chance)
+						at += watch.Backoff(failures, 0.1, 5, jitterDraw)
 					}
 					reconnectedAt = append(reconnectedAt, at-outageSeconds)
 				}
 				sort.Float64s(reconnectedAt)
 				most, last = 0, reconnectedAt[clients-1]
 				for i := range reconnectedAt {
-					n := sort.SearchFloat64s(reconnectedAt, reconnectedAt[i]+0.1) - i
-					most = max(most, n)
+					count := sort.SearchFloat64s(reconnectedAt, reconnectedAt[i]+0.1) - i
+					most = max(most, count)
 				}
 			}
 			b.ReportMetric(float64(most), "most-in-0.1s")
--- a/internal/xds/endpoints.go
+++ b/internal/xds/endpoints.go
@@ -19,12 +19,13 @@
 // metadataKey is the filter metadata key of endpoint attributes for which xDS has no field.
 const metadataKey = "flintspread"
 
-// maxStartedAt bounds an endpoint's start, in seconds since 1970. A larger number is in another unit by mistake.
+// maxStartedAt is the largest accepted start of an endpoint, in seconds since 1970. A larger number is in another unit,
+// such as milliseconds, by mistake.
 const maxStartedAt = 1e11
 
 // EndpointUpdate converts endpoint assignments to a full endpoint list. The endpoint metadata under "flintspread" must
-// contain id and build, and may contain zone, cell and start. The health status decides between ready and draining; an
-// unhealthy endpoint is left out, which removes it from the list.
+// contain id and build, and may contain zone, cell and start. The health status decides between ready and draining. An
+// unhealthy endpoint is omitted, which removes it from the list.
 func EndpointUpdate(response *discovery.DiscoveryResponse) (*endpoints.Update, error) {
 	version, err := versionNumber(response.VersionInfo)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// endpointOf converts one endpoint.
+// endpointOf converts one endpoint, whose state may be gone.
 func endpointOf(lbEndpoint *endpoint.LbEndpoint) (e endpoints.Endpoint, err error) {
 	address := lbEndpoint.GetEndpoint().GetAddress().GetSocketAddress()
 	if address == nil {
@@ -82,7 +83,7 @@
 	return e, metadata.err
 }
 
-// stateOf maps a published health status to an endpoint state. Degraded and unknown endpoints count as ready: the
+// stateOf maps a health status of xDS to an endpoint state. Degraded and unknown endpoints count as ready, because the
 // router's own outlier detection judges them.
 func stateOf(health core.HealthStatus) string {
 	switch health {
@@ -95,7 +96,7 @@
 	}
 }
 
-// metadataReader reads numbers from an endpoint's metadata and keeps the first error in err.
+// metadataReader reads numbers from an endpoint's metadata and keeps the first error.
 type metadataReader struct {
 	fields map[string]*structpb.Value
 	err    error
--- a/internal/xds/reconnect_bench_test.go
+++ b/internal/xds/reconnect_bench_test.go
@@ -21,10 +21,10 @@
 	"flintspread/internal/xds"
 )
 
-// BenchmarkReturn measures, over sockets, a hundred routers that lose a control service, which returns with a new
-// version two seconds later: the time from its return until the last router has accepted the version, and the most that
-// did so within a tenth of a second.
-func BenchmarkReturn(b *testing.B) {
+// BenchmarkReconnect measures, over sockets, a hundred routers that lose a control service, which starts again with a
+// new version two seconds later. It reports the time from the start until the last router has accepted the version, and
+// the maximum number of routers that accepted it within a tenth of a second.
+func BenchmarkReconnect(b *testing.B) {
 	const routers = 100
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -42,7 +42,7 @@
 	var acceptedAt []time.Time
 	settings := &config.Control{Addresses: []string{address}, SilenceSeconds: 2, BackoffMinSeconds: 0.1, BackoffMaxSeconds: 5, MaxResponseBytes: 1 << 20}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	taker := xds.Handler{
+	handler := xds.Handler{
 		OnEndpoints: func(*endpoints.Update) error { return nil },
 		OnConfig: func(*configstate.Version) (configstate.Outcome, error) {
 			mu.Lock()
@@ -56,7 +56,7 @@
 	defer cancel()
 	for i := range routers {
 		following.Go(func() {
-			if err := xds.FollowAll(ctx, settings, log, fmt.Sprint("relay-", i), "r1", 0.5, taker); err != nil {
+			if err := xds.FollowAll(ctx, settings, log, fmt.Sprint("router-", i), "r1", 0.5, handler); err != nil {
 				b.Error(err)
 			}
 		})
@@ -74,24 +74,24 @@
 		if listener, err = net.Listen("tcp", address); err != nil {
 			b.Fatal(err)
 		}
-		from := time.Now()
+		startedAt := time.Now()
 		control = fakes.StartControlService(listener, insecure.NewCredentials())
 		control.Set(fakes.DocumentResponse("r1", number, 0, document))
-		for done := 0; done < routers; time.Sleep(5 * time.Millisecond) {
+		for accepted := 0; accepted < routers; time.Sleep(5 * time.Millisecond) {
 			mu.Lock()
-			done = len(acceptedAt)
+			accepted = len(acceptedAt)
 			mu.Unlock()
 		}
-		last = time.Since(from).Seconds()
+		last = time.Since(startedAt).Seconds()
 		most = 0
 		for i := range acceptedAt {
-			n := 0
+			count := 0
 			for _, t := range acceptedAt {
 				if d := t.Sub(acceptedAt[i]); d >= 0 && d < 100*time.Millisecond {
-					n++
+					count++
 				}
 			}
-			most = max(most, n)
+			most = max(most, count)
 		}
 	}
 	b.ReportMetric(last, "last-s")
