--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -82,8 +82,8 @@
 	return reflect.StructField{}, false
 }
 
-// isKnownPath reports whether a path of EDN keys leads to a field of the type. It does not check what is below a scalar,
-// where the EDN decoder itself rejects unexpected content.
+// isKnownPath reports whether a path of EDN keys leads to a field of the type. It does not check what is below a
+// scalar, where the EDN decoder itself rejects unexpected content.
 func isKnownPath(t reflect.Type, path []string) bool {
 	for _, part := range path {
 		if t.Kind() == reflect.Pointer {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -37,8 +37,8 @@
 	positions *positions
 }
 
-// fieldError returns an error at a path. If the path is not in the text, the line is that of the innermost key or element
-// around it that is.
+// fieldError returns an error at a path. If the path is not in the text, the line is that of the innermost enclosing
+// key or element that is.
 func (l locator) fieldError(path, problem string) error {
 	return &FieldError{File: l.file, Line: l.positions.nearestLine(path), Key: path, Problem: problem}
 }
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// scanValue scans one value and records the positions of its keys and elements. depth is the nesting depth of the value.
+// scanValue scans one value and records the positions of its keys and elements. depth is the nesting depth of the
+// value.
 func (p *positions) scanValue(path string, depth int) error {
 	if depth > maxNestingDepth {
 		return fmt.Errorf("nested deeper than %d", maxNestingDepth)
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -83,8 +83,8 @@
 	return r, r.Check()
 }
 
-// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires. It
-// is 0 without a control service.
+// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires.
+// It is 0 without a control service.
 func (r *Router) RequiredListTimeoutSeconds() float64 {
 	if r.Control == nil {
 		return 0
