--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -1,5 +1,5 @@
-// Package boltstore opens bbolt databases and verifies them completely, so that a corrupt file is detected when it is
-// opened and can be set aside, instead of failing later.
+// Package boltstore opens bbolt databases and verifies them completely, so that a corrupt file is detected and can be
+// renamed when it is opened, instead of failing later.
 package boltstore
 
 import (
@@ -22,24 +22,24 @@
 
 	fileMode = 0o644
 
-	// brokenFileSuffixFormat is appended to the name of a broken store when it is set aside; the number is the time in
-	// nanoseconds since 1970.
-	brokenFileSuffixFormat = ".bad-%d"
+	// corruptFileSuffixFormat is appended to the file name of an unreadable store. The number is the time of the renaming,
+	// in nanoseconds since 1970.
+	corruptFileSuffixFormat = ".bad-%d"
 )
 
 // Open opens a store and reads all of it, with bbolt's consistency check and then the caller's check, so that
 // corruption is detected now and not at some later access. It waits up to lockTimeout for a store that another process
 // has open, and then returns an error that wraps ErrInUse. The caller must close the store.
 func Open(file string, readOnly bool, check func(*bolt.Tx) error) (db *bolt.DB, err error) {
-	// Accessing a missing page faults and a corrupt one panics; both are returned as errors.
+	// Accessing a missing page causes a memory fault, and a corrupt page a panic. Both are returned as errors.
 	previous := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(previous)
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%s: broken: %v", file, r)
+			err = fmt.Errorf("%s: corrupt database: %v", file, r)
 		}
 		if err != nil && db != nil {
-			err = errors.Join(err, closeBroken(db))
+			err = errors.Join(err, closeCorrupt(db))
 			db = nil
 		}
 	}()
@@ -57,7 +57,7 @@
 		return check(tx)
 	})
 	if err != nil {
-		err = fmt.Errorf("%s: %w", file, err)
+		err = fmt.Errorf("%s: database check failed: %w", file, err)
 	}
 	return db, err
 }
@@ -73,24 +73,25 @@
 	return first
 }
 
-// closeBroken closes a broken store and turns a panic in Close into an error.
-func closeBroken(db *bolt.DB) (err error) {
+// closeCorrupt closes a store that failed a check, and returns a panic in Close as an error.
+func closeCorrupt(db *bolt.DB) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("closing: %v", r)
+			err = fmt.Errorf("closing the corrupt database: %v", r)
 		}
 	}()
 	return db.Close()
 }
 
-// OpenOrSetAside opens a store for writing, like Open. An unreadable store is renamed and an empty one opened in its
-// place; aside then holds the new name and the reason. A store in use is left alone.
+// OpenOrSetAside opens a store for writing, like Open. If the store is unreadable, it renames the file and opens an
+// empty store instead; aside is then the new name and the reason. It does not rename a store that another process has
+// open.
 func OpenOrSetAside(file string, check func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
 	db, err = Open(file, false, check)
 	if err == nil || errors.Is(err, ErrInUse) {
 		return db, "", err
 	}
-	name := file + fmt.Sprintf(brokenFileSuffixFormat, time.Now().UnixNano())
+	name := file + fmt.Sprintf(corruptFileSuffixFormat, time.Now().UnixNano())
 	if renameErr := os.Rename(file, name); renameErr != nil {
 		return nil, "", errors.Join(err, renameErr)
 	}
--- a/internal/revisions/diff.go
+++ b/internal/revisions/diff.go
@@ -8,36 +8,37 @@
 	"olympos.io/encoding/edn"
 )
 
-// Diff returns the differences between two EDN texts, sorted by key path: "- PATH VALUE" for a value only in first and
-// "+ PATH VALUE" for one only in second. A changed value has both lines. An error means that a text is not EDN.
+// Diff returns the differences between two EDN texts, sorted by key path: "- PATH VALUE" for a value that is only in
+// first, "+ PATH VALUE" for a value that is only in second, and both for a changed value. An error means that a text is
+// not EDN.
 func Diff(first, second string) ([]string, error) {
-	before, err := valuesByPath(first)
+	firstValues, err := valuesByPath(first)
 	if err != nil {
 		return nil, err
 	}
-	after, err := valuesByPath(second)
+	secondValues, err := valuesByPath(second)
 	if err != nil {
 		return nil, err
 	}
 	paths := map[string]bool{}
-	for path := range before {
+	for path := range firstValues {
 		paths[path] = true
 	}
-	for path := range after {
+	for path := range secondValues {
 		paths[path] = true
 	}
 	var lines []string
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		oldValue, wasThere := before[path]
-		newValue, isThere := after[path]
-		if oldValue == newValue && wasThere == isThere {
+		firstValue, inFirst := firstValues[path]
+		secondValue, inSecond := secondValues[path]
+		if firstValue == secondValue && inFirst == inSecond {
 			continue
 		}
-		if wasThere {
-			lines = append(lines, fmt.Sprintf("- %s %s", path, oldValue))
+		if inFirst {
+			lines = append(lines, fmt.Sprintf("- %s %s", path, firstValue))
 		}
-		if isThere {
-			lines = append(lines, fmt.Sprintf("+ %s %s", path, newValue))
+		if inSecond {
+			lines = append(lines, fmt.Sprintf("+ %s %s", path, secondValue))
 		}
 	}
 	return lines, nil
@@ -54,7 +55,7 @@
 	return values, nil
 }
 
-// collect adds the scalar values below a node to values.
+// collect adds the scalar values of a node to values, by key path. path is that of the node.
 func collect(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[any]any:
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -12,15 +12,15 @@
 const storeFileName = "versions.db"
 
 // Resume opens the history in a state folder and calls apply with the version that was last in force, which the program
-// uses until a control service sends another. If that version cannot be read or applied, this is logged and the program
-// starts with the configuration of its file. The caller must close the store.
+// uses until it receives another version. If that version cannot be read or applied, Resume logs the error, and the
+// program starts with the configuration of its settings file. The caller must close the store.
 func Resume(stateDir string, log *slog.Logger, apply func(*configstate.Version) error) (*Store, error) {
 	store, aside, err := Open(filepath.Join(stateDir, storeFileName))
 	if err != nil {
 		return nil, err
 	}
 	if aside != "" {
-		log.Error("configuration history set aside, starting with the file's configuration", "file", aside)
+		log.Error("unreadable configuration history renamed; starting with the configuration of the settings file", "file", aside)
 	}
 	last, err := store.Last()
 	if err != nil || last == nil {
@@ -31,7 +31,7 @@
 		err = apply(v)
 	}
 	if err != nil {
-		log.Error("last configuration version not applied, starting with the file's configuration", "version", last.Number, "error", err)
+		log.Error("failed to apply the last configuration version; starting with the configuration of the settings file", "version", last.Number, "error", err)
 		return store, nil
 	}
 	age := float64(time.Now().UnixNano())/1e9 - last.InForceSince
--- a/internal/revisions/store.go
+++ b/internal/revisions/store.go
@@ -1,5 +1,5 @@
-// Package revisions keeps the history of configuration versions that were in force in an embedded store. It depends on
-// no other service, so a program can resume its last version without one.
+// Package revisions stores the history of the configuration versions that were in force, in an embedded database. As it
+// depends on no service, a program can resume its last version while no control service is reachable.
 package revisions
 
 import (
@@ -13,8 +13,8 @@
 	"flintspread/internal/boltstore"
 )
 
-// Kept is the maximum number of versions in a store. The oldest are deleted first.
-const Kept = 200
+// maxVersions is the maximum number of versions in a store. Add deletes the oldest ones beyond it.
+const maxVersions = 200
 
 // versionsBucket holds the entries as JSON. Keys are version numbers as eight big-endian bytes, so that key order is
 // numeric order.
@@ -22,18 +22,19 @@
 
 // Entry is one configuration version that was in force.
 type Entry struct {
-	Number              uint64  `json:"no"`              // its number
-	Previous            uint64  `json:"parent"`          // the version in force before it; 0: the program's file
-	InForceSince        float64 `json:"since"`           // when it took effect, in seconds since 1970
+	Number              uint64  `json:"no"`
+	Previous            uint64  `json:"parent"`          // number of the version in force before it; 0: the settings file
+	InForceSince        float64 `json:"since"`           // time when it took effect, in seconds since 1970
 	Hash                uint64  `json:"sum"`             // hash of Text
 	RequiredListVersion uint64  `json:"needs,omitempty"` // version of the endpoint list that it requires; 0: any
 	Text                string  `json:"text"`
 }
 
-// Store is a history on disk. While one process has it open for writing, no other can open it. Methods block on disk.
+// Store is a history on disk. While a process has it open for writing, no other process can open it. Methods block on
+// disk I/O.
 type Store struct{ db *bolt.DB }
 
-// Open opens a store for writing, creating it if needed. An unreadable file is set aside; aside then holds its new name
+// Open opens a store for writing, and creates it if needed. It renames an unreadable file; aside is then the new name
 // and the reason. The caller must close the store.
 func Open(file string) (s *Store, aside string, err error) {
 	db, aside, err := boltstore.OpenOrSetAside(file, checkEntries)
@@ -71,7 +72,7 @@
 func entryKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
 // Add adds a version that took effect. Its number must be greater than all in the store. Add is one transaction: after
-// a crash the entry is either complete or absent.
+// a crash the entry is either complete or missing.
 func (s *Store) Add(e Entry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -83,7 +84,7 @@
 			return err
 		}
 		if last, _ := bucket.Cursor().Last(); last != nil && binary.BigEndian.Uint64(last) >= e.Number {
-			return fmt.Errorf("version %d after %d", e.Number, binary.BigEndian.Uint64(last))
+			return fmt.Errorf("version %d is not greater than %d, the last version in the store", e.Number, binary.BigEndian.Uint64(last))
 		}
 		if err := bucket.Put(entryKey(e.Number), text); err != nil {
 			return err
@@ -92,13 +93,13 @@
 	})
 }
 
-// dropOldest deletes the oldest entries until Kept are left.
+// dropOldest deletes the oldest entries beyond maxVersions.
 func dropOldest(bucket *bolt.Bucket) error {
 	count := 0
 	if err := bucket.ForEach(func(_, _ []byte) error { count++; return nil }); err != nil {
 		return err
 	}
-	for cursor := bucket.Cursor(); count > Kept; count-- {
+	for cursor := bucket.Cursor(); count > maxVersions; count-- {
 		if oldest, _ := cursor.First(); oldest != nil {
 			if err := cursor.Delete(); err != nil {
 				return err
--- a/internal/revisions/store_test.go
+++ b/internal/revisions/store_test.go
@@ -10,10 +10,12 @@
 	"flintspread/internal/boltstore"
 )
 
+// The store keeps the last maxVersions versions in increasing order and cannot be opened twice. Open renames a file that
+// is not a database, is truncated, or is overwritten with zeros.
 func TestStore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "versions.db")
 	if _, err := Read(file); err == nil {
-		t.Error("read a store that is not there")
+		t.Error("Read succeeded without a file")
 	}
 	s, aside, err := Open(file)
 	if err != nil || aside != "" {
@@ -22,16 +24,16 @@
 	if e, err := s.Last(); e != nil || err != nil {
 		t.Error(e, err)
 	}
-	for n := uint64(1); n <= Kept+20; n++ {
+	for n := uint64(1); n <= maxVersions+20; n++ {
 		if err := s.Add(Entry{Number: n, Previous: n - 1, Text: fmt.Sprint("text ", n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := s.Add(Entry{Number: 7}); err == nil {
-		t.Error("went back to 7")
+		t.Error("Add accepted version 7 after higher ones")
 	}
 	if _, err := Read(file); err == nil || !errors.Is(err, boltstore.ErrInUse) {
-		t.Error(err)
+		t.Errorf("Read of an open store: error %v, want %v", err, boltstore.ErrInUse)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -41,14 +43,14 @@
 		t.Fatal(err)
 	}
 	entries, err := r.All()
-	if err != nil || len(entries) != Kept || entries[0].Number != 21 || entries[Kept-1].Previous != Kept+19 {
+	if err != nil || len(entries) != maxVersions || entries[0].Number != 21 || entries[maxVersions-1].Previous != maxVersions+19 {
 		t.Error(len(entries), err)
 	}
 	if e, err := r.Get(100); err != nil || e.Text != "text 100" {
 		t.Error(e, err)
 	}
 	if _, err := r.Get(3); err == nil {
-		t.Error("got what had been dropped")
+		t.Error("Get found version 3, which had been deleted")
 	}
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
@@ -57,8 +59,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range [][]byte{[]byte("nothing"), text[:len(text)/3], append(append([]byte(nil), text[:8192]...), make([]byte, len(text)-8192)...)} {
-		if err := os.WriteFile(file, bad, 0o600); err != nil {
+	zeroed := append(append([]byte(nil), text[:8192]...), make([]byte, len(text)-8192)...)
+	for _, corrupt := range [][]byte{[]byte("nothing"), text[:len(text)/3], zeroed} {
+		if err := os.WriteFile(file, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, aside, err := Open(file)
@@ -74,11 +77,12 @@
 	}
 }
 
-// testdata/versions-abfd351.db was written by the program of commit abfd351, with a main that calls, for n from 3 to 5,
+// A store of an earlier program can be read and continued. testdata/versions-abfd351.db was written at commit abfd351 by
+// a main that called, for n from 3 to 5,
 //
 //	s.Add(history.Entry{No: n, Parent: n - 1, Since: 1700000000.5 + float64(n), Sum: 1 << 63 / n, Needs: 10 * (n - 3),
 //		Text: fmt.Sprint("{:schema ", n, "}")})
-func TestStoreReadsWhatEarlierProgramsWrote(t *testing.T) {
+func TestStoreReadsEarlierFormat(t *testing.T) {
 	stored, err := os.ReadFile("testdata/versions-abfd351.db")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +103,7 @@
 		n := uint64(i + 3)
 		want := Entry{Number: n, Previous: n - 1, InForceSince: 1700000000.5 + float64(n), Hash: 1 << 63 / n, RequiredListVersion: 10 * (n - 3), Text: fmt.Sprint("{:schema ", n, "}")}
 		if got != want {
-			t.Errorf("%+v, want %+v", got, want)
+			t.Errorf("entry %+v, want %+v", got, want)
 		}
 	}
 	if err := s.Add(Entry{Number: 6, Previous: 5}); err != nil {
