--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli implements what the programs share: exit codes, the version command, logging, and signal handling.
+// Package cli implements what the programs have in common: exit codes, the version command, logging and signal
+// handling.
 package cli
 
 import (
@@ -13,16 +14,16 @@
 
 // Exit codes.
 const (
-	ExitFailed    = 1
+	ExitFailed    = 1 // any other error
 	ExitBadConfig = 2 // the settings file is invalid; nothing was started
 )
 
-// Main runs a root command, prints its error, if any, and exits the process. It does not return.
+// Main adds the version command to a root command, runs it, prints its error, if any, and exits the process.
 func Main(root *cobra.Command) {
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.AddCommand(&cobra.Command{
 		Use:   "version",
-		Short: "Print the build",
+		Short: "Print the version of this program",
 		Args:  cobra.NoArgs,
 		Run:   func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), root.Name(), Version()) },
 	})
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -32,19 +32,19 @@
 	return program.Run(ctx, settings, log)
 }
 
-// reload reads the settings file again. Only the log level takes effect while the program runs; the rest is checked so
-// that an error shows before the next start.
+// reload reads the settings file again. Only the log level takes effect while the program runs. The other settings are
+// checked, so that an error is logged before the next start fails because of it.
 func (p Program[T]) reload(file string, log *slog.Logger, level *slog.LevelVar) {
 	settings, err := p.Read(file)
 	if err != nil {
-		log.Error("settings rejected; the last good ones stay", "error", err)
+		log.Error("failed to reload the settings file; the previous settings stay in force", "error", err)
 		return
 	}
 	setLevel(level, p.Log(settings))
-	log.Info("settings reloaded: log level applied, other changes need a restart")
+	log.Info("settings file reloaded; the log level is applied, other changes need a restart")
 }
 
-// newLogger returns a logger for the settings, and its level, which may be changed while the logger is in use.
+// newLogger returns a logger with the given settings, and its level, which may be changed while the logger is in use.
 func newLogger(settings config.Log) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
 	setLevel(level, settings)
@@ -61,8 +61,8 @@
 	}
 }
 
-// onHangup calls reload on each SIGHUP until stop is called, which waits for a running reload. SIGHUP does not
-// terminate the process after that either.
+// onHangup calls reload on each SIGHUP until stop is called, which waits for a running reload. After stop, SIGHUP is
+// ignored and does not terminate the process.
 func onHangup(reload func()) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/storedformats/doc.go
+++ b/internal/storedformats/doc.go
@@ -1,3 +1,4 @@
-// Package storedformats holds files that earlier versions of the programs wrote, and tests that the present code reads them. Field names in
-// files on disk are fixed: a program that was updated starts on what the one before it left.
+// Package storedformats contains files that earlier versions of the programs wrote, and tests that the present code
+// reads them. Field names in stored files are fixed, because an updated program starts with the files of its
+// predecessor.
 package storedformats
--- a/internal/storedformats/storedformats_test.go
+++ b/internal/storedformats/storedformats_test.go
@@ -28,7 +28,7 @@
 	return text
 }
 
-// copyFile copies a file of the folder, so that opening it for writing leaves the original alone.
+// copyFile copies a file of the folder, so that a test that opens it for writing does not change the original.
 func copyFile(t *testing.T, name string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
@@ -38,12 +38,12 @@
 	return file
 }
 
-// TestControllerState reads a controller's store: all that is in it is printed as the program that wrote it prints it.
+// The present code reads a controller's store and prints the same state as the program that wrote it.
 func TestControllerState(t *testing.T) {
 	dir := filepath.Dir(copyFile(t, "planner.db"))
 	store, state, aside, err := controller.OpenStateStore(dir)
 	if err != nil || aside != "" {
-		t.Fatalf("opening: %v, set aside: %q", err, aside)
+		t.Fatalf("opening the store: error %v, renamed to %q", err, aside)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestConfigHistory reads a history of configuration versions.
+// The present code reads a history of configuration versions and prints the same as the program that wrote it.
 func TestConfigHistory(t *testing.T) {
 	store, err := revisions.Read(copyFile(t, "versions.db"))
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestEndpointList reads a router's last endpoint list, and writes it again byte for byte.
+// The present code reads a router's last endpoint list, and writes the same bytes again.
 func TestEndpointList(t *testing.T) {
 	list, err := endpoints.Load(copyFile(t, "units.json"))
 	if err != nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestControllerStateRewritten saves what was read once more: keys and values on disk stay what they were, so that a program of the
-// earlier version can start on them.
+// Saving the state that was read from a store does not change its keys and values, so that a program of the earlier
+// version can start with them.
 func TestControllerStateRewritten(t *testing.T) {
 	file := copyFile(t, "planner.db")
 	before := rawValues(t, file)
@@ -127,7 +127,7 @@
 	}
 }
 
-// rawValues reads every key and value of a store, by bucket.
+// rawValues returns all values of a store, by bucket and key.
 func rawValues(t *testing.T, file string) map[string]string {
 	t.Helper()
 	db, err := bolt.Open(file, 0o600, &bolt.Options{ReadOnly: true})
