--- a/cmd/flintspread-controller/config.go
+++ b/cmd/flintspread-controller/config.go
@@ -13,10 +13,10 @@
 	"flintspread/internal/revisions"
 )
 
-// configCommand inspects the configuration versions in a program's history. It needs no running program, and fails on a
-// store that one has open.
+// configCommand inspects the configuration history of a router or controller, which must not be running: a running
+// program has the store open, and the commands fail.
 func configCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "config", Short: "Look at the configuration versions that were in force"}
+	cmd := &cobra.Command{Use: "config", Short: "Inspect the history of configuration versions, and check documents"}
 	cmd.AddCommand(configListCommand(), configShowCommand(), configDiffCommand(), configCheckCommand())
 	return cmd
 }
@@ -24,7 +24,7 @@
 func configListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list STORE",
-		Short: "List the versions, the oldest first",
+		Short: "List the versions in a store, oldest first",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withHistory(args[0], func(history *revisions.Store) error {
@@ -42,11 +42,11 @@
 func configShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show STORE VERSION",
-		Short: "Print the text of a version",
+		Short: "Print the document of a version",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withHistory(args[0], func(history *revisions.Store) error {
-				entry, err := version(history, args[1])
+				entry, err := findVersion(history, args[1])
 				if err != nil {
 					return err
 				}
@@ -60,15 +60,15 @@
 func configDiffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff STORE VERSION VERSION",
-		Short: "Print the differences of two versions by key",
+		Short: "Print the differences between two versions by key",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withHistory(args[0], func(history *revisions.Store) error {
-				older, err := version(history, args[1])
+				older, err := findVersion(history, args[1])
 				if err != nil {
 					return err
 				}
-				newer, err := version(history, args[2])
+				newer, err := findVersion(history, args[2])
 				if err != nil {
 					return err
 				}
@@ -85,7 +85,7 @@
 func configCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a configuration document as the programs do",
+		Short: "Check a configuration document with the checks of routers and controllers",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file := args[0]
@@ -104,7 +104,7 @@
 	}
 }
 
-// withHistory opens a history file read-only, calls use and closes it.
+// withHistory opens a history file read-only, calls use, and closes the file.
 func withHistory(file string, use func(*revisions.Store) error) error {
 	history, err := revisions.Read(file)
 	if err != nil {
@@ -113,16 +113,16 @@
 	return errors.Join(use(history), history.Close())
 }
 
-// version returns the version whose number was given on the command line.
-func version(history *revisions.Store, number string) (*revisions.Entry, error) {
+// findVersion returns the version with the number that was given on the command line.
+func findVersion(history *revisions.Store, number string) (*revisions.Entry, error) {
 	n, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("%q is no version", number)
+		return nil, fmt.Errorf("VERSION %q is not a whole number", number)
 	}
 	return history.Get(n)
 }
 
-// formatTime formats an instant, given in seconds since 1970, in RFC 3339.
+// formatTime formats a time in seconds since 1970 in RFC 3339.
 func formatTime(at float64) string {
 	return time.Unix(0, int64(at*1e9)).UTC().Format(time.RFC3339)
 }
--- a/cmd/flintspread-controller/main.go
+++ b/cmd/flintspread-controller/main.go
@@ -1,4 +1,4 @@
-// Command flintspread-controller is the control plane: it judges the builds of a release from the reports of its
+// Command flintspread-controller is the control plane: it analyses the builds of a release from the reports of its
 // routers, casts votes, and sends each router its assignment.
 package main
 
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintspread-controller", Short: "Judges builds and assigns their traffic to routers"}
+	root := &cobra.Command{Use: "flintspread-controller", Short: "Analyse the builds of a release, cast votes and assign canary traffic to routers"}
 	root.AddCommand(runCommand(), checkCommand(), stateCommand(), configCommand())
 	cli.Main(root)
 }
@@ -26,7 +26,7 @@
 	}
 	return &cobra.Command{
 		Use:   "run FILE",
-		Short: "Serve routers by a settings file until SIGTERM",
+		Short: "Run a controller with a settings file; SIGTERM stops it",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return cli.Serve(program, args[0]) },
 	}
@@ -35,7 +35,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and say what is wrong with it",
+		Short: "Check a settings file and print its first error, if any",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file := args[0]
@@ -53,7 +53,7 @@
 func stateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "state DIR",
-		Short: "Print what a stopped controller left in its state folder",
+		Short: "Print the state that a stopped controller saved in its state folder",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return controller.PrintState(cmd.OutOrStdout(), args[0])
--- a/cmd/flintspread-router/main.go
+++ b/cmd/flintspread-router/main.go
@@ -1,5 +1,5 @@
 // Command flintspread-router is the data plane: it forwards requests from clients to endpoints, and shifts traffic
-// between builds.
+// between the builds of a release.
 package main
 
 import (
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "flintspread-router", Short: "Forwards requests to endpoints while their builds change"}
+	root := &cobra.Command{Use: "flintspread-router", Short: "Forward requests to endpoints and shift traffic between their builds"}
 	root.AddCommand(runCommand(), nodeCommand(), checkCommand())
 	cli.Main(root)
 }
@@ -27,7 +27,7 @@
 	}
 	return &cobra.Command{
 		Use:   "run FILE",
-		Short: "Serve by a settings file; SIGTERM shuts down gracefully",
+		Short: "Run a router with a settings file; SIGTERM shuts it down gracefully",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return cli.Serve(program, args[0]) },
 	}
@@ -36,7 +36,7 @@
 func nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
-		Short: "Serve on the platform by the configuration that LB_CONFIG names; SIGTERM shuts down gracefully",
+		Short: "Run a router on the platform with the file that LB_CONFIG names; SIGTERM shuts it down gracefully",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return node.Main() },
 	}
@@ -45,7 +45,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file and say what is wrong with it",
+		Short: "Check a settings file and print its first error, if any",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file := args[0]
