--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -15,10 +15,10 @@
 
 // comparisonOptions are the flags of the witness command.
 type comparisonOptions struct {
-	bin  string // folder of the program binaries
+	bin  string // folder with the binaries of the router and the controller
 	seed uint64 // first seed
-	runs int
-	jobs int
+	runs int    // number of seeds
+	jobs int    // concurrent runs
 }
 
 // healthComparisonCommand compares the time to a rollback with and without query servers, seed by seed.
@@ -26,18 +26,18 @@
 	var o comparisonOptions
 	cmd := &cobra.Command{
 		Use:   "witness",
-		Short: "Time to a back vote with and without query servers, and good builds that they lie about",
+		Short: "Compare the time to a rollback with and without query servers, and the effect of false metrics on good builds",
 		Args:  cobra.NoArgs,
 	}
-	cmd.Flags().StringVar(&o.bin, "bin", "", "the folder of flintspread-router and flintspread-controller (default: this program's)")
-	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "the first seed")
-	cmd.Flags().IntVar(&o.runs, "runs", 20, "seeds")
-	cmd.Flags().IntVar(&o.jobs, "jobs", 1, "so many at once")
+	cmd.Flags().StringVar(&o.bin, "bin", "", "folder with flintspread-router and flintspread-controller (default: the folder of this program)")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "first seed")
+	cmd.Flags().IntVar(&o.runs, "runs", 20, "number of seeds")
+	cmd.Flags().IntVar(&o.jobs, "jobs", 1, "number of seeds that run concurrently")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) (err error) {
 		if o.bin, err = programFolder(o.bin); err != nil {
 			return err
 		}
-		comparisons, err := o.play(cmd.OutOrStdout())
+		comparisons, err := o.run(cmd.OutOrStdout())
 		if err != nil {
 			return err
 		}
@@ -46,8 +46,8 @@
 	return cmd
 }
 
-// play runs all seeds, up to jobs of them concurrently, and prints a line for each.
-func (o *comparisonOptions) play(w io.Writer) ([]scenario.HealthComparison, error) {
+// run runs all seeds, up to jobs of them concurrently, and prints a line for each.
+func (o *comparisonOptions) run(w io.Writer) ([]scenario.HealthComparison, error) {
 	dir, err := os.MkdirTemp("", "flintspread-lab-witness-")
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			comparisons = append(comparisons, c)
-			fmt.Fprintf(w, "seed %d: back after %.2f s with the source, %.2f s without; lied about: back %t, released %t; rules kept %t; service %.3f\n",
+			fmt.Fprintf(w, "seed %d: rollback after %.2f s with query servers, %.2f s without; good build with false metrics: rolled back %t, released %t; rules kept %t; service %.3f\n",
 				c.Seed, c.With, c.Without, c.LiedAbout, c.Released, c.Kept, c.Service)
 			return nil
 		})
@@ -77,8 +77,8 @@
 	return comparisons, nil
 }
 
-// printComparisons prints a summary of all seeds, whose last line is the verdict. It returns errRuleBroken if a rule
-// was broken in any run, else nil.
+// printComparisons prints a summary of all seeds, whose last line says whether the rules were kept. It returns
+// errRuleBroken if a rule was broken in any run, and nil otherwise.
 func printComparisons(w io.Writer, comparisons []scenario.HealthComparison) error {
 	liedAbout, released, broken := 0, 0, 0
 	var with, without, ratios []float64
@@ -102,9 +102,9 @@
 			broken++
 		}
 	}
-	fmt.Fprintf(w, "the wrong build went back in %d of %d runs with the source, after %s s; in %d without, after %s s; with over without %s\n",
-		len(with), len(comparisons), spread(with), len(without), spread(without), spread(ratios))
-	fmt.Fprintf(w, "good builds lied about: %d of %d sent back, %d released\n", liedAbout, len(comparisons), released)
+	fmt.Fprintf(w, "wrong build: rolled back in %d of %d runs with query servers, after %s s; in %d without, after %s s; ratio of the times with and without %s\n",
+		len(with), len(comparisons), formatDistribution(with), len(without), formatDistribution(without), formatDistribution(ratios))
+	fmt.Fprintf(w, "good build with false metrics: rolled back in %d of %d runs, released in %d\n", liedAbout, len(comparisons), released)
 	if broken > 0 {
 		fmt.Fprintf(w, "rules: BROKEN in %d runs\n", broken)
 		return errRuleBroken
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// spread formats the extremes, quartiles and median of values, which it sorts in place.
-func spread(values []float64) string {
+// formatDistribution formats the extremes, quartiles and median of values, which it sorts in place.
+func formatDistribution(values []float64) string {
 	if len(values) == 0 {
 		return "none"
 	}
--- a/cmd/flintspread-lab/main.go
+++ b/cmd/flintspread-lab/main.go
@@ -10,17 +10,17 @@
 	"github.com/spf13/cobra"
 )
 
-// errRuleBroken makes the program exit with a failure. The details have been printed before.
+// errRuleBroken makes the program exit with code 1. It is not printed, because the outcome names the broken rules.
 var errRuleBroken = errors.New("a rule is broken")
 
 func main() {
 	root := &cobra.Command{
 		Use:           "flintspread-lab",
-		Short:         "Plays days against flintspread-router and checks the rules",
+		Short:         "Run scenarios, load and experiments against routers and controllers",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(dayCommand(), healthComparisonCommand(), loadCommand(), experimentCommand(), compareCommand())
+	root.AddCommand(scenarioCommand(), healthComparisonCommand(), loadCommand(), experimentCommand(), compareCommand())
 	if err := root.Execute(); err != nil {
 		if !errors.Is(err, errRuleBroken) {
 			fmt.Fprintln(os.Stderr, "flintspread-lab:", err)
@@ -29,7 +29,7 @@
 	}
 }
 
-// programFolder returns the folder of the programs to run: folder, or that of this program if folder is empty.
+// programFolder returns the folder with the programs to run: folder, or the folder of this program if folder is empty.
 func programFolder(folder string) (string, error) {
 	if folder != "" {
 		return folder, nil
--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -9,7 +9,8 @@
 	"flintspread/internal/scenario"
 )
 
-// printOutcome prints the outcome of a scenario. Other programs parse it: its last line is the verdict.
+// printOutcome prints the outcome of a scenario. Other programs parse the text, so its wording is fixed. The last line
+// says whether the rules were kept.
 func printOutcome(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, event := range out.History {
@@ -33,8 +34,8 @@
 	return printVerdict(w, out)
 }
 
-// withoutController formats the latency of requests without a controller, compared with the others. It returns "" if
-// there were none.
+// withoutController formats the latency of the requests that a router served without a controller, and its ratio to
+// that of the others. It returns "" if there were none.
 func withoutController(out *scenario.Outcome) string {
 	without, with := out.SucceededWithoutController, out.SucceededWithController
 	if without.N == 0 || with.P99 == 0 {
@@ -44,7 +45,7 @@
 }
 
 // printVerdict prints the first breaches of each rule, and a line that names the broken rules. It returns errRuleBroken
-// if there are any, else nil.
+// if there are any, and nil otherwise.
 func printVerdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, rule := range out.Rules {
--- a/cmd/flintspread-lab/scenario.go
+++ b/cmd/flintspread-lab/scenario.go
@@ -16,37 +16,41 @@
 	"flintspread/internal/scenario"
 )
 
-// stormIntervalSeconds is the interval between configuration versions with --config-storm.
-const stormIntervalSeconds = 1
+// configVersionIntervalSeconds is the interval of the configuration versions that --config-storm sends.
+const configVersionIntervalSeconds = 1
 
-// dayOptions are the flags of the day command.
-type dayOptions struct {
-	jsonFile      string
-	bin           string // folder of the program binaries
-	keep          string // folder for settings and logs; empty: a temporary one
+// scenarioOptions are the flags of the day command, which runs a scenario.
+type scenarioOptions struct {
+	jsonFile      string // file for the outcome; empty: none
+	bin           string // folder with the binaries of the router and the controller
+	keep          string // folder for the files of the run; empty: a temporary one
 	seed          uint64 // 0: the seed of the script
-	processFaults bool
-	configStorm   bool
-	health        bool
+	processFaults bool   // add random faults of controllers and routers
+	configStorm   bool   // send configuration versions during the run
+	health        bool   // without a file, run the scenario of query servers
 	runs          int
-	jobs          int
+	jobs          int // concurrent runs
 }
 
-func dayCommand() *cobra.Command {
-	var o dayOptions
-	cmd := &cobra.Command{Use: "day [FILE]", Short: "Play a day, the built-in bad one without a file", Args: cobra.MaximumNArgs(1)}
+func scenarioCommand() *cobra.Command {
+	var o scenarioOptions
+	cmd := &cobra.Command{
+		Use:   "day [FILE]",
+		Short: "Run the scenario in FILE, or the built-in bad-day.edn, and check the invariants",
+		Args:  cobra.MaximumNArgs(1),
+	}
 	f := cmd.Flags()
-	f.StringVar(&o.jsonFile, "json", "", "write the outcome to this file too")
-	f.StringVar(&o.bin, "bin", "", "the folder of flintspread-router and flintspread-controller (default: this program's)")
-	f.StringVar(&o.keep, "keep", "", "keep the relays' files and logs in this folder")
-	f.Uint64Var(&o.seed, "seed", 0, "seed of clients and kills, instead of the script's")
-	f.BoolVar(&o.processFaults, "planner-kills", false, "kill, pause and restart planners and edges; without a file, the planners' day")
-	f.BoolVar(&o.health, "health", false, "without a file, the day of query servers that fail one way after the other")
-	f.BoolVar(&o.configStorm, "config-storm", false, "a control service sends a version of the settings each second, one in three bad")
-	f.IntVar(&o.runs, "runs", 1, "play it so often, each with the next seed")
-	f.IntVar(&o.jobs, "jobs", 1, "so many at once")
+	f.StringVar(&o.jsonFile, "json", "", "also write the outcome to this file, as JSON")
+	f.StringVar(&o.bin, "bin", "", "folder with flintspread-router and flintspread-controller (default: the folder of this program)")
+	f.StringVar(&o.keep, "keep", "", "folder for the settings, state and logs of all processes (default: a temporary folder, deleted at the end)")
+	f.Uint64Var(&o.seed, "seed", 0, "seed of the scenario and its process faults (default: that of the script)")
+	f.BoolVar(&o.processFaults, "planner-kills", false, "also kill, pause and restart controllers and routers; without FILE, run the built-in planner-day.edn")
+	f.BoolVar(&o.health, "health", false, "without FILE, run the built-in health-day.edn, in which query servers fail in one way after another")
+	f.BoolVar(&o.configStorm, "config-storm", false, "send a configuration version each second from control services, on average one in three invalid")
+	f.IntVar(&o.runs, "runs", 1, "number of runs, each with the next seed")
+	f.IntVar(&o.jobs, "jobs", 1, "number of concurrent runs")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		script, err := o.script(args)
+		script, err := o.readScript(args)
 		if err != nil {
 			return err
 		}
@@ -61,15 +65,15 @@
 			defer os.RemoveAll(dir)
 		}
 		if o.runs > 1 {
-			return o.playSeeds(cmd.OutOrStdout(), *script, dir)
+			return o.runSeeds(cmd.OutOrStdout(), *script, dir)
 		}
-		return o.playOnce(cmd, script, dir)
+		return o.runOnce(cmd, script, dir)
 	}
 	return cmd
 }
 
-// script reads the script selected by flags and arguments.
-func (o *dayOptions) script(args []string) (*scenario.Script, error) {
+// readScript reads the script that flags and arguments select.
+func (o *scenarioOptions) readScript(args []string) (*scenario.Script, error) {
 	file := scenario.BadDay
 	switch {
 	case len(args) > 0:
@@ -87,13 +91,13 @@
 		script.Seed = o.seed
 	}
 	if o.configStorm {
-		script.ConfigStorm = &scenario.ConfigStorm{IntervalSeconds: stormIntervalSeconds}
+		script.ConfigStorm = &scenario.ConfigStorm{IntervalSeconds: configVersionIntervalSeconds}
 	}
 	return script, nil
 }
 
-// playOnce runs a script and prints its outcome.
-func (o *dayOptions) playOnce(cmd *cobra.Command, script *scenario.Script, dir string) error {
+// runOnce runs a script and prints the outcome.
+func (o *scenarioOptions) runOnce(cmd *cobra.Command, script *scenario.Script, dir string) error {
 	if o.processFaults {
 		script.AddProcessFaults(script.Seed)
 	}
@@ -116,22 +120,22 @@
 	return printOutcome(cmd.OutOrStdout(), out)
 }
 
-// playSeeds runs a script with consecutive seeds, up to jobs of them concurrently, and prints a line for each.
-func (o *dayOptions) playSeeds(w io.Writer, script scenario.Script, dir string) error {
+// runSeeds runs a script with consecutive seeds, up to jobs of them concurrently, and prints a line for each.
+func (o *scenarioOptions) runSeeds(w io.Writer, script scenario.Script, dir string) error {
 	var mu sync.Mutex
-	var broken error
-	var services []float64
+	var broken error // errRuleBroken after a run that broke a rule
+	var serviceValues []float64
 	var group errgroup.Group
 	group.SetLimit(o.jobs)
 	for i := range o.runs {
 		group.Go(func() error {
-			out, seed, err := o.playSeed(script, uint64(i), dir)
+			out, seed, err := o.runSeed(script, uint64(i), dir)
 			if err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			services = append(services, out.Service)
+			serviceValues = append(serviceValues, out.Service)
 			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Tries,
 				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].What)
 			if err := printVerdict(w, out); err != nil {
@@ -143,8 +147,8 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	sort.Float64s(services)
-	fmt.Fprintf(w, "%d runs: service %.3f to %.3f, median %.3f\n", o.runs, services[0], services[len(services)-1], services[len(services)/2])
+	sort.Float64s(serviceValues)
+	fmt.Fprintf(w, "%d runs: service %.3f to %.3f, median %.3f\n", o.runs, serviceValues[0], serviceValues[len(serviceValues)-1], serviceValues[len(serviceValues)/2])
 	if broken == nil {
 		fmt.Fprintln(w, "rules: all kept")
 	} else {
@@ -153,8 +157,8 @@
 	return broken
 }
 
-// playSeed runs a copy of a script with its seed increased by offset.
-func (o *dayOptions) playSeed(script scenario.Script, offset uint64, dir string) (out *scenario.Outcome, seed uint64, err error) {
+// runSeed runs a copy of a script with its seed increased by offset, and returns that seed.
+func (o *scenarioOptions) runSeed(script scenario.Script, offset uint64, dir string) (out *scenario.Outcome, seed uint64, err error) {
 	script.Seed += offset
 	script.Events = slices.Clone(script.Events)
 	if o.processFaults {
