--- a/cmd/flintspread-lab/load.go
+++ b/cmd/flintspread-lab/load.go
@@ -12,47 +12,51 @@
 	"flintspread/internal/loadgen"
 )
 
-// loadCommand sends an open-loop load to an address.
+// loadCommand sends an open-loop load to an address and prints the outcome.
 func loadCommand() *cobra.Command {
-	p := loadgen.Plan{Classes: experiment.Classes()}
+	plan := loadgen.Plan{Classes: experiment.Classes()}
 	var trace, out string
-	cmd := &cobra.Command{Use: "load HOST:PORT", Short: "Offer commands at times that do not wait for answers", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{
+		Use:   "load HOST:PORT",
+		Short: "Send an open-loop load to HOST:PORT: requests at times that do not depend on the answers",
+		Args:  cobra.ExactArgs(1),
+	}
 	f := cmd.Flags()
-	f.StringVar(&p.Shape.Kind, "shape", "poisson", "constant, poisson, on-off, ramp, step or rush")
-	f.StringVar(&trace, "trace", "", "a recorded trace instead, CSV or Parquet: at, and op, key, client if known")
-	f.Float64Var(&p.Shape.RequestsPerSecond, "rate", 100, "commands a second")
-	f.Float64Var(&p.Shape.EndRequestsPerSecond, "to", 0, "commands a second at the end of a ramp, after a step")
-	f.Float64Var(&p.Shape.LengthSeconds, "length", 10, "s")
-	f.Float64Var(&p.Shape.PeriodSeconds, "period", 2, "s, of on-off")
-	f.Float64Var(&p.Shape.OnShare, "on", 0.5, "share of the period that is on, of the length before a step")
-	f.Uint64Var(&p.KeyCount, "keys", 100000, "different keys")
-	f.Float64Var(&p.ZipfExponent, "zipf", 1.1, "popularity of keys, above 1; 0: even")
-	f.IntVar(&p.MaxConns, "conns", 2000, "connections at most")
-	f.IntVar(&p.ClientAddresses, "clients", 0, "different loopback addresses that they come from")
-	f.IntVar(&p.MaxRetries, "retries", 0, "tries after a nack")
-	f.BoolVar(&p.IgnoreRetryAfter, "at-once", false, "not after the pause told")
-	f.Uint64Var(&p.Seed, "seed", 1, "")
-	f.Float64Var(&p.MaxLagSeconds, "lag", 0.02, "s of own lag (p99) above which the run is invalid")
-	f.StringVar(&out, "out", "", "a folder for inputs, outcome, table and charts")
+	f.StringVar(&plan.Shape.Kind, "shape", "poisson", "arrivals over time: constant, poisson, on-off, ramp, step or rush")
+	f.StringVar(&trace, "trace", "", "replay a trace instead, a CSV or Parquet file with the column at, and op, key and client if known")
+	f.Float64Var(&plan.Shape.RequestsPerSecond, "rate", 100, "requests per second")
+	f.Float64Var(&plan.Shape.EndRequestsPerSecond, "to", 0, "requests per second at the end of a ramp, or after a step")
+	f.Float64Var(&plan.Shape.LengthSeconds, "length", 10, "length of the run in seconds")
+	f.Float64Var(&plan.Shape.PeriodSeconds, "period", 2, "period of on-off in seconds")
+	f.Float64Var(&plan.Shape.OnShare, "on", 0.5, "on-off: share of the period with load; step: share of the length before the step")
+	f.Uint64Var(&plan.KeyCount, "keys", 100000, "number of different keys")
+	f.Float64Var(&plan.ZipfExponent, "zipf", 1.1, "exponent of the Zipf distribution of the keys, above 1; 0: uniform distribution")
+	f.IntVar(&plan.MaxConns, "conns", 2000, "maximum number of connections")
+	f.IntVar(&plan.ClientAddresses, "clients", 0, "number of loopback addresses that connections come from; 0: one")
+	f.IntVar(&plan.MaxRetries, "retries", 0, "maximum number of retries of a rejected request")
+	f.BoolVar(&plan.IgnoreRetryAfter, "at-once", false, "retry at once, without waiting for the retry-after time")
+	f.Uint64Var(&plan.Seed, "seed", 1, "seed of arrivals and keys")
+	f.Float64Var(&plan.MaxLagSeconds, "lag", 0.02, "99th percentile of the generator's own lag in seconds above which the run is invalid; 0: no limit")
+	f.StringVar(&out, "out", "", "folder for the inputs, the outcome, a table and charts")
 	cmd.RunE = func(cmd *cobra.Command, args []string) (err error) {
-		p.Address = args[0]
+		plan.Address = args[0]
 		if trace != "" {
-			p.Shape.Kind = "trace"
-			if p.Shape.Trace, err = loadgen.ReadTrace(trace); err != nil {
+			plan.Shape.Kind = "trace"
+			if plan.Shape.Trace, err = loadgen.ReadTrace(trace); err != nil {
 				return err
 			}
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 		defer stop()
-		o, err := loadgen.Run(ctx, &p, func(t float64, o *loadgen.Outcome) {
-			fmt.Fprintf(cmd.ErrOrStderr(), "%5.0f s  %d offered\n", t, o.Offered)
+		outcome, err := loadgen.Run(ctx, &plan, func(seconds float64, soFar *loadgen.Outcome) {
+			fmt.Fprintf(cmd.ErrOrStderr(), "%5.0f s  %d offered\n", seconds, soFar.Offered)
 		})
 		if err != nil {
 			return err
 		}
-		o.Print(cmd.OutOrStdout())
+		outcome.Print(cmd.OutOrStdout())
 		if out != "" {
-			return o.Save(out, loadgen.NewInputs(p, p.Seed))
+			return outcome.Save(out, loadgen.NewInputs(plan, plan.Seed))
 		}
 		return nil
 	}
