--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -13,7 +13,7 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrInUse is returned if another process has the store open.
+// ErrInUse is wrapped by the errors of Open and OpenOrSetAside if another process has the store open.
 var ErrInUse = errors.New("in use by another process")
 
 const (
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -18,7 +18,7 @@
 	// Control configures the control services that send the endpoint list and versions of the routers' document.
 	// Optional.
 	Control *Control `edn:"control"`
-	// Link is the address on which routers connect.
+	// Link configures the connections of the controller's routers.
 	Link Link `edn:"link"`
 	// Health adds evidence from Prometheus servers to the routers' counts. Optional.
 	Health  *Health        `edn:"health"`
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -34,7 +34,7 @@
 type Clients struct {
 	// MaxConns is the maximum number of client connections.
 	MaxConns int `edn:"connections" validate:"gt=0"`
-	// HeadBytes and BodyBytes bound the head and the body of one request.
+	// HeadBytes and BodyBytes are the maximum sizes of the head and the body of a request.
 	HeadBytes int64 `edn:"head-bytes" validate:"gte=1024"`
 	BodyBytes int64 `edn:"body-bytes" validate:"gte=0"`
 	// ReadTimeoutSeconds is the time within which a client must have sent a request, and received an answer,
@@ -58,9 +58,9 @@
 	// IdleTimeoutSeconds is the time after which an idle connection is closed. It must be below the endpoints' own idle
 	// timeout; otherwise requests hit connections that the endpoint has just closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
-	// MaxAnswerBytes bounds one answer.
+	// MaxAnswerBytes is the maximum size of an answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gt=0"`
-	// MaxConns bounds the connections to all endpoints together; 0: unlimited. It cannot be set in a file.
+	// MaxConns is the maximum number of connections to all endpoints together; 0: unlimited. It cannot be set in a file.
 	MaxConns int `edn:"-"`
 }
 
@@ -190,7 +190,7 @@
 	return -1
 }
 
-// validate checks conditions on several fields, and sets the derived fields.
+// validate checks fields against each other, and sets the derived fields.
 func (d *Document) validate(loc locator) (err error) {
 	if d.policy, err = policyConfig(loc, d.Rules, d.Release, d.Classes); err != nil {
 		return err
--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -16,15 +16,15 @@
 	Servers []QueryServer `edn:"servers" validate:"required,min=1,max=16,dive"`
 	// Queries are sent to every server.
 	Queries []Query `edn:"queries" validate:"required,min=1,max=64,dive"`
-	// QueriesPerSecond bounds the queries to all servers together.
+	// QueriesPerSecond is the maximum rate of the queries to all servers together.
 	QueriesPerSecond float64 `edn:"queries-a-second" validate:"gt=0,lte=1000"`
-	// MaxConcurrentQueries bounds the queries in flight.
+	// MaxConcurrentQueries is the maximum number of queries in flight.
 	MaxConcurrentQueries int `edn:"at-once" validate:"gt=0,lte=64"`
 	// TimeoutSeconds is the time after which a query is cancelled.
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// MaxBackoffSeconds is the maximum backoff between queries to a failing server.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
-	// MaxAnswerBytes and MaxSeries bound one answer.
+	// MaxAnswerBytes and MaxSeries are the maximum size and the maximum number of time series of an answer.
 	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
 	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
 	// MaxClockSkewSeconds is how far a server's clock may be ahead of this program's.
@@ -125,7 +125,7 @@
 	return metricsanalysis.Bounds{QueriesPerSecond: h.QueriesPerSecond, MaxInFlight: h.MaxConcurrentQueries, MaxBackoffSeconds: h.MaxBackoffSeconds}
 }
 
-// validate checks conditions on several fields, and parses the templates.
+// validate checks fields against each other, and parses the templates.
 func (h *Health) validate(loc locator) error {
 	serverNames := map[string]bool{}
 	for i, server := range h.Servers {
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -40,7 +40,7 @@
                      :total`, `\"{{.Builds}}\"}"
                      :total`},
 		{`unit_answers_total{build=~\"{{.Builds}}\"}[15s]`, `rate(unit_answers_total[15s])`},
-		{`{{.Builds}}`, `{{.Hall}}`},
+		{`{{.Builds}}`, `{{.Unknown}}`},
 		{`unit_p99`, `unit_p99{`},
 		{`:span 10.0 `, ``},
 		{`:limit 0.3 `, ``},
@@ -71,7 +71,7 @@
 	// plan.edn:29: :health :queries 0 :form: :instant must be :samples for :counts; values computed from counters hide resets, gaps and ages
 	// plan.edn:30: :health :queries 0 :query: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
 	// plan.edn:31: :health :queries 0 :total: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
-	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Hall>: can't evaluate field Hall in type promquery.fill
+	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Unknown>: can't evaluate field Unknown in type promquery.fill
 	// plan.edn:33: :health :queries 1 :query: 1:10: parse error: unexpected end of input inside braces
 	// plan.edn:33: :health :queries 1 :span: a :range query needs a :span above 0, and a :step above 0 and at most :span
 	// plan.edn:33: :health :queries 1 :limit: missing; :quantile needs the value above which an endpoint is marked
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -30,7 +30,7 @@
 // SocketPath returns the path of the Unix socket; ok is false if the link uses TCP.
 func (l *Link) SocketPath() (path string, ok bool) { return strings.CutPrefix(l.Address, "unix:") }
 
-// validate checks conditions on several fields. key is empty if the link is valid.
+// validate checks fields against each other. key is empty if the link is valid.
 func (l *Link) validate() (key, problem string) {
 	if _, ok := l.SocketPath(); ok {
 		return "", ""
@@ -58,7 +58,7 @@
 	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 	// RequiredListTimeoutSeconds is how long a configuration version waits for the endpoint list that it requires.
 	RequiredListTimeoutSeconds float64 `edn:"patience" validate:"gt=0"`
-	// MaxResponseBytes bounds one response.
+	// MaxResponseBytes is the maximum size of a response.
 	MaxResponseBytes int `edn:"most-bytes" validate:"gte=1024"`
 	// Cert, Key, CA and Peer are as in Link: all four or none. Without them the stream is plaintext, for a service on
 	// the same host.
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -23,7 +23,7 @@
 	Sources *Sources `edn:"sources"`
 	// Controller configures the connection to the router's controller. Exactly one of Sources and Controller must be set.
 	Controller *Link `edn:"planner"`
-	// Name identifies the router among those of its controller. Optional; the default is Relay.
+	// Name identifies the router among those of its controller. Optional; the default is RouterGroup.
 	Name string `edn:"edge"`
 	// Control configures the control services that send the endpoint list and versions of the document. Optional.
 	Control *Control `edn:"control"`
@@ -92,8 +92,8 @@
 	return r.Control.RequiredListTimeoutSeconds
 }
 
-// Check checks conditions on several fields, and sets the derived fields. ParseRouter calls it; call it again after
-// changing fields of a parsed Router.
+// Check checks fields against each other, and sets the derived fields. ParseRouter calls it; call it again after changing
+// fields of a parsed Router.
 func (r *Router) Check() error {
 	loc := r.locator
 	if r.Name == "" {
