--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -173,7 +173,7 @@
 	case q.isCounts() && q.Total == "":
 		return "total", "missing; :counts needs the counters of all outcomes besides those of failures"
 	case !q.isCounts() && hasCountsFields:
-		return "meaning", fmt.Sprintf("%v must be :counts, as only that allows :kind, :total and :apart", q.Meaning)
+		return "meaning", fmt.Sprintf("%v does not allow :kind, :total and :apart; only :counts does", q.Meaning)
 	case needsLimit && q.Limit == 0:
 		return "limit", fmt.Sprintf("missing; %v needs the value above which an endpoint is marked", q.Meaning)
 	case q.Form == "range" && (q.RangeSeconds == 0 || q.StepSeconds == 0 || q.StepSeconds > q.RangeSeconds):
