--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -4,22 +4,21 @@
 
 // Controller is the settings file of one controller. Rules, Release and Classes must equal those of its routers.
 type Controller struct {
-	// Relay is the name that identifies the controller's routers, as one relay, to the release service and to control
-	// services.
-	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
+	// RouterGroup is the name by which the release service and the control services know the controller's routers.
+	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that stores the epoch, the vote, the last release, the last endpoint list and the
-	// configuration history. Only one controller may use it at a time.
+	// StateDir is the folder for the epoch, the vote, the last release, the last endpoint list and the configuration
+	// history. Only one controller may use it at a time.
 	StateDir string `edn:"state-dir" validate:"required"`
-	// Seed makes decisions repeatable. Optional; 0: random at each start.
+	// Seed makes decisions repeatable. Optional; 0: a random seed at each start.
 	Seed    uint64  `edn:"seed"`
 	Log     Log     `edn:"log"`
 	Sources Sources `edn:"sources"`
 	// Control configures the control services that send the endpoint list and versions of the routers' document.
 	// Optional.
 	Control *Control `edn:"control"`
-	// Link is the address on which routers connect.
+	// Link configures the connections of the controller's routers.
 	Link Link `edn:"link"`
 	// Health adds evidence from Prometheus servers to the routers' counts. Optional.
 	Health  *Health        `edn:"health"`
@@ -39,26 +38,26 @@
 	return ParseController(file, text)
 }
 
-// ParseController parses and checks the text of a controller's settings file. file is its name in errors.
+// ParseController parses and checks the text of a controller's settings file. file is the file name in errors.
 func ParseController(file string, text []byte) (*Controller, error) {
 	c := &Controller{}
 	positions, err := decode(file, text, c)
 	if err != nil {
 		return nil, err
 	}
-	src := source{file, positions}
+	loc := locator{file, positions}
 	if key, problem := c.Link.validate(); key != "" {
-		return nil, src.fieldError(":link "+key, problem)
+		return nil, loc.fieldError(":link "+key, problem)
 	}
-	if err := validateSources(src, &c.Sources, c.Control); err != nil {
+	if err := validateSources(loc, &c.Sources, c.Control); err != nil {
 		return nil, err
 	}
 	if c.Health != nil {
-		if err := c.Health.validate(src); err != nil {
+		if err := c.Health.validate(loc); err != nil {
 			return nil, err
 		}
 	}
-	c.policy, err = policyConfig(src, c.Rules, c.Release, c.Classes)
+	c.policy, err = policyConfig(loc, c.Rules, c.Release, c.Classes)
 	return c, err
 }
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,18 +11,18 @@
 
 // FieldError is an error in the text of a settings file or document.
 type FieldError struct {
-	File string // or the name of the document
-	Line int    // starting at 1
-	Key  string // the path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
-	What string
+	File    string // the name of the settings file or document
+	Line    int    // starting at 1
+	Key     string // path of the key, such as ":op-types 0 :target"; empty if the text cannot be parsed
+	Problem string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string {
 	if e.Key == "" {
-		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
+		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.What)
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Problem)
 }
 
 // IsFieldError reports whether an error is or wraps a *FieldError.
@@ -31,17 +31,19 @@
 	return errors.As(err, &fieldError)
 }
 
-// source creates the errors of one text.
-type source struct {
+// locator creates errors with the positions of keys in one text.
+type locator struct {
 	file      string
 	positions *positions
 }
 
-func (s source) fieldError(path, what string) error {
-	return &FieldError{File: s.file, Line: s.positions.nearestLine(path), Key: path, What: what}
+// fieldError returns an error at a path. If the path is not in the text, the line is that of the innermost enclosing
+// key or element that is.
+func (l locator) fieldError(path, problem string) error {
+	return &FieldError{File: l.file, Line: l.positions.nearestLine(path), Key: path, Problem: problem}
 }
 
-// comparisons are the validator tags whose parameter completes the message.
+// comparisons are the messages of the validator tags whose parameter completes the message.
 var comparisons = map[string]string{
 	"gt":         "must be above",
 	"gte":        "must be at least",
@@ -52,7 +54,7 @@
 	"startswith": "must begin with",
 }
 
-// fieldComparisons are the validator tags whose parameter is the Go name of another field.
+// fieldComparisons are the messages of the validator tags whose parameter is the Go name of another field.
 var fieldComparisons = map[string]string{
 	"gtefield": "must be at least that of",
 	"gtfield":  "must be above that of",
@@ -77,14 +79,16 @@
 	return fmt.Sprintf("%v does not do (%s %s)", failure.Value(), failure.Tag(), failure.Param())
 }
 
-var wordBoundary = regexp.MustCompile(`([a-z])([A-Z])`)
-
-// keyOfField converts a field name to its EDN key, such as BackLeast to back-least. It only works for fields named like
-// their keys, as those in gtefield and gtfield tags must be.
-func keyOfField(name string) string {
-	return strings.ToLower(wordBoundary.ReplaceAllString(name, "$1-$2"))
+// comparedKeys are the EDN keys of the fields that gtefield and gtfield tags refer to.
+var comparedKeys = map[string]string{
+	"BackoffMinSeconds":     "back-least",
+	"ReportIntervalSeconds": "beat",
+	"PeriodSeconds":         "period",
 }
 
+// keyOfField returns the EDN key of a field that a gtefield or gtfield tag refers to.
+func keyOfField(name string) string { return comparedKeys[name] }
+
 var indexSuffix = regexp.MustCompile(`\[(\d+)\]`)
 
 // namespacePath converts the validator's Router.op-types[0].target to :op-types 0 :target.
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -4,37 +4,37 @@
 
 // Router is the settings file of one router.
 type Router struct {
-	// Relay is the name that identifies the router, together with all that share its controller, to the release service
-	// and to control services.
-	Relay string `edn:"relay" validate:"required,printascii,excludesall= "`
+	// RouterGroup is the name by which the release service and the control services know the router, together with all
+	// routers of its controller.
+	RouterGroup string `edn:"relay" validate:"required,printascii,excludesall= "`
 	// ListenAddress is the HOST:PORT that clients connect to.
 	ListenAddress string `edn:"listen" validate:"required,hostname_port"`
 	// MetricsAddress is the HOST:PORT on which /metrics is served.
 	MetricsAddress string `edn:"admin" validate:"required,hostname_port"`
-	// StateDir is the folder that stores the last endpoint list, the last release and the configuration history.
+	// StateDir is the folder for the last endpoint list, the last release and the configuration history.
 	StateDir string `edn:"state-dir" validate:"required"`
 	// ReusePort lets other routers on this host listen on the same address. Optional.
 	ReusePort bool `edn:"share-port"`
-	// Seed makes decisions repeatable: equal seeds and events lead to equal decisions. Optional; 0: random at each
+	// Seed makes decisions repeatable: equal seeds and events lead to equal decisions. Optional; 0: a random seed at each
 	// start.
 	Seed uint64 `edn:"seed"`
 	Log  Log    `edn:"log"`
-	// Sources is for a router without a controller, which follows the endpoint list and the release service itself.
+	// Sources configures a router without a controller, which follows the endpoint list and the release service itself.
 	Sources *Sources `edn:"sources"`
-	// Controller is for a router with a controller. Exactly one of Sources and Controller must be set.
+	// Controller configures the connection to the router's controller. Exactly one of Sources and Controller must be set.
 	Controller *Link `edn:"planner"`
-	// Name identifies the router among those of its controller. Optional; the default is Relay.
+	// Name identifies the router among those of its controller. Optional; the default is RouterGroup.
 	Name string `edn:"edge"`
 	// Control configures the control services that send the endpoint list and versions of the document. Optional.
 	Control *Control `edn:"control"`
-	// Overload configures the router's behaviour when it is the bottleneck itself. Optional.
+	// Overload configures the router's protection against its own overload. Optional.
 	Overload *Overload `edn:"overload"`
 	Document
 
-	source source
+	locator locator
 }
 
-// Overload protects a router against its own overload.
+// Overload configures how a router behaves when it is the bottleneck itself.
 type Overload struct {
 	// Shed enables load shedding: when the process falls behind, requests are rejected, those with the lowest priority
 	// weight first.
@@ -58,9 +58,9 @@
 	ReleaseServiceURL string `edn:"installer" validate:"required,http_url"`
 	// SilenceSeconds is the time without a line after which a watch is considered broken.
 	SilenceSeconds float64 `edn:"silence" validate:"gt=0"`
-	// BackLeast and BackMost bound the exponential backoff between connections of a watch, in seconds.
-	BackLeast float64 `edn:"back-least" validate:"gt=0"`
-	BackMost  float64 `edn:"back-most" validate:"gtefield=BackLeast"`
+	// BackoffMinSeconds and BackoffMaxSeconds bound the exponential backoff between connections of a watch.
+	BackoffMinSeconds float64 `edn:"back-least" validate:"gt=0"`
+	BackoffMaxSeconds float64 `edn:"back-most" validate:"gtefield=BackoffMinSeconds"`
 }
 
 // ReadRouter reads and checks a router's settings file. An error in the text is a *FieldError.
@@ -72,72 +72,72 @@
 	return ParseRouter(file, text)
 }
 
-// ParseRouter parses and checks the text of a router's settings file. file is its name in errors.
+// ParseRouter parses and checks the text of a router's settings file. file is the file name in errors.
 func ParseRouter(file string, text []byte) (*Router, error) {
 	r := &Router{}
 	positions, err := decode(file, text, r)
 	if err != nil {
 		return nil, err
 	}
-	r.source = source{file, positions}
+	r.locator = locator{file, positions}
 	return r, r.Check()
 }
 
-// ConfigWaitSeconds returns how long a configuration version may wait for the endpoint list that it requires, 0 without
-// a control service.
-func (r *Router) ConfigWaitSeconds() float64 {
+// RequiredListTimeoutSeconds returns how long a configuration version may wait for the endpoint list that it requires.
+// It is 0 without a control service.
+func (r *Router) RequiredListTimeoutSeconds() float64 {
 	if r.Control == nil {
 		return 0
 	}
-	return r.Control.PairingTimeoutSeconds
+	return r.Control.RequiredListTimeoutSeconds
 }
 
-// Check checks conditions on several fields, and sets the derived fields. ParseRouter calls it; call it again after
-// changing fields of a parsed Router.
+// Check checks fields against each other, and sets the derived fields. ParseRouter calls it; call it again after changing
+// fields of a parsed Router.
 func (r *Router) Check() error {
-	src := r.source
+	loc := r.locator
 	if r.Name == "" {
-		r.Name = r.Relay
+		r.Name = r.RouterGroup
 	}
-	if err := r.validate(src); err != nil {
+	if err := r.validate(loc); err != nil {
 		return err
 	}
 	switch {
 	case r.Controller != nil:
 		r.policy.HasController = true
-		return r.validateWithController(src)
+		return r.validateWithController(loc)
 	case r.Sources != nil:
-		return validateSources(src, r.Sources, r.Control)
+		return validateSources(loc, r.Sources, r.Control)
 	}
-	return src.fieldError(":sources", "missing; without a :planner the edge asks for itself")
+	return loc.fieldError(":sources", "missing; a router without :planner needs :sources")
 }
 
 // validateWithController rejects settings that the controller decides for its routers.
-func (r *Router) validateWithController(src source) error {
+func (r *Router) validateWithController(loc locator) error {
 	if key, problem := r.Controller.validate(); key != "" {
-		return src.fieldError(":planner "+key, problem)
+		return loc.fieldError(":planner "+key, problem)
 	}
 	switch {
 	case r.ReusePort && r.Rules.OneWayKeys:
-		return src.fieldError(":rules :one-way-keys", "edges that share a port do not know each other's keys")
+		return loc.fieldError(":rules :one-way-keys", "must be false with :share-port; routers that share a port do not know each other's keys")
 	case r.Control != nil:
-		return src.fieldError(":control", "with a :planner the versions of the settings are the planner's matter")
+		return loc.fieldError(":control", "not allowed with :planner; the controller sends the configuration versions")
 	case r.Sources != nil:
-		return src.fieldError(":sources", "with a :planner the list and the news of releases come from there")
+		return loc.fieldError(":sources", "not allowed with :planner; the controller sends the endpoint list and the release updates")
 	}
 	return nil
 }
 
 // validateSources checks that the endpoint list has exactly one source, and that the control services' credentials are
 // complete.
-func validateSources(src source, s *Sources, c *Control) error {
+func validateSources(loc locator, s *Sources, c *Control) error {
 	switch {
 	case c == nil && s.EndpointListURL == "":
-		return src.fieldError(":sources :list", "missing; without a :control it comes from nowhere else")
+		return loc.fieldError(":sources :list", "missing; required without :control, which would send the endpoint list")
 	case c != nil && s.EndpointListURL != "":
-		return src.fieldError(":sources :list", "with a :control the list comes from there")
+		return loc.fieldError(":sources :list", "not allowed with :control, which sends the endpoint list")
 	case c != nil && c.hasSomeCredentials() && !c.hasAllCredentials():
-		return src.fieldError(":control", "of :cert, :key, :ca and :peer all are needed, or none")
+		return loc.fieldError(":control", "needs all of :cert, :key, :ca and :peer, or none of them")
 	}
 	return nil
 }
--- a/internal/controller/config_versions.go
+++ b/internal/controller/config_versions.go
@@ -38,7 +38,7 @@
 // follow follows the control services until ctx ends.
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.controller.settings
-	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.Relay, settings.Relay, settings.Link.Beat,
+	return xds.FollowAll(ctx, settings.Control, v.controller.log, settings.RouterGroup, settings.RouterGroup, settings.Link.ReportIntervalSeconds,
 		xds.Handler{OnEndpoints: v.applyEndpointUpdate, OnConfig: v.propose, Recheck: v.recheck})
 }
 
@@ -88,7 +88,7 @@
 	if outcome, err := v.state.Check(version, v.conditions(version)); outcome != configstate.Applied {
 		return outcome, err
 	}
-	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.PairingTimeoutSeconds)
+	v.proposal = configstate.NewProposal(version, c.now(), c.settings.Control.RequiredListTimeoutSeconds)
 	return configstate.Waiting, nil
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -85,10 +85,10 @@
 	}
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	c.openVoteSender(client)
-	log.Info("controller started", "relay", settings.Relay, "epoch", c.leader.Epoch(), "link", settings.Link.Address,
+	log.Info("controller started", "relay", settings.RouterGroup, "epoch", c.leader.Epoch(), "link", settings.Link.Address,
 		"admin", listeners.admin.Addr().String())
 	err = c.serve(ctx, client, listeners)
-	log.Info("controller stopped", "relay", settings.Relay)
+	log.Info("controller stopped", "relay", settings.RouterGroup)
 	return err
 }
 
@@ -125,7 +125,7 @@
 		seed = rand.Uint64()
 	}
 	c.balancer = policy.New(settings.Policy(), seed, c.startedAtSeconds)
-	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.Relay,
+	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.RouterGroup,
 		AcceptReport: c.acceptReport, NextAssignment: c.nextAssignment}
 	return c
 }
@@ -222,8 +222,8 @@
 func (c *Controller) startFeeds(ctx context.Context, running *sync.WaitGroup, client *http.Client, failed chan<- error) {
 	sources := c.settings.Sources
 	source := func(url string) watch.Source {
-		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackLeast,
-			BackoffMaxSeconds: sources.BackMost, Log: c.log, Client: client}
+		return watch.Source{URL: url, SilenceSeconds: sources.SilenceSeconds, BackoffMinSeconds: sources.BackoffMinSeconds,
+			BackoffMaxSeconds: sources.BackoffMaxSeconds, Log: c.log, Client: client}
 	}
 	if c.settings.Control == nil {
 		running.Go(func() { watch.Follow(ctx, source(sources.EndpointListURL), c.applyEndpointUpdate, func() {}) })
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -254,7 +254,7 @@
 			}
 			settings := queryServerSettings(b, urls...)
 			for i := range settings.Health.Queries {
-				settings.Health.Queries[i].Period, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
+				settings.Health.Queries[i].PeriodSeconds, settings.Health.Queries[i].StaleAfterSeconds = 1, 5
 			}
 			controller := newController(settings, discardLog(), nil)
 			var err error
--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -175,7 +175,7 @@
 // sendAssignments sends an assignment on every notification and keep-alive interval until the stream fails. An assignment
 // is built when it can be sent, so that a slow reader receives fewer assignments, but no outdated ones.
 func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
-	keepAlive := time.NewTicker(seconds(s.Config.Beat * keepAliveIntervals))
+	keepAlive := time.NewTicker(seconds(s.Config.ReportIntervalSeconds * keepAliveIntervals))
 	defer keepAlive.Stop()
 	for {
 		select {
--- a/internal/controlrpc/credentials_test.go
+++ b/internal/controlrpc/credentials_test.go
@@ -13,7 +13,7 @@
 // the given name of the peer.
 func issueLink(authority *testca.CA, file, name string, expiresAt time.Time, address, peer string) *config.Link {
 	cert, key := authority.Issue(file, name, expiresAt)
-	return &config.Link{Address: address, Beat: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
+	return &config.Link{Address: address, ReportIntervalSeconds: 0.02, SilenceSeconds: 0.5, LeaseSeconds: 1, Peer: peer, CA: authority.CAFile(), Cert: cert, Key: key}
 }
 
 // Over TCP both sides present a certificate. The reason for rejecting a certificate is logged with the names in it, and a
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -113,10 +113,10 @@
 
 func proxySettings(cfg *Config, policyConfig policy.Config, limits loadshed.ResourceLimits) *config.Router {
 	clients := config.Clients{
-		MaxConns:           limits.ClientConns,
-		EvictIdleFrom:      limits.IdleEvictionThreshold,
-		ReadTimeoutSeconds: clientReadSeconds,
-		IdleTimeoutSeconds: clientIdleSeconds,
+		MaxConns:              limits.ClientConns,
+		IdleEvictionThreshold: limits.IdleEvictionThreshold,
+		ReadTimeoutSeconds:    clientReadSeconds,
+		IdleTimeoutSeconds:    clientIdleSeconds,
 	}
 	upstreams := config.Endpoints{
 		MaxConnsPerEndpoint: limits.EndpointConns,
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -20,7 +20,7 @@
 	pausedRecheckSeconds = 0.2
 	// maxWaitSeconds is the maximum time between two checks of the schedule.
 	maxWaitSeconds = 10.0
-	// labelHoldsAddress and labelHoldsID are the values of config.Query.EndpointLabelHolds.
+	// labelHoldsAddress and labelHoldsID are the values of config.Query.EndpointLabelKind.
 	labelHoldsAddress = "address"
 	labelHoldsID      = "id"
 )
@@ -105,7 +105,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.EndpointLabelHolds == labelHoldsAddress {
+		if query.EndpointLabelKind == labelHoldsAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.generateChunks(query, labels)
@@ -124,7 +124,7 @@
 	}
 	for chunk := range p.chunks[queryIndex] {
 		for server := range p.clients {
-			jobs = append(jobs, metricsanalysis.Job{Server: server, Query: queryIndex, Chunk: chunk, PeriodSeconds: query.Period, Cost: cost})
+			jobs = append(jobs, metricsanalysis.Job{Server: server, Query: queryIndex, Chunk: chunk, PeriodSeconds: query.PeriodSeconds, Cost: cost})
 		}
 	}
 	return jobs
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -97,14 +97,14 @@
 // overCapacity reports whether so many connections are open, including evicted ones that have not closed yet, that file
 // descriptors could run out. The caller holds p.mu.
 func (p *Proxy) overCapacity(limits *config.Clients) bool {
-	return limits.EvictIdleFrom > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
+	return limits.IdleEvictionThreshold > 0 && loadshed.OverCapacity(len(p.clients), limits.MaxConns)
 }
 
 // makeRoom reports whether one more connection may be admitted, because the count is below the limit or because another
-// connection could be evicted. From limits.EvictIdleFrom connections on, each new connection evicts another one. The
+// connection could be evicted. From limits.IdleEvictionThreshold connections on, each new connection evicts another one. The
 // caller holds p.mu.
 func (p *Proxy) makeRoom(limits *config.Clients) bool {
-	mustEvict := limits.EvictIdleFrom > 0 && len(p.clients) >= limits.EvictIdleFrom
+	mustEvict := limits.IdleEvictionThreshold > 0 && len(p.clients) >= limits.IdleEvictionThreshold
 	return mustEvict && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
--- a/internal/proxy/resp_harness_test.go
+++ b/internal/proxy/resp_harness_test.go
@@ -38,7 +38,7 @@
 	if edit != nil {
 		edit(settings)
 	}
-	settings.Clients.EvictIdleFrom = settings.Clients.MaxConns
+	settings.Clients.IdleEvictionThreshold = settings.Clients.MaxConns
 	proxy := NewRESP(settings, 1, discardLogger(), func(releases.Vote) {})
 	proxy.connReuseDelaySeconds = 0 // most tests count connections and expect immediate reuse
 	proxy.SetReady()
--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -46,14 +46,14 @@
 func (v *configVersions) follow(ctx context.Context) error {
 	settings := v.router.config
 	control := settings.Control
-	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.Relay, recheckIntervalSeconds(control),
+	return xds.FollowAll(ctx, control, v.router.log, settings.Name, settings.RouterGroup, recheckIntervalSeconds(control),
 		xds.Handler{OnEndpoints: v.applyEndpoints, OnConfig: v.offer, Recheck: v.recheck})
 }
 
 // recheckIntervalSeconds returns the interval at which a version that waits for its endpoint list is rechecked: a quarter
 // of the time that it may wait, or the silence limit of the control service if that is shorter.
 func recheckIntervalSeconds(control *config.Control) float64 {
-	return min(control.PairingTimeoutSeconds/4, control.SilenceSeconds)
+	return min(control.RequiredListTimeoutSeconds/4, control.SilenceSeconds)
 }
 
 // applyEndpoints applies an endpoint list. It rejects a list that is older than the list in force, because a newer one
