--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -163,7 +163,7 @@
 		}
 		inTime := cs.clock()+retryAfter+minRetrySeconds <= r.firstSentAt+r.class.TimeoutSeconds
 		if !cs.mayRetry(r, outcome) || retries >= r.behavior.MaxRetries || !inTime {
-			cs.record.Enter(func(*invariants.Record) { try.record.FinalTry = true })
+			cs.record.Update(func(*invariants.Record) { try.record.FinalTry = true })
 			return
 		}
 		time.Sleep(seconds(retryAfter))
@@ -226,7 +226,7 @@
 		SentAt:                  cs.clock(),
 		Deadline:                cs.clock() + timeout,
 	}
-	cs.record.Enter(func(all *invariants.Record) { all.Requests[record.ID] = record })
+	cs.record.Update(func(all *invariants.Record) { all.Requests[record.ID] = record })
 	abandonAt := math.Inf(1)
 	if r.rand.Float64() < r.behavior.AbandonShare {
 		abandonAt = record.SentAt + abandonWithin*timeout*r.rand.Float64()
@@ -265,14 +265,14 @@
 func (cs *Clients) sendTry(t *clientTry) (outcome string, retryAfter float64) {
 	c, err := cs.connect(t.record.Relay)
 	if err != nil {
-		cs.record.Enter(func(*invariants.Record) { t.record.NotConnected = true })
+		cs.record.Update(func(*invariants.Record) { t.record.NotConnected = true })
 		return outcomeNotConnected, 0
 	}
 	c.expect(t.record)
 	if n, err := c.Write(t.encode()); err != nil {
 		c.Close()
 		if n == 0 {
-			cs.record.Enter(func(*invariants.Record) { t.record.NotConnected = true })
+			cs.record.Update(func(*invariants.Record) { t.record.NotConnected = true })
 			return outcomeNotConnected, 0
 		}
 	}
@@ -288,7 +288,7 @@
 	case <-timer.C:
 		c.Close()
 		if cs.clock() < t.record.Deadline {
-			cs.record.Enter(func(*invariants.Record) { t.record.AbandonedAt = cs.clock() })
+			cs.record.Update(func(*invariants.Record) { t.record.AbandonedAt = cs.clock() })
 			return outcomeAbandoned, 0
 		}
 		return outcomeNone, 0
@@ -300,7 +300,7 @@
 	outcome = answer.header.Get("Flint-Answer")
 	if outcome == outcomeSucceeded {
 		wrong := answer.status == http.StatusOK && string(answer.body) != RightAnswer(t.body()+t.path())
-		cs.record.Enter(func(*invariants.Record) { t.record.WrongAnswer = wrong })
+		cs.record.Update(func(*invariants.Record) { t.record.WrongAnswer = wrong })
 		if wrong && t.rand.Float64() < t.behavior.WrongAnswerReportShare {
 			wait := seconds(wrongAnswerReportWait + t.rand.Float64())
 			time.AfterFunc(wait, func() { cs.reportWrongAnswer(t.record.Relay, answer.header.Get("Flint-Receipt")) })
@@ -410,7 +410,7 @@
 			c.lastAnswered, c.awaited = request.ID, nil
 		}
 		c.mu.Unlock()
-		cs.record.Enter(func(r *invariants.Record) {
+		cs.record.Update(func(r *invariants.Record) {
 			if request == nil {
 				r.StrayAnswers = append(r.StrayAnswers, fmt.Sprintf("an answer nobody waited for, after that of command %d", lastAnswered))
 				return
@@ -433,7 +433,7 @@
 	c.awaited = nil
 	c.mu.Unlock()
 	if request != nil {
-		cs.record.Enter(func(*invariants.Record) { request.ClosedAt = now })
+		cs.record.Update(func(*invariants.Record) { request.ClosedAt = now })
 		c.answers <- nil
 	}
 	c.Close()
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -133,7 +133,7 @@
 			e.conns.Add(-1)
 		}
 	}}
-	record.Enter(func(r *invariants.Record) {
+	record.Update(func(r *invariants.Record) {
 		r.Endpoints[id] = &invariants.Endpoint{ID: id, Build: build, StartedAt: e.StartedAt, Capacity: float64(shape.Cores)}
 	})
 	go serveUntilClosed(e.server, faultyListener{l, e})
@@ -205,7 +205,7 @@
 	limit := e.shape.SlowStartOverloadFactor * float64(e.shape.Cores) * e.capacityShare(now) * e.shape.SlowStartOverloadSeconds
 	if kept > 1 && sum > limit {
 		e.failed = true
-		e.record.Enter(func(r *invariants.Record) { r.Endpoints[e.ID].FailedAt = now })
+		e.record.Update(func(r *invariants.Record) { r.Endpoints[e.ID].FailedAt = now })
 	}
 	return e.failed
 }
@@ -269,13 +269,13 @@
 	id, _ := strconv.ParseUint(r.Header.Get(headerRequestID), 10, 64)
 	work, _ := strconv.ParseFloat(r.Header.Get(headerWork), 64)
 	attempt := &invariants.Attempt{RequestID: id, Endpoint: e.ID, At: now, WorkSeconds: work}
-	e.record.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
+	e.record.Update(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
 	return attempt
 }
 
 // reject answers that a request did not run.
 func (e *Endpoint) reject(w http.ResponseWriter, attempt *invariants.Attempt) {
-	e.record.Enter(func(*invariants.Record) { attempt.RejectedAt = e.clock() })
+	e.record.Update(func(*invariants.Record) { attempt.RejectedAt = e.clock() })
 	w.Header().Set("Flint-Never-Ran", "queue full")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -188,7 +188,7 @@
 			sent = append(sent, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: id})
 		}
 	}
-	l.record.Enter(func(r *invariants.Record) { r.EndpointUpdates = append(r.EndpointUpdates, sent...) })
+	l.record.Update(func(r *invariants.Record) { r.EndpointUpdates = append(r.EndpointUpdates, sent...) })
 }
 
 // ServeHTTP streams the list to the relay that the path value "relay" names.
--- a/internal/fakes/platformclient.go
+++ b/internal/fakes/platformclient.go
@@ -51,9 +51,9 @@
 	encoded := encodeSiteRequest(request, i)
 	request.SentAt = s.Clock()
 	request.FirstSentAt, request.Deadline = request.SentAt, request.SentAt+siteTimeoutSeconds
-	s.Record.Enter(func(r *invariants.Record) { r.Requests[request.ID] = request })
+	s.Record.Update(func(r *invariants.Record) { r.Requests[request.ID] = request })
 	kind, err := exchange(c, br, encoded, request.ID)
-	s.Record.Enter(func(*invariants.Record) {
+	s.Record.Update(func(*invariants.Record) {
 		if err != nil {
 			request.ClosedAt = s.Clock()
 		} else {
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	s.Record.Enter(func(r *invariants.Record) {
+	s.Record.Update(func(r *invariants.Record) {
 		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: siteEndpointCapacity}
 	})
 	s.List(hostName(n), address, build, platformReady)
@@ -185,7 +185,7 @@
 		if rand.Float64() < bad {
 			answer, reset = badAnswer(attempt)
 		}
-		s.Record.Enter(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
+		s.Record.Update(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
 		if reset {
 			resetOnClose(c)
 			return
@@ -245,7 +245,7 @@
 // recordEndpoint records that the relay is sent an entry.
 func (s *PlatformSite) recordEndpoint(entry platformHost) {
 	at := s.Clock()
-	s.Record.Enter(func(r *invariants.Record) {
+	s.Record.Update(func(r *invariants.Record) {
 		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{
 			At: at, Relay: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
 		})
@@ -332,7 +332,7 @@
 	update := invariants.ReleaseUpdate{
 		At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
 	}
-	s.Record.Enter(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
+	s.Record.Update(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
 }
 
 // StartControlService starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 		e.StartedAt -= initialAgeSeconds
-		record.Enter(func(r *invariants.Record) { r.Endpoints[e.ID].StartedAt = e.StartedAt })
+		record.Update(func(r *invariants.Record) { r.Endpoints[e.ID].StartedAt = e.StartedAt })
 		s.slots = append(s.slots, e)
 		s.pending[slot].build = first
 		list.Put(listEntry(e, endpoints.StateReady))
@@ -346,7 +346,7 @@
 	if overtaken {
 		return
 	}
-	s.record.Enter(func(r *invariants.Record) {
+	s.record.Update(func(r *invariants.Record) {
 		r.ReleaseUpdates = append(r.ReleaseUpdates, invariants.ReleaseUpdate{
 			At: now, Relay: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
 		})
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -130,8 +130,8 @@
 	return &Record{Requests: map[uint64]*Request{}, Endpoints: map[uint32]*Endpoint{}}
 }
 
-// Enter changes the record under its lock. It may be called from any goroutine.
-func (r *Record) Enter(change func(*Record)) {
+// Update changes the record under its lock. It may be called from any goroutine.
+func (r *Record) Update(change func(*Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r)
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -52,7 +52,7 @@
 	site.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
 	site.life = &invariants.Incarnation{Relay: site.Relay, From: site.Clock()}
-	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.life) })
+	site.Record.Update(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.life) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- site.node.Run(ctx, l) }()
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	p.life = &invariants.Incarnation{Relay: p.relay, Controller: p.isController, From: p.runner.clock()}
-	p.runner.record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.life) })
+	p.runner.record.Update(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.life) })
 	p.cmd = cmd
 	for range startAttempts {
 		if c, err := net.DialTimeout("tcp", p.adminAddress, startDialTimeout); err == nil {
@@ -162,14 +162,14 @@
 	if p.cmd == nil {
 		return
 	}
-	p.runner.record.Enter(func(*invariants.Record) {
+	p.runner.record.Update(func(*invariants.Record) {
 		if p.life.Killed = sig == syscall.SIGKILL; !p.life.Killed {
 			p.life.DrainingFrom = p.runner.clock()
 		}
 	})
 	p.signal(sig)
 	err := p.cmd.Wait()
-	p.runner.record.Enter(func(*invariants.Record) { p.life.To = p.runner.clock() })
+	p.runner.record.Update(func(*invariants.Record) { p.life.To = p.runner.clock() })
 	if err != nil && sig != syscall.SIGKILL {
 		p.runner.addError(fmt.Errorf("%s, stopped: %w (log: %s)", p.settingsFile, err, p.logFile))
 	}
@@ -193,7 +193,7 @@
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.signal(syscall.SIGCONT)
-	p.runner.record.Enter(func(*invariants.Record) { p.life.Pauses = append(p.life.Pauses, [2]float64{from, p.runner.clock()}) })
+	p.runner.record.Update(func(*invariants.Record) { p.life.Pauses = append(p.life.Pauses, [2]float64{from, p.runner.clock()}) })
 }
 
 // signal sends a signal. A process that has ended already is no error here: stop reports how it ended. Under the lock.
