--- a/cmd/flintspread-lab/day.go
+++ b/cmd/flintspread-lab/day.go
@@ -132,7 +132,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			services = append(services, out.Service)
-			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Tries,
+			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Requests,
 				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].What)
 			if err := printVerdict(w, out); err != nil {
 				broken = err
--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -15,7 +15,7 @@
 	for _, event := range out.History {
 		fmt.Fprintf(w, "  %5.1f s  %s\n", event.At, event.What)
 	}
-	fmt.Fprintf(w, "tries: %d asked", out.Tries)
+	fmt.Fprintf(w, "tries: %d asked", out.Requests)
 	for _, kind := range slices.Sorted(maps.Keys(out.Answers)) {
 		fmt.Fprintf(w, ", %d %s", out.Answers[kind], kind)
 	}
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -43,7 +43,7 @@
 // Report is what a record shows: the rules, in their order, and the service that clients got.
 type Report struct {
 	Rules                      []Rule             `json:"rules"`
-	Tries                      int                `json:"asked"`         // tries
+	Requests                      int                `json:"asked"`         // tries
 	Answers                    map[string]int     `json:"answers"`       // tries by kind of answer, or what took its place
 	Service                    float64            `json:"service"`       // weight of requests answered rightly within their objective, as a share of all
 	ServiceByClass             map[string]float64 `json:"service_by_op"` // the same by request class
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -35,7 +35,7 @@
 	byClass := map[string]*weights{}
 	var withController, withoutController []float64
 	for _, request := range c.Requests {
-		report.Tries++
+		report.Requests++
 		report.Answers[request.outcome()]++
 		if request.WrongAnswer {
 			report.WrongAnswers++
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -44,8 +44,8 @@
 	s.clients.Wait()
 	s.stopNode()
 	report := s.checkInvariants(5)
-	if report.Answers["acked"] < report.Tries*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
-		t.Errorf("%d asked, %v, %v", report.Tries, report.Answers, report.AttemptsByBuild)
+	if report.Answers["acked"] < report.Requests*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
+		t.Errorf("%d asked, %v, %v", report.Requests, report.Answers, report.AttemptsByBuild)
 	}
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -45,8 +45,8 @@
 	if !strings.Contains(history, "build 2 goes back") {
 		t.Errorf("the bad build was not rolled back: %s", history)
 	}
-	if out.Answers["acked"] < out.Tries/2 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+	if out.Answers["acked"] < out.Requests/2 {
+		t.Errorf("%v of %d tries", out.Answers, out.Requests)
 	}
 }
 
@@ -77,8 +77,8 @@
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
 		t.Errorf("%d kills and pauses, %d requests without a controller", kills, out.SucceededWithoutController.N)
 	}
-	if out.Answers["acked"] < out.Tries*9/10 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+	if out.Answers["acked"] < out.Requests*9/10 {
+		t.Errorf("%v of %d tries", out.Answers, out.Requests)
 	}
 }
 
