--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -53,8 +53,8 @@
 	SucceededWithoutController LatencyQuantiles   `json:"acked_in_s_without_planner"` // sent while the relay's controller was dead or paused
 }
 
-// Kept reports whether no rule was broken.
-func (r *Report) Kept() bool {
+// Passed reports whether no rule was broken.
+func (r *Report) Passed() bool {
 	return !slices.ContainsFunc(r.Rules, func(rule Rule) bool { return rule.Broken > 0 })
 }
 
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %d, %s: %w", seed, name, err)
 		}
-		c.Kept, c.Service[i] = c.Kept && out.Kept(), out.Service
+		c.Kept, c.Service[i] = c.Kept && out.Passed(), out.Service
 		return out, nil
 	}
 	with, err := play(0, "with", comparisonWrongBuild, func(*Script) {})
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !out.Kept() {
+	if !out.Passed() {
 		t.Errorf("%+v", out.Rules)
 	}
 	v, relays := out.Versions, script.Relays
@@ -127,7 +127,7 @@
 			break
 		}
 	}
-	if rep := invariants.Check(rec, script.bounds()); rep.Kept() {
+	if rep := invariants.Check(rec, script.bounds()); rep.Passed() {
 		t.Error("a second attempt went unseen")
 	}
 }
@@ -214,7 +214,7 @@
 		inspectRecord = func(r *invariants.Record) { rec = r }
 		defer func() { inspectRecord = func(*invariants.Record) {} }()
 		out, err := Run(script, programs(t), t.TempDir(), io.Discard)
-		if err != nil || !out.Kept() {
+		if err != nil || !out.Passed() {
 			t.Fatal(err, out)
 		}
 		all, its, first := 0, 0, rec.Attempts[0].At
