--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -28,7 +28,7 @@
 		fmt.Fprintln(w, "settings:", out.Versions)
 	}
 	for _, rule := range out.Rules {
-		fmt.Fprintf(w, "rule %-16s %6d cases, %d broken\n", rule.Name, rule.Checked, rule.Broken)
+		fmt.Fprintf(w, "rule %-16s %6d cases, %d broken\n", rule.Name, rule.Checked, rule.Violations)
 	}
 	return printVerdict(w, out)
 }
@@ -51,7 +51,7 @@
 		for _, breach := range rule.First {
 			fmt.Fprintln(w, "   ", breach)
 		}
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			broken += " " + rule.Name + ";"
 		}
 	}
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -29,12 +29,12 @@
 type Rule struct {
 	Name    string   `json:"name"`
 	Checked int      `json:"checked"` // cases in which it could have been broken
-	Broken  int      `json:"broken"`
+	Violations  int      `json:"broken"`
 	First   []string `json:"first,omitempty"` // the first breaches
 }
 
 func (r *Rule) breach(format string, args ...any) {
-	r.Broken++
+	r.Violations++
 	if len(r.First) < maxShownBreaches {
 		r.First = append(r.First, fmt.Sprintf(format, args...))
 	}
@@ -55,7 +55,7 @@
 
 // Passed reports whether no rule was broken.
 func (r *Report) Passed() bool {
-	return !slices.ContainsFunc(r.Rules, func(rule Rule) bool { return rule.Broken > 0 })
+	return !slices.ContainsFunc(r.Rules, func(rule Rule) bool { return rule.Violations > 0 })
 }
 
 // Check reads a record that nobody writes any more. It sorts the record's attempts by time.
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -75,8 +75,8 @@
 	s.life.To = s.Clock()
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:rules] {
-		if rule.Broken > 0 {
-			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
+		if rule.Violations > 0 {
+			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Violations, rule.Checked, rule.First)
 		}
 	}
 	return report
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
 		}
 		if r.Checked == 0 {
 			t.Errorf("rule %s was never put to the test", r.Name)
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
 		}
 	}
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
@@ -157,8 +157,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
 		}
 	}
 	if _, back := out.RollbackAfter(2); !back {
