--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -48,7 +48,7 @@
 func printVerdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, rule := range out.Rules {
-		for _, breach := range rule.First {
+		for _, breach := range rule.FirstViolations {
 			fmt.Fprintln(w, "   ", breach)
 		}
 		if rule.Violations > 0 {
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -30,13 +30,13 @@
 	Name    string   `json:"name"`
 	Checked int      `json:"checked"` // cases in which it could have been broken
 	Violations  int      `json:"broken"`
-	First   []string `json:"first,omitempty"` // the first breaches
+	FirstViolations   []string `json:"first,omitempty"` // the first breaches
 }
 
 func (r *Rule) breach(format string, args ...any) {
 	r.Violations++
-	if len(r.First) < maxShownBreaches {
-		r.First = append(r.First, fmt.Sprintf(format, args...))
+	if len(r.FirstViolations) < maxShownBreaches {
+		r.FirstViolations = append(r.FirstViolations, fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -32,7 +32,7 @@
 	var broken []string
 	for _, rule := range Check(r, b).Rules {
 		if rule.Violations > 0 {
-			broken = append(broken, fmt.Sprintf("rule %s: %s", rule.Name, rule.First[0]))
+			broken = append(broken, fmt.Sprintf("rule %s: %s", rule.Name, rule.FirstViolations[0]))
 		}
 	}
 	fmt.Println(strings.TrimSpace(name + ": " + strings.Join(broken, "; ")))
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -76,7 +76,7 @@
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:rules] {
 		if rule.Violations > 0 {
-			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Violations, rule.Checked, rule.First)
+			s.t.Errorf("%s: %d of %d broken: %v", rule.Name, rule.Violations, rule.Checked, rule.FirstViolations)
 		}
 	}
 	return report
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, r := range out.Rules {
 		if r.Violations > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 		if r.Checked == 0 {
 			t.Errorf("rule %s was never put to the test", r.Name)
@@ -71,7 +71,7 @@
 	}
 	for _, r := range out.Rules {
 		if r.Violations > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 	}
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
@@ -158,7 +158,7 @@
 	}
 	for _, r := range out.Rules {
 		if r.Violations > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 	}
 	if _, back := out.RollbackAfter(2); !back {
