--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -120,9 +120,9 @@
 
 // releaseStates gives what a process or relay was told of releases until an instant, in order.
 func (c *checker) releaseStates(life *Incarnation, at float64) []releaseState {
-	states := []releaseState{{at: life.From, build: -1, canaryLimit: c.bounds.CanaryLimits[0]}}
+	states := []releaseState{{at: life.StartedAt, build: -1, canaryLimit: c.bounds.CanaryLimits[0]}}
 	for _, update := range c.ReleaseUpdates {
-		if update.Relay != life.Relay || update.At < life.From || update.At > at {
+		if update.Relay != life.Relay || update.At < life.StartedAt || update.At > at {
 			continue
 		}
 		// What loosens may be used from when it was told, what tightens binds from when it is known for sure.
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -124,7 +124,7 @@
 		return at, true
 	}
 	for _, life := range c.Incarnations {
-		if !life.Controller || life.Relay != relay || life.From > at || life.To > 0 && life.To < at {
+		if !life.Controller || life.Relay != relay || life.StartedAt > at || life.To > 0 && life.To < at {
 			continue
 		}
 		at = life.afterPauses(at)
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -26,7 +26,7 @@
 		if life == nil {
 			continue
 		}
-		since := notReadySince(updates[relayEndpoint{request.Relay, attempt.Endpoint}], life.From, attempt.At)
+		since := notReadySince(updates[relayEndpoint{request.Relay, attempt.Endpoint}], life.StartedAt, attempt.At)
 		if since > 0 && attempt.At > since+c.bounds.GraceSeconds+c.bounds.SlackSeconds {
 			rule.breach("%s delivered to unit %d %.3f s after it was told that the unit drains or is gone",
 				request.Relay, attempt.Endpoint, attempt.At-since)
