--- a/internal/invariants/answers.go
+++ b/internal/invariants/answers.go
@@ -70,7 +70,7 @@
 
 // wasKilledWith reports whether the client saw the connection close just as the process was killed.
 func wasKilledWith(request *Request, life *Incarnation) bool {
-	return life.Killed && request.ClosedAt > 0 && math.Abs(request.ClosedAt-life.To) < killBreakSeconds
+	return life.Killed && request.ClosedAt > 0 && math.Abs(request.ClosedAt-life.EndedAt) < killBreakSeconds
 }
 
 // wasPausedWith reports whether the process was paused while the request waited.
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -124,11 +124,11 @@
 		return at, true
 	}
 	for _, life := range c.Incarnations {
-		if !life.Controller || life.Relay != relay || life.StartedAt > at || life.To > 0 && life.To < at {
+		if !life.Controller || life.Relay != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
 			continue
 		}
 		at = life.afterPauses(at)
-		sure = life.To == 0 || life.To > at+propagationSeconds
+		sure = life.EndedAt == 0 || life.EndedAt > at+propagationSeconds
 	}
 	return at, sure
 }
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -44,12 +44,12 @@
 	show("no answer", func(r *Record) { r.Requests[1].Answers = nil }, nil)
 	show("no answer, relay killed", func(r *Record) {
 		r.Requests[1].Answers, r.Requests[1].ClosedAt = nil, 10.5
-		r.Incarnations[0].To, r.Incarnations[0].Killed = 10.5, true
+		r.Incarnations[0].EndedAt, r.Incarnations[0].Killed = 10.5, true
 	}, nil)
 	show("no answer, client left", func(r *Record) { r.Requests[1].Answers, r.Requests[1].AbandonedAt = nil, 10.2 }, nil)
 	stopping := func(broken float64, met bool) func(*Record) {
 		return func(r *Record) {
-			r.Incarnations[0].DrainingFrom, r.Incarnations[0].To = 9.99, 10.6
+			r.Incarnations[0].DrainingFrom, r.Incarnations[0].EndedAt = 9.99, 10.6
 			r.Requests[1].Answers, r.Requests[1].ClosedAt = nil, broken
 			if !met {
 				r.Attempts = r.Attempts[1:]
@@ -92,7 +92,7 @@
 	show("sent to a unit that came back", draining(true), nil)
 	show("drain told to an earlier life", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, To: 8.5, Killed: true}, {Relay: "r1", StartedAt: 9}}
+		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, EndedAt: 8.5, Killed: true}, {Relay: "r1", StartedAt: 9}}
 	}, nil)
 	show("cold unit flooded", func(r *Record) {
 		r.Endpoints[1].StartedAt = 10
@@ -141,13 +141,13 @@
 		r.Requests[2].Answers[0].At = 10.3
 		r.Requests[3].Answers[0] = Answer{10.003, "acked", 1}
 		r.Attempts[2].At = 10.002
-		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, To: 10.1, Killed: true}, {Relay: "r1", StartedAt: 10.12}}
+		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, EndedAt: 10.1, Killed: true}, {Relay: "r1", StartedAt: 10.12}}
 		r.ReleaseUpdates = append(r.ReleaseUpdates, ReleaseUpdate{10.13, "r1", 2, 0, "on-trial", 0.1})
 	}, func(b *Bounds) { b.OneWayKeys = true })
 	withController := func(n int, lives ...*Incarnation) func(*Record) {
 		return func(r *Record) {
 			canaryAttempts(n, 10.1)(r)
-			r.Incarnations = append(lives, &Incarnation{Relay: "r1", StartedAt: 0, To: 10.12, Killed: true}, &Incarnation{Relay: "r1", StartedAt: 10.12})
+			r.Incarnations = append(lives, &Incarnation{Relay: "r1", StartedAt: 0, EndedAt: 10.12, Killed: true}, &Incarnation{Relay: "r1", StartedAt: 10.12})
 		}
 	}
 	show("two edges that are led, over the sum", withController(2, &Incarnation{Relay: "r1", Controller: true}), nil)
@@ -156,11 +156,11 @@
 	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Incarnations = append(r.Incarnations, paused) }, nil)
 	show("drain told to a planner that was killed at once", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, To: 8.1, Killed: true}, &Incarnation{Relay: "r1", Controller: true, StartedAt: 8.2})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, EndedAt: 8.1, Killed: true}, &Incarnation{Relay: "r1", Controller: true, StartedAt: 8.2})
 	}, nil)
 	show("drain told to a planner that lived", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, To: 8.9, Killed: true})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, EndedAt: 8.9, Killed: true})
 	}, nil)
 	// Output:
 	// clean:
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -104,14 +104,14 @@
 type Incarnation struct {
 	Relay        string
 	Controller   bool // it directs the relay's routers, which have processes of their own
-	StartedAt, To     float64
+	StartedAt, EndedAt     float64
 	Killed       bool
 	DrainingFrom float64      // when it was told to shut down gracefully; 0: it was not
 	Pauses       [][2]float64 // when it was stopped from outside and continued
 }
 
 // covers reports whether the process existed at an instant.
-func (l *Incarnation) covers(at float64) bool { return l.StartedAt <= at && (l.To == 0 || at <= l.To) }
+func (l *Incarnation) covers(at float64) bool { return l.StartedAt <= at && (l.EndedAt == 0 || at <= l.EndedAt) }
 
 // Record is all that was seen on sockets. Only Enter may be used while others write.
 type Record struct {
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -72,7 +72,7 @@
 // checkInvariants checks the first rules invariants once the clients have ended.
 func (s *testSite) checkInvariants(rules int) *invariants.Report {
 	s.clients.Wait()
-	s.life.To = s.Clock()
+	s.life.EndedAt = s.Clock()
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:rules] {
 		if rule.Violations > 0 {
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -169,7 +169,7 @@
 	})
 	p.signal(sig)
 	err := p.cmd.Wait()
-	p.runner.record.Update(func(*invariants.Record) { p.life.To = p.runner.clock() })
+	p.runner.record.Update(func(*invariants.Record) { p.life.EndedAt = p.runner.clock() })
 	if err != nil && sig != syscall.SIGKILL {
 		p.runner.addError(fmt.Errorf("%s, stopped: %w (log: %s)", p.settingsFile, err, p.logFile))
 	}
