--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -84,7 +84,7 @@
 func newChecker(record *Record, bounds Bounds) *checker {
 	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlled: map[string]*Incarnation{}}
 	for _, life := range record.Incarnations {
-		if life.Controller && c.controlled[life.Relay] == nil {
+		if life.IsController && c.controlled[life.Relay] == nil {
 			c.controlled[life.Relay] = &Incarnation{Relay: life.Relay}
 		}
 	}
@@ -124,7 +124,7 @@
 		return at, true
 	}
 	for _, life := range c.Incarnations {
-		if !life.Controller || life.Relay != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
+		if !life.IsController || life.Relay != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
 			continue
 		}
 		at = life.afterPauses(at)
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -150,17 +150,17 @@
 			r.Incarnations = append(lives, &Incarnation{Relay: "r1", StartedAt: 0, EndedAt: 10.12, Killed: true}, &Incarnation{Relay: "r1", StartedAt: 10.12})
 		}
 	}
-	show("two edges that are led, over the sum", withController(2, &Incarnation{Relay: "r1", Controller: true}), nil)
-	show("two edges that are led, within", withController(1, &Incarnation{Relay: "r1", Controller: true}), nil)
-	paused := &Incarnation{Relay: "r1", Controller: true, Pauses: [][2]float64{{7.9, 9.9}}}
+	show("two edges that are led, over the sum", withController(2, &Incarnation{Relay: "r1", IsController: true}), nil)
+	show("two edges that are led, within", withController(1, &Incarnation{Relay: "r1", IsController: true}), nil)
+	paused := &Incarnation{Relay: "r1", IsController: true, Pauses: [][2]float64{{7.9, 9.9}}}
 	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Incarnations = append(r.Incarnations, paused) }, nil)
 	show("drain told to a planner that was killed at once", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, EndedAt: 8.1, Killed: true}, &Incarnation{Relay: "r1", Controller: true, StartedAt: 8.2})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", IsController: true, EndedAt: 8.1, Killed: true}, &Incarnation{Relay: "r1", IsController: true, StartedAt: 8.2})
 	}, nil)
 	show("drain told to a planner that lived", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", Controller: true, EndedAt: 8.9, Killed: true})
+		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", IsController: true, EndedAt: 8.9, Killed: true})
 	}, nil)
 	// Output:
 	// clean:
