--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -214,7 +214,7 @@
 	}
 	record := &invariants.Request{
 		ID:                      cs.ids.Add(1),
-		Relay:                   r.relay,
+		RouterGroup:                   r.relay,
 		Class:                   class.Name,
 		Idempotency:             class.Idempotency,
 		DedupScope:              class.DedupScope,
@@ -249,7 +249,7 @@
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, "%s %s HTTP/1.1\r\nHost: relay\r\nFlint-Time: %.4f\r\n", t.class.Method, t.path(), t.timeoutSeconds)
 	fmt.Fprintf(&buf, "%s: %.4f\r\nFlint-Key: %s\r\nIdempotency-Key: %s\r\n", headerWork, t.workSeconds, t.key, t.idempotencyKey)
-	fmt.Fprintf(&buf, "%s: %d\r\n%s: %s\r\n%s: %s\r\n", headerRequestID, t.record.ID, headerClass, t.class.Name, headerRelay, t.record.Relay)
+	fmt.Fprintf(&buf, "%s: %d\r\n%s: %s\r\n%s: %s\r\n", headerRequestID, t.record.ID, headerClass, t.class.Name, headerRelay, t.record.RouterGroup)
 	if t.retries > 0 {
 		buf.WriteString("Flint-Repeat: 1\r\n")
 	}
@@ -263,7 +263,7 @@
 
 // sendTry sends a try and waits for its answer, for a while even after the deadline, so that a late answer is recorded.
 func (cs *Clients) sendTry(t *clientTry) (outcome string, retryAfter float64) {
-	c, err := cs.connect(t.record.Relay)
+	c, err := cs.connect(t.record.RouterGroup)
 	if err != nil {
 		cs.record.Update(func(*invariants.Record) { t.record.NotConnected = true })
 		return outcomeNotConnected, 0
@@ -303,7 +303,7 @@
 		cs.record.Update(func(*invariants.Record) { t.record.WrongAnswer = wrong })
 		if wrong && t.rand.Float64() < t.behavior.WrongAnswerReportShare {
 			wait := seconds(wrongAnswerReportWait + t.rand.Float64())
-			time.AfterFunc(wait, func() { cs.reportWrongAnswer(t.record.Relay, answer.header.Get("Flint-Receipt")) })
+			time.AfterFunc(wait, func() { cs.reportWrongAnswer(t.record.RouterGroup, answer.header.Get("Flint-Receipt")) })
 		}
 	}
 	if pause := answer.header.Get("Flint-Pause"); pause != "" {
@@ -318,7 +318,7 @@
 	}
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.idle[t.record.Relay] = append(cs.idle[t.record.Relay], c)
+	cs.idle[t.record.RouterGroup] = append(cs.idle[t.record.RouterGroup], c)
 	return outcome, retryAfter
 }
 
--- a/internal/invariants/answers.go
+++ b/internal/invariants/answers.go
@@ -34,7 +34,7 @@
 		rule.breach("command %d got %d answers", request.ID, n)
 	case n == 0 && request.AbandonedAt == 0 && !c.isExcused(request):
 		rule.breach("command %d to %s at %.3f got no answer until %.3f (connection closed at %.3f)",
-			request.ID, request.Relay, request.SentAt, request.Deadline, request.ClosedAt)
+			request.ID, request.RouterGroup, request.SentAt, request.Deadline, request.ClosedAt)
 	case n == 1:
 		answer := request.Answers[0]
 		if answer.Kind == "" {
@@ -51,7 +51,7 @@
 // isExcused reports whether a request was with a process that owes it no answer in time.
 func (c *checker) isExcused(request *Request) bool {
 	for _, life := range c.Incarnations {
-		if life.Relay != request.Relay || life.IsController {
+		if life.Relay != request.RouterGroup || life.IsController {
 			continue
 		}
 		if c.wasNeverAccepted(request, life) || wasKilledWith(request, life) || c.wasPausedWith(request, life) {
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -30,7 +30,7 @@
 	keys := keyBuilds{}
 	for _, attempt := range c.Attempts {
 		request, endpoint := c.Requests[attempt.RequestID], c.Endpoints[attempt.Endpoint]
-		life := c.responsibleLife(request.Relay, request.SentAt)
+		life := c.responsibleLife(request.RouterGroup, request.SentAt)
 		if life == nil || attempt.At > request.Deadline+c.bounds.SlackSeconds {
 			continue
 		}
@@ -50,14 +50,14 @@
 		limit := c.bounds.CanaryFreeAttempts + loosest.canaryLimit*float64(received)
 		if float64(attempts) > limit+roundingTolerance {
 			rule.breach("%s sent build %d (stage %d, cap %.2f) %d deliveries in the window up to %.3f; %.1f at most of %d commands",
-				request.Relay, endpoint.Build, loosest.stage, loosest.canaryLimit, attempts, attempt.At, limit, received)
+				request.RouterGroup, endpoint.Build, loosest.stage, loosest.canaryLimit, attempts, attempt.At, limit, received)
 		}
 		if loosest.canaryLimit == 0 {
-			rule.breach("%s delivered to build %d at cap 0", request.Relay, endpoint.Build)
+			rule.breach("%s delivered to build %d at cap 0", request.RouterGroup, endpoint.Build)
 		}
 		if loosest.stage < c.bounds.IdempotentOnlyStages && request.Idempotency != Idempotent {
 			rule.breach("%s sent a %s command to build %d in guarded stage %d",
-				request.Relay, request.Idempotency, endpoint.Build, loosest.stage)
+				request.RouterGroup, request.Idempotency, endpoint.Build, loosest.stage)
 		}
 	}
 	return rule
@@ -67,7 +67,7 @@
 func (c *checker) receivedAt() map[counter][]float64 {
 	instants := map[counter][]float64{}
 	for _, request := range c.requests {
-		life := c.responsibleLife(request.Relay, request.SentAt)
+		life := c.responsibleLife(request.RouterGroup, request.SentAt)
 		if life == nil || request.NotConnected {
 			continue
 		}
@@ -195,8 +195,8 @@
 	}
 	newest, known := keys[life][request.Key]
 	wentBack := known && endpoint.Build < newest.build && attempt.At > newest.at+c.bounds.SlackSeconds
-	if wentBack && !c.wasRolledBack(request.Relay, newest.build, attempt.At) {
-		rule.breach("%s sent key %q to build %d after build %d had answered it", request.Relay, request.Key, endpoint.Build, newest.build)
+	if wentBack && !c.wasRolledBack(request.RouterGroup, newest.build, attempt.At) {
+		rule.breach("%s sent key %q to build %d after build %d had answered it", request.RouterGroup, request.Key, endpoint.Build, newest.build)
 	}
 	isAnswered := len(request.Answers) == 1 && request.Answers[0].Kind == kindSucceeded && request.Answers[0].Endpoint == attempt.Endpoint
 	if isAnswered && endpoint.Build > newest.build {
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -15,7 +15,7 @@
 	r.Endpoints[2] = &Endpoint{ID: 2, Build: 2, StartedAt: -100, Capacity: 2, Cell: 1}
 	for i, e := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		id := uint64(i + 1)
-		r.Requests[id] = &Request{ID: id, Relay: "r1", Class: string(e), Idempotency: e, DedupScope: "cell", DedupWindowSeconds: 0.5, Key: "k", PriorityWeight: 1, LatencyObjectiveSeconds: 1,
+		r.Requests[id] = &Request{ID: id, RouterGroup: "r1", Class: string(e), Idempotency: e, DedupScope: "cell", DedupWindowSeconds: 0.5, Key: "k", PriorityWeight: 1, LatencyObjectiveSeconds: 1,
 			FirstSentAt: 10, SentAt: 10, Deadline: 11, Answers: []Answer{{10.1, "acked", 1}}, FinalTry: true}
 		r.Attempts = append(r.Attempts, &Attempt{RequestID: id, Endpoint: 1, At: 10.01, WorkSeconds: 0.1})
 	}
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -22,14 +22,14 @@
 	}
 	for _, attempt := range c.Attempts {
 		request := c.Requests[attempt.RequestID]
-		life := c.responsibleLife(request.Relay, request.SentAt)
+		life := c.responsibleLife(request.RouterGroup, request.SentAt)
 		if life == nil {
 			continue
 		}
-		since := notReadySince(updates[relayEndpoint{request.Relay, attempt.Endpoint}], life.StartedAt, attempt.At)
+		since := notReadySince(updates[relayEndpoint{request.RouterGroup, attempt.Endpoint}], life.StartedAt, attempt.At)
 		if since > 0 && attempt.At > since+c.bounds.GraceSeconds+c.bounds.SlackSeconds {
 			rule.breach("%s delivered to unit %d %.3f s after it was told that the unit drains or is gone",
-				request.Relay, attempt.Endpoint, attempt.At-since)
+				request.RouterGroup, attempt.Endpoint, attempt.At-since)
 		}
 	}
 	return rule
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -34,7 +34,7 @@
 // that watches all sockets; 0 where the thing did not happen.
 type Request struct {
 	ID                      uint64
-	Relay                   string
+	RouterGroup                   string
 	Class                   string
 	Idempotency             Idempotency
 	DedupScope              string  // of IdempotentWithKey: all, zone or cell
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -94,11 +94,11 @@
 
 // isWithoutController reports whether a request was sent while its relay's controller was dead or paused.
 func (c *checker) isWithoutController(request *Request) bool {
-	if c.controlled[request.Relay] == nil {
+	if c.controlled[request.RouterGroup] == nil {
 		return false
 	}
 	for _, life := range c.Incarnations {
-		if life.IsController && life.Relay == request.Relay && life.covers(request.SentAt) {
+		if life.IsController && life.Relay == request.RouterGroup && life.covers(request.SentAt) {
 			return life.isPaused(request.SentAt)
 		}
 	}
