--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -180,12 +180,12 @@
 	for _, e := range update.Endpoints {
 		named[e.ID] = true
 		lastSent[e.ID] = e.State == endpoints.StateReady
-		sent = append(sent, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: e.ID, Ready: e.State == endpoints.StateReady})
+		sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: relay, Endpoint: e.ID, Ready: e.State == endpoints.StateReady})
 	}
 	for id := range lastSent {
 		if update.Full && !named[id] {
 			lastSent[id] = false
-			sent = append(sent, invariants.EndpointUpdate{At: now, Relay: relay, Endpoint: id})
+			sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: relay, Endpoint: id})
 		}
 	}
 	l.record.Update(func(r *invariants.Record) { r.EndpointUpdates = append(r.EndpointUpdates, sent...) })
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -247,7 +247,7 @@
 	at := s.Clock()
 	s.Record.Update(func(r *invariants.Record) {
 		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{
-			At: at, Relay: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
+			At: at, RouterGroup: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
 		})
 	})
 }
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -12,12 +12,12 @@
 		if !update.Ready {
 			rule.Checked++
 		}
-		learned, sure := c.learnedAt(update.Relay, update.At)
+		learned, sure := c.learnedAt(update.RouterGroup, update.At)
 		if !sure && !update.Ready {
 			continue
 		}
 		update.At = learned
-		key := relayEndpoint{update.Relay, update.Endpoint}
+		key := relayEndpoint{update.RouterGroup, update.Endpoint}
 		updates[key] = append(updates[key], update)
 	}
 	for _, attempt := range c.Attempts {
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -86,7 +86,7 @@
 // EndpointUpdate is what a relay was sent about an endpoint.
 type EndpointUpdate struct {
 	At       float64
-	Relay    string
+	RouterGroup    string
 	Endpoint uint32
 	Ready    bool // false: it drains or is gone
 }
