--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -330,7 +330,7 @@
 		phase = phaseCanary
 	}
 	update := invariants.ReleaseUpdate{
-		At: s.Clock(), Relay: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
+		At: s.Clock(), RouterGroup: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
 	}
 	s.Record.Update(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
 }
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -348,7 +348,7 @@
 	}
 	s.record.Update(func(r *invariants.Record) {
 		r.ReleaseUpdates = append(r.ReleaseUpdates, invariants.ReleaseUpdate{
-			At: now, Relay: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
+			At: now, RouterGroup: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
 		})
 	})
 }
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -122,7 +122,7 @@
 func (c *checker) releaseStates(life *Incarnation, at float64) []releaseState {
 	states := []releaseState{{at: life.StartedAt, build: -1, canaryLimit: c.bounds.CanaryLimits[0]}}
 	for _, update := range c.ReleaseUpdates {
-		if update.Relay != life.Relay || update.At < life.StartedAt || update.At > at {
+		if update.RouterGroup != life.Relay || update.At < life.StartedAt || update.At > at {
 			continue
 		}
 		// What loosens may be used from when it was told, what tightens binds from when it is known for sure.
@@ -208,7 +208,7 @@
 func (c *checker) wasRolledBack(relay string, build int, at float64) bool {
 	for _, update := range c.ReleaseUpdates {
 		isRollback := update.Phase == phaseRollingBack || update.Phase == phaseWithdrawn
-		if update.Relay == relay && update.At <= at && update.Build == build && isRollback {
+		if update.RouterGroup == relay && update.At <= at && update.Build == build && isRollback {
 			return true
 		}
 	}
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -94,7 +94,7 @@
 // ReleaseUpdate is what a relay was sent about a release.
 type ReleaseUpdate struct {
 	At           float64
-	Relay        string
+	RouterGroup        string
 	Build, Stage int
 	Phase        string
 	CanaryLimit  float64
