--- a/internal/invariants/answers.go
+++ b/internal/invariants/answers.go
@@ -51,7 +51,7 @@
 // isExcused reports whether a request was with a process that owes it no answer in time.
 func (c *checker) isExcused(request *Request) bool {
 	for _, life := range c.Incarnations {
-		if life.Relay != request.RouterGroup || life.IsController {
+		if life.RouterGroup != request.RouterGroup || life.IsController {
 			continue
 		}
 		if c.wasNeverAccepted(request, life) || wasKilledWith(request, life) || c.wasPausedWith(request, life) {
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -122,11 +122,11 @@
 func (c *checker) releaseStates(life *Incarnation, at float64) []releaseState {
 	states := []releaseState{{at: life.StartedAt, build: -1, canaryLimit: c.bounds.CanaryLimits[0]}}
 	for _, update := range c.ReleaseUpdates {
-		if update.RouterGroup != life.Relay || update.At < life.StartedAt || update.At > at {
+		if update.RouterGroup != life.RouterGroup || update.At < life.StartedAt || update.At > at {
 			continue
 		}
 		// What loosens may be used from when it was told, what tightens binds from when it is known for sure.
-		learned, sure := c.learnedAt(life.Relay, update.At)
+		learned, sure := c.learnedAt(life.RouterGroup, update.At)
 		states = append(states, releaseState{update.At, update.Build, update.Stage, update.Phase, update.CanaryLimit, !sure || learned > at})
 	}
 	return states
@@ -157,7 +157,7 @@
 	}
 	for i := 1; i < len(states); i++ {
 		before, after := ofBuild[i-1], ofBuild[i]
-		learned, _ := c.learnedAt(life.Relay, states[i].at)
+		learned, _ := c.learnedAt(life.RouterGroup, states[i].at)
 		isLower := after != nil && (before == nil || before.canaryLimit > after.canaryLimit)
 		if isLower && !states[i].unsure && learned+c.bounds.GraceSeconds <= at {
 			since = learned + c.bounds.GraceSeconds
@@ -170,7 +170,7 @@
 func (c *checker) heldUntil(life *Incarnation, following []releaseState) float64 {
 	for _, next := range following {
 		if !next.unsure {
-			learned, _ := c.learnedAt(life.Relay, next.at)
+			learned, _ := c.learnedAt(life.RouterGroup, next.at)
 			return learned
 		}
 	}
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -84,8 +84,8 @@
 func newChecker(record *Record, bounds Bounds) *checker {
 	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlled: map[string]*Incarnation{}}
 	for _, life := range record.Incarnations {
-		if life.IsController && c.controlled[life.Relay] == nil {
-			c.controlled[life.Relay] = &Incarnation{Relay: life.Relay}
+		if life.IsController && c.controlled[life.RouterGroup] == nil {
+			c.controlled[life.RouterGroup] = &Incarnation{RouterGroup: life.RouterGroup}
 		}
 	}
 	for _, request := range record.Requests {
@@ -107,7 +107,7 @@
 	}
 	var found *Incarnation
 	for _, life := range c.Incarnations {
-		if life.Relay == relay && life.covers(at) {
+		if life.RouterGroup == relay && life.covers(at) {
 			found = life
 		}
 	}
@@ -124,7 +124,7 @@
 		return at, true
 	}
 	for _, life := range c.Incarnations {
-		if !life.IsController || life.Relay != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
+		if !life.IsController || life.RouterGroup != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
 			continue
 		}
 		at = life.afterPauses(at)
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -10,7 +10,7 @@
 // cleanRecord breaks no rule: a relay, an endpoint of build 1 and one of build 2, a request of each idempotency.
 func cleanRecord() *Record {
 	r := NewRecord()
-	r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0}}
+	r.Incarnations = []*Incarnation{{RouterGroup: "r1", StartedAt: 0}}
 	r.Endpoints[1] = &Endpoint{ID: 1, Build: 1, StartedAt: -100, Capacity: 2}
 	r.Endpoints[2] = &Endpoint{ID: 2, Build: 2, StartedAt: -100, Capacity: 2, Cell: 1}
 	for i, e := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
@@ -92,7 +92,7 @@
 	show("sent to a unit that came back", draining(true), nil)
 	show("drain told to an earlier life", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, EndedAt: 8.5, Killed: true}, {Relay: "r1", StartedAt: 9}}
+		r.Incarnations = []*Incarnation{{RouterGroup: "r1", StartedAt: 0, EndedAt: 8.5, Killed: true}, {RouterGroup: "r1", StartedAt: 9}}
 	}, nil)
 	show("cold unit flooded", func(r *Record) {
 		r.Endpoints[1].StartedAt = 10
@@ -141,26 +141,26 @@
 		r.Requests[2].Answers[0].At = 10.3
 		r.Requests[3].Answers[0] = Answer{10.003, "acked", 1}
 		r.Attempts[2].At = 10.002
-		r.Incarnations = []*Incarnation{{Relay: "r1", StartedAt: 0, EndedAt: 10.1, Killed: true}, {Relay: "r1", StartedAt: 10.12}}
+		r.Incarnations = []*Incarnation{{RouterGroup: "r1", StartedAt: 0, EndedAt: 10.1, Killed: true}, {RouterGroup: "r1", StartedAt: 10.12}}
 		r.ReleaseUpdates = append(r.ReleaseUpdates, ReleaseUpdate{10.13, "r1", 2, 0, "on-trial", 0.1})
 	}, func(b *Bounds) { b.OneWayKeys = true })
 	withController := func(n int, lives ...*Incarnation) func(*Record) {
 		return func(r *Record) {
 			canaryAttempts(n, 10.1)(r)
-			r.Incarnations = append(lives, &Incarnation{Relay: "r1", StartedAt: 0, EndedAt: 10.12, Killed: true}, &Incarnation{Relay: "r1", StartedAt: 10.12})
+			r.Incarnations = append(lives, &Incarnation{RouterGroup: "r1", StartedAt: 0, EndedAt: 10.12, Killed: true}, &Incarnation{RouterGroup: "r1", StartedAt: 10.12})
 		}
 	}
-	show("two edges that are led, over the sum", withController(2, &Incarnation{Relay: "r1", IsController: true}), nil)
-	show("two edges that are led, within", withController(1, &Incarnation{Relay: "r1", IsController: true}), nil)
-	paused := &Incarnation{Relay: "r1", IsController: true, Pauses: [][2]float64{{7.9, 9.9}}}
+	show("two edges that are led, over the sum", withController(2, &Incarnation{RouterGroup: "r1", IsController: true}), nil)
+	show("two edges that are led, within", withController(1, &Incarnation{RouterGroup: "r1", IsController: true}), nil)
+	paused := &Incarnation{RouterGroup: "r1", IsController: true, Pauses: [][2]float64{{7.9, 9.9}}}
 	show("drain told to a planner that stood still", func(r *Record) { draining(false)(r); r.Incarnations = append(r.Incarnations, paused) }, nil)
 	show("drain told to a planner that was killed at once", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", IsController: true, EndedAt: 8.1, Killed: true}, &Incarnation{Relay: "r1", IsController: true, StartedAt: 8.2})
+		r.Incarnations = append(r.Incarnations, &Incarnation{RouterGroup: "r1", IsController: true, EndedAt: 8.1, Killed: true}, &Incarnation{RouterGroup: "r1", IsController: true, StartedAt: 8.2})
 	}, nil)
 	show("drain told to a planner that lived", func(r *Record) {
 		draining(false)(r)
-		r.Incarnations = append(r.Incarnations, &Incarnation{Relay: "r1", IsController: true, EndedAt: 8.9, Killed: true})
+		r.Incarnations = append(r.Incarnations, &Incarnation{RouterGroup: "r1", IsController: true, EndedAt: 8.9, Killed: true})
 	}, nil)
 	// Output:
 	// clean:
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -102,7 +102,7 @@
 
 // Incarnation is one process of a relay's router or controller, from its start until it was killed or had stopped.
 type Incarnation struct {
-	Relay        string
+	RouterGroup        string
 	IsController   bool // it directs the relay's routers, which have processes of their own
 	StartedAt, EndedAt     float64
 	Killed       bool
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	for _, life := range c.Incarnations {
-		if life.IsController && life.Relay == request.RouterGroup && life.covers(request.SentAt) {
+		if life.IsController && life.RouterGroup == request.RouterGroup && life.covers(request.SentAt) {
 			return life.isPaused(request.SentAt)
 		}
 	}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -133,7 +133,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.life = &invariants.Incarnation{Relay: p.relay, IsController: p.isController, StartedAt: p.runner.clock()}
+	p.life = &invariants.Incarnation{RouterGroup: p.relay, IsController: p.isController, StartedAt: p.runner.clock()}
 	p.runner.record.Update(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.life) })
 	p.cmd = cmd
 	for range startAttempts {
