--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -28,8 +28,8 @@
 type ControlService struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 
-	// Relay is the relay that it serves. Only its owner uses it.
-	Relay  string
+	// RouterGroup is the relay that it serves. Only its owner uses it.
+	RouterGroup  string
 	server *grpc.Server
 
 	mu      sync.Mutex
--- a/internal/scenario/configstorm.go
+++ b/internal/scenario/configstorm.go
@@ -40,7 +40,7 @@
 			return nil, err
 		}
 		s.addresses[name], s.services[name] = l.Addr().String(), fakes.StartControlService(l, insecure.NewCredentials())
-		s.services[name].Relay = name
+		s.services[name].RouterGroup = name
 	}
 	r.list.Mirror(func(relay string, version uint64, list []endpoints.Endpoint) {
 		s.services[relay].Set(fakes.EndpointsResponse(relay, version+1, list))
@@ -63,7 +63,7 @@
 		}
 		s.sent++
 		for _, service := range s.services {
-			service.Set(fakes.DocumentResponse(service.Relay, number, 0, document))
+			service.Set(fakes.DocumentResponse(service.RouterGroup, number, 0, document))
 		}
 		select {
 		case <-s.runner.ctx.Done():
