--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -52,7 +52,7 @@
 	IgnoreRetryAfter       bool    // retry at once
 	AbandonShare           float64 // share of requests that are abandoned early
 	MinTimeoutShare        float64 // least part of its timeout that a try is given; 0: all
-	HotRelay               string  // a relay that gets HotRelayShare of the requests, and its part of the rest
+	HotRouterGroup               string  // a relay that gets HotRelayShare of the requests, and its part of the rest
 	HotRelayShare          float64
 	WrongAnswerReportShare float64 // share of wrong answers that are reported
 }
@@ -133,8 +133,8 @@
 		u -= cs.classes[index].Share
 	}
 	relay := cs.relays[cs.rand.IntN(len(cs.relays))]
-	if behavior.HotRelay != "" && cs.rand.Float64() < behavior.HotRelayShare {
-		relay = behavior.HotRelay
+	if behavior.HotRouterGroup != "" && cs.rand.Float64() < behavior.HotRelayShare {
+		relay = behavior.HotRouterGroup
 	}
 	class := &cs.classes[index]
 	work := class.WorkSeconds[0] + cs.rand.Float64()*(class.WorkSeconds[1]-class.WorkSeconds[0])
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -164,9 +164,9 @@
 }
 
 func (r *runner) makeRelayHot(e Event) {
-	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRelay, b.HotRelayShare = e.Relay, e.Amount })
+	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup, b.HotRelayShare = e.Relay, e.Amount })
 	r.after(e.Seconds, func() {
-		r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRelay = "" })
+		r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup = "" })
 	})
 }
 
