--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -53,7 +53,7 @@
 	AbandonShare           float64 // share of requests that are abandoned early
 	MinTimeoutShare        float64 // least part of its timeout that a try is given; 0: all
 	HotRouterGroup               string  // a relay that gets HotRelayShare of the requests, and its part of the rest
-	HotRelayShare          float64
+	HotRouterGroupShare          float64
 	WrongAnswerReportShare float64 // share of wrong answers that are reported
 }
 
@@ -133,7 +133,7 @@
 		u -= cs.classes[index].Share
 	}
 	relay := cs.relays[cs.rand.IntN(len(cs.relays))]
-	if behavior.HotRouterGroup != "" && cs.rand.Float64() < behavior.HotRelayShare {
+	if behavior.HotRouterGroup != "" && cs.rand.Float64() < behavior.HotRouterGroupShare {
 		relay = behavior.HotRouterGroup
 	}
 	class := &cs.classes[index]
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -164,7 +164,7 @@
 }
 
 func (r *runner) makeRelayHot(e Event) {
-	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup, b.HotRelayShare = e.Relay, e.Amount })
+	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup, b.HotRouterGroupShare = e.Relay, e.Amount })
 	r.after(e.Seconds, func() {
 		r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup = "" })
 	})
