--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -55,7 +55,7 @@
 	MaxConns           int     // connections above it are reset; 0: none is
 	AcceptDelaySeconds float64 // time that a new connection waits
 	SlowTailShare      float64 // share of requests that need slowTailFactor times the work
-	OnlyFromRelay      string  // if set, the fault holds for requests of this relay only
+	OnlyFromRouterGroup      string  // if set, the fault holds for requests of this relay only
 	FailProbes         bool    // health probes fail; requests do not
 	WrongAnswerShare   float64 // share of answers that are wrong, and come at once
 }
@@ -244,7 +244,7 @@
 		return
 	}
 	fault := e.fault.Load()
-	if fault.OnlyFromRelay != "" && r.Header.Get(headerRelay) != fault.OnlyFromRelay {
+	if fault.OnlyFromRouterGroup != "" && r.Header.Get(headerRelay) != fault.OnlyFromRouterGroup {
 		fault = &EndpointFault{}
 	}
 	if e.overloadedBy(now, attempt.WorkSeconds) || fault.Unresponsive {
