--- a/internal/fakes/platformclient.go
+++ b/internal/fakes/platformclient.go
@@ -45,7 +45,7 @@
 // sendRequest sends the i-th request of a client and records what becomes of it.
 func (s *PlatformSite) sendRequest(c net.Conn, br *bufio.Reader, client, i int) error {
 	request := &invariants.Request{
-		ID: uint64(client)<<32 | uint64(i+1), RouterGroup: s.Relay, DedupScope: "all", DedupWindowSeconds: 5, PriorityWeight: 1,
+		ID: uint64(client)<<32 | uint64(i+1), RouterGroup: s.RouterGroup, DedupScope: "all", DedupWindowSeconds: 5, PriorityWeight: 1,
 		LatencyObjectiveSeconds: 0.3,
 	}
 	encoded := encodeSiteRequest(request, i)
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -50,7 +50,7 @@
 // PlatformSite plays what is around one relay in the platform's protocol, and records what it sees on its sockets.
 type PlatformSite struct {
 	Record *invariants.Record
-	Relay  string
+	RouterGroup  string
 
 	startedAt time.Time
 	stopped   chan struct{}
@@ -92,7 +92,7 @@
 	now := time.Now()
 	return &PlatformSite{
 		Record:     invariants.NewRecord(),
-		Relay:      relay,
+		RouterGroup:      relay,
 		startedAt:  now,
 		stopped:    make(chan struct{}),
 		stageSince: now,
@@ -247,7 +247,7 @@
 	at := s.Clock()
 	s.Record.Update(func(r *invariants.Record) {
 		r.EndpointUpdates = append(r.EndpointUpdates, invariants.EndpointUpdate{
-			At: at, RouterGroup: s.Relay, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
+			At: at, RouterGroup: s.RouterGroup, Endpoint: endpointID(entry.Host), Ready: entry.Health == platformReady,
 		})
 	})
 }
@@ -330,7 +330,7 @@
 		phase = phaseCanary
 	}
 	update := invariants.ReleaseUpdate{
-		At: s.Clock(), RouterGroup: s.Relay, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
+		At: s.Clock(), RouterGroup: s.RouterGroup, Build: PlatformSiteCanary, Stage: s.stage, Phase: phase, CanaryLimit: s.canaryLimit(),
 	}
 	s.Record.Update(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
 }
@@ -390,7 +390,7 @@
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "platform":{"address":%q,"news":{"build":%d,"stage":0,"phase":"trial","cap":%v,"age_ms":0}},
-"known":%s,"settings":%s}`, s.Relay, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0],
+"known":%s,"settings":%s}`, s.RouterGroup, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0],
 		jsonLine(s.fullList()), siteSettings)
 }
 
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -51,7 +51,7 @@
 	settings := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
 	site.node = New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
-	site.life = &invariants.Incarnation{RouterGroup: site.Relay, StartedAt: site.Clock()}
+	site.life = &invariants.Incarnation{RouterGroup: site.RouterGroup, StartedAt: site.Clock()}
 	site.Record.Update(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.life) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
