--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -30,7 +30,7 @@
 	site := NewPlatformSite("n1")
 	defer site.Close()
 	site.List("u1", "127.0.0.1:1", 1, "SERVING")
-	address, _, err := site.Discovery(nil)
+	address, _, err := site.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -252,9 +252,9 @@
 	})
 }
 
-// Discovery starts the platform's discovery and gives its address, and a way to end it. While spoil, if it is not nil, returns true,
+// StartDiscovery starts the platform's discovery and gives its address, and a way to end it. While spoil, if it is not nil, returns true,
 // its answers are wrong.
-func (s *PlatformSite) Discovery(spoil func() bool) (address string, end func() error, err error) {
+func (s *PlatformSite) StartDiscovery(spoil func() bool) (address string, end func() error, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -100,7 +100,7 @@
 
 // startServices starts a discovery service and a control service.
 func (s *testSite) startServices(t *testing.T, spoil func() bool) (discovery, platform string, end func()) {
-	discovery, endDiscovery, discoveryErr := s.Discovery(spoil)
+	discovery, endDiscovery, discoveryErr := s.StartDiscovery(spoil)
 	platform, endPlatform, platformErr := s.StartControlService()
 	if err := errors.Join(discoveryErr, platformErr); err != nil {
 		t.Fatal(err)
