--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -29,7 +29,7 @@
 func TestPlatformSiteStreamsEndpoints(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
-	site.List("u1", "127.0.0.1:1", 1, "SERVING")
+	site.SetEndpoint("u1", "127.0.0.1:1", 1, "SERVING")
 	address, _, err := site.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	}
 	defer response.Body.Close()
 	const entry = `{"hosts":[{"block":0,"born_ms":0,"class":"m","dial":"127.0.0.1:1","health":"%s","host":"u1","image_id":1,"share":1,"site":"a"}],"seq":%d,"whole":%t}`
-	site.List("u1", "127.0.0.1:1", 1, "DRAINING")
+	site.SetEndpoint("u1", "127.0.0.1:1", 1, "DRAINING")
 	got := readLines(t, bufio.NewReader(response.Body), 3)
 	want := []string{fmt.Sprintf(entry, "SERVING", 1, true), fmt.Sprintf(entry, "DRAINING", 2, false), ""}
 	for i := range want {
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -164,7 +164,7 @@
 	s.Record.Update(func(r *invariants.Record) {
 		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: siteEndpointCapacity}
 	})
-	s.List(hostName(n), address, build, platformReady)
+	s.SetEndpoint(hostName(n), address, build, platformReady)
 	return nil
 }
 
@@ -222,8 +222,8 @@
 	}
 }
 
-// List changes one entry of the endpoint list, and sends it to all who watch.
-func (s *PlatformSite) List(host, dial string, build int, health string) {
+// SetEndpoint changes one entry of the endpoint list, and sends it to all who watch.
+func (s *PlatformSite) SetEndpoint(host, dial string, build int, health string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := platformHost{Host: host, Dial: dial, Site: "a", Class: "m", Health: health, Share: 1, Build: build}
