--- a/internal/fakes/platformclient.go
+++ b/internal/fakes/platformclient.go
@@ -12,9 +12,9 @@
 	"flintspread/internal/platform/resp"
 )
 
-// Client sends one request after the other until it is told to stop, on one connection while that lasts. Clients of one site have
+// RunClient sends one request after the other until it is told to stop, on one connection while that lasts. Clients of one site have
 // different numbers.
-func (s *PlatformSite) Client(n int, address string, until <-chan struct{}) {
+func (s *PlatformSite) RunClient(n int, address string, until <-chan struct{}) {
 	var c net.Conn
 	defer func() {
 		if c != nil {
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -57,7 +57,7 @@
 	done := make(chan error, 1)
 	go func() { done <- site.node.Run(ctx, l) }()
 	for i := range clients {
-		site.clients.Go(func() { site.Client(i+1, site.address, site.stopClients) })
+		site.clients.Go(func() { site.RunClient(i+1, site.address, site.stopClients) })
 	}
 	site.stopNode = func() {
 		site.life.DrainingFrom = site.Clock()
