--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -35,8 +35,8 @@
 	wrongAnswer     = "chute 99"
 )
 
-// Build is how the endpoints of one build behave. The zero value does all work right and as fast as is usual.
-type Build struct {
+// BuildBehavior is how the endpoints of one build behave. The zero value does all work right and as fast as is usual.
+type BuildBehavior struct {
 	WorkFactor       float64 `edn:"work"`       // times the usual work; 0: 1
 	ErrorShare       float64 `edn:"errors"`     // share of requests that fail
 	ErrorClass       string  `edn:"error-op"`   // only requests of this class fail
@@ -78,7 +78,7 @@
 	StartedAt float64
 
 	shape    EndpointShape
-	behavior Build
+	behavior BuildBehavior
 	record   *invariants.Record
 	clock    func() float64
 	server   *http.Server
@@ -116,7 +116,7 @@
 }
 
 // StartEndpoint starts an endpoint on a loopback port of its own.
-func StartEndpoint(id uint32, build int, behavior Build, shape EndpointShape, record *invariants.Record, clock func() float64) (*Endpoint, error) {
+func StartEndpoint(id uint32, build int, behavior BuildBehavior, shape EndpointShape, record *invariants.Record, clock func() float64) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -32,7 +32,7 @@
 	Release           config.Release      `edn:"release"`
 	Platform          Platform            `edn:"platform"`
 	Classes           []RequestClass      `edn:"op-types" validate:"required,min=1,dive"`
-	Builds            map[int]fakes.Build `edn:"builds" validate:"required"` // the lowest runs at the start
+	Builds            map[int]fakes.BuildBehavior `edn:"builds" validate:"required"` // the lowest runs at the start
 	Events            []Event             `edn:"events"`
 	// QueryServers are Prometheus servers that controllers query. Optional.
 	QueryServers *QueryServers `edn:"queries"`
