--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -48,11 +48,11 @@
 }
 
 // endpointScrape is one scrape of an endpoint: its counters and gauges.
-func endpointScrape(id, build int, all, wrong, up float64) (list []fakes.Scrape) {
+func endpointScrape(id, build int, all, wrong, up float64) (list []fakes.Sample) {
 	labels := map[string]string{"unit": strconv.Itoa(id), "build": strconv.Itoa(build)}
 	for name, value := range map[string]float64{"unit_answers_total": all, "unit_wrong_total": wrong, "unit_errors_total": 0, "unit_probe_success": up,
 		"unit_busy": 0.1, "unit_answer_seconds": 0.05} {
-		list = append(list, fakes.Scrape{Name: name, Labels: labels, Value: value})
+		list = append(list, fakes.Sample{Name: name, Labels: labels, Value: value})
 	}
 	return list
 }
@@ -272,7 +272,7 @@
 			scrape := func() {
 				n += 10
 				for _, q := range servers {
-					var list []fakes.Scrape
+					var list []fakes.Sample
 					for id := range endpointCount {
 						list = append(list, endpointScrape(id+1, 1+id%2, n, n/10, 1)...)
 					}
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -354,7 +354,7 @@
 }
 
 // Metrics gives what the endpoint shows to a scrape: nothing if it is unresponsive or stopped.
-func (e *Endpoint) Metrics() []Scrape {
+func (e *Endpoint) Metrics() []Sample {
 	fault := e.fault.Load()
 	if fault.Unresponsive || e.stopped.Err() != nil {
 		return nil
@@ -367,7 +367,7 @@
 	counts := e.counts
 	e.mu.Unlock()
 	labels := map[string]string{"unit": strconv.Itoa(int(e.ID)), "build": strconv.Itoa(e.Build), "instance": e.Addr}
-	return []Scrape{
+	return []Sample{
 		{metricAnswers, labels, counts.all},
 		{metricErrors, labels, counts.failed},
 		{metricWrongAnswers, labels, counts.wrong},
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -77,8 +77,8 @@
 	points []model.SamplePair
 }
 
-// Scrape is one sample that a target shows.
-type Scrape struct {
+// Sample is one sample that a target shows.
+type Sample struct {
 	Name   string
 	Labels map[string]string
 	Value  float64
@@ -134,7 +134,7 @@
 }
 
 // Enter adds what was scraped at an instant. Series that are not among it get no further samples.
-func (q *QueryServer) Enter(at float64, samples []Scrape) {
+func (q *QueryServer) Enter(at float64, samples []Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == Blind {
@@ -170,7 +170,7 @@
 }
 
 // newestBuild is the highest build number among the labels of samples. Build numbers have no leading zeros.
-func newestBuild(samples []Scrape) (newest string) {
+func newestBuild(samples []Sample) (newest string) {
 	for _, sample := range samples {
 		build := sample.Labels["build"]
 		if len(build) > len(newest) || len(build) == len(newest) && build > newest {
@@ -181,7 +181,7 @@
 }
 
 // seriesOf gives the series of a sample, a new one if there is none. Under the lock.
-func (q *QueryServer) seriesOf(sample Scrape) *scrapedSeries {
+func (q *QueryServer) seriesOf(sample Sample) *scrapedSeries {
 	sampleLabels := labels.FromMap(sample.Labels)
 	key := sample.Name + sampleLabels.String()
 	series := q.series[key]
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -55,7 +55,7 @@
 
 // scrape gives each query server what the endpoints show.
 func (r *runner) scrape() {
-	var samples []fakes.Scrape
+	var samples []fakes.Sample
 	r.mu.Lock()
 	for _, e := range r.endpoints {
 		samples = append(samples, e.Metrics()...)
