--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -115,7 +115,7 @@
 	scrape := func(wrong float64) {
 		n += 40
 		for _, q := range servers {
-			q.Enter(wall(), slices.Concat(endpointScrape(1, 1, n, 0, 0), endpointScrape(2, 1, n, 0, 1), endpointScrape(3, 2, n, wrong*n, 1), endpointScrape(4, 2, n, wrong*n, 1)))
+			q.AddSamples(wall(), slices.Concat(endpointScrape(1, 1, n, 0, 0), endpointScrape(2, 1, n, 0, 1), endpointScrape(3, 2, n, wrong*n, 1), endpointScrape(4, 2, n, wrong*n, 1)))
 		}
 		time.Sleep(60 * time.Millisecond)
 		c.tick()
@@ -276,7 +276,7 @@
 					for id := range endpointCount {
 						list = append(list, endpointScrape(id+1, 1+id%2, n, n/10, 1)...)
 					}
-					q.Enter(wall(), list)
+					q.AddSamples(wall(), list)
 				}
 			}
 			const measuredSeconds = 4
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -94,7 +94,7 @@
 	}
 	defer q.Stop()
 	for i := range 10 {
-		q.Enter(90+float64(i), []Sample{{"up", map[string]string{"unit": "7"}, float64(i)}})
+		q.AddSamples(90+float64(i), []Sample{{"up", map[string]string{"unit": "7"}, float64(i)}})
 	}
 	const metric = `"metric":{"__name__":"up","unit":"7"}`
 	for _, test := range []struct {
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -133,8 +133,8 @@
 	return q.queries
 }
 
-// Enter adds what was scraped at an instant. Series that are not among it get no further samples.
-func (q *QueryServer) Enter(at float64, samples []Sample) {
+// AddSamples adds what was scraped at an instant. Series that are not among it get no further samples.
+func (q *QueryServer) AddSamples(at float64, samples []Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == Blind {
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop()
-	server.Enter(999, []fakes.Sample{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
+	server.AddSamples(999, []fakes.Sample{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
 	impatient := newTestClient(t, server.URL, Limits{TimeoutSeconds: 0.5, MaxBytes: 40 << 20, MaxSeries: 100})
 	unhurried := newTestClient(t, server.URL, Limits{TimeoutSeconds: 30, MaxBytes: 40 << 20, MaxSeries: 100})
 	get := func(client *Client, query string, form promquery.Form) string {
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -63,7 +63,7 @@
 	r.mu.Unlock()
 	at := r.clock()
 	for _, server := range r.queryServers {
-		server.Enter(at, samples)
+		server.AddSamples(at, samples)
 	}
 }
 
