--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -117,8 +117,8 @@
 	q.fault = f
 }
 
-// Heal ends a fault, unless another has taken its place.
-func (q *QueryServer) Heal(f Fault) {
+// ClearFault ends a fault, unless another has taken its place.
+func (q *QueryServer) ClearFault(f Fault) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == f {
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -80,7 +80,7 @@
 		}
 		server.SetFault(fault)
 		if e.Seconds > 0 {
-			r.after(e.Seconds, func() { server.Heal(fault) })
+			r.after(e.Seconds, func() { server.ClearFault(fault) })
 		}
 	}
 }
