--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -66,8 +66,8 @@
 // Stop ends the service and all streams.
 func (c *ControlService) Stop() { c.server.Stop() }
 
-// Drop ends all streams. The service goes on.
-func (c *ControlService) Drop() {
+// CloseStreams ends all streams. The service goes on.
+func (c *ControlService) CloseStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream := range c.streams {
--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -245,7 +245,7 @@
 	f.sendAndWait(func() { c.Set(endpointList(7)) })
 	f.sendAndWait(func() { c.Set(doc(5, 7, f.documentText(5))) })
 	begun := len(c.Log())
-	c.Drop() // the stream breaks; nothing changed meanwhile
+	c.CloseStreams() // the stream breaks; nothing changed meanwhile
 	f.eventually("the stream again", func() bool { return len(c.Log()) >= begun+2 })
 	f.sendAndWait(func() { c.Set(doc(6, 0, f.documentText(6))) })
 	f.eventually("version 6 serves", func() bool { return f.get("/only-6/") == "200 by version 6" })
