--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -98,7 +98,7 @@
 	}
 	const metric = `"metric":{"__name__":"up","unit":"7"}`
 	for _, test := range []struct {
-		fault      Fault
+		fault      QueryServerFault
 		path       string
 		wantStatus int
 		want       string
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -17,26 +17,26 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// Fault is what is wrong with a QueryServer. Some faults concern what it scrapes, some what it answers.
-type Fault string
+// QueryServerFault is what is wrong with a QueryServer. Some faults concern what it scrapes, some what it answers.
+type QueryServerFault string
 
 // The faults of a QueryServer, by the words of scenario files.
 const (
-	NoFault    Fault = ""
-	Blind      Fault = "blind"     // it scrapes nothing any more
-	Lies       Fault = "lies"      // it says that most answers of the newest build are wrong and fail
-	Flatters   Fault = "flatters"  // it says that nothing ever fails
-	Late       Fault = "late"      // it answers after a second
-	Hangs      Fault = "hangs"     // it does not answer
-	Truncated  Fault = "truncated" // its answers end in the middle
-	TooManyNow Fault = "429"       // too many requests, come back in a second
-	Overloaded Fault = "503"       // service unavailable
-	Elsewhere  Fault = "redirect"  // it redirects to where nothing listens
-	Warns      Fault = "warnings"  // its answers are partial, with a warning
-	Yesterday  Fault = "yesterday" // its samples are dated a day back
-	Exploded   Fault = "exploded"  // it answers with explodedSeries series
-	Garbage    Fault = "garbage"   // it answers with another program's page
-	Dead       Fault = "dead"      // its connections break
+	NoFault    QueryServerFault = ""
+	Blind      QueryServerFault = "blind"     // it scrapes nothing any more
+	Lies       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
+	Flatters   QueryServerFault = "flatters"  // it says that nothing ever fails
+	Late       QueryServerFault = "late"      // it answers after a second
+	Hangs      QueryServerFault = "hangs"     // it does not answer
+	Truncated  QueryServerFault = "truncated" // its answers end in the middle
+	TooManyNow QueryServerFault = "429"       // too many requests, come back in a second
+	Overloaded QueryServerFault = "503"       // service unavailable
+	Elsewhere  QueryServerFault = "redirect"  // it redirects to where nothing listens
+	Warns      QueryServerFault = "warnings"  // its answers are partial, with a warning
+	Yesterday  QueryServerFault = "yesterday" // its samples are dated a day back
+	Exploded   QueryServerFault = "exploded"  // it answers with explodedSeries series
+	Garbage    QueryServerFault = "garbage"   // it answers with another program's page
+	Dead       QueryServerFault = "dead"      // its connections break
 )
 
 const (
@@ -66,7 +66,7 @@
 	parser parser.Parser
 
 	mu      sync.Mutex
-	fault   Fault
+	fault   QueryServerFault
 	series  map[string]*scrapedSeries // by metric name and labels
 	queries int
 }
@@ -108,7 +108,7 @@
 func (q *QueryServer) Stop() { q.server.Close() }
 
 // SetFault replaces the server's fault.
-func (q *QueryServer) SetFault(f Fault) {
+func (q *QueryServer) SetFault(f QueryServerFault) {
 	if f == Exploded {
 		explodedAnswer() // takes a while, the first time
 	}
@@ -118,7 +118,7 @@
 }
 
 // ClearFault ends a fault, unless another has taken its place.
-func (q *QueryServer) ClearFault(f Fault) {
+func (q *QueryServer) ClearFault(f QueryServerFault) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == f {
@@ -258,7 +258,7 @@
 }
 
 // misbehave does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
-func misbehave(w http.ResponseWriter, r *http.Request, fault Fault) (done bool) {
+func misbehave(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
 	case Late:
 		select {
@@ -289,7 +289,7 @@
 }
 
 // answer evaluates a query and gives the answer with its HTTP status.
-func (q *QueryServer) answer(r *http.Request, evaluate query, fault Fault) (*apiAnswer, int) {
+func (q *QueryServer) answer(r *http.Request, evaluate query, fault QueryServerFault) (*apiAnswer, int) {
 	data, problem := q.evaluate(r, evaluate, fault)
 	if problem != nil {
 		return &apiAnswer{Status: "error", ErrorType: problem.errorType, Error: problem.text}, problem.status
@@ -301,7 +301,7 @@
 	return answer, http.StatusOK
 }
 
-func (q *QueryServer) evaluate(r *http.Request, evaluate query, fault Fault) (apiData, *apiError) {
+func (q *QueryServer) evaluate(r *http.Request, evaluate query, fault QueryServerFault) (apiData, *apiError) {
 	expression, err := q.parser.ParseExpr(r.FormValue("query"))
 	if err != nil {
 		return apiData{}, badData("invalid parameter \"query\": %v", err)
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -144,7 +144,7 @@
 		return fmt.Sprint(len(rows), " rows")
 	}
 	for _, test := range []struct {
-		fault fakes.Fault
+		fault fakes.QueryServerFault
 		want  string
 	}{
 		{fakes.Late, "timed out"}, {fakes.Hangs, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.Truncated, "unreachable"},
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -15,7 +15,7 @@
 }
 
 // queryServerFaults are the faults that an event may name.
-var queryServerFaults = []fakes.Fault{
+var queryServerFaults = []fakes.QueryServerFault{
 	fakes.Blind, fakes.Lies, fakes.Flatters, fakes.Late, fakes.Hangs, fakes.Truncated, fakes.TooManyNow, fakes.Overloaded,
 	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
 }
@@ -69,7 +69,7 @@
 
 // injectQueryServerFault gives one query server a fault, all of them if the event names none. With no duration it lasts.
 func (r *runner) injectQueryServerFault(e Event) {
-	fault := fakes.Fault(e.Fault)
+	fault := fakes.QueryServerFault(e.Fault)
 	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
 		r.addError(fmt.Errorf("event at %g s: query server %d, fault %q: no such", e.At, e.Server, e.Fault))
 		return
