--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -23,7 +23,7 @@
 // The faults of a QueryServer, by the words of scenario files.
 const (
 	NoFault    QueryServerFault = ""
-	Blind      QueryServerFault = "blind"     // it scrapes nothing any more
+	FaultNoScrapes      QueryServerFault = "blind"     // it scrapes nothing any more
 	Lies       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
 	Flatters   QueryServerFault = "flatters"  // it says that nothing ever fails
 	Late       QueryServerFault = "late"      // it answers after a second
@@ -137,7 +137,7 @@
 func (q *QueryServer) AddSamples(at float64, samples []Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.fault == Blind {
+	if q.fault == FaultNoScrapes {
 		return
 	}
 	oldest := model.Time((at - retentionSeconds) * 1000)
