--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -24,7 +24,7 @@
 const (
 	NoFault    QueryServerFault = ""
 	FaultNoScrapes      QueryServerFault = "blind"     // it scrapes nothing any more
-	Lies       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
+	FaultInflatesFailures       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
 	Flatters   QueryServerFault = "flatters"  // it says that nothing ever fails
 	Late       QueryServerFault = "late"      // it answers after a second
 	Hangs      QueryServerFault = "hangs"     // it does not answer
@@ -153,7 +153,7 @@
 		switch {
 		case isFailureCounter && q.fault == Flatters:
 			sample.Value = 0
-		case isFailureCounter && q.fault == Lies && sample.Labels["build"] == newest:
+		case isFailureCounter && q.fault == FaultInflatesFailures && sample.Labels["build"] == newest:
 			sample.Value = math.Floor(lyingFailureShare * answers[sample.Labels["unit"]])
 		}
 		series := q.seriesOf(sample)
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -58,7 +58,7 @@
 		return c, err
 	}
 	lied, err := play(2, "lied", comparisonGoodBuild, func(s *Script) {
-		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.Lies)})
+		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.FaultInflatesFailures)})
 	})
 	if err != nil {
 		return c, err
