--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -25,7 +25,7 @@
 	NoFault    QueryServerFault = ""
 	FaultNoScrapes      QueryServerFault = "blind"     // it scrapes nothing any more
 	FaultInflatesFailures       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
-	Flatters   QueryServerFault = "flatters"  // it says that nothing ever fails
+	FaultHidesFailures   QueryServerFault = "flatters"  // it says that nothing ever fails
 	Late       QueryServerFault = "late"      // it answers after a second
 	Hangs      QueryServerFault = "hangs"     // it does not answer
 	Truncated  QueryServerFault = "truncated" // its answers end in the middle
@@ -151,7 +151,7 @@
 	for _, sample := range samples {
 		isFailureCounter := sample.Name == metricWrongAnswers || sample.Name == metricErrors
 		switch {
-		case isFailureCounter && q.fault == Flatters:
+		case isFailureCounter && q.fault == FaultHidesFailures:
 			sample.Value = 0
 		case isFailureCounter && q.fault == FaultInflatesFailures && sample.Labels["build"] == newest:
 			sample.Value = math.Floor(lyingFailureShare * answers[sample.Labels["unit"]])
