--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -26,7 +26,7 @@
 	FaultNoScrapes      QueryServerFault = "blind"     // it scrapes nothing any more
 	FaultInflatesFailures       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
 	FaultHidesFailures   QueryServerFault = "flatters"  // it says that nothing ever fails
-	Late       QueryServerFault = "late"      // it answers after a second
+	FaultSlow       QueryServerFault = "late"      // it answers after a second
 	Hangs      QueryServerFault = "hangs"     // it does not answer
 	Truncated  QueryServerFault = "truncated" // its answers end in the middle
 	TooManyNow QueryServerFault = "429"       // too many requests, come back in a second
@@ -260,7 +260,7 @@
 // misbehave does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
 func misbehave(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
-	case Late:
+	case FaultSlow:
 		select {
 		case <-r.Context().Done():
 			return true
