--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -27,7 +27,7 @@
 	FaultInflatesFailures       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
 	FaultHidesFailures   QueryServerFault = "flatters"  // it says that nothing ever fails
 	FaultSlow       QueryServerFault = "late"      // it answers after a second
-	Hangs      QueryServerFault = "hangs"     // it does not answer
+	FaultNoResponse      QueryServerFault = "hangs"     // it does not answer
 	Truncated  QueryServerFault = "truncated" // its answers end in the middle
 	TooManyNow QueryServerFault = "429"       // too many requests, come back in a second
 	Overloaded QueryServerFault = "503"       // service unavailable
@@ -267,7 +267,7 @@
 		case <-time.After(lateness):
 			return false
 		}
-	case Hangs:
+	case FaultNoResponse:
 		<-r.Context().Done()
 	case Dead:
 		panic(http.ErrAbortHandler)
