--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -28,7 +28,7 @@
 	FaultHidesFailures   QueryServerFault = "flatters"  // it says that nothing ever fails
 	FaultSlow       QueryServerFault = "late"      // it answers after a second
 	FaultNoResponse      QueryServerFault = "hangs"     // it does not answer
-	Truncated  QueryServerFault = "truncated" // its answers end in the middle
+	FaultTruncated  QueryServerFault = "truncated" // its answers end in the middle
 	TooManyNow QueryServerFault = "429"       // too many requests, come back in a second
 	Overloaded QueryServerFault = "503"       // service unavailable
 	Elsewhere  QueryServerFault = "redirect"  // it redirects to where nothing listens
@@ -249,7 +249,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if fault == Truncated {
+	if fault == FaultTruncated {
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		text = text[:len(text)*2/3]
 	}
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -147,7 +147,7 @@
 		fault fakes.QueryServerFault
 		want  string
 	}{
-		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.Truncated, "unreachable"},
+		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.FaultTruncated, "unreachable"},
 		{fakes.TooManyNow, "busy: status 429"}, {fakes.Overloaded, "busy: status 503"}, {fakes.Elsewhere, "redirected"},
 		{fakes.Warns, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: above 100: some label has exploded"},
 	} {
