--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -111,7 +111,7 @@
 		{NoFault, "query?query=" + url.QueryEscape("rate(up[1s])"), 422,
 			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
 		{Yesterday, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
-		{TooManyNow, "query?query=up", 429, "too many requests\n"},
+		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
 		{Overloaded, "query?query=up", 503, "overloaded\n"},
 		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
 	} {
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -29,7 +29,7 @@
 	FaultSlow       QueryServerFault = "late"      // it answers after a second
 	FaultNoResponse      QueryServerFault = "hangs"     // it does not answer
 	FaultTruncated  QueryServerFault = "truncated" // its answers end in the middle
-	TooManyNow QueryServerFault = "429"       // too many requests, come back in a second
+	FaultTooManyRequests QueryServerFault = "429"       // too many requests, come back in a second
 	Overloaded QueryServerFault = "503"       // service unavailable
 	Elsewhere  QueryServerFault = "redirect"  // it redirects to where nothing listens
 	Warns      QueryServerFault = "warnings"  // its answers are partial, with a warning
@@ -271,7 +271,7 @@
 		<-r.Context().Done()
 	case Dead:
 		panic(http.ErrAbortHandler)
-	case TooManyNow:
+	case FaultTooManyRequests:
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many requests", http.StatusTooManyRequests)
 	case Overloaded:
