--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -112,7 +112,7 @@
 			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
 		{Yesterday, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
 		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
-		{Overloaded, "query?query=up", 503, "overloaded\n"},
+		{FaultUnavailable, "query?query=up", 503, "overloaded\n"},
 		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
 	} {
 		q.SetFault(test.fault)
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -30,7 +30,7 @@
 	FaultNoResponse      QueryServerFault = "hangs"     // it does not answer
 	FaultTruncated  QueryServerFault = "truncated" // its answers end in the middle
 	FaultTooManyRequests QueryServerFault = "429"       // too many requests, come back in a second
-	Overloaded QueryServerFault = "503"       // service unavailable
+	FaultUnavailable QueryServerFault = "503"       // service unavailable
 	Elsewhere  QueryServerFault = "redirect"  // it redirects to where nothing listens
 	Warns      QueryServerFault = "warnings"  // its answers are partial, with a warning
 	Yesterday  QueryServerFault = "yesterday" // its samples are dated a day back
@@ -274,7 +274,7 @@
 	case FaultTooManyRequests:
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many requests", http.StatusTooManyRequests)
-	case Overloaded:
+	case FaultUnavailable:
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 	case Elsewhere:
 		http.Redirect(w, r, redirectDestination, http.StatusFound)
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -16,7 +16,7 @@
 
 // queryServerFaults are the faults that an event may name.
 var queryServerFaults = []fakes.QueryServerFault{
-	fakes.FaultNoScrapes, fakes.FaultInflatesFailures, fakes.FaultHidesFailures, fakes.FaultSlow, fakes.FaultNoResponse, fakes.FaultTruncated, fakes.FaultTooManyRequests, fakes.Overloaded,
+	fakes.FaultNoScrapes, fakes.FaultInflatesFailures, fakes.FaultHidesFailures, fakes.FaultSlow, fakes.FaultNoResponse, fakes.FaultTruncated, fakes.FaultTooManyRequests, fakes.FaultUnavailable,
 	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
 }
 
