--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -31,7 +31,7 @@
 	FaultTruncated  QueryServerFault = "truncated" // its answers end in the middle
 	FaultTooManyRequests QueryServerFault = "429"       // too many requests, come back in a second
 	FaultUnavailable QueryServerFault = "503"       // service unavailable
-	Elsewhere  QueryServerFault = "redirect"  // it redirects to where nothing listens
+	FaultRedirect  QueryServerFault = "redirect"  // it redirects to where nothing listens
 	Warns      QueryServerFault = "warnings"  // its answers are partial, with a warning
 	Yesterday  QueryServerFault = "yesterday" // its samples are dated a day back
 	Exploded   QueryServerFault = "exploded"  // it answers with explodedSeries series
@@ -276,7 +276,7 @@
 		http.Error(w, "too many requests", http.StatusTooManyRequests)
 	case FaultUnavailable:
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
-	case Elsewhere:
+	case FaultRedirect:
 		http.Redirect(w, r, redirectDestination, http.StatusFound)
 	case Garbage:
 		writeResponse(w, []byte("<html><body>It works!</body></html>"))
