--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -32,7 +32,7 @@
 	FaultTooManyRequests QueryServerFault = "429"       // too many requests, come back in a second
 	FaultUnavailable QueryServerFault = "503"       // service unavailable
 	FaultRedirect  QueryServerFault = "redirect"  // it redirects to where nothing listens
-	Warns      QueryServerFault = "warnings"  // its answers are partial, with a warning
+	FaultPartialResult      QueryServerFault = "warnings"  // its answers are partial, with a warning
 	Yesterday  QueryServerFault = "yesterday" // its samples are dated a day back
 	Exploded   QueryServerFault = "exploded"  // it answers with explodedSeries series
 	Garbage    QueryServerFault = "garbage"   // it answers with another program's page
@@ -295,7 +295,7 @@
 		return &apiAnswer{Status: "error", ErrorType: problem.errorType, Error: problem.text}, problem.status
 	}
 	answer := &apiAnswer{Status: "success", Data: data}
-	if fault == Warns {
+	if fault == FaultPartialResult {
 		answer.Warnings = []string{"remote_read: one of the stores did not answer"}
 	}
 	return answer, http.StatusOK
