--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -110,7 +110,7 @@
 			`{"status":"success","data":{"resultType":"matrix","result":[{` + metric + `,"values":[[90,"0"],[92,"2"],[94,"4"]]}]}}`},
 		{NoFault, "query?query=" + url.QueryEscape("rate(up[1s])"), 422,
 			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
-		{Yesterday, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
+		{FaultOldTimestamps, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
 		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
 		{FaultUnavailable, "query?query=up", 503, "overloaded\n"},
 		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -33,7 +33,7 @@
 	FaultUnavailable QueryServerFault = "503"       // service unavailable
 	FaultRedirect  QueryServerFault = "redirect"  // it redirects to where nothing listens
 	FaultPartialResult      QueryServerFault = "warnings"  // its answers are partial, with a warning
-	Yesterday  QueryServerFault = "yesterday" // its samples are dated a day back
+	FaultOldTimestamps  QueryServerFault = "yesterday" // its samples are dated a day back
 	Exploded   QueryServerFault = "exploded"  // it answers with explodedSeries series
 	Garbage    QueryServerFault = "garbage"   // it answers with another program's page
 	Dead       QueryServerFault = "dead"      // its connections break
@@ -307,7 +307,7 @@
 		return apiData{}, badData("invalid parameter \"query\": %v", err)
 	}
 	shift := 0.0
-	if fault == Yesterday {
+	if fault == FaultOldTimestamps {
 		shift = yesterdaySeconds
 	}
 	q.mu.Lock()
