--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -34,7 +34,7 @@
 	FaultRedirect  QueryServerFault = "redirect"  // it redirects to where nothing listens
 	FaultPartialResult      QueryServerFault = "warnings"  // its answers are partial, with a warning
 	FaultOldTimestamps  QueryServerFault = "yesterday" // its samples are dated a day back
-	Exploded   QueryServerFault = "exploded"  // it answers with explodedSeries series
+	FaultTooManySeries   QueryServerFault = "exploded"  // it answers with explodedSeries series
 	Garbage    QueryServerFault = "garbage"   // it answers with another program's page
 	Dead       QueryServerFault = "dead"      // its connections break
 )
@@ -109,7 +109,7 @@
 
 // SetFault replaces the server's fault.
 func (q *QueryServer) SetFault(f QueryServerFault) {
-	if f == Exploded {
+	if f == FaultTooManySeries {
 		explodedAnswer() // takes a while, the first time
 	}
 	q.mu.Lock()
@@ -280,7 +280,7 @@
 		http.Redirect(w, r, redirectDestination, http.StatusFound)
 	case Garbage:
 		writeResponse(w, []byte("<html><body>It works!</body></html>"))
-	case Exploded:
+	case FaultTooManySeries:
 		writeResponse(w, explodedAnswer())
 	default:
 		return false
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -149,11 +149,11 @@
 	}{
 		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.FaultTruncated, "unreachable"},
 		{fakes.FaultTooManyRequests, "busy: status 429"}, {fakes.FaultUnavailable, "busy: status 503"}, {fakes.FaultRedirect, "redirected"},
-		{fakes.FaultPartialResult, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: above 100: some label has exploded"},
+		{fakes.FaultPartialResult, "partial"}, {fakes.Garbage, "malformed"}, {fakes.FaultTooManySeries, "too many series: above 100: some label has exploded"},
 	} {
 		server.SetFault(test.fault)
 		client := impatient
-		if test.fault == fakes.Exploded {
+		if test.fault == fakes.FaultTooManySeries {
 			client = unhurried
 		}
 		if got := get(client, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+test.want) {
@@ -167,7 +167,7 @@
 		}
 	}
 	small := newTestClient(t, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 20, MaxSeries: 100})
-	server.SetFault(fakes.Exploded)
+	server.SetFault(fakes.FaultTooManySeries)
 	if _, err := small.Query(context.Background(), Request{Query: "up[5s]", Form: promquery.Samples, At: 1000}); err == nil || !strings.Contains(err.Error(), "q1: too big: above 1048576 bytes") {
 		t.Error(err)
 	}
