--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -113,7 +113,7 @@
 		{FaultOldTimestamps, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
 		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
 		{FaultUnavailable, "query?query=up", 503, "overloaded\n"},
-		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
+		{FaultNotJSON, "query?query=up", 200, "<html><body>It works!</body></html>"},
 	} {
 		q.SetFault(test.fault)
 		response, err := http.Get(q.URL + "/api/v1/" + test.path)
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -35,7 +35,7 @@
 	FaultPartialResult      QueryServerFault = "warnings"  // its answers are partial, with a warning
 	FaultOldTimestamps  QueryServerFault = "yesterday" // its samples are dated a day back
 	FaultTooManySeries   QueryServerFault = "exploded"  // it answers with explodedSeries series
-	Garbage    QueryServerFault = "garbage"   // it answers with another program's page
+	FaultNotJSON    QueryServerFault = "garbage"   // it answers with another program's page
 	Dead       QueryServerFault = "dead"      // its connections break
 )
 
@@ -278,7 +278,7 @@
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 	case FaultRedirect:
 		http.Redirect(w, r, redirectDestination, http.StatusFound)
-	case Garbage:
+	case FaultNotJSON:
 		writeResponse(w, []byte("<html><body>It works!</body></html>"))
 	case FaultTooManySeries:
 		writeResponse(w, explodedAnswer())
