--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -145,7 +145,7 @@
 	})
 	_, before := marks()
 	for _, q := range servers {
-		q.SetFault(fakes.Dead)
+		q.SetFault(fakes.FaultConnectionReset)
 	}
 	eventually(t, "the marks end with the servers", func() bool {
 		m, version := marks()
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -36,7 +36,7 @@
 	FaultOldTimestamps  QueryServerFault = "yesterday" // its samples are dated a day back
 	FaultTooManySeries   QueryServerFault = "exploded"  // it answers with explodedSeries series
 	FaultNotJSON    QueryServerFault = "garbage"   // it answers with another program's page
-	Dead       QueryServerFault = "dead"      // its connections break
+	FaultConnectionReset       QueryServerFault = "dead"      // its connections break
 )
 
 const (
@@ -269,7 +269,7 @@
 		}
 	case FaultNoResponse:
 		<-r.Context().Done()
-	case Dead:
+	case FaultConnectionReset:
 		panic(http.ErrAbortHandler)
 	case FaultTooManyRequests:
 		w.Header().Set("Retry-After", "1")
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -147,7 +147,7 @@
 		fault fakes.QueryServerFault
 		want  string
 	}{
-		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.FaultTruncated, "unreachable"},
+		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.FaultConnectionReset, "unreachable"}, {fakes.FaultTruncated, "unreachable"},
 		{fakes.FaultTooManyRequests, "busy: status 429"}, {fakes.FaultUnavailable, "busy: status 503"}, {fakes.FaultRedirect, "redirected"},
 		{fakes.FaultPartialResult, "partial"}, {fakes.FaultNotJSON, "malformed"}, {fakes.FaultTooManySeries, "too many series: above 100: some label has exploded"},
 	} {
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -17,7 +17,7 @@
 // queryServerFaults are the faults that an event may name.
 var queryServerFaults = []fakes.QueryServerFault{
 	fakes.FaultNoScrapes, fakes.FaultInflatesFailures, fakes.FaultHidesFailures, fakes.FaultSlow, fakes.FaultNoResponse, fakes.FaultTruncated, fakes.FaultTooManyRequests, fakes.FaultUnavailable,
-	fakes.FaultRedirect, fakes.FaultPartialResult, fakes.FaultOldTimestamps, fakes.FaultTooManySeries, fakes.FaultNotJSON, fakes.Dead,
+	fakes.FaultRedirect, fakes.FaultPartialResult, fakes.FaultOldTimestamps, fakes.FaultTooManySeries, fakes.FaultNotJSON, fakes.FaultConnectionReset,
 }
 
 // startQueryServers starts the query servers, if the script has any. They scrape the endpoints until the scenario ends.
