--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -52,8 +52,8 @@
 	IgnoreRetryAfter       bool    // retry at once
 	AbandonShare           float64 // share of requests that are abandoned early
 	MinTimeoutShare        float64 // least part of its timeout that a try is given; 0: all
-	HotRouterGroup               string  // a relay that gets HotRelayShare of the requests, and its part of the rest
-	HotRouterGroupShare          float64
+	HotRouterGroup         string  // a relay that gets HotRelayShare of the requests, and its part of the rest
+	HotRouterGroupShare    float64
 	WrongAnswerReportShare float64 // share of wrong answers that are reported
 }
 
@@ -214,7 +214,7 @@
 	}
 	record := &invariants.Request{
 		ID:                      cs.ids.Add(1),
-		RouterGroup:                   r.relay,
+		RouterGroup:             r.relay,
 		Class:                   class.Name,
 		Idempotency:             class.Idempotency,
 		DedupScope:              class.DedupScope,
--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -29,8 +29,8 @@
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 
 	// RouterGroup is the relay that it serves. Only its owner uses it.
-	RouterGroup  string
-	server *grpc.Server
+	RouterGroup string
+	server      *grpc.Server
 
 	mu      sync.Mutex
 	streams map[*controlStream]struct{}
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -48,16 +48,16 @@
 
 // EndpointFault is what is wrong with an endpoint. Several things may be. The zero value is nothing.
 type EndpointFault struct {
-	SlowFactor         float64 // times slower; 0: not slower
-	ErrorShare         float64 // share of requests that fail at once
-	Unresponsive       bool    // requests get no answer
-	ResetShare         float64 // share of requests at which the connection is reset
-	MaxConns           int     // connections above it are reset; 0: none is
-	AcceptDelaySeconds float64 // time that a new connection waits
-	SlowTailShare      float64 // share of requests that need slowTailFactor times the work
-	OnlyFromRouterGroup      string  // if set, the fault holds for requests of this relay only
-	FailProbes         bool    // health probes fail; requests do not
-	WrongAnswerShare   float64 // share of answers that are wrong, and come at once
+	SlowFactor          float64 // times slower; 0: not slower
+	ErrorShare          float64 // share of requests that fail at once
+	Unresponsive        bool    // requests get no answer
+	ResetShare          float64 // share of requests at which the connection is reset
+	MaxConns            int     // connections above it are reset; 0: none is
+	AcceptDelaySeconds  float64 // time that a new connection waits
+	SlowTailShare       float64 // share of requests that need slowTailFactor times the work
+	OnlyFromRouterGroup string  // if set, the fault holds for requests of this relay only
+	FailProbes          bool    // health probes fail; requests do not
+	WrongAnswerShare    float64 // share of answers that are wrong, and come at once
 }
 
 // EndpointShape is what all endpoints of a fleet have in common.
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -49,8 +49,8 @@
 
 // PlatformSite plays what is around one relay in the platform's protocol, and records what it sees on its sockets.
 type PlatformSite struct {
-	Record *invariants.Record
-	RouterGroup  string
+	Record      *invariants.Record
+	RouterGroup string
 
 	startedAt time.Time
 	stopped   chan struct{}
@@ -91,14 +91,14 @@
 func NewPlatformSite(relay string) *PlatformSite {
 	now := time.Now()
 	return &PlatformSite{
-		Record:     invariants.NewRecord(),
-		RouterGroup:      relay,
-		startedAt:  now,
-		stopped:    make(chan struct{}),
-		stageSince: now,
-		watchers:   map[chan []byte]bool{},
-		followers:  map[net.Conn]bool{},
-		phase:      platformPhaseCanary,
+		Record:      invariants.NewRecord(),
+		RouterGroup: relay,
+		startedAt:   now,
+		stopped:     make(chan struct{}),
+		stageSince:  now,
+		watchers:    map[chan []byte]bool{},
+		followers:   map[net.Conn]bool{},
+		phase:       platformPhaseCanary,
 	}
 }
 
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -22,21 +22,21 @@
 
 // The faults of a QueryServer, by the words of scenario files.
 const (
-	NoFault    QueryServerFault = ""
-	FaultNoScrapes      QueryServerFault = "blind"     // it scrapes nothing any more
-	FaultInflatesFailures       QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
-	FaultHidesFailures   QueryServerFault = "flatters"  // it says that nothing ever fails
-	FaultSlow       QueryServerFault = "late"      // it answers after a second
-	FaultNoResponse      QueryServerFault = "hangs"     // it does not answer
-	FaultTruncated  QueryServerFault = "truncated" // its answers end in the middle
-	FaultTooManyRequests QueryServerFault = "429"       // too many requests, come back in a second
-	FaultUnavailable QueryServerFault = "503"       // service unavailable
-	FaultRedirect  QueryServerFault = "redirect"  // it redirects to where nothing listens
-	FaultPartialResult      QueryServerFault = "warnings"  // its answers are partial, with a warning
-	FaultOldTimestamps  QueryServerFault = "yesterday" // its samples are dated a day back
-	FaultTooManySeries   QueryServerFault = "exploded"  // it answers with explodedSeries series
-	FaultNotJSON    QueryServerFault = "garbage"   // it answers with another program's page
-	FaultConnectionReset       QueryServerFault = "dead"      // its connections break
+	NoFault               QueryServerFault = ""
+	FaultNoScrapes        QueryServerFault = "blind"     // it scrapes nothing any more
+	FaultInflatesFailures QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
+	FaultHidesFailures    QueryServerFault = "flatters"  // it says that nothing ever fails
+	FaultSlow             QueryServerFault = "late"      // it answers after a second
+	FaultNoResponse       QueryServerFault = "hangs"     // it does not answer
+	FaultTruncated        QueryServerFault = "truncated" // its answers end in the middle
+	FaultTooManyRequests  QueryServerFault = "429"       // too many requests, come back in a second
+	FaultUnavailable      QueryServerFault = "503"       // service unavailable
+	FaultRedirect         QueryServerFault = "redirect"  // it redirects to where nothing listens
+	FaultPartialResult    QueryServerFault = "warnings"  // its answers are partial, with a warning
+	FaultOldTimestamps    QueryServerFault = "yesterday" // its samples are dated a day back
+	FaultTooManySeries    QueryServerFault = "exploded"  // it answers with explodedSeries series
+	FaultNotJSON          QueryServerFault = "garbage"   // it answers with another program's page
+	FaultConnectionReset  QueryServerFault = "dead"      // its connections break
 )
 
 const (
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -27,10 +27,10 @@
 
 // Rule is what became of one rule.
 type Rule struct {
-	Name    string   `json:"name"`
-	Checked int      `json:"checked"` // cases in which it could have been broken
-	Violations  int      `json:"broken"`
-	FirstViolations   []string `json:"first,omitempty"` // the first breaches
+	Name            string   `json:"name"`
+	Checked         int      `json:"checked"` // cases in which it could have been broken
+	Violations      int      `json:"broken"`
+	FirstViolations []string `json:"first,omitempty"` // the first breaches
 }
 
 func (r *Rule) breach(format string, args ...any) {
@@ -43,7 +43,7 @@
 // Report is what a record shows: the rules, in their order, and the service that clients got.
 type Report struct {
 	Rules                      []Rule             `json:"rules"`
-	Requests                      int                `json:"asked"`         // tries
+	Requests                   int                `json:"asked"`         // tries
 	Answers                    map[string]int     `json:"answers"`       // tries by kind of answer, or what took its place
 	Service                    float64            `json:"service"`       // weight of requests answered rightly within their objective, as a share of all
 	ServiceByClass             map[string]float64 `json:"service_by_op"` // the same by request class
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -34,7 +34,7 @@
 // that watches all sockets; 0 where the thing did not happen.
 type Request struct {
 	ID                      uint64
-	RouterGroup                   string
+	RouterGroup             string
 	Class                   string
 	Idempotency             Idempotency
 	DedupScope              string  // of IdempotentWithKey: all, zone or cell
@@ -85,16 +85,16 @@
 
 // EndpointUpdate is what a relay was sent about an endpoint.
 type EndpointUpdate struct {
-	At       float64
-	RouterGroup    string
-	Endpoint uint32
-	Ready    bool // false: it drains or is gone
+	At          float64
+	RouterGroup string
+	Endpoint    uint32
+	Ready       bool // false: it drains or is gone
 }
 
 // ReleaseUpdate is what a relay was sent about a release.
 type ReleaseUpdate struct {
 	At           float64
-	RouterGroup        string
+	RouterGroup  string
 	Build, Stage int
 	Phase        string
 	CanaryLimit  float64
@@ -103,15 +103,17 @@
 // Incarnation is one process of a relay's router or controller, from its start until it was killed or had stopped.
 type Incarnation struct {
 	RouterGroup        string
-	IsController   bool // it directs the relay's routers, which have processes of their own
-	StartedAt, EndedAt     float64
-	Killed       bool
-	DrainingFrom float64      // when it was told to shut down gracefully; 0: it was not
-	Pauses       [][2]float64 // when it was stopped from outside and continued
+	IsController       bool // it directs the relay's routers, which have processes of their own
+	StartedAt, EndedAt float64
+	Killed             bool
+	DrainingFrom       float64      // when it was told to shut down gracefully; 0: it was not
+	Pauses             [][2]float64 // when it was stopped from outside and continued
 }
 
 // covers reports whether the process existed at an instant.
-func (l *Incarnation) covers(at float64) bool { return l.StartedAt <= at && (l.EndedAt == 0 || at <= l.EndedAt) }
+func (l *Incarnation) covers(at float64) bool {
+	return l.StartedAt <= at && (l.EndedAt == 0 || at <= l.EndedAt)
+}
 
 // Record is all that was seen on sockets. Only Enter may be used while others write.
 type Record struct {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -25,15 +25,15 @@
 	// ConfigStorm sends configuration versions from a control service. No file sets it; nil: none are sent.
 	ConfigStorm *ConfigStorm `edn:"-"`
 	// RequestsPerSecond is the rate of requests to all relays together.
-	RequestsPerSecond float64             `edn:"rate" validate:"gt=0"`
-	Fleet             Fleet               `edn:"units"`
-	Clients           ClientBehavior      `edn:"clients"`
-	Rules             config.Rules        `edn:"rules"`
-	Release           config.Release      `edn:"release"`
-	Platform          Platform            `edn:"platform"`
-	Classes           []RequestClass      `edn:"op-types" validate:"required,min=1,dive"`
+	RequestsPerSecond float64                     `edn:"rate" validate:"gt=0"`
+	Fleet             Fleet                       `edn:"units"`
+	Clients           ClientBehavior              `edn:"clients"`
+	Rules             config.Rules                `edn:"rules"`
+	Release           config.Release              `edn:"release"`
+	Platform          Platform                    `edn:"platform"`
+	Classes           []RequestClass              `edn:"op-types" validate:"required,min=1,dive"`
 	Builds            map[int]fakes.BuildBehavior `edn:"builds" validate:"required"` // the lowest runs at the start
-	Events            []Event             `edn:"events"`
+	Events            []Event                     `edn:"events"`
 	// QueryServers are Prometheus servers that controllers query. Optional.
 	QueryServers *QueryServers `edn:"queries"`
 
