--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -157,7 +157,7 @@
 
 // StartEndpoint starts an endpoint that treats a share of its requests badly, in every way there is, and lists it.
 func (s *PlatformSite) StartEndpoint(n, build int, bad float64) error {
-	address, err := s.track(Serve(func(c net.Conn) { s.serveEndpoint(c, uint32(n), bad) }))
+	address, err := s.track(ServeConns(func(c net.Conn) { s.serveEndpoint(c, uint32(n), bad) }))
 	if err != nil {
 		return err
 	}
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -16,9 +16,9 @@
 // idleInterval is how long a line protocol waits for a line before it calls idle.
 const idleInterval = 500 * time.Millisecond
 
-// Serve calls play with each connection to a loopback port of its own, and closes the connection after it, until the listener is
+// ServeConns calls play with each connection to a loopback port of its own, and closes the connection after it, until the listener is
 // closed.
-func Serve(play func(net.Conn)) (net.Listener, error) {
+func ServeConns(play func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 
 // ServeLines serves a line protocol: take is called with each line, idle, if it is not nil, when none came for half a second.
 func ServeLines(take func(c net.Conn, line string), idle func(c net.Conn)) (net.Listener, error) {
-	return Serve(func(c net.Conn) {
+	return ServeConns(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
 			if idle != nil {
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -126,7 +126,7 @@
 // silentListener accepts connections and never sends anything; accepted counts them.
 func silentListener(t *testing.T) (address string, accepted func() int) {
 	var n atomic.Int32
-	l, err := fakes.Serve(func(c net.Conn) {
+	l, err := fakes.ServeConns(func(c net.Conn) {
 		n.Add(1)
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			c.Close()
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -33,7 +33,7 @@
 
 // newQuickEndpoint starts an endpoint that answers each request without a body at once.
 func newQuickEndpoint(b *testing.B) net.Listener {
-	l, err := fakes.Serve(func(c net.Conn) {
+	l, err := fakes.ServeConns(func(c net.Conn) {
 		br := bufio.NewReaderSize(c, 4096)
 		for skipHead(br) >= 0 {
 			if _, err := c.Write(plainAnswer); err != nil {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -79,7 +79,7 @@
 // addEndpoint starts an endpoint that runs play for each connection, and adds it to the endpoint list as ready.
 func (h *harness) addEndpoint(id uint32, build int, play func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
 	endpoint := &scriptedEndpoint{id: id}
-	l, err := fakes.Serve(func(c net.Conn) { play(endpoint, c, bufio.NewReader(c)) })
+	l, err := fakes.ServeConns(func(c net.Conn) { play(endpoint, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
