--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -60,8 +60,8 @@
 	WrongAnswerShare    float64 // share of answers that are wrong, and come at once
 }
 
-// EndpointShape is what all endpoints of a fleet have in common.
-type EndpointShape struct {
+// EndpointSpec is what all endpoints of a fleet have in common.
+type EndpointSpec struct {
 	Cores                    int // requests that are worked on at once
 	QueueLength              int // requests that wait for a core; more are rejected
 	SlowStartInitialShare    float64
@@ -77,7 +77,7 @@
 	Build     int
 	StartedAt float64
 
-	shape    EndpointShape
+	shape    EndpointSpec
 	behavior BuildBehavior
 	record   *invariants.Record
 	clock    func() float64
@@ -116,7 +116,7 @@
 }
 
 // StartEndpoint starts an endpoint on a loopback port of its own.
-func StartEndpoint(id uint32, build int, behavior BuildBehavior, shape EndpointShape, record *invariants.Record, clock func() float64) (*Endpoint, error) {
+func StartEndpoint(id uint32, build int, behavior BuildBehavior, shape EndpointSpec, record *invariants.Record, clock func() float64) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	fleet, rules := r.script.Fleet, r.script.Rules
-	shape := fakes.EndpointShape{
+	shape := fakes.EndpointSpec{
 		Cores:                    fleet.Cores,
 		QueueLength:              fleet.QueueLength,
 		SlowStartInitialShare:    rules.SlowStartInitialShare,
