--- a/cmd/flintspread-lab/day.go
+++ b/cmd/flintspread-lab/day.go
@@ -133,7 +133,7 @@
 			defer mu.Unlock()
 			services = append(services, out.Service)
 			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Requests,
-				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].What)
+				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].Description)
 			if err := printVerdict(w, out); err != nil {
 				broken = err
 			}
--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -13,7 +13,7 @@
 func printOutcome(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, event := range out.History {
-		fmt.Fprintf(w, "  %5.1f s  %s\n", event.At, event.What)
+		fmt.Fprintf(w, "  %5.1f s  %s\n", event.At, event.Description)
 	}
 	fmt.Fprintf(w, "tries: %d asked", out.Requests)
 	for _, kind := range slices.Sorted(maps.Keys(out.Answers)) {
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -56,7 +56,7 @@
 // ReleaseEvent is one thing that happened to a build.
 type ReleaseEvent struct {
 	At   float64 `json:"at"`
-	What string  `json:"what"`
+	Description string  `json:"what"`
 }
 
 // Fleet starts and stops endpoints for the release service. A slot is an endpoint's place in the fleet, from 0 on.
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -89,9 +89,9 @@
 func (o *Outcome) RollbackAfter(build int) (seconds float64, rolledBack bool) {
 	offeredAt := 0.0
 	for _, event := range o.History {
-		if event.What == fmt.Sprintf("build %d is offered", build) {
+		if event.Description == fmt.Sprintf("build %d is offered", build) {
 			offeredAt = event.At
-		} else if strings.HasPrefix(event.What, fmt.Sprintf("build %d goes back", build)) {
+		} else if strings.HasPrefix(event.Description, fmt.Sprintf("build %d goes back", build)) {
 			return event.At - offeredAt, true
 		}
 	}
@@ -100,5 +100,5 @@
 
 // happened reports whether the history has an entry.
 func (o *Outcome) happened(what string) bool {
-	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.What == what })
+	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.Description == what })
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -277,7 +277,7 @@
 	for r.ctx.Err() == nil {
 		history, _ := r.releaseService.History() // outcome gives the error
 		for ; printed < len(history); printed++ {
-			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].What)
+			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].Description)
 		}
 		select {
 		case <-r.ctx.Done():
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -40,7 +40,7 @@
 	}
 	history := ""
 	for _, h := range out.History {
-		history += h.What + "\n"
+		history += h.Description + "\n"
 	}
 	if !strings.Contains(history, "build 2 goes back") {
 		t.Errorf("the bad build was not rolled back: %s", history)
