--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -50,7 +50,7 @@
 	RollbackVotes       int       // that roll a build back
 	VoteLifetimeSeconds float64   // how long a vote counts
 	PropagationSeconds  float64   // until a change reaches the relays
-	PushSeconds         float64   // between two updates without a change
+	PushIntervalSeconds         float64   // between two updates without a change
 }
 
 // ReleaseEvent is one thing that happened to a build.
@@ -365,7 +365,7 @@
 		delete(s.subscribers, changed)
 		s.mu.Unlock()
 	}()
-	push := time.NewTicker(seconds(s.plan.PushSeconds))
+	push := time.NewTicker(seconds(s.plan.PushIntervalSeconds))
 	defer push.Stop()
 	for {
 		s.mu.Lock()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -176,7 +176,7 @@
 		RollbackVotes:       release.RollbackVotes,
 		VoteLifetimeSeconds: release.VoteLifetimeSeconds,
 		PropagationSeconds:  platform.PropagationSeconds,
-		PushSeconds:         platform.PushSeconds,
+		PushIntervalSeconds:         platform.PushSeconds,
 	}
 	if r.releaseService, err = fakes.NewReleaseService(plan, r.script.firstBuild(), r, r.list, r.record, r.clock); err != nil {
 		return err
