--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -49,7 +49,7 @@
 	PromoteVotes        int       // that a stage needs
 	RollbackVotes       int       // that roll a build back
 	VoteLifetimeSeconds float64   // how long a vote counts
-	PropagationSeconds  float64   // until a change reaches the relays
+	PropagationDelaySeconds  float64   // until a change reaches the relays
 	PushIntervalSeconds         float64   // between two updates without a change
 }
 
@@ -381,7 +381,7 @@
 		case <-r.Context().Done():
 			return
 		case <-changed:
-			time.Sleep(seconds(s.plan.PropagationSeconds))
+			time.Sleep(seconds(s.plan.PropagationDelaySeconds))
 		case <-push.C:
 		}
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -175,7 +175,7 @@
 		PromoteVotes:        platform.PromoteVotes,
 		RollbackVotes:       release.RollbackVotes,
 		VoteLifetimeSeconds: release.VoteLifetimeSeconds,
-		PropagationSeconds:  platform.PropagationSeconds,
+		PropagationDelaySeconds:  platform.PropagationSeconds,
 		PushIntervalSeconds:         platform.PushSeconds,
 	}
 	if r.releaseService, err = fakes.NewReleaseService(plan, r.script.firstBuild(), r, r.list, r.record, r.clock); err != nil {
