--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -40,22 +40,22 @@
 
 // ReleasePlan is how the release service moves a build through a fleet.
 type ReleasePlan struct {
-	StageShares         []float64 // share of the slots that run the canary, by rollout stage
-	CanaryLimits        []float64 // share of a relay's requests, by rollout stage
-	Slots               int       // endpoints of the fleet
-	StartSeconds        float64   // until a new process is ready
-	DrainSeconds        float64   // that a replaced process is kept
-	BakeSeconds         float64   // least time of a stage after its endpoints are ready
-	PromoteVotes        int       // that a stage needs
-	RollbackVotes       int       // that roll a build back
-	VoteLifetimeSeconds float64   // how long a vote counts
-	PropagationDelaySeconds  float64   // until a change reaches the relays
-	PushIntervalSeconds         float64   // between two updates without a change
+	StageShares             []float64 // share of the slots that run the canary, by rollout stage
+	CanaryLimits            []float64 // share of a relay's requests, by rollout stage
+	Slots                   int       // endpoints of the fleet
+	StartSeconds            float64   // until a new process is ready
+	DrainSeconds            float64   // that a replaced process is kept
+	BakeSeconds             float64   // least time of a stage after its endpoints are ready
+	PromoteVotes            int       // that a stage needs
+	RollbackVotes           int       // that roll a build back
+	VoteLifetimeSeconds     float64   // how long a vote counts
+	PropagationDelaySeconds float64   // until a change reaches the relays
+	PushIntervalSeconds     float64   // between two updates without a change
 }
 
 // ReleaseEvent is one thing that happened to a build.
 type ReleaseEvent struct {
-	At   float64 `json:"at"`
+	At          float64 `json:"at"`
 	Description string  `json:"what"`
 }
 
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -166,17 +166,17 @@
 	platform, release, fleet := r.script.Platform, r.script.Release, r.script.Fleet
 	r.list = fakes.NewEndpointList(platform.ListLagSeconds, r.record, r.clock)
 	plan := fakes.ReleasePlan{
-		StageShares:         release.StageShares,
-		CanaryLimits:        release.CanaryLimits,
-		Slots:               fleet.Slots,
-		StartSeconds:        fleet.StartSeconds,
-		DrainSeconds:        fleet.DrainSeconds,
-		BakeSeconds:         platform.BakeSeconds,
-		PromoteVotes:        platform.PromoteVotes,
-		RollbackVotes:       release.RollbackVotes,
-		VoteLifetimeSeconds: release.VoteLifetimeSeconds,
-		PropagationDelaySeconds:  platform.PropagationSeconds,
-		PushIntervalSeconds:         platform.PushSeconds,
+		StageShares:             release.StageShares,
+		CanaryLimits:            release.CanaryLimits,
+		Slots:                   fleet.Slots,
+		StartSeconds:            fleet.StartSeconds,
+		DrainSeconds:            fleet.DrainSeconds,
+		BakeSeconds:             platform.BakeSeconds,
+		PromoteVotes:            platform.PromoteVotes,
+		RollbackVotes:           release.RollbackVotes,
+		VoteLifetimeSeconds:     release.VoteLifetimeSeconds,
+		PropagationDelaySeconds: platform.PropagationSeconds,
+		PushIntervalSeconds:     platform.PushSeconds,
 	}
 	if r.releaseService, err = fakes.NewReleaseService(plan, r.script.firstBuild(), r, r.list, r.record, r.clock); err != nil {
 		return err
