--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -21,12 +21,12 @@
 const (
 	minRequestsPerSecond  = 0.1 // so that the next request is not infinitely far off
 	keyCount              = 2000
-	keySkew               = 3   // exponent by which low keys are more frequent
-	abandonWithin         = 0.3 // share of the timeout within which a client that abandons a request does so
-	deadRelaySeconds      = 0.5 // for which a relay that can't be connected to is avoided
-	minRetrySeconds       = 0.1 // that a retry must have left
-	lateAnswerSeconds     = 1   // for which an answer after the deadline is waited for, to be recorded
-	wrongAnswerReportWait = 0.2 // least seconds until a wrong answer is reported; up to one more
+	keySkewExponent               = 3   // exponent by which low keys are more frequent
+	abandonWithinShare         = 0.3 // share of the timeout within which a client that abandons a request does so
+	unreachableBackoffSeconds      = 0.5 // for which a relay that can't be connected to is avoided
+	minTimeForRetrySeconds       = 0.1 // that a retry must have left
+	lateAnswerWaitSeconds     = 1   // for which an answer after the deadline is waited for, to be recorded
+	wrongAnswerReportMinDelaySeconds = 0.2 // least seconds until a wrong answer is reported; up to one more
 	clientDialTimeout     = 200 * time.Millisecond
 )
 
@@ -63,8 +63,8 @@
 	clock     func() float64
 	classes   []RequestClass
 	addresses map[string]string // by relay
-	relays    []string
-	downUntil sync.Map // instant by relay until which it is avoided
+	routerGroups    []string
+	avoidUntil sync.Map // instant by relay until which it is avoided
 	ids       atomic.Uint64
 	rand      *rand.Rand // of Run alone
 	requests  sync.WaitGroup
@@ -82,7 +82,7 @@
 		clock:     clock,
 		classes:   classes,
 		addresses: addresses,
-		relays:    relays,
+		routerGroups:    relays,
 		rand:      rand.New(rand.NewPCG(seed, 1)),
 		idle:      map[string][]*clientConn{},
 	}
@@ -108,17 +108,17 @@
 		behavior := cs.currentBehavior()
 		at += cs.rand.ExpFloat64() / max(behavior.RequestsPerSecond, minRequestsPerSecond)
 		time.Sleep(seconds(at - cs.clock()))
-		request := cs.draw(behavior)
-		cs.requests.Go(func() { cs.send(request) })
+		request := cs.drawCall(behavior)
+		cs.requests.Go(func() { cs.runCall(request) })
 	}
 	cs.requests.Wait()
 }
 
-// clientRequest is a request with all its tries.
-type clientRequest struct {
+// clientCall is a request with all its tries.
+type clientCall struct {
 	class          *RequestClass
 	behavior       ClientBehavior
-	relay          string
+	routerGroup          string
 	key            string
 	workSeconds    float64
 	rand           *rand.Rand
@@ -126,44 +126,44 @@
 	firstSentAt    float64
 }
 
-// draw draws the next request.
-func (cs *Clients) draw(behavior ClientBehavior) *clientRequest {
+// drawCall draws the next request.
+func (cs *Clients) drawCall(behavior ClientBehavior) *clientCall {
 	index, u := 0, cs.rand.Float64()
 	for ; index < len(cs.classes)-1 && u >= cs.classes[index].Share; index++ {
 		u -= cs.classes[index].Share
 	}
-	relay := cs.relays[cs.rand.IntN(len(cs.relays))]
+	relay := cs.routerGroups[cs.rand.IntN(len(cs.routerGroups))]
 	if behavior.HotRouterGroup != "" && cs.rand.Float64() < behavior.HotRouterGroupShare {
 		relay = behavior.HotRouterGroup
 	}
 	class := &cs.classes[index]
 	work := class.WorkSeconds[0] + cs.rand.Float64()*(class.WorkSeconds[1]-class.WorkSeconds[0])
-	key := fmt.Sprint("parcel-", int(keyCount*math.Pow(cs.rand.Float64(), keySkew)))
+	key := fmt.Sprint("parcel-", int(keyCount*math.Pow(cs.rand.Float64(), keySkewExponent)))
 	seed := cs.rand.Uint64()
-	return &clientRequest{
-		class: class, behavior: behavior, relay: relay, key: key, workSeconds: work, rand: rand.New(rand.NewPCG(seed, 2)),
+	return &clientCall{
+		class: class, behavior: behavior, routerGroup: relay, key: key, workSeconds: work, rand: rand.New(rand.NewPCG(seed, 2)),
 	}
 }
 
-// send sends a request until it has its last answer.
-func (cs *Clients) send(r *clientRequest) {
+// runCall sends a request until it has its last answer.
+func (cs *Clients) runCall(r *clientCall) {
 	r.firstSentAt = cs.clock()
 	r.idempotencyKey = strconv.FormatUint(r.rand.Uint64(), 16)
 	for retries := 0; ; retries++ {
-		if until, ok := cs.downUntil.Load(r.relay); ok && cs.clock() < until.(float64) {
-			r.relay = cs.relays[r.rand.IntN(len(cs.relays))]
+		if until, ok := cs.avoidUntil.Load(r.routerGroup); ok && cs.clock() < until.(float64) {
+			r.routerGroup = cs.routerGroups[r.rand.IntN(len(cs.routerGroups))]
 		}
-		try := cs.newTry(r, retries)
-		outcome, retryAfter := cs.sendTry(try)
+		try := cs.newRequest(r, retries)
+		outcome, retryAfter := cs.sendRequest(try)
 		if outcome == outcomeNotConnected {
-			cs.downUntil.Store(r.relay, cs.clock()+deadRelaySeconds)
+			cs.avoidUntil.Store(r.routerGroup, cs.clock()+unreachableBackoffSeconds)
 		}
 		if r.behavior.IgnoreRetryAfter {
 			retryAfter = 0
 		}
-		inTime := cs.clock()+retryAfter+minRetrySeconds <= r.firstSentAt+r.class.TimeoutSeconds
+		inTime := cs.clock()+retryAfter+minTimeForRetrySeconds <= r.firstSentAt+r.class.TimeoutSeconds
 		if !cs.mayRetry(r, outcome) || retries >= r.behavior.MaxRetries || !inTime {
-			cs.record.Update(func(*invariants.Record) { try.record.FinalTry = true })
+			cs.record.Update(func(*invariants.Record) { try.record.IsFinal = true })
 			return
 		}
 		time.Sleep(seconds(retryAfter))
@@ -172,11 +172,11 @@
 
 // mayRetry reports whether a request may be sent again after an outcome: after one without an effect, or if a repeat is harmless for
 // sure.
-func (cs *Clients) mayRetry(r *clientRequest, outcome string) bool {
+func (cs *Clients) mayRetry(r *clientCall, outcome string) bool {
 	switch outcome {
 	case outcomeRejected, outcomeNotConnected:
 		return true
-	case outcomeFailed, outcomeNone:
+	case outcomeFailed, outcomeNoAnswer:
 		if r.class.Idempotency == invariants.Idempotent {
 			return true
 		}
@@ -191,22 +191,22 @@
 	outcomeSucceeded    = "acked"
 	outcomeRejected     = "nacked"
 	outcomeFailed       = "failed"
-	outcomeNone         = "none"      // no answer
+	outcomeNoAnswer         = "none"      // no answer
 	outcomeNotConnected = "unreached" // nothing could be sent
 	outcomeAbandoned    = "left"
 )
 
-// clientTry is one try of a request.
-type clientTry struct {
-	*clientRequest
+// clientRequest is one try of a request.
+type clientRequest struct {
+	*clientCall
 	retries        int
 	timeoutSeconds float64
 	abandonAt      float64 // infinity: not
 	record         *invariants.Request
 }
 
-// newTry draws a try and enters it into the record.
-func (cs *Clients) newTry(r *clientRequest, retries int) *clientTry {
+// newRequest draws a try and enters it into the record.
+func (cs *Clients) newRequest(r *clientCall, retries int) *clientRequest {
 	class := r.class
 	timeout := r.firstSentAt + class.TimeoutSeconds - cs.clock()
 	if least := r.behavior.MinTimeoutShare; least > 0 {
@@ -214,7 +214,7 @@
 	}
 	record := &invariants.Request{
 		ID:                      cs.ids.Add(1),
-		RouterGroup:             r.relay,
+		RouterGroup:             r.routerGroup,
 		Class:                   class.Name,
 		Idempotency:             class.Idempotency,
 		DedupScope:              class.DedupScope,
@@ -229,15 +229,15 @@
 	cs.record.Update(func(all *invariants.Record) { all.Requests[record.ID] = record })
 	abandonAt := math.Inf(1)
 	if r.rand.Float64() < r.behavior.AbandonShare {
-		abandonAt = record.SentAt + abandonWithin*timeout*r.rand.Float64()
+		abandonAt = record.SentAt + abandonWithinShare*timeout*r.rand.Float64()
 	}
-	return &clientTry{r, retries, timeout, abandonAt, record}
+	return &clientRequest{r, retries, timeout, abandonAt, record}
 }
 
-func (r *clientRequest) path() string { return r.class.Path + r.key }
+func (r *clientCall) path() string { return r.class.Path + r.key }
 
 // body is the key for a POST, empty otherwise.
-func (r *clientRequest) body() string {
+func (r *clientCall) body() string {
 	if r.class.Method == http.MethodPost {
 		return r.key
 	}
@@ -245,11 +245,11 @@
 }
 
 // encode writes the try as HTTP/1.1.
-func (t *clientTry) encode() []byte {
+func (t *clientRequest) encode() []byte {
 	var buf bytes.Buffer
 	fmt.Fprintf(&buf, "%s %s HTTP/1.1\r\nHost: relay\r\nFlint-Time: %.4f\r\n", t.class.Method, t.path(), t.timeoutSeconds)
 	fmt.Fprintf(&buf, "%s: %.4f\r\nFlint-Key: %s\r\nIdempotency-Key: %s\r\n", headerWork, t.workSeconds, t.key, t.idempotencyKey)
-	fmt.Fprintf(&buf, "%s: %d\r\n%s: %s\r\n%s: %s\r\n", headerRequestID, t.record.ID, headerClass, t.class.Name, headerRelay, t.record.RouterGroup)
+	fmt.Fprintf(&buf, "%s: %d\r\n%s: %s\r\n%s: %s\r\n", headerRequestID, t.record.ID, headerClass, t.class.Name, headerRouterGroup, t.record.RouterGroup)
 	if t.retries > 0 {
 		buf.WriteString("Flint-Repeat: 1\r\n")
 	}
@@ -261,8 +261,8 @@
 	return buf.Bytes()
 }
 
-// sendTry sends a try and waits for its answer, for a while even after the deadline, so that a late answer is recorded.
-func (cs *Clients) sendTry(t *clientTry) (outcome string, retryAfter float64) {
+// sendRequest sends a try and waits for its answer, for a while even after the deadline, so that a late answer is recorded.
+func (cs *Clients) sendRequest(t *clientRequest) (outcome string, retryAfter float64) {
 	c, err := cs.connect(t.record.RouterGroup)
 	if err != nil {
 		cs.record.Update(func(*invariants.Record) { t.record.NotConnected = true })
@@ -276,13 +276,13 @@
 			return outcomeNotConnected, 0
 		}
 	}
-	timer := time.NewTimer(seconds(min(t.record.Deadline+lateAnswerSeconds, t.abandonAt) - cs.clock()))
+	timer := time.NewTimer(seconds(min(t.record.Deadline+lateAnswerWaitSeconds, t.abandonAt) - cs.clock()))
 	defer timer.Stop()
 	select {
 	case answer := <-c.answers:
 		if answer == nil {
 			c.Close()
-			return outcomeNone, 0
+			return outcomeNoAnswer, 0
 		}
 		return cs.onAnswer(t, c, answer)
 	case <-timer.C:
@@ -291,18 +291,18 @@
 			cs.record.Update(func(*invariants.Record) { t.record.AbandonedAt = cs.clock() })
 			return outcomeAbandoned, 0
 		}
-		return outcomeNone, 0
+		return outcomeNoAnswer, 0
 	}
 }
 
 // onAnswer judges an answer, and gives its connection back if it stays open.
-func (cs *Clients) onAnswer(t *clientTry, c *clientConn, answer *clientAnswer) (outcome string, retryAfter float64) {
+func (cs *Clients) onAnswer(t *clientRequest, c *clientConn, answer *clientAnswer) (outcome string, retryAfter float64) {
 	outcome = answer.header.Get("Flint-Answer")
 	if outcome == outcomeSucceeded {
 		wrong := answer.status == http.StatusOK && string(answer.body) != RightAnswer(t.body()+t.path())
 		cs.record.Update(func(*invariants.Record) { t.record.WrongAnswer = wrong })
 		if wrong && t.rand.Float64() < t.behavior.WrongAnswerReportShare {
-			wait := seconds(wrongAnswerReportWait + t.rand.Float64())
+			wait := seconds(wrongAnswerReportMinDelaySeconds + t.rand.Float64())
 			time.AfterFunc(wait, func() { cs.reportWrongAnswer(t.record.RouterGroup, answer.header.Get("Flint-Receipt")) })
 		}
 	}
@@ -340,7 +340,7 @@
 type clientConn struct {
 	net.Conn
 	answers chan *clientAnswer // nil: the relay closed the connection instead
-	dead    atomic.Bool
+	closed    atomic.Bool
 
 	mu           sync.Mutex
 	awaited      *invariants.Request
@@ -369,7 +369,7 @@
 		if c == nil {
 			break
 		}
-		if !c.dead.Load() {
+		if !c.closed.Load() {
 			return c, nil
 		}
 	}
@@ -412,7 +412,7 @@
 		c.mu.Unlock()
 		cs.record.Update(func(r *invariants.Record) {
 			if request == nil {
-				r.StrayAnswers = append(r.StrayAnswers, fmt.Sprintf("an answer nobody waited for, after that of command %d", lastAnswered))
+				r.UnexpectedAnswers = append(r.UnexpectedAnswers, fmt.Sprintf("an answer nobody waited for, after that of command %d", lastAnswered))
 				return
 			}
 			request.Answers = append(request.Answers, invariants.Answer{
@@ -429,7 +429,7 @@
 func (cs *Clients) onClosed(c *clientConn, now float64) {
 	c.mu.Lock()
 	request := c.awaited
-	c.dead.Store(true)
+	c.closed.Store(true)
 	c.awaited = nil
 	c.mu.Unlock()
 	if request != nil {
--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -44,7 +44,7 @@
 
 type controlStream struct {
 	responses chan *discovery.DiscoveryResponse
-	dropped   chan struct{}
+	closed   chan struct{}
 }
 
 // StartControlService starts a service on a listener, which it owns from then on.
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream := range c.streams {
-		close(stream.dropped)
+		close(stream.closed)
 		delete(c.streams, stream)
 	}
 }
@@ -125,7 +125,7 @@
 
 // StreamAggregatedResources serves one stream until the client or Drop ends it.
 func (c *ControlService) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	stream := &controlStream{responses: make(chan *discovery.DiscoveryResponse, streamBuffer), dropped: make(chan struct{})}
+	stream := &controlStream{responses: make(chan *discovery.DiscoveryResponse, streamBuffer), closed: make(chan struct{})}
 	c.mu.Lock()
 	c.streams[stream] = struct{}{}
 	c.mu.Unlock()
@@ -149,7 +149,7 @@
 		select {
 		case err := <-failed:
 			return err
-		case <-stream.dropped:
+		case <-stream.closed:
 			return errors.New("dropped")
 		case r := <-stream.responses:
 			if err := s.Send(r); err != nil {
@@ -177,7 +177,7 @@
 	}
 }
 
-func pack(m proto.Message, typeURL string) *anypb.Any {
+func newAny(m proto.Message, typeURL string) *anypb.Any {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		panic(err) // of a message made here
@@ -191,7 +191,7 @@
 	return &discovery.DiscoveryResponse{
 		VersionInfo: fmt.Sprint("v", number),
 		TypeUrl:     xds.TypeDocument,
-		Resources:   []*anypb.Any{pack(document, xds.TypeDocument)},
+		Resources:   []*anypb.Any{newAny(document, xds.TypeDocument)},
 	}
 }
 
@@ -205,7 +205,7 @@
 	return &discovery.DiscoveryResponse{
 		VersionInfo: fmt.Sprint(version),
 		TypeUrl:     xds.TypeEndpoints,
-		Resources:   []*anypb.Any{pack(assignment, xds.TypeEndpoints)},
+		Resources:   []*anypb.Any{newAny(assignment, xds.TypeEndpoints)},
 	}
 }
 
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -20,7 +20,7 @@
 const (
 	headerRequestID = "X-Command"
 	headerClass     = "X-Op"
-	headerRelay     = "X-Relay"
+	headerRouterGroup     = "X-Relay"
 	headerWork      = "Flint-Work"
 	headerEndpoint  = "X-Unit"
 )
@@ -77,7 +77,7 @@
 	Build     int
 	StartedAt float64
 
-	shape    EndpointSpec
+	spec    EndpointSpec
 	behavior BuildBehavior
 	record   *invariants.Record
 	clock    func() float64
@@ -100,12 +100,12 @@
 type workItem struct{ at, work float64 }
 
 // outcomeCounts is what an endpoint shows to scrapes.
-type outcomeCounts struct{ all, failed, wrong, typicalLatency float64 }
+type outcomeCounts struct{ total, failed, wrong, typicalLatency float64 }
 
-func (e *Endpoint) count(failed, wrong bool, latency float64) {
+func (e *Endpoint) countOutcome(failed, wrong bool, latency float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts.all++
+	e.counts.total++
 	if failed {
 		e.counts.failed++
 	}
@@ -123,7 +123,7 @@
 	}
 	e := &Endpoint{
 		ID: id, Addr: l.Addr().String(), Build: build, StartedAt: clock(),
-		shape: shape, behavior: behavior, record: record, clock: clock,
+		spec: shape, behavior: behavior, record: record, clock: clock,
 		cores: make(chan struct{}, shape.Cores), firstSeenAt: map[string]float64{},
 	}
 	e.fault.Store(&EndpointFault{})
@@ -178,31 +178,31 @@
 
 // capacityShare is the share of its capacity that the endpoint has at an instant. It grows linearly from SlowStartInitialShare.
 func (e *Endpoint) capacityShare(now float64) float64 {
-	if e.shape.SlowStartSeconds <= 0 || now-e.StartedAt >= e.shape.SlowStartSeconds {
+	if e.spec.SlowStartSeconds <= 0 || now-e.StartedAt >= e.spec.SlowStartSeconds {
 		return 1
 	}
-	return e.shape.SlowStartInitialShare + (1-e.shape.SlowStartInitialShare)*(now-e.StartedAt)/e.shape.SlowStartSeconds
+	return e.spec.SlowStartInitialShare + (1-e.spec.SlowStartInitialShare)*(now-e.StartedAt)/e.spec.SlowStartSeconds
 }
 
-// overloadedBy adds the work of a request and reports whether the endpoint has failed. It fails when it gets more work in slow start
+// addWork adds the work of a request and reports whether the endpoint has failed. It fails when it gets more work in slow start
 // than SlowStartOverloadFactor times its present capacity; one request by itself does not make it fail.
-func (e *Endpoint) overloadedBy(now, work float64) bool {
+func (e *Endpoint) addWork(now, work float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.failed || now-e.StartedAt > e.shape.SlowStartSeconds {
+	if e.failed || now-e.StartedAt > e.spec.SlowStartSeconds {
 		return e.failed
 	}
 	e.recentWork = append(e.recentWork, workItem{now, work})
 	sum, kept := 0.0, 0
 	for _, item := range e.recentWork {
-		if item.at >= now-e.shape.SlowStartOverloadSeconds {
+		if item.at >= now-e.spec.SlowStartOverloadSeconds {
 			e.recentWork[kept] = item
 			kept++
 			sum += item.work
 		}
 	}
 	e.recentWork = e.recentWork[:kept]
-	limit := e.shape.SlowStartOverloadFactor * float64(e.shape.Cores) * e.capacityShare(now) * e.shape.SlowStartOverloadSeconds
+	limit := e.spec.SlowStartOverloadFactor * float64(e.spec.Cores) * e.capacityShare(now) * e.spec.SlowStartOverloadSeconds
 	if kept > 1 && sum > limit {
 		e.failed = true
 		e.record.Update(func(r *invariants.Record) { r.Endpoints[e.ID].FailedAt = now })
@@ -244,10 +244,10 @@
 		return
 	}
 	fault := e.fault.Load()
-	if fault.OnlyFromRouterGroup != "" && r.Header.Get(headerRelay) != fault.OnlyFromRouterGroup {
+	if fault.OnlyFromRouterGroup != "" && r.Header.Get(headerRouterGroup) != fault.OnlyFromRouterGroup {
 		fault = &EndpointFault{}
 	}
-	if e.overloadedBy(now, attempt.WorkSeconds) || fault.Unresponsive {
+	if e.addWork(now, attempt.WorkSeconds) || fault.Unresponsive {
 		e.waitUntilResponsive(r.Context())
 		panic(http.ErrAbortHandler)
 	}
@@ -255,7 +255,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(headerEndpoint, strconv.Itoa(int(e.ID)))
-	if e.inFlight.Add(1) > int64(e.shape.Cores+e.shape.QueueLength) {
+	if e.inFlight.Add(1) > int64(e.spec.Cores+e.spec.QueueLength) {
 		e.inFlight.Add(-1)
 		e.reject(w, attempt)
 		return
@@ -285,7 +285,7 @@
 	slowFactor, errorShare := e.slowdown(r.Header.Get(headerClass), fault, now)
 	repeat := e.isRepeat(r.Header.Get("Idempotency-Key"), now)
 	if fault.ErrorShare > 0 && rand.Float64() < fault.ErrorShare {
-		e.count(true, false, 0)
+		e.countOutcome(true, false, 0)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -304,7 +304,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	failed := rand.Float64() < errorShare
-	e.count(failed, wrong && !failed, e.clock()-now)
+	e.countOutcome(failed, wrong && !failed, e.clock()-now)
 	switch {
 	case failed:
 		w.WriteHeader(http.StatusInternalServerError)
@@ -368,11 +368,11 @@
 	e.mu.Unlock()
 	labels := map[string]string{"unit": strconv.Itoa(int(e.ID)), "build": strconv.Itoa(e.Build), "instance": e.Addr}
 	return []Sample{
-		{metricAnswers, labels, counts.all},
+		{metricAnswers, labels, counts.total},
 		{metricErrors, labels, counts.failed},
 		{metricWrongAnswers, labels, counts.wrong},
 		{"unit_probe_success", labels, probeSuccess},
-		{"unit_busy", labels, float64(e.inFlight.Load()) / float64(e.shape.Cores+e.shape.QueueLength)},
+		{"unit_busy", labels, float64(e.inFlight.Load()) / float64(e.spec.Cores+e.spec.QueueLength)},
 		{"unit_answer_seconds", labels, counts.typicalLatency},
 	}
 }
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -24,7 +24,7 @@
 	clock  func() float64
 
 	mu           sync.Mutex
-	lag          float64
+	delaySeconds          float64
 	down         bool
 	version      uint64
 	pending      []pendingChange
@@ -32,7 +32,7 @@
 	lastSent     map[string]map[uint32]bool // by relay and endpoint: whether it was sent as ready
 	subscribers  map[*listSubscriber]struct{}
 	mirror       MirrorFunc
-	mirrorRelays []string
+	mirroredGroups []string
 }
 
 // MirrorFunc sends the whole list to a relay by another way. It must not block.
@@ -40,7 +40,7 @@
 
 // pendingChange is a change that is not published yet.
 type pendingChange struct {
-	at       float64
+	enteredAt       float64
 	endpoint endpoints.Endpoint
 }
 
@@ -51,7 +51,7 @@
 	return &EndpointList{
 		record:      record,
 		clock:       clock,
-		lag:         lag,
+		delaySeconds:         lag,
 		published:   map[uint32]endpoints.Endpoint{},
 		lastSent:    map[string]map[uint32]bool{},
 		subscribers: map[*listSubscriber]struct{}{},
@@ -62,7 +62,7 @@
 func (l *EndpointList) Mirror(mirror MirrorFunc, relays []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mirror, l.mirrorRelays = mirror, relays
+	l.mirror, l.mirroredGroups = mirror, relays
 }
 
 // Put enters a change of an endpoint.
@@ -76,7 +76,7 @@
 func (l *EndpointList) SetLag(seconds float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag = seconds
+	l.delaySeconds = seconds
 }
 
 // SetDown ends all streams and refuses new ones until it is called with false.
@@ -86,13 +86,13 @@
 	l.down = down
 	if down {
 		for subscriber := range l.subscribers {
-			l.drop(subscriber)
+			l.removeSubscriber(subscriber)
 		}
 	}
 }
 
-// drop ends the stream of a subscriber. Under the lock.
-func (l *EndpointList) drop(subscriber *listSubscriber) {
+// removeSubscriber ends the stream of a subscriber. Under the lock.
+func (l *EndpointList) removeSubscriber(subscriber *listSubscriber) {
 	close(subscriber.updates)
 	delete(l.subscribers, subscriber)
 }
@@ -105,7 +105,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	for _, relay := range l.mirrorRelays {
+	for _, relay := range l.mirroredGroups {
 		full := l.fullList()
 		l.mirror(relay, l.version, full.Endpoints)
 		l.recordSentLocked(relay, full)
@@ -115,7 +115,7 @@
 		select {
 		case subscriber.updates <- update:
 		default: // it does not read: it must connect again
-			l.drop(subscriber)
+			l.removeSubscriber(subscriber)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 // publishDue applies the changes that are due and gives them. Under the lock.
 func (l *EndpointList) publishDue() (changes []endpoints.Endpoint) {
 	now := l.clock()
-	for len(l.pending) > 0 && l.pending[0].at+l.lag <= now {
+	for len(l.pending) > 0 && l.pending[0].enteredAt+l.delaySeconds <= now {
 		e := l.pending[0].endpoint
 		l.pending = l.pending[1:]
 		l.version++
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -338,7 +338,7 @@
 // StartControlService starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
 // the canary on; every third answer to a vote is spoilt.
 func (s *PlatformSite) StartControlService() (address string, end func() error, err error) {
-	l, err := ServeLines(s.answerControlLine, func(c net.Conn) { send(c, "*\r\n") })
+	l, err := ServeLines(s.answerControlLine, func(c net.Conn) { writeText(c, "*\r\n") })
 	if address, err = s.track(l, err); err != nil {
 		return "", nil, err
 	}
@@ -352,11 +352,11 @@
 	if line == "follow" {
 		s.followers[c] = true
 		s.recordRelease()
-		send(c, fmt.Sprintf("OK\r\n* progress %s\r\n* metrics %d lookup 5 0 1.5 100\r\n*\r\n", s.releaseState(), PlatformSiteCanary))
+		writeText(c, fmt.Sprintf("OK\r\n* progress %s\r\n* metrics %d lookup 5 0 1.5 100\r\n*\r\n", s.releaseState(), PlatformSiteCanary))
 		return
 	}
 	if s.votes++; s.votes%3 == 1 {
-		send(c, "OK 2 0 tr\x00al\r\n")
+		writeText(c, "OK 2 0 tr\x00al\r\n")
 		return
 	}
 	words := strings.Fields(line)
@@ -365,10 +365,10 @@
 		s.promote()
 	}
 	s.recordRelease()
-	send(c, fmt.Sprintf("OK %s\r\n", s.releaseState()))
+	writeText(c, fmt.Sprintf("OK %s\r\n", s.releaseState()))
 	for follower := range s.followers {
 		if follower != c {
-			send(follower, fmt.Sprintf("* progress %s\r\n", s.releaseState()))
+			writeText(follower, fmt.Sprintf("* progress %s\r\n", s.releaseState()))
 		}
 	}
 }
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -42,13 +42,13 @@
 const (
 	retentionSeconds    = 60.0    // of samples
 	lookbackMillis      = 5000    // age up to which a sample counts for an instant: the servers' own five minutes, in small
-	explodedSeries      = 100_000 // in an answer of Exploded
-	lyingFailureShare   = 0.6     // of answers, by Lies
-	lateness            = time.Second
-	yesterdaySeconds    = 86400
+	tooManySeriesCount      = 100_000 // in an answer of Exploded
+	inflatedFailureShare   = 0.6     // of answers, by Lies
+	slowResponseDelay            = time.Second
+	oldTimestampShiftSeconds    = 86400
 	maxPointsPerSeries  = 11000 // of a range query
 	minStepSeconds      = 0.001 // of a range query
-	redirectDestination = "http://127.0.0.1:1/api/v1/query"
+	redirectTarget = "http://127.0.0.1:1/api/v1/query"
 )
 
 // Names of the metrics that faults change.
@@ -110,7 +110,7 @@
 // SetFault replaces the server's fault.
 func (q *QueryServer) SetFault(f QueryServerFault) {
 	if f == FaultTooManySeries {
-		explodedAnswer() // takes a while, the first time
+		tooManySeriesAnswer() // takes a while, the first time
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -154,7 +154,7 @@
 		case isFailureCounter && q.fault == FaultHidesFailures:
 			sample.Value = 0
 		case isFailureCounter && q.fault == FaultInflatesFailures && sample.Labels["build"] == newest:
-			sample.Value = math.Floor(lyingFailureShare * answers[sample.Labels["unit"]])
+			sample.Value = math.Floor(inflatedFailureShare * answers[sample.Labels["unit"]])
 		}
 		series := q.seriesOf(sample)
 		series.points = append(series.points, model.SamplePair{Timestamp: model.Time(at * 1000), Value: model.SampleValue(sample.Value)})
@@ -218,18 +218,18 @@
 // Error gives the text that the API shows.
 func (e *apiError) Error() string { return e.text }
 
-func badData(format string, args ...any) *apiError {
+func newBadDataError(format string, args ...any) *apiError {
 	return &apiError{http.StatusBadRequest, "bad_data", fmt.Sprintf(format, args...)}
 }
 
 var errNotSelector = &apiError{http.StatusUnprocessableEntity, "execution", "this stand-in evaluates selectors only"}
 
-// query evaluates an expression by the parameters of a request. Timestamps are moved back by shift seconds. It is called under the
+// queryFunc evaluates an expression by the parameters of a request. Timestamps are moved back by shift seconds. It is called under the
 // lock.
-type query func(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError)
+type queryFunc func(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError)
 
 // serve answers a query, or as the fault has it.
-func (q *QueryServer) serve(w http.ResponseWriter, r *http.Request, evaluate query) {
+func (q *QueryServer) serve(w http.ResponseWriter, r *http.Request, evaluate queryFunc) {
 	// The server notices that its client left only once it has read the request.
 	if err := r.ParseForm(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -239,7 +239,7 @@
 	fault := q.fault
 	q.queries++
 	q.mu.Unlock()
-	if done := misbehave(w, r, fault); done {
+	if done := applyFault(w, r, fault); done {
 		return
 	}
 	answer, status := q.answer(r, evaluate, fault)
@@ -257,14 +257,14 @@
 	writeResponse(w, text)
 }
 
-// misbehave does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
-func misbehave(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
+// applyFault does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
+func applyFault(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
 	case FaultSlow:
 		select {
 		case <-r.Context().Done():
 			return true
-		case <-time.After(lateness):
+		case <-time.After(slowResponseDelay):
 			return false
 		}
 	case FaultNoResponse:
@@ -277,11 +277,11 @@
 	case FaultUnavailable:
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 	case FaultRedirect:
-		http.Redirect(w, r, redirectDestination, http.StatusFound)
+		http.Redirect(w, r, redirectTarget, http.StatusFound)
 	case FaultNotJSON:
 		writeResponse(w, []byte("<html><body>It works!</body></html>"))
 	case FaultTooManySeries:
-		writeResponse(w, explodedAnswer())
+		writeResponse(w, tooManySeriesAnswer())
 	default:
 		return false
 	}
@@ -289,7 +289,7 @@
 }
 
 // answer evaluates a query and gives the answer with its HTTP status.
-func (q *QueryServer) answer(r *http.Request, evaluate query, fault QueryServerFault) (*apiAnswer, int) {
+func (q *QueryServer) answer(r *http.Request, evaluate queryFunc, fault QueryServerFault) (*apiAnswer, int) {
 	data, problem := q.evaluate(r, evaluate, fault)
 	if problem != nil {
 		return &apiAnswer{Status: "error", ErrorType: problem.errorType, Error: problem.text}, problem.status
@@ -301,22 +301,22 @@
 	return answer, http.StatusOK
 }
 
-func (q *QueryServer) evaluate(r *http.Request, evaluate query, fault QueryServerFault) (apiData, *apiError) {
+func (q *QueryServer) evaluate(r *http.Request, evaluate queryFunc, fault QueryServerFault) (apiData, *apiError) {
 	expression, err := q.parser.ParseExpr(r.FormValue("query"))
 	if err != nil {
-		return apiData{}, badData("invalid parameter \"query\": %v", err)
+		return apiData{}, newBadDataError("invalid parameter \"query\": %v", err)
 	}
 	shift := 0.0
 	if fault == FaultOldTimestamps {
-		shift = yesterdaySeconds
+		shift = oldTimestampShiftSeconds
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return evaluate(r, expression, shift)
 }
 
-// parameter gives a number of a request, or another value if it has none.
-func parameter(r *http.Request, name string, otherwise float64) float64 {
+// floatParameter gives a number of a request, or another value if it has none.
+func floatParameter(r *http.Request, name string, otherwise float64) float64 {
 	if x, err := strconv.ParseFloat(r.FormValue(name), 64); err == nil {
 		return x
 	}
@@ -325,7 +325,7 @@
 
 // instantQuery gives the samples of a range selector, or the values of a selector as of an instant.
 func (q *QueryServer) instantQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
-	at := parameter(r, "time", q.clock())
+	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
 	case *parser.MatrixSelector:
 		matrix := model.Matrix{}
@@ -338,7 +338,7 @@
 	case *parser.VectorSelector:
 		vector := model.Vector{}
 		for _, series := range q.match(selector.LabelMatchers) {
-			if value, ok := series.asOf(at); ok {
+			if value, ok := series.valueAt(at); ok {
 				vector = append(vector, &model.Sample{Metric: series.metric(), Value: value, Timestamp: model.Time((at - shift) * 1000)})
 			}
 		}
@@ -349,18 +349,18 @@
 
 // rangeQuery gives the values of a selector step by step.
 func (q *QueryServer) rangeQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
-	at := parameter(r, "time", q.clock())
+	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
 	case *parser.MatrixSelector:
-		return apiData{}, badData("invalid expression type \"range vector\" for range query, must be Scalar or instant Vector")
+		return apiData{}, newBadDataError("invalid expression type \"range vector\" for range query, must be Scalar or instant Vector")
 	case *parser.VectorSelector:
 		matrix := model.Matrix{}
-		start, end := parameter(r, "start", at), parameter(r, "end", at)
-		step := max(minStepSeconds, parameter(r, "step", 1))
+		start, end := floatParameter(r, "start", at), floatParameter(r, "end", at)
+		step := max(minStepSeconds, floatParameter(r, "step", 1))
 		for _, series := range q.match(selector.LabelMatchers) {
 			var points []model.SamplePair
 			for t := start; t <= end+1e-9 && len(points) < maxPointsPerSeries; t += step {
-				if value, ok := series.asOf(t); ok {
+				if value, ok := series.valueAt(t); ok {
 					points = append(points, model.SamplePair{Timestamp: model.Time((t - shift) * 1000), Value: value})
 				}
 			}
@@ -373,9 +373,9 @@
 	return apiData{}, errNotSelector
 }
 
-// explodedAnswer is what a label with a request's id in it does.
-var explodedAnswer = sync.OnceValue(func() []byte {
-	matrix := make(model.Matrix, explodedSeries)
+// tooManySeriesAnswer is what a label with a request's id in it does.
+var tooManySeriesAnswer = sync.OnceValue(func() []byte {
+	matrix := make(model.Matrix, tooManySeriesCount)
 	for i := range matrix {
 		matrix[i] = &model.SampleStream{
 			Metric: model.Metric{"__name__": metricAnswers, "unit": "1", "build": "1", "request": model.LabelValue(strconv.Itoa(i))},
@@ -418,8 +418,8 @@
 	return points
 }
 
-// asOf gives the last sample at an instant, unless it is older than the lookback.
-func (s *scrapedSeries) asOf(t float64) (model.SampleValue, bool) {
+// valueAt gives the last sample at an instant, unless it is older than the lookback.
+func (s *scrapedSeries) valueAt(t float64) (model.SampleValue, bool) {
 	at := model.Time(t * 1000)
 	for i := len(s.points) - 1; i >= 0; i-- {
 		if point := s.points[i]; point.Timestamp <= at {
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -34,8 +34,8 @@
 	maxVoteBytes      = 1 << 16
 	// pausedPollInterval is how often a vote looks whether the service still is paused.
 	pausedPollInterval = 50 * time.Millisecond
-	// slotTolerance keeps a stage's share from needing one endpoint more through rounding.
-	slotTolerance = 1e-6
+	// slotRoundingTolerance keeps a stage's share from needing one endpoint more through rounding.
+	slotRoundingTolerance = 1e-6
 )
 
 // ReleasePlan is how the release service moves a build through a fleet.
@@ -71,8 +71,8 @@
 	at float64
 }
 
-// slotStart is the process that is being started for a slot. One with a higher sequence overtakes it.
-type slotStart struct{ sequence, build int }
+// pendingStart is the process that is being started for a slot. One with a higher sequence overtakes it.
+type pendingStart struct{ sequence, build int }
 
 // ReleaseService moves builds through a fleet slot by slot, stage by stage, by the relays' votes. It records what each relay was sent.
 type ReleaseService struct {
@@ -92,13 +92,13 @@
 	version        uint64            // of build, stage and phase
 	sentVersion    map[string]uint64 // the newest, by relay
 	slots          []*Endpoint
-	pending        []slotStart // by slot
+	pending        []pendingStart // by slot
 	votes          map[string]countedVote
-	queue          []int // offered builds that have not begun
+	queuedBuilds          []int // offered builds that have not begun
 	releasedBuilds []int // before build, oldest first
 	history        []ReleaseEvent
 	subscribers    map[chan struct{}]struct{}
-	err            error
+	startError            error
 }
 
 // NewReleaseService starts a fleet of the first build, whose slow start is over, and puts it on the list.
@@ -115,7 +115,7 @@
 		phase:       phaseReleased,
 		phaseSince:  clock(),
 		sentVersion: map[string]uint64{},
-		pending:     make([]slotStart, plan.Slots),
+		pending:     make([]pendingStart, plan.Slots),
 		votes:       map[string]countedVote{},
 		subscribers: map[chan struct{}]struct{}{},
 	}
@@ -141,7 +141,7 @@
 func (s *ReleaseService) Offer(build int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue = append(s.queue, build)
+	s.queuedBuilds = append(s.queuedBuilds, build)
 }
 
 // SetPaused makes the service neither move, send nor answer until it is called with false.
@@ -155,7 +155,7 @@
 func (s *ReleaseService) History() ([]ReleaseEvent, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.history), s.err
+	return slices.Clone(s.history), s.startError
 }
 
 // Endpoints gives the endpoints by slot.
@@ -193,7 +193,7 @@
 		s.setPhase(phaseWithdrawn, s.stage)
 	case isCanary && promote >= s.plan.PromoteVotes && isBaked:
 		s.promote()
-	case (isReleased || s.phase == phaseWithdrawn) && len(s.queue) > 0:
+	case (isReleased || s.phase == phaseWithdrawn) && len(s.queuedBuilds) > 0:
 		s.beginNext()
 	}
 }
@@ -230,7 +230,7 @@
 	if s.phase == phaseReleased {
 		s.releasedBuilds = append(s.releasedBuilds, s.build)
 	}
-	s.build, s.queue = s.queue[0], s.queue[1:]
+	s.build, s.queuedBuilds = s.queuedBuilds[0], s.queuedBuilds[1:]
 	s.logEvent("build %d is offered", s.build)
 	s.setPhase(phaseCanary, 0)
 	s.rollOut(s.build, s.plan.StageShares[0])
@@ -265,7 +265,7 @@
 func (s *ReleaseService) rollOut(build int, share float64) {
 	want := len(s.slots)
 	if share > 0 {
-		want = int(math.Ceil(share*float64(len(s.slots)) - slotTolerance))
+		want = int(math.Ceil(share*float64(len(s.slots)) - slotRoundingTolerance))
 	}
 	have := 0
 	for _, p := range s.pending {
@@ -278,7 +278,7 @@
 		case p.build == build || have >= want:
 			continue
 		case e.Build == build: // it has not been replaced yet
-			*p = slotStart{p.sequence + 1, build}
+			*p = pendingStart{p.sequence + 1, build}
 		default:
 			s.replace(slot, build, false)
 		}
@@ -290,7 +290,7 @@
 // replace starts a new process for a slot. The one there drains once the new one is ready, or crashes at once. Under the lock.
 func (s *ReleaseService) replace(slot, build int, crash bool) {
 	old, pending := s.slots[slot], &s.pending[slot]
-	*pending = slotStart{pending.sequence + 1, build}
+	*pending = pendingStart{pending.sequence + 1, build}
 	sequence := pending.sequence
 	if crash {
 		s.fleet.StopEndpoint(old)
@@ -304,7 +304,7 @@
 		}
 		e, err := s.fleet.StartEndpoint(slot, build)
 		if err != nil {
-			s.err = err
+			s.startError = err
 			return
 		}
 		s.list.Put(listEntry(e, endpoints.StateReady))
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// idleInterval is how long a line protocol waits for a line before it calls idle.
-const idleInterval = 500 * time.Millisecond
+// lineIdleInterval is how long a line protocol waits for a line before it calls idle.
+const lineIdleInterval = 500 * time.Millisecond
 
 // ServeConns calls play with each connection to a loopback port of its own, and closes the connection after it, until the listener is
 // closed.
@@ -44,7 +44,7 @@
 		br := bufio.NewReader(c)
 		for {
 			if idle != nil {
-				c.SetReadDeadline(time.Now().Add(idleInterval))
+				c.SetReadDeadline(time.Now().Add(lineIdleInterval))
 			}
 			line, err := br.ReadString('\n')
 			switch {
@@ -91,9 +91,9 @@
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// send writes text to a connection. That fails only once the other end has gone: the connection is closed then, so that whoever reads
+// writeText writes text to a connection. That fails only once the other end has gone: the connection is closed then, so that whoever reads
 // from it ends.
-func send(c net.Conn, text string) {
+func writeText(c net.Conn, text string) {
 	if _, err := c.Write([]byte(text)); err != nil {
 		c.Close()
 	}
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -6,10 +6,10 @@
 	"sort"
 )
 
-// Bounds are the numbers behind the rules, as the relays' settings give them.
+// Bounds holds the parameters of the rules, as in the routers' settings.
 type Bounds struct {
-	SlackSeconds             float64 // what the instants of two sockets may be apart through scheduling
-	GraceSeconds             float64 // within which drains and lower canary limits must be followed
+	SlackSeconds             float64 // allowance for scheduling delays between events on different sockets
+	GraceSeconds             float64 // time within which drains and lower canary limits must take effect
 	SlowStartInitialShare    float64
 	SlowStartSeconds         float64
 	SlowStartOverloadFactor  float64
@@ -22,46 +22,51 @@
 	OneWayKeys               bool
 }
 
-// maxShownBreaches is the number of breaches of a rule that are told one by one.
-const maxShownBreaches = 5
+// maxShownViolations is the number of violations of a rule that a report describes individually.
+const maxShownViolations = 5
 
-// Rule is what became of one rule.
-type Rule struct {
+// RuleResult is the result of checking one rule.
+type RuleResult struct {
 	Name            string   `json:"name"`
-	Checked         int      `json:"checked"` // cases in which it could have been broken
+	Checked         int      `json:"checked"` // number of cases to which the rule applied
 	Violations      int      `json:"broken"`
-	FirstViolations []string `json:"first,omitempty"` // the first breaches
+	FirstViolations []string `json:"first,omitempty"` // at most maxShownViolations
 }
 
-func (r *Rule) breach(format string, args ...any) {
+func (r *RuleResult) addViolation(format string, args ...any) {
 	r.Violations++
-	if len(r.FirstViolations) < maxShownBreaches {
+	if len(r.FirstViolations) < maxShownViolations {
 		r.FirstViolations = append(r.FirstViolations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Report is what a record shows: the rules, in their order, and the service that clients got.
+// Report holds the results of all rules, in their order, and the service that clients got.
 type Report struct {
-	Rules                      []Rule             `json:"rules"`
-	Requests                   int                `json:"asked"`         // tries
-	Answers                    map[string]int     `json:"answers"`       // tries by kind of answer, or what took its place
-	Service                    float64            `json:"service"`       // weight of requests answered rightly within their objective, as a share of all
-	ServiceByClass             map[string]float64 `json:"service_by_op"` // the same by request class
-	WrongAnswers               int                `json:"wrong_answers"`
-	AttemptsByBuild            map[int]int        `json:"deliveries_by_build"` // attempts
-	SucceededWithController    LatencyQuantiles   `json:"acked_in_s"`
-	SucceededWithoutController LatencyQuantiles   `json:"acked_in_s_without_planner"` // sent while the relay's controller was dead or paused
+	Rules []RuleResult `json:"rules"`
+	// Requests is the number of requests that clients sent, retries included.
+	Requests int `json:"asked"`
+	// Answers counts the requests by kind of answer, or by the reason why there is none.
+	Answers map[string]int `json:"answers"`
+	// Service is the share, by priority weight, of the requests that were answered correctly within their objective.
+	Service         float64            `json:"service"`
+	ServiceByClass  map[string]float64 `json:"service_by_op"`
+	WrongAnswers    int                `json:"wrong_answers"`
+	AttemptsByBuild map[int]int        `json:"deliveries_by_build"`
+	// SucceededWithoutController is for requests sent while their router group's controller was down or paused,
+	// SucceededWithController for all others.
+	SucceededWithController    LatencyQuantiles `json:"acked_in_s"`
+	SucceededWithoutController LatencyQuantiles `json:"acked_in_s_without_planner"`
 }
 
-// Passed reports whether no rule was broken.
+// Passed reports whether no rule was violated.
 func (r *Report) Passed() bool {
-	return !slices.ContainsFunc(r.Rules, func(rule Rule) bool { return rule.Violations > 0 })
+	return !slices.ContainsFunc(r.Rules, func(rule RuleResult) bool { return rule.Violations > 0 })
 }
 
-// Check reads a record that nobody writes any more. It sorts the record's attempts by time.
+// Check checks all rules against a record, which must not be written any more. It sorts the record's attempts by time.
 func Check(record *Record, bounds Bounds) *Report {
 	c := newChecker(record, bounds)
-	report := &Report{Rules: []Rule{
+	report := &Report{Rules: []RuleResult{
 		c.checkAnswers(),
 		c.checkEffects(),
 		c.checkDrains(),
@@ -72,20 +77,20 @@
 	return report
 }
 
-// checker holds a record and what all rules need of it.
+// checker holds a record and the indexes that the rules share.
 type checker struct {
 	*Record
-	bounds     Bounds
-	requests   []*Request              // by the time at which they were sent
-	attemptsOf map[uint64][]*Attempt   // by request, in order of time
-	controlled map[string]*Incarnation // by relay with a controller: a Life that stands for all its routers together
+	bounds           Bounds
+	requests         []*Request              // ordered by SentAt
+	attemptsOf       map[uint64][]*Attempt   // by request ID, ordered by time
+	controlledGroups map[string]*Incarnation // by group with a controller: stands for the whole group
 }
 
 func newChecker(record *Record, bounds Bounds) *checker {
-	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlled: map[string]*Incarnation{}}
-	for _, life := range record.Incarnations {
-		if life.IsController && c.controlled[life.RouterGroup] == nil {
-			c.controlled[life.RouterGroup] = &Incarnation{RouterGroup: life.RouterGroup}
+	c := &checker{Record: record, bounds: bounds, attemptsOf: map[uint64][]*Attempt{}, controlledGroups: map[string]*Incarnation{}}
+	for _, process := range record.Incarnations {
+		if process.IsController && c.controlledGroups[process.RouterGroup] == nil {
+			c.controlledGroups[process.RouterGroup] = &Incarnation{RouterGroup: process.RouterGroup}
 		}
 	}
 	for _, request := range record.Requests {
@@ -99,45 +104,49 @@
 	return c
 }
 
-// responsibleLife is the process that answers for a relay's rules 3 and 5 at an instant, nil if there is none. With a controller it
-// is the relay as a whole: the sum of its routers counts, and what a dead one spent is the relay's still.
-func (c *checker) responsibleLife(relay string, at float64) *Incarnation {
-	if whole := c.controlled[relay]; whole != nil {
-		return whole
+// responsibleProcess returns the process that must keep rules 3 and 5 for a router group at the given time, or nil if there
+// is none. If the group has a controller, the group as a whole is responsible: the attempts of all its routers count
+// together, and those of a router that died still count.
+func (c *checker) responsibleProcess(routerGroup string, at float64) *Incarnation {
+	if wholeGroup := c.controlledGroups[routerGroup]; wholeGroup != nil {
+		return wholeGroup
 	}
 	var found *Incarnation
-	for _, life := range c.Incarnations {
-		if life.RouterGroup == relay && life.covers(at) {
-			found = life
+	for _, process := range c.Incarnations {
+		if process.RouterGroup == routerGroup && process.covers(at) {
+			found = process
 		}
 	}
 	return found
 }
 
-// propagationSeconds is how long a controller must go on running after it was told something for its routers to know it too.
+// propagationSeconds is how long a controller must keep running after it received an update for its routers to have the
+// update too.
 const propagationSeconds = 0.3
 
-// learnedAt gives when a relay is taken to have learned what it was told at an instant, and whether that is sure: a controller that
-// was killed at once may have told nobody, one that was paused knew nothing until it was continued.
-func (c *checker) learnedAt(relay string, at float64) (learned float64, sure bool) {
-	if c.controlled[relay] == nil {
+// learnedAt returns when a router group learned of an update that it was sent at the given time, and whether that is sure.
+// A controller that was killed right afterwards may have passed the update on to no router, and a paused controller reads
+// it only after it is resumed.
+func (c *checker) learnedAt(routerGroup string, at float64) (learned float64, sure bool) {
+	if c.controlledGroups[routerGroup] == nil {
 		return at, true
 	}
-	for _, life := range c.Incarnations {
-		if !life.IsController || life.RouterGroup != relay || life.StartedAt > at || life.EndedAt > 0 && life.EndedAt < at {
+	for _, process := range c.Incarnations {
+		if !process.IsController || process.RouterGroup != routerGroup || process.StartedAt > at || process.EndedAt > 0 && process.EndedAt < at {
 			continue
 		}
-		at = life.afterPauses(at)
-		sure = life.EndedAt == 0 || life.EndedAt > at+propagationSeconds
+		at = process.afterPauses(at)
+		sure = process.EndedAt == 0 || process.EndedAt > at+propagationSeconds
 	}
 	return at, sure
 }
 
-// afterPauses moves an instant to the end of the pauses that it lies in, or just before.
-func (l *Incarnation) afterPauses(at float64) float64 {
+// afterPauses returns the given time, moved to the end of any pause that contains it or that begins within
+// propagationSeconds after it.
+func (p *Incarnation) afterPauses(at float64) float64 {
 	for moved := true; moved; {
 		moved = false
-		for _, pause := range l.Pauses {
+		for _, pause := range p.Pauses {
 			if pause[0] <= at+propagationSeconds && at < pause[1] {
 				at, moved = pause[1], true
 			}
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -1,13 +1,14 @@
 package invariants
 
-// checkDrains is rule 3: a grace after a process learned that an endpoint drains or is gone, no attempt goes there.
-func (c *checker) checkDrains() Rule {
-	rule := Rule{Name: "3 drains"}
-	type relayEndpoint struct {
-		relay    string
-		endpoint uint32
+// checkDrains checks rule 3: once the grace period has passed since a process learned that an endpoint is draining or
+// gone, the process sends no attempts there.
+func (c *checker) checkDrains() RuleResult {
+	rule := RuleResult{Name: "3 drains"}
+	type groupEndpoint struct {
+		routerGroup string
+		endpoint    uint32
 	}
-	updates := map[relayEndpoint][]EndpointUpdate{}
+	updates := map[groupEndpoint][]EndpointUpdate{}
 	for _, update := range c.EndpointUpdates {
 		if !update.Ready {
 			rule.Checked++
@@ -17,26 +18,26 @@
 			continue
 		}
 		update.At = learned
-		key := relayEndpoint{update.RouterGroup, update.Endpoint}
+		key := groupEndpoint{update.RouterGroup, update.Endpoint}
 		updates[key] = append(updates[key], update)
 	}
 	for _, attempt := range c.Attempts {
 		request := c.Requests[attempt.RequestID]
-		life := c.responsibleLife(request.RouterGroup, request.SentAt)
-		if life == nil {
+		process := c.responsibleProcess(request.RouterGroup, request.SentAt)
+		if process == nil {
 			continue
 		}
-		since := notReadySince(updates[relayEndpoint{request.RouterGroup, attempt.Endpoint}], life.StartedAt, attempt.At)
+		since := notReadySince(updates[groupEndpoint{request.RouterGroup, attempt.Endpoint}], process.StartedAt, attempt.At)
 		if since > 0 && attempt.At > since+c.bounds.GraceSeconds+c.bounds.SlackSeconds {
-			rule.breach("%s delivered to unit %d %.3f s after it was told that the unit drains or is gone",
+			rule.addViolation("%s sent an attempt to endpoint %d %.3f s after learning that the endpoint is draining or gone",
 				request.RouterGroup, attempt.Endpoint, attempt.At-since)
 		}
 	}
 	return rule
 }
 
-// notReadySince gives since when an endpoint has not been ready at an instant, by what came to a process that began at from; 0 if it
-// is ready.
+// notReadySince returns the time since which an endpoint has not been ready, as of the time at, according to the updates
+// that a process received since its start at from. It returns 0 if the endpoint is ready.
 func notReadySince(updates []EndpointUpdate, from, at float64) (since float64) {
 	for _, update := range updates {
 		switch {
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -2,27 +2,28 @@
 
 import "sync"
 
-// Idempotency says whether a request may run again. The values are the operators' words, as in the settings files.
+// Idempotency says whether a request may run again. The values are those of the settings files.
 type Idempotency string
 
-// What a request may be: idempotent, idempotent with a key within a scope and window, or non-idempotent.
+// The kinds of idempotency: idempotent, idempotent by a key within a deduplication scope and window, and non-idempotent.
 const (
 	Idempotent        Idempotency = "redeliverable"
 	IdempotentWithKey Idempotency = "deduplicated"
 	NonIdempotent     Idempotency = "at-most-once"
 )
 
-// The kinds of an Answer, by the wire's words. What a client got instead of an answer has a kind too in Report.Answers.
+// The kinds of an Answer, as on the wire. The second group is for requests without an answer and occurs only in
+// Report.Answers.
 const (
 	kindSucceeded = "acked"
 	kindRejected  = "nacked"
 
-	kindNone         = "none"
+	kindNoAnswer     = "none"
 	kindNotConnected = "unreached"
 	kindAbandoned    = "left"
 )
 
-// The phases of a release, by the wire's words.
+// The phases of a release, as on the wire.
 const (
 	phaseCanary      = "on-trial"
 	phaseRollingBack = "going-back"
@@ -30,35 +31,35 @@
 	phaseWithdrawn   = "withdrawn"
 )
 
-// Request is one try of a client: a client that tries again makes another Request. Instants are seconds on the clock of the process
-// that watches all sockets; 0 where the thing did not happen.
+// Request is one request that a client sent. A client's retry is a Request of its own. Times are seconds on the clock of
+// the process that observes all sockets; 0 means that the event did not happen.
 type Request struct {
 	ID                      uint64
 	RouterGroup             string
 	Class                   string
 	Idempotency             Idempotency
-	DedupScope              string  // of IdempotentWithKey: all, zone or cell
-	DedupWindowSeconds      float64 // of IdempotentWithKey: how long endpoints recognise the key
+	DedupScope              string  // for IdempotentWithKey: all, zone or cell
+	DedupWindowSeconds      float64 // for IdempotentWithKey: how long endpoints recognise the key
 	Key                     string
 	PriorityWeight          float64
 	LatencyObjectiveSeconds float64
 
-	FirstSentAt  float64 // when its client sent its first try
-	SentAt       float64 // when this try was written
+	FirstSentAt  float64 // when the client sent the first request, of which this one may be a retry
+	SentAt       float64 // when this request was written
 	Deadline     float64 // when the client gives up
-	AbandonedAt  float64 // when the client closed the connection
-	NotConnected bool    // no byte of it could be sent
-	ClosedAt     float64 // when the relay closed the connection instead of an answer
+	AbandonedAt  float64 // when the client closed the connection before the deadline
+	NotConnected bool    // not a single byte could be sent
+	ClosedAt     float64 // when the router closed the connection without an answer
 	Answers      []Answer
-	WrongAnswer  bool // an answer that it succeeded was wrong
-	FinalTry     bool // the client does not try again
+	WrongAnswer  bool // the answer reported success but its content was wrong
+	IsFinal      bool // the client does not retry after this request
 }
 
-// Answer is one that a client read.
+// Answer is an answer that a client read.
 type Answer struct {
 	At       float64
-	Kind     string // acked, nacked or failed; empty if it was none of these
-	Endpoint uint32 // the endpoint that gave it, by the endpoint's own header
+	Kind     string // acked, nacked or failed; empty if the answer is of another kind
+	Endpoint uint32 // the endpoint that answered, as named in the endpoint's own header
 }
 
 // Attempt is a request that an endpoint read.
@@ -66,8 +67,8 @@
 	RequestID   uint64
 	Endpoint    uint32
 	At          float64
-	RejectedAt  float64 // when the endpoint answered that it did not run it; 0: it may have run
-	WorkSeconds float64 // of one core at full speed
+	RejectedAt  float64 // when the endpoint answered that it did not run the request; 0: the request may have run
+	WorkSeconds float64 // on one core at full speed
 }
 
 // mayHaveRun reports whether the attempt may have had an effect.
@@ -79,19 +80,19 @@
 	Build      int
 	Zone, Cell uint16
 	StartedAt  float64
-	Capacity   float64 // seconds of work a second after slow start
-	FailedAt   float64 // when it was overloaded in slow start; 0: it was not
+	Capacity   float64 // seconds of work per second once slow start is over
+	FailedAt   float64 // when it failed from overload in slow start; 0: it did not
 }
 
-// EndpointUpdate is what a relay was sent about an endpoint.
+// EndpointUpdate is an update on an endpoint that was sent to a router group.
 type EndpointUpdate struct {
 	At          float64
 	RouterGroup string
 	Endpoint    uint32
-	Ready       bool // false: it drains or is gone
+	Ready       bool // false: the endpoint is draining or gone
 }
 
-// ReleaseUpdate is what a relay was sent about a release.
+// ReleaseUpdate is an update on a release that was sent to a router group.
 type ReleaseUpdate struct {
 	At           float64
 	RouterGroup  string
@@ -100,39 +101,41 @@
 	CanaryLimit  float64
 }
 
-// Incarnation is one process of a relay's router or controller, from its start until it was killed or had stopped.
+// Incarnation is one process of a router group, from its start until it was killed or had stopped. A router group is a
+// controller with its routers, or a single router without a controller.
 type Incarnation struct {
 	RouterGroup        string
-	IsController       bool // it directs the relay's routers, which have processes of their own
+	IsController       bool // false: a router
 	StartedAt, EndedAt float64
 	Killed             bool
-	DrainingFrom       float64      // when it was told to shut down gracefully; 0: it was not
-	Pauses             [][2]float64 // when it was stopped from outside and continued
+	DrainingFrom       float64      // when a graceful shutdown was requested; 0: none was
+	Pauses             [][2]float64 // start and end of each pause by signals
 }
 
-// covers reports whether the process existed at an instant.
-func (l *Incarnation) covers(at float64) bool {
-	return l.StartedAt <= at && (l.EndedAt == 0 || at <= l.EndedAt)
+// covers reports whether the process existed at the given time.
+func (p *Incarnation) covers(at float64) bool {
+	return p.StartedAt <= at && (p.EndedAt == 0 || at <= p.EndedAt)
 }
 
-// Record is all that was seen on sockets. Only Enter may be used while others write.
+// Record holds everything that was observed on sockets. While other goroutines may write, it may only be accessed through
+// Update.
 type Record struct {
-	mu              sync.Mutex
-	Requests        map[uint64]*Request // by ID
-	Attempts        []*Attempt
-	Endpoints       map[uint32]*Endpoint // by ID
-	EndpointUpdates []EndpointUpdate
-	ReleaseUpdates  []ReleaseUpdate
-	Incarnations    []*Incarnation
-	StrayAnswers    []string // what came on a connection when nothing was waited for
+	mu                sync.Mutex
+	Requests          map[uint64]*Request // by ID
+	Attempts          []*Attempt
+	Endpoints         map[uint32]*Endpoint // by ID
+	EndpointUpdates   []EndpointUpdate
+	ReleaseUpdates    []ReleaseUpdate
+	Incarnations      []*Incarnation
+	UnexpectedAnswers []string // answers that arrived while no request was waiting for one
 }
 
-// NewRecord makes an empty record.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{Requests: map[uint64]*Request{}, Endpoints: map[uint32]*Endpoint{}}
 }
 
-// Update changes the record under its lock. It may be called from any goroutine.
+// Update calls change with the record locked. It may be called from any goroutine.
 func (r *Record) Update(change func(*Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// LatencyQuantiles are quantiles of the time in which requests succeeded, in seconds.
+// LatencyQuantiles holds quantiles of the latency of successful requests, in seconds.
 type LatencyQuantiles struct {
-	N   int     `json:"n"`
+	N   int     `json:"n"` // number of requests
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// latencyQuantiles sorts the latencies.
+// latencyQuantiles computes the quantiles of the latencies, which it sorts in place.
 func latencyQuantiles(latencies []float64) LatencyQuantiles {
 	if len(latencies) == 0 {
 		return LatencyQuantiles{}
@@ -19,20 +19,21 @@
 	return LatencyQuantiles{len(latencies), at(0.5), at(0.99)}
 }
 
-// minWeight keeps the service of a record without requests from being a division by zero.
+// minWeight prevents a division by zero in the service of a record without requests.
 const minWeight = 1e-9
 
-// weights are sums of priority weights.
-type weights struct{ offered, earned float64 }
+// weightSums holds the total priority weight of the requests that were sent, and of those that met their objective.
+type weightSums struct{ offered, earned float64 }
 
-func (w *weights) service() float64 { return w.earned / max(w.offered, minWeight) }
+func (w *weightSums) service() float64 { return w.earned / max(w.offered, minWeight) }
 
-// measureService fills what clients got. All tries of a client count as one request: its last one offers the weight, and an answer
-// earns it if it came within the objective from the first try on.
+// measureService fills in the report's figures on the service that clients got. A request and its retries count once: the
+// last of them adds the weight to the offered sum, and an answer adds it to the earned sum if it arrived within the
+// latency objective, counted from the first send.
 func (c *checker) measureService(report *Report) {
 	report.Answers, report.ServiceByClass, report.AttemptsByBuild = map[string]int{}, map[string]float64{}, map[int]int{}
-	var total weights
-	byClass := map[string]*weights{}
+	var total weightSums
+	byClass := map[string]*weightSums{}
 	var withController, withoutController []float64
 	for _, request := range c.Requests {
 		report.Requests++
@@ -42,7 +43,7 @@
 		}
 		if len(request.Answers) > 0 && request.Answers[0].Kind == kindSucceeded {
 			latency := request.Answers[0].At - request.SentAt
-			if c.isWithoutController(request) {
+			if c.sentWithoutController(request) {
 				withoutController = append(withoutController, latency)
 			} else {
 				withController = append(withController, latency)
@@ -50,14 +51,14 @@
 		}
 		class := byClass[request.Class]
 		if class == nil {
-			class = &weights{}
+			class = &weightSums{}
 			byClass[request.Class] = class
 		}
-		for _, sum := range []*weights{&total, class} {
-			if request.FinalTry {
+		for _, sum := range []*weightSums{&total, class} {
+			if request.IsFinal {
 				sum.offered += request.PriorityWeight
 			}
-			if request.isGood() {
+			if request.meetsObjective() {
 				sum.earned += request.PriorityWeight
 			}
 		}
@@ -73,7 +74,7 @@
 	report.SucceededWithoutController = latencyQuantiles(withoutController)
 }
 
-// outcome is the kind of the first answer, or of what took its place.
+// outcome returns the kind of the first answer, or the reason why there is none.
 func (r *Request) outcome() string {
 	switch {
 	case len(r.Answers) > 0:
@@ -83,31 +84,31 @@
 	case r.AbandonedAt > 0:
 		return kindAbandoned
 	}
-	return kindNone
+	return kindNoAnswer
 }
 
-// isGood reports whether the first answer is a right one within the objective.
-func (r *Request) isGood() bool {
+// meetsObjective reports whether the first answer is correct and arrived within the latency objective.
+func (r *Request) meetsObjective() bool {
 	return len(r.Answers) > 0 && r.Answers[0].Kind == kindSucceeded && !r.WrongAnswer &&
 		r.Answers[0].At-r.FirstSentAt <= r.LatencyObjectiveSeconds
 }
 
-// isWithoutController reports whether a request was sent while its relay's controller was dead or paused.
-func (c *checker) isWithoutController(request *Request) bool {
-	if c.controlled[request.RouterGroup] == nil {
+// sentWithoutController reports whether a request was sent while the controller of its router group was down or paused.
+func (c *checker) sentWithoutController(request *Request) bool {
+	if c.controlledGroups[request.RouterGroup] == nil {
 		return false
 	}
-	for _, life := range c.Incarnations {
-		if life.IsController && life.RouterGroup == request.RouterGroup && life.covers(request.SentAt) {
-			return life.isPaused(request.SentAt)
+	for _, process := range c.Incarnations {
+		if process.IsController && process.RouterGroup == request.RouterGroup && process.covers(request.SentAt) {
+			return process.isPaused(request.SentAt)
 		}
 	}
 	return true
 }
 
-// isPaused reports whether the process was paused at an instant.
-func (l *Incarnation) isPaused(at float64) bool {
-	for _, pause := range l.Pauses {
+// isPaused reports whether the process was paused at the given time.
+func (p *Incarnation) isPaused(at float64) bool {
+	for _, pause := range p.Pauses {
 		if pause[0] <= at && at <= pause[1] {
 			return true
 		}
--- a/internal/invariants/slowstart.go
+++ b/internal/invariants/slowstart.go
@@ -1,9 +1,9 @@
 package invariants
 
-// checkSlowStart is rule 4: within SlowStartOverloadSeconds an endpoint in slow start gets no more work than SlowStartOverloadFactor
-// times its present capacity. One attempt by itself is no breach, however much work it is.
-func (c *checker) checkSlowStart() Rule {
-	rule := Rule{Name: "4 cold units"}
+// checkSlowStart checks rule 4: within any window of SlowStartOverloadSeconds, an endpoint in slow start gets no more work
+// than SlowStartOverloadFactor times its present capacity. A single attempt is never a violation, however much work it is.
+func (c *checker) checkSlowStart() RuleResult {
+	rule := RuleResult{Name: "4 cold units"}
 	attempts := map[uint32][]*Attempt{} // by endpoint
 	for _, attempt := range c.Attempts {
 		attempts[attempt.Endpoint] = append(attempts[attempt.Endpoint], attempt)
@@ -11,16 +11,16 @@
 	for id, endpoint := range c.Endpoints {
 		c.checkWorkInSlowStart(&rule, endpoint, attempts[id])
 		if endpoint.FailedAt > 0 {
-			rule.breach("unit %d fell over %.2f s after its start", id, endpoint.FailedAt-endpoint.StartedAt)
+			rule.addViolation("endpoint %d failed %.2f s after its start", id, endpoint.FailedAt-endpoint.StartedAt)
 		}
 	}
 	return rule
 }
 
-// checkWorkInSlowStart moves the window over the attempts of one endpoint, until slow start is over.
-func (c *checker) checkWorkInSlowStart(rule *Rule, endpoint *Endpoint, attempts []*Attempt) {
+// checkWorkInSlowStart slides the window over the attempts at one endpoint until its slow start is over.
+func (c *checker) checkWorkInSlowStart(rule *RuleResult, endpoint *Endpoint, attempts []*Attempt) {
 	window := c.bounds.SlowStartOverloadSeconds
-	work, oldest := 0.0, 0 // of the window; index of its first attempt
+	work, oldest := 0.0, 0 // work in the window, index of the first attempt in the window
 	for i, attempt := range attempts {
 		for work += attempt.WorkSeconds; attempts[oldest].At < attempt.At-window; oldest++ {
 			work -= attempts[oldest].WorkSeconds
@@ -32,16 +32,17 @@
 		rule.Checked++
 		limit := c.bounds.SlowStartOverloadFactor * endpoint.Capacity * c.capacityShare(endpoint, attempt.At) * window
 		if i > 0 && work > limit {
-			rule.breach("unit %d, %.2f s old, was sent %.2f s of work within %.1f s; %.2f at most", endpoint.ID, age, work, window, limit)
+			rule.addViolation("endpoint %d, %.2f s old, was sent %.2f s of work within %.1f s; the limit is %.2f", endpoint.ID, age, work, window, limit)
 		}
 	}
 }
 
-// capacityShare is the share of its capacity that an endpoint has at an instant. It grows linearly from SlowStartInitialShare.
+// capacityShare returns the share of its capacity that an endpoint has at the given time. In slow start the share grows
+// linearly from SlowStartInitialShare to 1.
 func (c *checker) capacityShare(endpoint *Endpoint, at float64) float64 {
-	b := c.bounds
-	if b.SlowStartSeconds <= 0 || at-endpoint.StartedAt >= b.SlowStartSeconds {
+	bounds := c.bounds
+	if bounds.SlowStartSeconds <= 0 || at-endpoint.StartedAt >= bounds.SlowStartSeconds {
 		return 1
 	}
-	return b.SlowStartInitialShare + (1-b.SlowStartInitialShare)*max(0, at-endpoint.StartedAt)/b.SlowStartSeconds
+	return bounds.SlowStartInitialShare + (1-bounds.SlowStartInitialShare)*max(0, at-endpoint.StartedAt)/bounds.SlowStartSeconds
 }
