--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	minRequestsPerSecond  = 0.1 // so that the next request is not infinitely far off
-	keyCount              = 2000
-	keySkewExponent               = 3   // exponent by which low keys are more frequent
-	abandonWithinShare         = 0.3 // share of the timeout within which a client that abandons a request does so
-	unreachableBackoffSeconds      = 0.5 // for which a relay that can't be connected to is avoided
-	minTimeForRetrySeconds       = 0.1 // that a retry must have left
-	lateAnswerWaitSeconds     = 1   // for which an answer after the deadline is waited for, to be recorded
+	minRequestsPerSecond             = 0.1 // so that the next request is not infinitely far off
+	keyCount                         = 2000
+	keySkewExponent                  = 3   // exponent by which low keys are more frequent
+	abandonWithinShare               = 0.3 // share of the timeout within which a client that abandons a request does so
+	unreachableBackoffSeconds        = 0.5 // for which a relay that can't be connected to is avoided
+	minTimeForRetrySeconds           = 0.1 // that a retry must have left
+	lateAnswerWaitSeconds            = 1   // for which an answer after the deadline is waited for, to be recorded
 	wrongAnswerReportMinDelaySeconds = 0.2 // least seconds until a wrong answer is reported; up to one more
-	clientDialTimeout     = 200 * time.Millisecond
+	clientDialTimeout                = 200 * time.Millisecond
 )
 
 // RequestClass is a class of requests as clients send it.
@@ -59,15 +59,15 @@
 
 // Clients send requests to relays in an open loop: a request that is due is sent whether or not earlier ones were answered.
 type Clients struct {
-	record    *invariants.Record
-	clock     func() float64
-	classes   []RequestClass
-	addresses map[string]string // by relay
-	routerGroups    []string
-	avoidUntil sync.Map // instant by relay until which it is avoided
-	ids       atomic.Uint64
-	rand      *rand.Rand // of Run alone
-	requests  sync.WaitGroup
+	record       *invariants.Record
+	clock        func() float64
+	classes      []RequestClass
+	addresses    map[string]string // by relay
+	routerGroups []string
+	avoidUntil   sync.Map // instant by relay until which it is avoided
+	ids          atomic.Uint64
+	rand         *rand.Rand // of Run alone
+	requests     sync.WaitGroup
 
 	mu       sync.Mutex
 	behavior ClientBehavior
@@ -78,13 +78,13 @@
 func NewClients(classes []RequestClass, addresses map[string]string, relays []string, seed uint64, record *invariants.Record,
 	clock func() float64) *Clients {
 	return &Clients{
-		record:    record,
-		clock:     clock,
-		classes:   classes,
-		addresses: addresses,
-		routerGroups:    relays,
-		rand:      rand.New(rand.NewPCG(seed, 1)),
-		idle:      map[string][]*clientConn{},
+		record:       record,
+		clock:        clock,
+		classes:      classes,
+		addresses:    addresses,
+		routerGroups: relays,
+		rand:         rand.New(rand.NewPCG(seed, 1)),
+		idle:         map[string][]*clientConn{},
 	}
 }
 
@@ -118,7 +118,7 @@
 type clientCall struct {
 	class          *RequestClass
 	behavior       ClientBehavior
-	routerGroup          string
+	routerGroup    string
 	key            string
 	workSeconds    float64
 	rand           *rand.Rand
@@ -191,7 +191,7 @@
 	outcomeSucceeded    = "acked"
 	outcomeRejected     = "nacked"
 	outcomeFailed       = "failed"
-	outcomeNoAnswer         = "none"      // no answer
+	outcomeNoAnswer     = "none"      // no answer
 	outcomeNotConnected = "unreached" // nothing could be sent
 	outcomeAbandoned    = "left"
 )
@@ -340,7 +340,7 @@
 type clientConn struct {
 	net.Conn
 	answers chan *clientAnswer // nil: the relay closed the connection instead
-	closed    atomic.Bool
+	closed  atomic.Bool
 
 	mu           sync.Mutex
 	awaited      *invariants.Request
--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -44,7 +44,7 @@
 
 type controlStream struct {
 	responses chan *discovery.DiscoveryResponse
-	closed   chan struct{}
+	closed    chan struct{}
 }
 
 // StartControlService starts a service on a listener, which it owns from then on.
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -18,11 +18,11 @@
 
 // Headers between fake clients and endpoints. By them attempts are matched with requests, not by anything that a router says.
 const (
-	headerRequestID = "X-Command"
-	headerClass     = "X-Op"
-	headerRouterGroup     = "X-Relay"
-	headerWork      = "Flint-Work"
-	headerEndpoint  = "X-Unit"
+	headerRequestID   = "X-Command"
+	headerClass       = "X-Op"
+	headerRouterGroup = "X-Relay"
+	headerWork        = "Flint-Work"
+	headerEndpoint    = "X-Unit"
 )
 
 const (
@@ -77,7 +77,7 @@
 	Build     int
 	StartedAt float64
 
-	spec    EndpointSpec
+	spec     EndpointSpec
 	behavior BuildBehavior
 	record   *invariants.Record
 	clock    func() float64
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -23,15 +23,15 @@
 	record *invariants.Record
 	clock  func() float64
 
-	mu           sync.Mutex
-	delaySeconds          float64
-	down         bool
-	version      uint64
-	pending      []pendingChange
-	published    map[uint32]endpoints.Endpoint
-	lastSent     map[string]map[uint32]bool // by relay and endpoint: whether it was sent as ready
-	subscribers  map[*listSubscriber]struct{}
-	mirror       MirrorFunc
+	mu             sync.Mutex
+	delaySeconds   float64
+	down           bool
+	version        uint64
+	pending        []pendingChange
+	published      map[uint32]endpoints.Endpoint
+	lastSent       map[string]map[uint32]bool // by relay and endpoint: whether it was sent as ready
+	subscribers    map[*listSubscriber]struct{}
+	mirror         MirrorFunc
 	mirroredGroups []string
 }
 
@@ -40,8 +40,8 @@
 
 // pendingChange is a change that is not published yet.
 type pendingChange struct {
-	enteredAt       float64
-	endpoint endpoints.Endpoint
+	enteredAt float64
+	endpoint  endpoints.Endpoint
 }
 
 type listSubscriber struct{ updates chan endpoints.Update }
@@ -49,12 +49,12 @@
 // NewEndpointList makes an empty list that publishes changes lag seconds after they were put in.
 func NewEndpointList(lag float64, record *invariants.Record, clock func() float64) *EndpointList {
 	return &EndpointList{
-		record:      record,
-		clock:       clock,
-		delaySeconds:         lag,
-		published:   map[uint32]endpoints.Endpoint{},
-		lastSent:    map[string]map[uint32]bool{},
-		subscribers: map[*listSubscriber]struct{}{},
+		record:       record,
+		clock:        clock,
+		delaySeconds: lag,
+		published:    map[uint32]endpoints.Endpoint{},
+		lastSent:     map[string]map[uint32]bool{},
+		subscribers:  map[*listSubscriber]struct{}{},
 	}
 }
 
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -40,15 +40,15 @@
 )
 
 const (
-	retentionSeconds    = 60.0    // of samples
-	lookbackMillis      = 5000    // age up to which a sample counts for an instant: the servers' own five minutes, in small
-	tooManySeriesCount      = 100_000 // in an answer of Exploded
-	inflatedFailureShare   = 0.6     // of answers, by Lies
-	slowResponseDelay            = time.Second
-	oldTimestampShiftSeconds    = 86400
-	maxPointsPerSeries  = 11000 // of a range query
-	minStepSeconds      = 0.001 // of a range query
-	redirectTarget = "http://127.0.0.1:1/api/v1/query"
+	retentionSeconds         = 60.0    // of samples
+	lookbackMillis           = 5000    // age up to which a sample counts for an instant: the servers' own five minutes, in small
+	tooManySeriesCount       = 100_000 // in an answer of Exploded
+	inflatedFailureShare     = 0.6     // of answers, by Lies
+	slowResponseDelay        = time.Second
+	oldTimestampShiftSeconds = 86400
+	maxPointsPerSeries       = 11000 // of a range query
+	minStepSeconds           = 0.001 // of a range query
+	redirectTarget           = "http://127.0.0.1:1/api/v1/query"
 )
 
 // Names of the metrics that faults change.
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -94,11 +94,11 @@
 	slots          []*Endpoint
 	pending        []pendingStart // by slot
 	votes          map[string]countedVote
-	queuedBuilds          []int // offered builds that have not begun
+	queuedBuilds   []int // offered builds that have not begun
 	releasedBuilds []int // before build, oldest first
 	history        []ReleaseEvent
 	subscribers    map[chan struct{}]struct{}
-	startError            error
+	startError     error
 }
 
 // NewReleaseService starts a fleet of the first build, whose slow start is over, and puts it on the list.
