--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,7 +1,8 @@
-// Package fakes plays what is around routers: endpoints, the endpoint list, the release service, control services, Prometheus servers
-// and clients. They speak the published protocols on loopback sockets, and enter what they see there into an invariants.Record.
+// Package fakes implements test doubles of the services around routers: endpoints, the endpoint list, the release service,
+// control services, Prometheus servers and clients. They speak the published protocols on loopback sockets and add what
+// they observe there to an invariants.Record.
 //
-// Instants and durations are float64 seconds; instants are of the clock that each fake is given, one for all fakes of a scenario. A
-// fake ends when it is stopped or closed, its goroutines with it; a fake server that ends by itself panics, since its test would wait
-// for answers that never come.
+// Times and durations are float64 seconds. Times are read from the clock that is passed to each fake; all fakes of a
+// scenario share one clock. Stopping or closing a fake ends its goroutines. A fake server that ends without being stopped
+// panics, because its test would otherwise wait for answers that never come.
 package fakes
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -16,7 +16,8 @@
 	"flintspread/internal/invariants"
 )
 
-// Headers between fake clients and endpoints. By them attempts are matched with requests, not by anything that a router says.
+// Headers between fake clients and endpoints. They match attempts with requests without relying on anything that a router
+// reports.
 const (
 	headerRequestID   = "X-Command"
 	headerClass       = "X-Op"
@@ -26,51 +27,52 @@
 )
 
 const (
-	// slowTailFactor is how much more work the requests of EndpointFault.SlowTailShare need.
+	// slowTailFactor multiplies the work of the requests selected by EndpointFault.SlowTailShare.
 	slowTailFactor = 10
-	// typicalLatencyGain is the weight of a new latency in the moving average that is shown to scrapes.
+	// typicalLatencyGain is the weight of a new latency in the exponential moving average that is exported as a metric.
 	typicalLatencyGain = 0.05
-	// recheckInterval is how often an unresponsive endpoint looks whether it still is.
+	// recheckInterval is how often an unresponsive endpoint checks whether it is still unresponsive.
 	recheckInterval = 20 * time.Millisecond
 	wrongAnswer     = "chute 99"
 )
 
-// BuildBehavior is how the endpoints of one build behave. The zero value does all work right and as fast as is usual.
+// BuildBehavior describes how the endpoints of one build behave. With the zero value they answer every request correctly
+// and with the normal amount of work.
 type BuildBehavior struct {
-	WorkFactor       float64 `edn:"work"`       // times the usual work; 0: 1
+	WorkFactor       float64 `edn:"work"`       // multiplies the work of each request; 0: 1
 	ErrorShare       float64 `edn:"errors"`     // share of requests that fail
-	ErrorClass       string  `edn:"error-op"`   // only requests of this class fail
+	ErrorClass       string  `edn:"error-op"`   // if set, only requests of this class fail
 	WrongAnswerShare float64 `edn:"wrong"`      // share of answers that are wrong
-	LateAfterSeconds float64 `edn:"after"`      // age of the process from which on the next two hold
-	LateWorkFactor   float64 `edn:"late-work"`  // times the work
-	LateErrorShare   float64 `edn:"late-error"` // share of requests that fail, if it is more than ErrorShare
+	LateAfterSeconds float64 `edn:"after"`      // age of the process from which the two Late fields below apply; 0: never
+	LateWorkFactor   float64 `edn:"late-work"`  // multiplies the work of each request, in addition to WorkFactor
+	LateErrorShare   float64 `edn:"late-error"` // share of requests that fail, if it is higher than ErrorShare
 }
 
-// EndpointFault is what is wrong with an endpoint. Several things may be. The zero value is nothing.
+// EndpointFault describes the faults of an endpoint, of which several can be set at once. The zero value is no fault.
 type EndpointFault struct {
-	SlowFactor          float64 // times slower; 0: not slower
-	ErrorShare          float64 // share of requests that fail at once
+	SlowFactor          float64 // multiplies the work of each request; 0: 1
+	ErrorShare          float64 // share of requests that fail immediately
 	Unresponsive        bool    // requests get no answer
-	ResetShare          float64 // share of requests at which the connection is reset
-	MaxConns            int     // connections above it are reset; 0: none is
-	AcceptDelaySeconds  float64 // time that a new connection waits
-	SlowTailShare       float64 // share of requests that need slowTailFactor times the work
-	OnlyFromRouterGroup string  // if set, the fault holds for requests of this relay only
+	ResetShare          float64 // share of requests at which the connection is closed without an answer
+	MaxConns            int     // connections beyond this number are reset; 0: no limit
+	AcceptDelaySeconds  float64 // delay before a new connection is accepted
+	SlowTailShare       float64 // share of requests whose work is multiplied by slowTailFactor
+	OnlyFromRouterGroup string  // if set, the fault applies only to requests from this router group
 	FailProbes          bool    // health probes fail; requests do not
-	WrongAnswerShare    float64 // share of answers that are wrong, and come at once
+	WrongAnswerShare    float64 // share of answers that are wrong and sent without delay
 }
 
-// EndpointSpec is what all endpoints of a fleet have in common.
+// EndpointSpec holds the settings that all endpoints of a fleet have in common.
 type EndpointSpec struct {
-	Cores                    int // requests that are worked on at once
-	QueueLength              int // requests that wait for a core; more are rejected
+	Cores                    int // number of requests that are processed in parallel
+	QueueLength              int // number of requests that may wait for a core; more are rejected
 	SlowStartInitialShare    float64
 	SlowStartSeconds         float64
 	SlowStartOverloadFactor  float64
 	SlowStartOverloadSeconds float64
 }
 
-// Endpoint is one process of an endpoint, from its start to its end; another process is another Endpoint.
+// Endpoint is one process of an endpoint, from its start to its end. A restarted endpoint is a new Endpoint.
 type Endpoint struct {
 	ID        uint32
 	Addr      string
@@ -90,16 +92,16 @@
 	cancel   context.CancelFunc
 
 	mu          sync.Mutex
-	recentWork  []workItem // of the last SlowStartOverloadSeconds, in slow start
-	failed      bool       // by overload in slow start, for good
+	recentWork  []workItem // work of the last SlowStartOverloadSeconds, during slow start
+	failed      bool       // permanently, from overload in slow start
 	counts      outcomeCounts
 	firstSeenAt map[string]float64 // by idempotency key
 }
 
-// workItem is the work of one request, in seconds of a core, and when it came.
+// workItem is the arrival time of a request and its work in core seconds.
 type workItem struct{ at, work float64 }
 
-// outcomeCounts is what an endpoint shows to scrapes.
+// outcomeCounts holds the values that an endpoint exports as metrics.
 type outcomeCounts struct{ total, failed, wrong, typicalLatency float64 }
 
 func (e *Endpoint) countOutcome(failed, wrong bool, latency float64) {
@@ -115,16 +117,16 @@
 	e.counts.typicalLatency += typicalLatencyGain * (latency - e.counts.typicalLatency)
 }
 
-// StartEndpoint starts an endpoint on a loopback port of its own.
-func StartEndpoint(id uint32, build int, behavior BuildBehavior, shape EndpointSpec, record *invariants.Record, clock func() float64) (*Endpoint, error) {
+// StartEndpoint starts an endpoint on a free loopback port.
+func StartEndpoint(id uint32, build int, behavior BuildBehavior, spec EndpointSpec, record *invariants.Record, clock func() float64) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	e := &Endpoint{
 		ID: id, Addr: l.Addr().String(), Build: build, StartedAt: clock(),
-		spec: shape, behavior: behavior, record: record, clock: clock,
-		cores: make(chan struct{}, shape.Cores), firstSeenAt: map[string]float64{},
+		spec: spec, behavior: behavior, record: record, clock: clock,
+		cores: make(chan struct{}, spec.Cores), firstSeenAt: map[string]float64{},
 	}
 	e.fault.Store(&EndpointFault{})
 	e.stopped, e.cancel = context.WithCancel(context.Background())
@@ -134,28 +136,28 @@
 		}
 	}}
 	record.Update(func(r *invariants.Record) {
-		r.Endpoints[id] = &invariants.Endpoint{ID: id, Build: build, StartedAt: e.StartedAt, Capacity: float64(shape.Cores)}
+		r.Endpoints[id] = &invariants.Endpoint{ID: id, Build: build, StartedAt: e.StartedAt, Capacity: float64(spec.Cores)}
 	})
 	go serveUntilClosed(e.server, faultyListener{l, e})
 	return e, nil
 }
 
-// InjectFault replaces the endpoint's fault.
+// InjectFault replaces the endpoint's faults.
 func (e *Endpoint) InjectFault(fault EndpointFault) { e.fault.Store(&fault) }
 
-// Stop ends the process at once; requests in flight get no answer.
+// Stop ends the process immediately. Requests in flight get no answer.
 func (e *Endpoint) Stop() {
 	e.cancel()
 	e.server.Close()
 }
 
-// faultyListener accepts connections as the endpoint's fault lets it.
+// faultyListener applies the endpoint's faults to new connections.
 type faultyListener struct {
 	net.Listener
 	endpoint *Endpoint
 }
 
-// Accept delays connections, and resets those above the fault's bound.
+// Accept delays new connections and resets those beyond the fault's limit.
 func (l faultyListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -176,7 +178,8 @@
 	}
 }
 
-// capacityShare is the share of its capacity that the endpoint has at an instant. It grows linearly from SlowStartInitialShare.
+// capacityShare returns the share of its capacity that the endpoint has at the given time. In slow start the share grows
+// linearly from SlowStartInitialShare to 1.
 func (e *Endpoint) capacityShare(now float64) float64 {
 	if e.spec.SlowStartSeconds <= 0 || now-e.StartedAt >= e.spec.SlowStartSeconds {
 		return 1
@@ -184,8 +187,9 @@
 	return e.spec.SlowStartInitialShare + (1-e.spec.SlowStartInitialShare)*(now-e.StartedAt)/e.spec.SlowStartSeconds
 }
 
-// addWork adds the work of a request and reports whether the endpoint has failed. It fails when it gets more work in slow start
-// than SlowStartOverloadFactor times its present capacity; one request by itself does not make it fail.
+// addWork adds the work of a request and reports whether the endpoint has failed. In slow start an endpoint fails when,
+// within SlowStartOverloadSeconds, it gets more work than SlowStartOverloadFactor times its present capacity. A single
+// request never makes it fail.
 func (e *Endpoint) addWork(now, work float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -210,7 +214,7 @@
 	return e.failed
 }
 
-// isRepeat reports whether an idempotency key was seen before, and remembers it.
+// isRepeat reports whether an idempotency key was seen before, and remembers the key.
 func (e *Endpoint) isRepeat(key string, now float64) bool {
 	if key == "" {
 		return false
@@ -222,7 +226,7 @@
 	return seen
 }
 
-// RightAnswer is the right answer to a body followed by a path.
+// RightAnswer returns the right answer to a request, given its body followed by its path.
 func RightAnswer(bodyAndPath string) string {
 	h := fnv.New32a()
 	h.Write([]byte(bodyAndPath))
@@ -264,7 +268,7 @@
 	e.process(w, r, fault, attempt.WorkSeconds, now, string(body)+r.URL.Path)
 }
 
-// recordAttempt enters a request that came. Headers that can't be read count as 0, as if they had not been sent.
+// recordAttempt adds a received request to the record as an attempt. Headers that are missing or malformed count as 0.
 func (e *Endpoint) recordAttempt(r *http.Request, now float64) *invariants.Attempt {
 	id, _ := strconv.ParseUint(r.Header.Get(headerRequestID), 10, 64)
 	work, _ := strconv.ParseFloat(r.Header.Get(headerWork), 64)
@@ -273,14 +277,14 @@
 	return attempt
 }
 
-// reject answers that a request did not run.
+// reject answers that the request was not run.
 func (e *Endpoint) reject(w http.ResponseWriter, attempt *invariants.Attempt) {
 	e.record.Update(func(*invariants.Record) { attempt.RejectedAt = e.clock() })
 	w.Header().Set("Flint-Never-Ran", "queue full")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// process does the work of a request and answers it. It waits for a core.
+// process waits for a core, does the work of a request and answers it.
 func (e *Endpoint) process(w http.ResponseWriter, r *http.Request, fault *EndpointFault, work, now float64, bodyAndPath string) {
 	slowFactor, errorShare := e.slowdown(r.Header.Get(headerClass), fault, now)
 	repeat := e.isRepeat(r.Header.Get("Idempotency-Key"), now)
@@ -295,8 +299,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	wrong := rand.Float64() < max(e.behavior.WrongAnswerShare, fault.WrongAnswerShare)
-	atOnce := repeat || fault.WrongAnswerShare != 0 && wrong
-	if !atOnce {
+	withoutWork := repeat || fault.WrongAnswerShare != 0 && wrong
+	if !withoutWork {
 		time.Sleep(seconds(work * slowFactor / e.capacityShare(e.clock())))
 	}
 	<-e.cores
@@ -315,7 +319,8 @@
 	}
 }
 
-// slowdown gives how many times the usual time a request takes, and with which probability it fails after it.
+// slowdown returns the factor by which a request's processing time is multiplied, and the probability that the request
+// fails after that time.
 func (e *Endpoint) slowdown(class string, fault *EndpointFault, now float64) (slowFactor, errorShare float64) {
 	slowFactor, errorShare = max(1, fault.SlowFactor)*max(1, e.behavior.WorkFactor), e.behavior.ErrorShare
 	age := now - e.StartedAt
@@ -323,7 +328,7 @@
 		slowFactor *= max(1, e.behavior.LateWorkFactor)
 		errorShare = max(errorShare, e.behavior.LateErrorShare)
 	}
-	if only := e.behavior.ErrorClass; only != "" && only != class {
+	if errorClass := e.behavior.ErrorClass; errorClass != "" && errorClass != class {
 		errorShare = 0
 	}
 	if rand.Float64() < fault.SlowTailShare {
@@ -338,7 +343,8 @@
 	return e.failed
 }
 
-// waitUntilResponsive returns once the client or the endpoint is gone, or the endpoint is responsive again.
+// waitUntilResponsive returns when the endpoint is responsive again, the client has disconnected or the endpoint is
+// stopped.
 func (e *Endpoint) waitUntilResponsive(client context.Context) {
 	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
@@ -353,7 +359,7 @@
 	}
 }
 
-// Metrics gives what the endpoint shows to a scrape: nothing if it is unresponsive or stopped.
+// Metrics returns the samples that a scrape of the endpoint yields: none if it is unresponsive or stopped.
 func (e *Endpoint) Metrics() []Sample {
 	fault := e.fault.Load()
 	if fault.Unresponsive || e.stopped.Err() != nil {
--- a/internal/fakes/fastendpoint.go
+++ b/internal/fakes/fastendpoint.go
@@ -17,23 +17,23 @@
 
 const (
 	defaultAnswerBytes = 7
-	fixedListInterval  = time.Second // between two lines of a stream of ServeFixedEndpoints
+	fixedListInterval  = time.Second // between two lines of the streams of ServeFixedEndpoints
 )
 
-// FastEndpoint answers at once, for loads that an Endpoint could not take. It can pause.
+// FastEndpoint answers every request immediately, for loads that are too high for an Endpoint. It can be paused.
 type FastEndpoint struct {
 	Addr        string
 	Served      atomic.Int64 // requests
 	listener    net.Listener
 	pausedUntil atomic.Int64 // Unix nanoseconds
 	answerBytes atomic.Int64
-	workNanos   atomic.Int64 // time before an answer
+	workNanos   atomic.Int64 // delay before each answer
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// StartFastEndpoint starts an endpoint on a loopback port of its own.
+// StartFastEndpoint starts an endpoint on a free loopback port.
 func StartFastEndpoint() (*FastEndpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,10 +58,10 @@
 	}
 }
 
-// Pause makes the endpoint answer nothing for a while. Requests wait.
+// Pause makes requests wait for their answers until d has passed.
 func (e *FastEndpoint) Pause(d time.Duration) { e.pausedUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// SetAnswers sets how many bytes an answer has and how long the work for it takes.
+// SetAnswers sets the body length of the answers and the delay before each answer.
 func (e *FastEndpoint) SetAnswers(bytes int, work time.Duration) {
 	e.answerBytes.Store(int64(bytes))
 	e.workNanos.Store(int64(work))
@@ -80,7 +80,7 @@
 	}
 }
 
-// serve answers the requests of one connection until it ends.
+// serve answers the requests on one connection until the connection is closed.
 func (e *FastEndpoint) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -106,7 +106,7 @@
 	}
 }
 
-// waitForPause returns once the endpoint is not paused.
+// waitForPause returns when the endpoint is not paused.
 func (e *FastEndpoint) waitForPause() {
 	for {
 		wait := e.pausedUntil.Load() - time.Now().UnixNano()
@@ -117,7 +117,7 @@
 	}
 }
 
-// discardRequest reads one request. A length that can't be read counts as 0.
+// discardRequest reads one request. A malformed Content-Length counts as 0.
 func discardRequest(br *bufio.Reader) error {
 	length := 0
 	for first := true; ; first = false {
@@ -146,8 +146,8 @@
 	return buf
 }
 
-// ServeFixedEndpoints serves a list of endpoints that does not change, and a release service that offers nothing, at a loopback port
-// of their own.
+// ServeFixedEndpoints serves an endpoint list that does not change, and a release service without a canary, on a free
+// loopback port.
 func ServeFixedEndpoints(list []*FastEndpoint) (address string, stop func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -174,7 +174,7 @@
 	return l.Addr().String(), func() { server.Close() }, nil
 }
 
-// repeatLine streams one value again and again.
+// repeatLine returns a handler that streams value as a line every fixedListInterval.
 func repeatLine(value any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for writeLine(w, value) {
--- a/internal/fakes/port.go
+++ b/internal/fakes/port.go
@@ -6,15 +6,15 @@
 	"net"
 )
 
-// The ports that FreePort draws from lie below those that the system hands out by itself, so that no one who asks for any port takes
-// one meanwhile.
+// FreePort draws from a range below the ephemeral ports of the operating system, so that a process that listens on any free
+// port does not get the same one in the meantime.
 const (
 	firstPort    = 15000
 	portCount    = 17000
 	portAttempts = 200
 )
 
-// FreePort gives a loopback address, HOST:PORT, on which nothing listens.
+// FreePort returns a loopback address, HOST:PORT, on which nothing listens.
 func FreePort() (string, error) {
 	for range portAttempts {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
@@ -23,5 +23,5 @@
 			return address, nil
 		}
 	}
-	return "", fmt.Errorf("no free port from %d to %d", firstPort, firstPort+portCount)
+	return "", fmt.Errorf("found no free port from %d to %d", firstPort, firstPort+portCount)
 }
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// lineIdleInterval is how long a line protocol waits for a line before it calls idle.
+// lineIdleInterval is how long ServeLines waits for a line before it calls onIdle.
 const lineIdleInterval = 500 * time.Millisecond
 
-// ServeConns calls play with each connection to a loopback port of its own, and closes the connection after it, until the listener is
-// closed.
-func ServeConns(play func(net.Conn)) (net.Listener, error) {
+// ServeConns listens on a free loopback port and calls handle in a new goroutine for each connection, which it closes
+// afterwards. It accepts connections until the returned listener is closed.
+func ServeConns(handle func(net.Conn)) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -31,27 +31,28 @@
 			}
 			go func() {
 				defer c.Close()
-				play(c)
+				handle(c)
 			}()
 		}
 	}()
 	return l, nil
 }
 
-// ServeLines serves a line protocol: take is called with each line, idle, if it is not nil, when none came for half a second.
-func ServeLines(take func(c net.Conn, line string), idle func(c net.Conn)) (net.Listener, error) {
+// ServeLines serves a line protocol. It calls handleLine with each line and, if onIdle is not nil, calls onIdle whenever a
+// connection has received no line for lineIdleInterval.
+func ServeLines(handleLine func(c net.Conn, line string), onIdle func(c net.Conn)) (net.Listener, error) {
 	return ServeConns(func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for {
-			if idle != nil {
+			if onIdle != nil {
 				c.SetReadDeadline(time.Now().Add(lineIdleInterval))
 			}
 			line, err := br.ReadString('\n')
 			switch {
 			case err == nil:
-				take(c, strings.TrimSpace(line))
+				handleLine(c, strings.TrimSpace(line))
 			case os.IsTimeout(err):
-				idle(c)
+				onIdle(c)
 			default:
 				return
 			}
@@ -59,15 +60,16 @@
 	})
 }
 
-// serveUntilClosed runs an HTTP server until it is closed. Any other end would leave a test waiting for answers that never come: it
-// panics.
+// serveUntilClosed runs an HTTP server until it is closed. If the server ends for any other reason, it panics, because the
+// test would otherwise wait for answers that never come.
 func serveUntilClosed(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		panic(fmt.Errorf("fake HTTP server: %w", err))
 	}
 }
 
-// writeResponse writes the rest of a response. That fails only once the client has gone: the handler is aborted then.
+// writeResponse writes the rest of a response. A write fails only if the client has disconnected; the handler is then
+// aborted.
 func writeResponse(w http.ResponseWriter, body []byte) {
 	if _, err := w.Write(body); err != nil {
 		panic(http.ErrAbortHandler)
@@ -78,12 +80,13 @@
 func jsonLine(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // of a value made here
+		panic(err) // the values come from this package and can always be marshalled
 	}
 	return append(text, '\n')
 }
 
-// writeLine writes and flushes a value as one line of a streamed response. It reports whether the client is still there.
+// writeLine writes and flushes a value as one line of a streamed response. It reports whether the client is still
+// connected.
 func writeLine(w http.ResponseWriter, value any) bool {
 	if _, err := w.Write(jsonLine(value)); err != nil {
 		return false
@@ -91,20 +94,20 @@
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// writeText writes text to a connection. That fails only once the other end has gone: the connection is closed then, so that whoever reads
-// from it ends.
+// writeText writes text to a connection. A write fails only if the peer has disconnected; the connection is then closed, so
+// that its reader ends.
 func writeText(c net.Conn, text string) {
 	if _, err := c.Write([]byte(text)); err != nil {
 		c.Close()
 	}
 }
 
-// resetOnClose makes the close of a TCP connection send a reset instead of an end of stream.
+// resetOnClose makes closing a TCP connection send RST instead of FIN.
 func resetOnClose(c net.Conn) {
 	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
-		slog.Warn("fake: connection will not be reset", "error", err)
+		slog.Warn("fake: failed to set SO_LINGER; the connection will be closed without a reset", "error", err)
 	}
 }
 
-// seconds turns a number of seconds into a duration.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
