--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -23,23 +23,23 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// ControlService is a control service that speaks xDS v3, aggregated discovery, state of the world. It sends what it is told to, right or
-// wrong, and logs what clients answer.
+// ControlService is a fake control service for the state-of-the-world variant of the xDS v3 aggregated discovery service. It
+// sends the responses that it is given, valid or not, and logs the requests of its clients.
 type ControlService struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 
-	// RouterGroup is the relay that it serves. Only its owner uses it.
+	// RouterGroup is the router group that the service is for. The service itself does not use it.
 	RouterGroup string
 	server      *grpc.Server
 
 	mu      sync.Mutex
 	streams map[*controlStream]struct{}
-	initial map[string]*discovery.DiscoveryResponse // by type URL, for streams that begin
-	nonces  int                                     // that were given out
+	initial map[string]*discovery.DiscoveryResponse // the first response on a new stream, by type URL
+	nonces  int                                     // number of nonces used
 	log     []string
 }
 
-// streamBuffer is the number of responses that a stream may be behind before Set and Send block.
+// streamBuffer is the number of unsent responses of a stream at which Set and Send block.
 const streamBuffer = 1024
 
 type controlStream struct {
@@ -47,7 +47,7 @@
 	closed    chan struct{}
 }
 
-// StartControlService starts a service on a listener, which it owns from then on.
+// StartControlService starts a service on a listener, which the service then owns.
 func StartControlService(l net.Listener, creds credentials.TransportCredentials) *ControlService {
 	c := &ControlService{
 		server:  grpc.NewServer(grpc.Creds(creds)),
@@ -66,7 +66,7 @@
 // Stop ends the service and all streams.
 func (c *ControlService) Stop() { c.server.Stop() }
 
-// CloseStreams ends all streams. The service goes on.
+// CloseStreams ends all streams. The service keeps running and accepts new streams.
 func (c *ControlService) CloseStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Set makes a response the one of its type that streams begin with, and sends it on the open ones.
+// Set sends a response on the open streams, and makes it the first response of its type on new streams.
 func (c *ControlService) Set(r *discovery.DiscoveryResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +84,7 @@
 	c.sendLocked(r)
 }
 
-// Send sends a response on the open streams, with a nonce of its own unless it has one.
+// Send sends a response on the open streams. A response without a nonce gets a new one.
 func (c *ControlService) Send(r *discovery.DiscoveryResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// withNonce gives a response with a nonce of its own, or the response itself if it has one. Under the lock.
+// withNonce returns a copy of a response with a new nonce, or the response itself if it has a nonce. c.mu must be held.
 func (c *ControlService) withNonce(r *discovery.DiscoveryResponse) *discovery.DiscoveryResponse {
 	if r.Nonce != "" {
 		return r
@@ -109,21 +109,22 @@
 	return r
 }
 
-// Streams counts the open streams.
+// Streams returns the number of open streams.
 func (c *ControlService) Streams() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.streams)
 }
 
-// Log gives a line for each request of a client: type, whether it begins, acknowledges or rejects, version in force, reason.
+// Log returns a line for each request received: the type, whether the request subscribes, acknowledges or rejects, the
+// version in force at the client, and the reason of a rejection.
 func (c *ControlService) Log() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.log)
 }
 
-// StreamAggregatedResources serves one stream until the client or Drop ends it.
+// StreamAggregatedResources serves one stream until the client, CloseStreams or Stop ends it.
 func (c *ControlService) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	stream := &controlStream{responses: make(chan *discovery.DiscoveryResponse, streamBuffer), closed: make(chan struct{})}
 	c.mu.Lock()
@@ -150,7 +151,7 @@
 		case err := <-failed:
 			return err
 		case <-stream.closed:
-			return errors.New("dropped")
+			return errors.New("fake control service: stream closed by CloseStreams")
 		case r := <-stream.responses:
 			if err := s.Send(r); err != nil {
 				return err
@@ -159,7 +160,8 @@
 	}
 }
 
-// onRequest logs a request. The first one of a type is answered with the initial response, unless the client has its version.
+// onRequest logs a request. The first request for a type is answered with the initial response, unless the client already
+// has that version.
 func (c *ControlService) onRequest(stream *controlStream, request *discovery.DiscoveryRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,14 +182,14 @@
 func newAny(m proto.Message, typeURL string) *anypb.Any {
 	text, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // of a message made here
+		panic(err) // the messages come from this package and can always be marshalled
 	}
 	return &anypb.Any{TypeUrl: typeURL, Value: text}
 }
 
-// DocumentResponse makes a response with one document.
-func DocumentResponse(relay string, number, needsList uint64, text string) *discovery.DiscoveryResponse {
-	document := &xdspb.Document{Name: relay, Schema: 1, Number: number, Text: text, NeedsList: needsList}
+// DocumentResponse returns a response with one configuration document.
+func DocumentResponse(routerGroup string, number, needsList uint64, text string) *discovery.DiscoveryResponse {
+	document := &xdspb.Document{Name: routerGroup, Schema: 1, Number: number, Text: text, NeedsList: needsList}
 	return &discovery.DiscoveryResponse{
 		VersionInfo: fmt.Sprint("v", number),
 		TypeUrl:     xds.TypeDocument,
@@ -195,13 +197,13 @@
 	}
 }
 
-// EndpointsResponse makes a response with an endpoint list.
-func EndpointsResponse(relay string, version uint64, list []endpoints.Endpoint) *discovery.DiscoveryResponse {
+// EndpointsResponse returns a response with an endpoint list.
+func EndpointsResponse(routerGroup string, version uint64, list []endpoints.Endpoint) *discovery.DiscoveryResponse {
 	locality := &endpoint.LocalityLbEndpoints{}
 	for _, e := range list {
 		locality.LbEndpoints = append(locality.LbEndpoints, lbEndpoint(e))
 	}
-	assignment := &endpoint.ClusterLoadAssignment{ClusterName: relay, Endpoints: []*endpoint.LocalityLbEndpoints{locality}}
+	assignment := &endpoint.ClusterLoadAssignment{ClusterName: routerGroup, Endpoints: []*endpoint.LocalityLbEndpoints{locality}}
 	return &discovery.DiscoveryResponse{
 		VersionInfo: fmt.Sprint(version),
 		TypeUrl:     xds.TypeEndpoints,
@@ -209,7 +211,8 @@
 	}
 }
 
-// lbEndpoint is one endpoint of an assignment. An address without a port is sent with port 0: the receiver must refuse it.
+// lbEndpoint returns one endpoint of a ClusterLoadAssignment. An address without a port is sent with port 0, which the
+// receiver must reject.
 func lbEndpoint(e endpoints.Endpoint) *endpoint.LbEndpoint {
 	health := core.HealthStatus_HEALTHY
 	if e.State == endpoints.StateDraining {
@@ -219,7 +222,7 @@
 		"id": float64(e.ID), "build": float64(e.Build), "start": e.StartedAt, "zone": float64(e.Zone), "cell": float64(e.Cell),
 	})
 	if err != nil {
-		panic(err) // of numbers
+		panic(err) // numbers can always be converted
 	}
 	address := &core.SocketAddress{PortSpecifier: &core.SocketAddress_PortValue{}}
 	if host, port, err := net.SplitHostPort(e.Addr); err == nil {
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -9,16 +9,13 @@
 	"flintspread/internal/invariants"
 )
 
-// The states of an endpoint on the list, by the wire's words.
-const ()
-
 const (
-	subscriberBuffer  = 1024        // updates; a subscriber that does not read them is dropped
+	subscriberBuffer  = 1024        // updates; the stream of a subscriber that falls further behind is closed
 	heartbeatInterval = time.Second // between two lines of a stream without updates
 )
 
-// EndpointList is the service of the endpoint list. It publishes each change some seconds after it was put in, and records what each
-// relay was sent.
+// EndpointList is a fake discovery service that streams the endpoint list. It publishes each change after a delay, and
+// records the updates that each router group was sent.
 type EndpointList struct {
 	record *invariants.Record
 	clock  func() float64
@@ -29,16 +26,16 @@
 	version        uint64
 	pending        []pendingChange
 	published      map[uint32]endpoints.Endpoint
-	lastSent       map[string]map[uint32]bool // by relay and endpoint: whether it was sent as ready
+	lastSent       map[string]map[uint32]bool // by router group and endpoint: whether the last update said ready
 	subscribers    map[*listSubscriber]struct{}
 	mirror         MirrorFunc
 	mirroredGroups []string
 }
 
-// MirrorFunc sends the whole list to a relay by another way. It must not block.
-type MirrorFunc func(relay string, version uint64, list []endpoints.Endpoint)
+// MirrorFunc sends the full list to a router group over another channel. It must not block.
+type MirrorFunc func(routerGroup string, version uint64, list []endpoints.Endpoint)
 
-// pendingChange is a change that is not published yet.
+// pendingChange is a change that has not been published yet.
 type pendingChange struct {
 	enteredAt float64
 	endpoint  endpoints.Endpoint
@@ -46,40 +43,40 @@
 
 type listSubscriber struct{ updates chan endpoints.Update }
 
-// NewEndpointList makes an empty list that publishes changes lag seconds after they were put in.
-func NewEndpointList(lag float64, record *invariants.Record, clock func() float64) *EndpointList {
+// NewEndpointList returns an empty list that publishes changes delaySeconds after they were put in.
+func NewEndpointList(delaySeconds float64, record *invariants.Record, clock func() float64) *EndpointList {
 	return &EndpointList{
 		record:       record,
 		clock:        clock,
-		delaySeconds: lag,
+		delaySeconds: delaySeconds,
 		published:    map[uint32]endpoints.Endpoint{},
 		lastSent:     map[string]map[uint32]bool{},
 		subscribers:  map[*listSubscriber]struct{}{},
 	}
 }
 
-// Mirror makes each publication go to these relays by another way too.
-func (l *EndpointList) Mirror(mirror MirrorFunc, relays []string) {
+// Mirror makes the list call mirror for each of the given router groups whenever it publishes changes.
+func (l *EndpointList) Mirror(mirror MirrorFunc, routerGroups []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mirror, l.mirroredGroups = mirror, relays
+	l.mirror, l.mirroredGroups = mirror, routerGroups
 }
 
-// Put enters a change of an endpoint.
+// Put adds, changes or removes an endpoint. The change is published after the list's delay.
 func (l *EndpointList) Put(e endpoints.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, pendingChange{l.clock(), e})
 }
 
-// SetLag sets how many seconds changes wait for their publication.
+// SetLag sets the delay in seconds after which changes are published.
 func (l *EndpointList) SetLag(seconds float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delaySeconds = seconds
 }
 
-// SetDown ends all streams and refuses new ones until it is called with false.
+// SetDown sets whether the service is down. When it goes down, it closes all streams; while it is down, it refuses new ones.
 func (l *EndpointList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,13 +88,13 @@
 	}
 }
 
-// removeSubscriber ends the stream of a subscriber. Under the lock.
+// removeSubscriber closes the stream of a subscriber. l.mu must be held.
 func (l *EndpointList) removeSubscriber(subscriber *listSubscriber) {
 	close(subscriber.updates)
 	delete(l.subscribers, subscriber)
 }
 
-// Tick publishes the changes that are due. It must be called often.
+// Tick publishes the changes that are due. It must be called at short intervals.
 func (l *EndpointList) Tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,22 +102,22 @@
 	if len(changes) == 0 {
 		return
 	}
-	for _, relay := range l.mirroredGroups {
+	for _, routerGroup := range l.mirroredGroups {
 		full := l.fullList()
-		l.mirror(relay, l.version, full.Endpoints)
-		l.recordSentLocked(relay, full)
+		l.mirror(routerGroup, l.version, full.Endpoints)
+		l.recordSentLocked(routerGroup, full)
 	}
 	update := endpoints.Update{Version: l.version, Endpoints: lastOfEach(changes)}
 	for subscriber := range l.subscribers {
 		select {
 		case subscriber.updates <- update:
-		default: // it does not read: it must connect again
+		default: // the subscriber does not keep up and must reconnect
 			l.removeSubscriber(subscriber)
 		}
 	}
 }
 
-// publishDue applies the changes that are due and gives them. Under the lock.
+// publishDue applies the changes that are due and returns them. l.mu must be held.
 func (l *EndpointList) publishDue() (changes []endpoints.Endpoint) {
 	now := l.clock()
 	for len(l.pending) > 0 && l.pending[0].enteredAt+l.delaySeconds <= now {
@@ -137,7 +134,7 @@
 	return changes
 }
 
-// lastOfEach keeps the last change of each endpoint, in order.
+// lastOfEach returns the last change of each endpoint, in order.
 func lastOfEach(changes []endpoints.Endpoint) (kept []endpoints.Endpoint) {
 	last := map[uint32]int{}
 	for i, e := range changes {
@@ -151,7 +148,7 @@
 	return kept
 }
 
-// fullList is the whole list as an update. Under the lock.
+// fullList returns the whole list as an update. l.mu must be held.
 func (l *EndpointList) fullList() endpoints.Update {
 	full := endpoints.Update{Version: l.version, Full: true}
 	for _, e := range l.published {
@@ -160,40 +157,40 @@
 	return full
 }
 
-// recordSent records what a relay was sent.
-func (l *EndpointList) recordSent(relay string, update endpoints.Update) {
+// recordSent records an update that a router group was sent.
+func (l *EndpointList) recordSent(routerGroup string, update endpoints.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.recordSentLocked(relay, update)
+	l.recordSentLocked(routerGroup, update)
 }
 
-// recordSentLocked is recordSent under the lock. An endpoint that a full list leaves out is gone.
-func (l *EndpointList) recordSentLocked(relay string, update endpoints.Update) {
-	lastSent := l.lastSent[relay]
+// recordSentLocked is recordSent with l.mu held. An endpoint that is missing from a full list is recorded as not ready.
+func (l *EndpointList) recordSentLocked(routerGroup string, update endpoints.Update) {
+	lastSent := l.lastSent[routerGroup]
 	if lastSent == nil {
 		lastSent = map[uint32]bool{}
-		l.lastSent[relay] = lastSent
+		l.lastSent[routerGroup] = lastSent
 	}
 	now := l.clock()
 	var sent []invariants.EndpointUpdate
-	named := map[uint32]bool{}
+	listed := map[uint32]bool{}
 	for _, e := range update.Endpoints {
-		named[e.ID] = true
+		listed[e.ID] = true
 		lastSent[e.ID] = e.State == endpoints.StateReady
-		sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: relay, Endpoint: e.ID, Ready: e.State == endpoints.StateReady})
+		sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: routerGroup, Endpoint: e.ID, Ready: e.State == endpoints.StateReady})
 	}
 	for id := range lastSent {
-		if update.Full && !named[id] {
+		if update.Full && !listed[id] {
 			lastSent[id] = false
-			sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: relay, Endpoint: id})
+			sent = append(sent, invariants.EndpointUpdate{At: now, RouterGroup: routerGroup, Endpoint: id})
 		}
 	}
 	l.record.Update(func(r *invariants.Record) { r.EndpointUpdates = append(r.EndpointUpdates, sent...) })
 }
 
-// ServeHTTP streams the list to the relay that the path value "relay" names.
+// ServeHTTP streams the list to the router group in the path value "relay".
 func (l *EndpointList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	relay := r.PathValue("relay")
+	routerGroup := r.PathValue("relay")
 	subscriber := &listSubscriber{updates: make(chan endpoints.Update, subscriberBuffer)}
 	l.mu.Lock()
 	if l.down {
@@ -213,7 +210,7 @@
 		if !writeLine(w, update) {
 			return false
 		}
-		l.recordSent(relay, update)
+		l.recordSent(routerGroup, update)
 		return true
 	}
 	heartbeat := time.NewTicker(heartbeatInterval)
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -109,7 +109,7 @@
 		{NoFault, "query_range?start=90&end=94&step=2&query=up", 200,
 			`{"status":"success","data":{"resultType":"matrix","result":[{` + metric + `,"values":[[90,"0"],[92,"2"],[94,"4"]]}]}}`},
 		{NoFault, "query?query=" + url.QueryEscape("rate(up[1s])"), 422,
-			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
+			`{"status":"error","errorType":"execution","error":"the fake query server evaluates selectors only"}`},
 		{FaultOldTimestamps, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
 		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
 		{FaultUnavailable, "query?query=up", 503, "overloaded\n"},
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -17,33 +17,33 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// QueryServerFault is what is wrong with a QueryServer. Some faults concern what it scrapes, some what it answers.
+// QueryServerFault is a fault of a QueryServer. Some faults affect the samples that it scrapes, others its responses.
 type QueryServerFault string
 
-// The faults of a QueryServer, by the words of scenario files.
+// The faults of a QueryServer, with their names in scenario files.
 const (
 	NoFault               QueryServerFault = ""
-	FaultNoScrapes        QueryServerFault = "blind"     // it scrapes nothing any more
-	FaultInflatesFailures QueryServerFault = "lies"      // it says that most answers of the newest build are wrong and fail
-	FaultHidesFailures    QueryServerFault = "flatters"  // it says that nothing ever fails
-	FaultSlow             QueryServerFault = "late"      // it answers after a second
-	FaultNoResponse       QueryServerFault = "hangs"     // it does not answer
-	FaultTruncated        QueryServerFault = "truncated" // its answers end in the middle
-	FaultTooManyRequests  QueryServerFault = "429"       // too many requests, come back in a second
-	FaultUnavailable      QueryServerFault = "503"       // service unavailable
-	FaultRedirect         QueryServerFault = "redirect"  // it redirects to where nothing listens
-	FaultPartialResult    QueryServerFault = "warnings"  // its answers are partial, with a warning
-	FaultOldTimestamps    QueryServerFault = "yesterday" // its samples are dated a day back
-	FaultTooManySeries    QueryServerFault = "exploded"  // it answers with explodedSeries series
-	FaultNotJSON          QueryServerFault = "garbage"   // it answers with another program's page
-	FaultConnectionReset  QueryServerFault = "dead"      // its connections break
+	FaultNoScrapes        QueryServerFault = "blind"     // scrapes are dropped
+	FaultInflatesFailures QueryServerFault = "lies"      // failure counters of the newest build are inflated
+	FaultHidesFailures    QueryServerFault = "flatters"  // failure counters are 0
+	FaultSlow             QueryServerFault = "late"      // responses are delayed by slowResponseDelay
+	FaultNoResponse       QueryServerFault = "hangs"     // queries get no response
+	FaultTruncated        QueryServerFault = "truncated" // response bodies are cut off
+	FaultTooManyRequests  QueryServerFault = "429"       // status 429, with a Retry-After of one second
+	FaultUnavailable      QueryServerFault = "503"       // status 503
+	FaultRedirect         QueryServerFault = "redirect"  // a redirect to an address on which nothing listens
+	FaultPartialResult    QueryServerFault = "warnings"  // responses carry a warning that the result is partial
+	FaultOldTimestamps    QueryServerFault = "yesterday" // timestamps are one day too old
+	FaultTooManySeries    QueryServerFault = "exploded"  // responses contain tooManySeriesCount series
+	FaultNotJSON          QueryServerFault = "garbage"   // responses are an HTML page
+	FaultConnectionReset  QueryServerFault = "dead"      // connections are closed without a response
 )
 
 const (
-	retentionSeconds         = 60.0    // of samples
-	lookbackMillis           = 5000    // age up to which a sample counts for an instant: the servers' own five minutes, in small
-	tooManySeriesCount       = 100_000 // in an answer of Exploded
-	inflatedFailureShare     = 0.6     // of answers, by Lies
+	retentionSeconds         = 60.0    // after which samples are dropped
+	lookbackMillis           = 5000    // age up to which a sample is current; Prometheus' default of five minutes, scaled down
+	tooManySeriesCount       = 100_000 // in a response with FaultTooManySeries
+	inflatedFailureShare     = 0.6     // of answers, with FaultInflatesFailures
 	slowResponseDelay        = time.Second
 	oldTimestampShiftSeconds = 86400
 	maxPointsPerSeries       = 11000 // of a range query
@@ -58,7 +58,8 @@
 	metricWrongAnswers = "unit_wrong_total"
 )
 
-// QueryServer speaks the query part of Prometheus' HTTP API. It evaluates selectors only, over what it was given by Enter.
+// QueryServer implements the query part of the Prometheus HTTP API. It evaluates selectors only, over the samples that were
+// added with AddSamples.
 type QueryServer struct {
 	URL    string
 	clock  func() float64
@@ -77,14 +78,14 @@
 	points []model.SamplePair
 }
 
-// Sample is one sample that a target shows.
+// Sample is one sample of a scrape.
 type Sample struct {
 	Name   string
 	Labels map[string]string
 	Value  float64
 }
 
-// StartQueryServer starts a server on a loopback port of its own.
+// StartQueryServer starts a server on a free loopback port.
 func StartQueryServer(clock func() float64) (*QueryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,14 +111,14 @@
 // SetFault replaces the server's fault.
 func (q *QueryServer) SetFault(f QueryServerFault) {
 	if f == FaultTooManySeries {
-		tooManySeriesAnswer() // takes a while, the first time
+		tooManySeriesAnswer() // building it takes a while, so build it before the first query
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fault = f
 }
 
-// ClearFault ends a fault, unless another has taken its place.
+// ClearFault ends a fault, unless it has been replaced by another one.
 func (q *QueryServer) ClearFault(f QueryServerFault) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -126,14 +127,14 @@
 	}
 }
 
-// Queries counts the queries that were received.
+// Queries returns the number of queries received.
 func (q *QueryServer) Queries() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.queries
 }
 
-// AddSamples adds what was scraped at an instant. Series that are not among it get no further samples.
+// AddSamples adds the samples of a scrape at the given time, and removes series without samples in the retention time.
 func (q *QueryServer) AddSamples(at float64, samples []Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,7 +170,7 @@
 	}
 }
 
-// newestBuild is the highest build number among the labels of samples. Build numbers have no leading zeros.
+// newestBuild returns the highest build number among the labels of samples. Build numbers have no leading zeros.
 func newestBuild(samples []Sample) (newest string) {
 	for _, sample := range samples {
 		build := sample.Labels["build"]
@@ -180,7 +181,7 @@
 	return newest
 }
 
-// seriesOf gives the series of a sample, a new one if there is none. Under the lock.
+// seriesOf returns the series of a sample, which it creates if there is none. q.mu must be held.
 func (q *QueryServer) seriesOf(sample Sample) *scrapedSeries {
 	sampleLabels := labels.FromMap(sample.Labels)
 	key := sample.Name + sampleLabels.String()
@@ -194,7 +195,7 @@
 	return series
 }
 
-// apiAnswer and apiData are the JSON of the HTTP API.
+// apiAnswer and apiData are the JSON objects of a response.
 type apiAnswer struct {
 	Status    string   `json:"status"`
 	Data      any      `json:"data,omitempty"`
@@ -208,29 +209,29 @@
 	Result     any    `json:"result"`
 }
 
-// apiError is an error of a query, with its HTTP status.
+// apiError is an error response to a query.
 type apiError struct {
 	status    int
 	errorType string
 	text      string
 }
 
-// Error gives the text that the API shows.
+// Error returns the error text of the response.
 func (e *apiError) Error() string { return e.text }
 
 func newBadDataError(format string, args ...any) *apiError {
 	return &apiError{http.StatusBadRequest, "bad_data", fmt.Sprintf(format, args...)}
 }
 
-var errNotSelector = &apiError{http.StatusUnprocessableEntity, "execution", "this stand-in evaluates selectors only"}
+var errNotSelector = &apiError{http.StatusUnprocessableEntity, "execution", "the fake query server evaluates selectors only"}
 
-// queryFunc evaluates an expression by the parameters of a request. Timestamps are moved back by shift seconds. It is called under the
-// lock.
+// queryFunc evaluates an expression with the parameters of a request. Timestamps in the result are moved back by shift
+// seconds. It is called with QueryServer.mu held.
 type queryFunc func(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError)
 
-// serve answers a query, or as the fault has it.
+// serve answers a query, subject to the server's fault.
 func (q *QueryServer) serve(w http.ResponseWriter, r *http.Request, evaluate queryFunc) {
-	// The server notices that its client left only once it has read the request.
+	// net/http notices that the client has disconnected only once the request body has been read.
 	if err := r.ParseForm(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -257,7 +258,7 @@
 	writeResponse(w, text)
 }
 
-// applyFault does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
+// applyFault applies the faults that replace or delay a response. done reports that the request needs no further response.
 func applyFault(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
 	case FaultSlow:
@@ -288,7 +289,7 @@
 	return true
 }
 
-// answer evaluates a query and gives the answer with its HTTP status.
+// answer evaluates a query and returns the response with its HTTP status.
 func (q *QueryServer) answer(r *http.Request, evaluate queryFunc, fault QueryServerFault) (*apiAnswer, int) {
 	data, problem := q.evaluate(r, evaluate, fault)
 	if problem != nil {
@@ -315,15 +316,15 @@
 	return evaluate(r, expression, shift)
 }
 
-// floatParameter gives a number of a request, or another value if it has none.
-func floatParameter(r *http.Request, name string, otherwise float64) float64 {
-	if x, err := strconv.ParseFloat(r.FormValue(name), 64); err == nil {
-		return x
+// floatParameter returns a number from a request's parameters, or defaultValue if it is missing or malformed.
+func floatParameter(r *http.Request, name string, defaultValue float64) float64 {
+	if value, err := strconv.ParseFloat(r.FormValue(name), 64); err == nil {
+		return value
 	}
-	return otherwise
+	return defaultValue
 }
 
-// instantQuery gives the samples of a range selector, or the values of a selector as of an instant.
+// instantQuery returns the samples of a range selector, or the values of an instant selector, as of the query time.
 func (q *QueryServer) instantQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
 	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
@@ -347,7 +348,7 @@
 	return apiData{}, errNotSelector
 }
 
-// rangeQuery gives the values of a selector step by step.
+// rangeQuery returns the values of a selector at each step between the start and the end of the query.
 func (q *QueryServer) rangeQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
 	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
@@ -373,7 +374,7 @@
 	return apiData{}, errNotSelector
 }
 
-// tooManySeriesAnswer is what a label with a request's id in it does.
+// tooManySeriesAnswer returns a response with one series per request, as a request ID in a label would cause.
 var tooManySeriesAnswer = sync.OnceValue(func() []byte {
 	matrix := make(model.Matrix, tooManySeriesCount)
 	for i := range matrix {
@@ -384,12 +385,12 @@
 	}
 	text, err := json.Marshal(&apiAnswer{Status: "success", Data: apiData{"matrix", matrix}})
 	if err != nil {
-		panic(err) // of a value made here
+		panic(err) // the value above can always be marshalled
 	}
 	return text
 })
 
-// match gives the series that match a selector, in the order of their labels. Under the lock.
+// match returns the series that match a selector, ordered by their labels. q.mu must be held.
 func (q *QueryServer) match(matchers []*labels.Matcher) (found []*scrapedSeries) {
 	for _, series := range q.series {
 		mismatches := func(m *labels.Matcher) bool { return !m.Matches(series.labels.Get(m.Name)) }
@@ -407,7 +408,7 @@
 	return metric
 }
 
-// between gives the samples after one instant up to another.
+// between returns the samples later than from and not later than to, with timestamps moved back by shift seconds.
 func (s *scrapedSeries) between(from, to, shift float64) (points []model.SamplePair) {
 	for _, point := range s.points {
 		if point.Timestamp > model.Time(from*1000) && point.Timestamp <= model.Time(to*1000) {
@@ -418,7 +419,7 @@
 	return points
 }
 
-// valueAt gives the last sample at an instant, unless it is older than the lookback.
+// valueAt returns the value of the last sample at time t; false if there is none or it is older than the lookback.
 func (s *scrapedSeries) valueAt(t float64) (model.SampleValue, bool) {
 	at := model.Time(t * 1000)
 	for i := len(s.points) - 1; i >= 0; i-- {
