--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/releases"
 )
 
-// The phases of a release, verdicts and replies to votes, by the wire's words.
+// The phases of a release, the verdicts of votes and the replies to votes, as on the wire.
 const (
 	phaseCanary      = "on-trial"
 	phaseRollingBack = "going-back"
@@ -29,52 +29,54 @@
 )
 
 const (
-	// initialAgeSeconds is the age of the endpoints that a release service begins with: slow start is long over.
+	// initialAgeSeconds is the age of the first endpoints of a release service; their slow start is over.
 	initialAgeSeconds = 1000
 	maxVoteBytes      = 1 << 16
-	// pausedPollInterval is how often a vote looks whether the service still is paused.
+	// pausedPollInterval is how often ServeVote checks whether the service is still paused.
 	pausedPollInterval = 50 * time.Millisecond
-	// slotRoundingTolerance keeps a stage's share from needing one endpoint more through rounding.
+	// slotRoundingTolerance prevents floating-point rounding from adding an endpoint to a stage.
 	slotRoundingTolerance = 1e-6
 )
 
-// ReleasePlan is how the release service moves a build through a fleet.
+// ReleasePlan describes how the release service rolls out a build.
 type ReleasePlan struct {
 	StageShares             []float64 // share of the slots that run the canary, by rollout stage
-	CanaryLimits            []float64 // share of a relay's requests, by rollout stage
-	Slots                   int       // endpoints of the fleet
-	StartSeconds            float64   // until a new process is ready
-	DrainSeconds            float64   // that a replaced process is kept
-	BakeSeconds             float64   // least time of a stage after its endpoints are ready
-	PromoteVotes            int       // that a stage needs
-	RollbackVotes           int       // that roll a build back
-	VoteLifetimeSeconds     float64   // how long a vote counts
-	PropagationDelaySeconds float64   // until a change reaches the relays
-	PushIntervalSeconds     float64   // between two updates without a change
+	CanaryLimits            []float64 // share of a router group's requests that may go to the canary, by rollout stage
+	Slots                   int       // number of endpoints in the fleet
+	StartSeconds            float64   // time until a new process is ready
+	DrainSeconds            float64   // time for which a replaced process drains
+	BakeSeconds             float64   // minimum duration of a stage once its endpoints are ready
+	PromoteVotes            int       // number of votes that complete a stage
+	RollbackVotes           int       // number of votes that roll a build back
+	VoteLifetimeSeconds     float64   // time for which a vote counts
+	PropagationDelaySeconds float64   // delay until a change is sent
+	PushIntervalSeconds     float64   // interval between updates without a change
 }
 
-// ReleaseEvent is one thing that happened to a build.
+// ReleaseEvent is an event in the rollout of a build.
 type ReleaseEvent struct {
 	At          float64 `json:"at"`
 	Description string  `json:"what"`
 }
 
-// Fleet starts and stops endpoints for the release service. A slot is an endpoint's place in the fleet, from 0 on.
+// Fleet starts and stops endpoints for the release service. A slot is the index of an endpoint in the fleet, from 0.
 type Fleet interface {
 	StartEndpoint(slot, build int) (*Endpoint, error)
 	StopEndpoint(e *Endpoint)
 }
 
-// countedVote is the last vote of a relay.
+// countedVote is the last counted vote of a router group.
 type countedVote struct {
 	releases.VoteMessage
 	at float64
 }
 
-// pendingStart is the process that is being started for a slot. One with a higher sequence overtakes it.
-type pendingStart struct{ sequence, build int }
+// slotTarget is the build that a slot runs or is about to run. The sequence increases with each change, so that an earlier
+// start that is still pending is dropped.
+type slotTarget struct{ sequence, build int }
 
-// ReleaseService moves builds through a fleet slot by slot, stage by stage, by the relays' votes. It records what each relay was sent.
+// ReleaseService is a fake release service. It rolls builds out to a fleet stage by stage, as the votes of the router groups
+// decide, and records the updates that each router group was sent.
 type ReleaseService struct {
 	plan   ReleasePlan
 	fleet  Fleet
@@ -84,24 +86,24 @@
 
 	mu             sync.Mutex
 	paused         bool
-	build          int // the newest that was offered and has begun
+	build          int // the build whose rollout began last
 	stage          int
 	phase          string
 	phaseSince     float64
-	readyAt        float64           // when the endpoints of the stage are all ready
-	version        uint64            // of build, stage and phase
-	sentVersion    map[string]uint64 // the newest, by relay
+	readyAt        float64           // when all endpoints of the stage are ready
+	version        uint64            // of the combination of build, stage and phase
+	sentVersion    map[string]uint64 // newest version sent, by router group
 	slots          []*Endpoint
-	pending        []pendingStart // by slot
-	votes          map[string]countedVote
-	queuedBuilds   []int // offered builds that have not begun
-	releasedBuilds []int // before build, oldest first
+	targets        []slotTarget           // by slot
+	votes          map[string]countedVote // by router group
+	queuedBuilds   []int                  // offered builds whose rollout has not begun
+	releasedBuilds []int                  // builds released before the present one, oldest first
 	history        []ReleaseEvent
 	subscribers    map[chan struct{}]struct{}
 	startError     error
 }
 
-// NewReleaseService starts a fleet of the first build, whose slow start is over, and puts it on the list.
+// NewReleaseService starts a fleet that runs the first build, with its slow start over, and puts its endpoints on the list.
 func NewReleaseService(plan ReleasePlan, first int, fleet Fleet, list *EndpointList, record *invariants.Record,
 	clock func() float64) (*ReleaseService, error) {
 	s := &ReleaseService{
@@ -115,7 +117,7 @@
 		phase:       phaseReleased,
 		phaseSince:  clock(),
 		sentVersion: map[string]uint64{},
-		pending:     make([]pendingStart, plan.Slots),
+		targets:     make([]slotTarget, plan.Slots),
 		votes:       map[string]countedVote{},
 		subscribers: map[chan struct{}]struct{}{},
 	}
@@ -127,7 +129,7 @@
 		e.StartedAt -= initialAgeSeconds
 		record.Update(func(r *invariants.Record) { r.Endpoints[e.ID].StartedAt = e.StartedAt })
 		s.slots = append(s.slots, e)
-		s.pending[slot].build = first
+		s.targets[slot].build = first
 		list.Put(listEntry(e, endpoints.StateReady))
 	}
 	return s, nil
@@ -137,42 +139,43 @@
 	return endpoints.Endpoint{ID: e.ID, Addr: e.Addr, State: state, Build: e.Build, StartedAt: e.StartedAt}
 }
 
-// Offer queues a build. It begins once the one before is released or withdrawn.
+// Offer queues a build. Its rollout begins once the build before it is released or withdrawn.
 func (s *ReleaseService) Offer(build int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queuedBuilds = append(s.queuedBuilds, build)
 }
 
-// SetPaused makes the service neither move, send nor answer until it is called with false.
+// SetPaused sets whether the service is paused. While paused, it stops the rollout, the updates and the replies to votes.
 func (s *ReleaseService) SetPaused(paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused = paused
 }
 
-// History gives what happened to the builds, and the last error of starting an endpoint.
+// History returns the events so far and the last error of starting an endpoint.
 func (s *ReleaseService) History() ([]ReleaseEvent, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.history), s.startError
 }
 
-// Endpoints gives the endpoints by slot.
+// Endpoints returns the endpoints by slot.
 func (s *ReleaseService) Endpoints() []*Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.slots)
 }
 
-// Restart replaces the endpoint of a slot by a new process of its build. With crash it gets no time to drain.
+// Restart replaces the endpoint of a slot by a new process of the same build. With crash, the old process is stopped
+// immediately instead of draining.
 func (s *ReleaseService) Restart(slot int, crash bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replace(slot, s.slots[slot].Build, crash)
 }
 
-// Tick moves the release on by votes and time. It must be called often.
+// Tick advances the rollout according to the votes and the time. It must be called at short intervals.
 func (s *ReleaseService) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +201,8 @@
 	}
 }
 
-// countVotes counts the votes on the present build that have not expired. A vote to promote counts in its stage only. Under the lock.
+// countVotes counts the votes on the present build that have not expired. A vote to promote counts in its own stage only.
+// s.mu must be held.
 func (s *ReleaseService) countVotes(now float64) (promote, rollback int) {
 	for _, vote := range s.votes {
 		if vote.Build != s.build || now-vote.at >= s.plan.VoteLifetimeSeconds {
@@ -214,7 +218,7 @@
 	return promote, rollback
 }
 
-// promote enters the next stage, or releases the build after the last. Under the lock.
+// promote enters the next stage, or releases the build after the last stage. s.mu must be held.
 func (s *ReleaseService) promote() {
 	if s.stage+1 == len(s.plan.StageShares) {
 		s.logEvent("build %d is released", s.build)
@@ -225,7 +229,7 @@
 	s.rollOut(s.build, s.plan.StageShares[s.stage])
 }
 
-// beginNext begins the build that was offered first. Under the lock.
+// beginNext begins the rollout of the first queued build. s.mu must be held.
 func (s *ReleaseService) beginNext() {
 	if s.phase == phaseReleased {
 		s.releasedBuilds = append(s.releasedBuilds, s.build)
@@ -240,7 +244,7 @@
 	s.history = append(s.history, ReleaseEvent{s.clock(), fmt.Sprintf(format, args...)})
 }
 
-// previousBuild is the build that a rollback goes to, -1 if there is none. Under the lock.
+// previousBuild returns the build that a rollback returns to, or -1 if there is none. s.mu must be held.
 func (s *ReleaseService) previousBuild() int {
 	if len(s.releasedBuilds) == 0 {
 		return -1
@@ -248,7 +252,7 @@
 	return s.releasedBuilds[len(s.releasedBuilds)-1]
 }
 
-// setPhase enters a phase and stage: votes count anew, subscribers are woken. Under the lock.
+// setPhase enters a phase and stage, discards all votes and wakes the subscribers. s.mu must be held.
 func (s *ReleaseService) setPhase(phase string, stage int) {
 	s.phase, s.stage, s.phaseSince = phase, stage, s.clock()
 	s.version++
@@ -256,42 +260,44 @@
 	for subscriber := range s.subscribers {
 		select {
 		case subscriber <- struct{}{}:
-		default: // it is woken already
+		default: // a wake-up is pending already
 		}
 	}
 }
 
-// rollOut brings a share of the slots to a build, all of them with a share of 0. Under the lock.
+// rollOut replaces endpoints until the given share of the slots runs a build. A share of 0 means all slots. s.mu must be
+// held.
 func (s *ReleaseService) rollOut(build int, share float64) {
-	want := len(s.slots)
+	wanted := len(s.slots)
 	if share > 0 {
-		want = int(math.Ceil(share*float64(len(s.slots)) - slotRoundingTolerance))
+		wanted = int(math.Ceil(share*float64(len(s.slots)) - slotRoundingTolerance))
 	}
-	have := 0
-	for _, p := range s.pending {
-		if p.build == build {
-			have++
+	count := 0
+	for _, target := range s.targets {
+		if target.build == build {
+			count++
 		}
 	}
 	for slot, e := range s.slots {
-		switch p := &s.pending[slot]; {
-		case p.build == build || have >= want:
+		switch target := &s.targets[slot]; {
+		case target.build == build || count >= wanted:
 			continue
-		case e.Build == build: // it has not been replaced yet
-			*p = pendingStart{p.sequence + 1, build}
+		case e.Build == build: // the endpoint has not been replaced yet: cancel its replacement
+			*target = slotTarget{target.sequence + 1, build}
 		default:
 			s.replace(slot, build, false)
 		}
-		have++
+		count++
 	}
 	s.readyAt = s.clock() + s.plan.StartSeconds
 }
 
-// replace starts a new process for a slot. The one there drains once the new one is ready, or crashes at once. Under the lock.
+// replace starts a new process for a slot. The old process drains once the new one is ready or, with crash, is stopped
+// immediately. s.mu must be held.
 func (s *ReleaseService) replace(slot, build int, crash bool) {
-	old, pending := s.slots[slot], &s.pending[slot]
-	*pending = pendingStart{pending.sequence + 1, build}
-	sequence := pending.sequence
+	old, target := s.slots[slot], &s.targets[slot]
+	*target = slotTarget{target.sequence + 1, build}
+	sequence := target.sequence
 	if crash {
 		s.fleet.StopEndpoint(old)
 		s.list.Put(listEntry(old, endpoints.StateGone))
@@ -299,7 +305,7 @@
 	time.AfterFunc(seconds(s.plan.StartSeconds), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if pending.sequence != sequence {
+		if target.sequence != sequence {
 			return
 		}
 		e, err := s.fleet.StartEndpoint(slot, build)
@@ -315,7 +321,7 @@
 	})
 }
 
-// drain lets a replaced process finish its requests, and stops it.
+// drain lists a replaced process as draining, and stops it after the plan's DrainSeconds.
 func (s *ReleaseService) drain(old *Endpoint) {
 	s.list.Put(listEntry(old, endpoints.StateDraining))
 	time.AfterFunc(seconds(s.plan.DrainSeconds), func() {
@@ -324,7 +330,7 @@
 	})
 }
 
-// update is what relays are sent. Under the lock.
+// update returns the update that describes the present state. s.mu must be held.
 func (s *ReleaseService) update() releases.Update {
 	limit := s.plan.CanaryLimits[s.stage]
 	switch s.phase {
@@ -336,26 +342,27 @@
 	return releases.Update{Version: s.version, Build: s.build, Stage: s.stage, Phase: s.phase, CanaryLimit: limit, AgeSeconds: s.clock() - s.phaseSince}
 }
 
-// recordSent records what a relay was sent, unless a newer update overtook it on the way: relays drop it then.
-func (s *ReleaseService) recordSent(relay string, update releases.Update) {
+// recordSent records an update that a router group was sent. An update that was overtaken by a newer one is not recorded,
+// because routers discard it.
+func (s *ReleaseService) recordSent(routerGroup string, update releases.Update) {
 	now := s.clock()
 	s.mu.Lock()
-	overtaken := update.Version < s.sentVersion[relay]
-	s.sentVersion[relay] = max(s.sentVersion[relay], update.Version)
+	overtaken := update.Version < s.sentVersion[routerGroup]
+	s.sentVersion[routerGroup] = max(s.sentVersion[routerGroup], update.Version)
 	s.mu.Unlock()
 	if overtaken {
 		return
 	}
 	s.record.Update(func(r *invariants.Record) {
 		r.ReleaseUpdates = append(r.ReleaseUpdates, invariants.ReleaseUpdate{
-			At: now, RouterGroup: relay, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
+			At: now, RouterGroup: routerGroup, Build: update.Build, Stage: update.Stage, Phase: update.Phase, CanaryLimit: update.CanaryLimit,
 		})
 	})
 }
 
-// ServeReleases streams updates to the relay that the path value "relay" names.
+// ServeReleases streams updates to the router group in the path value "relay".
 func (s *ReleaseService) ServeReleases(w http.ResponseWriter, r *http.Request) {
-	relay := r.PathValue("relay")
+	routerGroup := r.PathValue("relay")
 	changed := make(chan struct{}, 1)
 	s.mu.Lock()
 	s.subscribers[changed] = struct{}{}
@@ -375,7 +382,7 @@
 			if !writeLine(w, update) {
 				return
 			}
-			s.recordSent(relay, update)
+			s.recordSent(routerGroup, update)
 		}
 		select {
 		case <-r.Context().Done():
@@ -387,9 +394,9 @@
 	}
 }
 
-// ServeVote takes a vote of the relay that the path value "relay" names. While the service is paused it waits.
+// ServeVote accepts a vote of the router group in the path value "relay". While the service is paused, the vote waits.
 func (s *ReleaseService) ServeVote(w http.ResponseWriter, r *http.Request) {
-	relay := r.PathValue("relay")
+	routerGroup := r.PathValue("relay")
 	var vote releases.VoteMessage
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxVoteBytes)).Decode(&vote); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -411,11 +418,11 @@
 		reply.Vote = voteMoot
 	} else {
 		reply.Vote = voteCounted
-		s.votes[relay] = countedVote{vote, s.clock()}
+		s.votes[routerGroup] = countedVote{vote, s.clock()}
 	}
 	s.mu.Unlock()
 	if !isMoot {
-		s.recordSent(relay, reply)
+		s.recordSent(routerGroup, reply)
 	}
 	writeResponse(w, jsonLine(reply))
 }
