--- a/internal/fakes/controlservice.go
+++ b/internal/fakes/controlservice.go
@@ -23,8 +23,8 @@
 	"flintspread/internal/xds/xdspb"
 )
 
-// ControlService is a fake control service for the state-of-the-world variant of the xDS v3 aggregated discovery service. It
-// sends the responses that it is given, valid or not, and logs the requests of its clients.
+// ControlService is a fake control service for the state-of-the-world variant of the xDS v3 aggregated discovery
+// service. It sends the responses that it is given, valid or not, and logs the requests of its clients.
 type ControlService struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// onRequest logs a request. The first request for a type is answered with the initial response, unless the client already
-// has that version.
+// onRequest logs a request. The first request for a type is answered with the initial response, unless the client
+// already has that version.
 func (c *ControlService) onRequest(stream *controlStream, request *discovery.DiscoveryRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -16,8 +16,8 @@
 	"flintspread/internal/invariants"
 )
 
-// Headers between fake clients and endpoints. They match attempts with requests without relying on anything that a router
-// reports.
+// Headers between fake clients and endpoints. They match attempts with requests without relying on anything that a
+// router reports.
 const (
 	headerRequestID   = "X-Command"
 	headerClass       = "X-Op"
@@ -36,8 +36,8 @@
 	wrongAnswer     = "chute 99"
 )
 
-// BuildBehavior describes how the endpoints of one build behave. With the zero value they answer every request correctly
-// and with the normal amount of work.
+// BuildBehavior describes how the endpoints of one build behave. With the zero value they answer every request
+// correctly and with the normal amount of work.
 type BuildBehavior struct {
 	WorkFactor       float64 `edn:"work"`       // multiplies the work of each request; 0: 1
 	ErrorShare       float64 `edn:"errors"`     // share of requests that fail
@@ -178,8 +178,8 @@
 	}
 }
 
-// capacityShare returns the share of its capacity that the endpoint has at the given time. In slow start the share grows
-// linearly from SlowStartInitialShare to 1.
+// capacityShare returns the share of its capacity that the endpoint has at the given time. In slow start the share
+// grows linearly from SlowStartInitialShare to 1.
 func (e *Endpoint) capacityShare(now float64) float64 {
 	if e.spec.SlowStartSeconds <= 0 || now-e.StartedAt >= e.spec.SlowStartSeconds {
 		return 1
--- a/internal/fakes/endpointlist.go
+++ b/internal/fakes/endpointlist.go
@@ -76,7 +76,8 @@
 	l.delaySeconds = seconds
 }
 
-// SetDown sets whether the service is down. When it goes down, it closes all streams; while it is down, it refuses new ones.
+// SetDown sets whether the service is down. When it goes down, it closes all streams; while it is down, it refuses new
+// ones.
 func (l *EndpointList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// readLines reads some lines, without their ends.
+// readLines reads count lines and returns them without their line ends.
 func readLines(t *testing.T, br *bufio.Reader, count int) (lines []string) {
 	t.Helper()
 	for range count {
@@ -25,7 +25,8 @@
 	return lines
 }
 
-// The platform's endpoint list is streamed byte for byte as the platform does: all of it, then changes, then empty lines.
+// Checks that the endpoint list is streamed byte for byte as the platform does: the full list, then changes, then empty
+// lines.
 func TestPlatformSiteStreamsEndpoints(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
@@ -50,7 +51,7 @@
 	}
 }
 
-// Votes move the canary on stage by stage; every third answer is spoilt, and followers are told.
+// Checks that votes advance the canary stage by stage, and that the first of every three votes gets an invalid answer.
 func TestPlatformSiteVotes(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
@@ -74,7 +75,7 @@
 	} {
 		fmt.Fprintf(c, "%s\r\n", step.vote)
 		line := "*"
-		for line == "*" { // the line of an idle connection
+		for line == "*" { // sent on idle connections
 			line = readLines(t, answers, 1)[0]
 		}
 		if got := age.ReplaceAllString(line, " MS"); got != step.want {
@@ -82,11 +83,11 @@
 		}
 	}
 	if !site.Released() || site.Votes() != 5 {
-		t.Errorf("released %t after %d votes", site.Released(), site.Votes())
+		t.Errorf("released %t after %d votes, want true after 5", site.Released(), site.Votes())
 	}
 }
 
-// A query server evaluates selectors, and answers as its fault has it.
+// Checks that the query server evaluates selectors and responds according to its fault.
 func TestQueryServer(t *testing.T) {
 	q, err := StartQueryServer(func() float64 { return 100 })
 	if err != nil {
@@ -127,6 +128,6 @@
 		}
 	}
 	if q.Queries() != 8 {
-		t.Errorf("%d queries", q.Queries())
+		t.Errorf("%d queries, want 8", q.Queries())
 	}
 }
--- a/internal/fakes/platformclient.go
+++ b/internal/fakes/platformclient.go
@@ -12,9 +12,9 @@
 	"flintspread/internal/platform/resp"
 )
 
-// RunClient sends one request after the other until it is told to stop, on one connection while that lasts. Clients of one site have
-// different numbers.
-func (s *PlatformSite) RunClient(n int, address string, until <-chan struct{}) {
+// RunClient sends requests one after another until stop is closed. It keeps using one connection and replaces it after
+// an error. Each client of a site needs a number of its own.
+func (s *PlatformSite) RunClient(number int, address string, stop <-chan struct{}) {
 	var c net.Conn
 	defer func() {
 		if c != nil {
@@ -24,25 +24,25 @@
 	var br *bufio.Reader
 	for i := 0; ; i++ {
 		select {
-		case <-until:
+		case <-stop:
 			return
 		default:
 		}
 		if c == nil {
 			var err error
 			if c, err = net.Dial("tcp", address); err != nil {
-				return // the relay has gone
+				return // the router has stopped
 			}
 			br = bufio.NewReader(c)
 		}
-		if err := s.sendRequest(c, br, n, i); err != nil {
+		if err := s.sendRequest(c, br, number, i); err != nil {
 			c.Close()
 			c = nil
 		}
 	}
 }
 
-// sendRequest sends the i-th request of a client and records what becomes of it.
+// sendRequest sends the i-th request of a client and records its outcome.
 func (s *PlatformSite) sendRequest(c net.Conn, br *bufio.Reader, client, i int) error {
 	request := &invariants.Request{
 		ID: uint64(client)<<32 | uint64(i+1), RouterGroup: s.RouterGroup, DedupScope: "all", DedupWindowSeconds: 5, PriorityWeight: 1,
@@ -63,13 +63,13 @@
 	return err
 }
 
-// encodeSiteRequest fills the class of the i-th request and writes the request as a RESP2 command.
+// encodeSiteRequest sets the class and idempotency of the i-th request, and returns the request as a RESP2 command.
 func encodeSiteRequest(request *invariants.Request, i int) []byte {
-	command, options, body := "API.WRITE", "", true
+	command, options, hasBody := "API.WRITE", "", true
 	switch i % 3 {
 	case 0:
 		request.Class, request.Idempotency = "lookup", invariants.Idempotent
-		command, options, body = "API.READ", "c=lookup,d=400", false
+		command, options, hasBody = "API.READ", "c=lookup,d=400", false
 	case 1:
 		request.Class, request.Idempotency = "order", invariants.IdempotentWithKey
 		options = fmt.Sprintf("c=order,d=400,k=%x", request.ID)
@@ -78,7 +78,7 @@
 		options = "c=seal,d=400"
 	}
 	words := []string{command, fmt.Sprintf("key%d", i%7), fmt.Sprintf("%016x", request.ID), options}
-	if body {
+	if hasBody {
 		words = append(words, "BODY")
 	}
 	encoded := resp.AppendArray(nil, len(words))
@@ -88,8 +88,8 @@
 	return encoded
 }
 
-// exchange sends a request and reads its answer, whose kind is empty if it is none that is known. An answer counts even if the write
-// failed: the relay may have answered before it had read everything.
+// exchange sends a request and reads the answer. kind is empty if the answer is of no known kind. An answer counts even
+// if the write failed, because the router may have answered before it had read the whole request.
 func exchange(c net.Conn, br *bufio.Reader, encoded []byte, id uint64) (kind string, err error) {
 	_, writeErr := c.Write(encoded)
 	c.SetReadDeadline(time.Now().Add(siteAnswerTimeout))
--- a/internal/fakes/platformsite.go
+++ b/internal/fakes/platformsite.go
@@ -19,7 +19,7 @@
 // PlatformSiteCanary is the build that is the canary at a site.
 const PlatformSiteCanary = 2
 
-// PlatformSiteBounds are the numbers behind the rules that the site's settings give.
+// PlatformSiteBounds holds the parameters of the invariants, as in the site's settings.
 var PlatformSiteBounds = invariants.Bounds{
 	SlackSeconds:             0.25,
 	GraceSeconds:             0.3,
@@ -32,7 +32,7 @@
 	CanaryLimits:             []float64{0.2, 0.5},
 }
 
-// The platform's words for a canary's phase and for an endpoint that is ready.
+// The platform's names for the canary phase of a release and for an endpoint that is ready.
 const (
 	platformPhaseCanary = "trial"
 	platformReady       = "SERVING"
@@ -40,14 +40,15 @@
 
 const (
 	siteEndpointLatency  = 2 * time.Millisecond
-	siteEndpointCapacity = 1e9 // none of them is ever overloaded
+	siteEndpointCapacity = 1e9 // so high that no endpoint is ever overloaded
 	siteWatchBuffer      = 100
 	siteWatchInterval    = 500 * time.Millisecond // between two lines of a stream without changes
-	siteTimeoutSeconds   = 0.4                    // of a client's requests, as their options say
-	siteAnswerTimeout    = 2 * time.Second        // after which a client gives up on a connection
+	siteTimeoutSeconds   = 0.4                    // of a client's requests; their option d says the same in milliseconds
+	siteAnswerTimeout    = 2 * time.Second        // after which a client closes a connection without an answer
 )
 
-// PlatformSite plays what is around one relay in the platform's protocol, and records what it sees on its sockets.
+// PlatformSite fakes everything around one router that speaks the platform's protocol: endpoints, discovery, the
+// control service and clients. It records what it observes on its sockets.
 type PlatformSite struct {
 	Record      *invariants.Record
 	RouterGroup string
@@ -57,17 +58,17 @@
 
 	mu         sync.Mutex
 	stageSince time.Time
-	sequence   int            // of the endpoint list
-	hosts      []platformHost // the endpoint list
-	watchers   map[chan []byte]bool
-	followers  map[net.Conn]bool // of the release
+	sequence   int                  // sequence number of the endpoint list
+	hosts      []platformHost       // the endpoint list
+	watchers   map[chan []byte]bool // streams of the endpoint list
+	followers  map[net.Conn]bool    // connections that follow the release
 	stage      int
 	phase      string
 	votes      int
 	closers    []io.Closer
 }
 
-// platformHost is an entry of the platform's endpoint list. The fields of its JSON are the platform's.
+// platformHost is an entry of the endpoint list in the platform's JSON format.
 type platformHost struct {
 	Block  int     `json:"block"`
 	BornMS int     `json:"born_ms"`
@@ -80,19 +81,19 @@
 	Site   string  `json:"site"`
 }
 
-// platformList is a line of the platform's endpoint list.
+// platformList is one line of a stream of the endpoint list.
 type platformList struct {
 	Hosts    []platformHost `json:"hosts"`
 	Sequence int            `json:"seq"`
 	Whole    bool           `json:"whole"`
 }
 
-// NewPlatformSite makes a site without endpoints, with a canary in its first stage.
-func NewPlatformSite(relay string) *PlatformSite {
+// NewPlatformSite returns a site without endpoints and with a canary in its first stage.
+func NewPlatformSite(routerGroup string) *PlatformSite {
 	now := time.Now()
 	return &PlatformSite{
 		Record:      invariants.NewRecord(),
-		RouterGroup: relay,
+		RouterGroup: routerGroup,
 		startedAt:   now,
 		stopped:     make(chan struct{}),
 		stageSince:  now,
@@ -102,7 +103,7 @@
 	}
 }
 
-// Close ends all that the site serves.
+// Close stops all servers of the site.
 func (s *PlatformSite) Close() {
 	close(s.stopped)
 	s.mu.Lock()
@@ -113,13 +114,13 @@
 	}
 }
 
-// Clock is the site's clock: Unix seconds as of its start, advancing steadily from there. A step of the system's clock while a test
-// runs would otherwise look like a late answer.
+// Clock returns the site's time: Unix seconds at its start, advanced by the monotonic clock. A step of the system clock
+// during a test would otherwise look like a late answer.
 func (s *PlatformSite) Clock() float64 {
 	return float64(s.startedAt.UnixNano())/1e9 + time.Since(s.startedAt).Seconds()
 }
 
-// Votes counts the votes that the control service has received.
+// Votes returns the number of votes that the control service has received.
 func (s *PlatformSite) Votes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,7 @@
 	return s.phase == phaseReleased
 }
 
-// track makes Close close a listener, and gives its address.
+// track adds a listener to those that Close closes, and returns its address. If err is not nil, it returns err.
 func (s *PlatformSite) track(l net.Listener, err error) (address string, _ error) {
 	if err != nil {
 		return "", err
@@ -144,9 +145,9 @@
 	return l.Addr().String(), nil
 }
 
-func hostName(endpoint int) string { return fmt.Sprintf("u%d", endpoint) }
+func hostName(endpointID int) string { return fmt.Sprintf("u%d", endpointID) }
 
-// endpointID is the number in a host's name, 0 for a name that hostName does not make.
+// endpointID returns the number in a host name that hostName generated, or 0 for other names.
 func endpointID(host string) uint32 {
 	id, err := strconv.ParseUint(strings.TrimPrefix(host, "u"), 10, 32)
 	if err != nil {
@@ -155,34 +156,35 @@
 	return uint32(id)
 }
 
-// StartEndpoint starts an endpoint that treats a share of its requests badly, in every way there is, and lists it.
-func (s *PlatformSite) StartEndpoint(n, build int, bad float64) error {
-	address, err := s.track(ServeConns(func(c net.Conn) { s.serveEndpoint(c, uint32(n), bad) }))
+// StartEndpoint starts an endpoint and adds it to the endpoint list. A share of its requests gets bad answers of the
+// kinds that badAnswer draws from.
+func (s *PlatformSite) StartEndpoint(id, build int, badShare float64) error {
+	address, err := s.track(ServeConns(func(c net.Conn) { s.serveEndpoint(c, uint32(id), badShare) }))
 	if err != nil {
 		return err
 	}
 	s.Record.Update(func(r *invariants.Record) {
-		r.Endpoints[uint32(n)] = &invariants.Endpoint{ID: uint32(n), Build: build, Capacity: siteEndpointCapacity}
+		r.Endpoints[uint32(id)] = &invariants.Endpoint{ID: uint32(id), Build: build, Capacity: siteEndpointCapacity}
 	})
-	s.SetEndpoint(hostName(n), address, build, platformReady)
+	s.SetEndpoint(hostName(id), address, build, platformReady)
 	return nil
 }
 
 // serveEndpoint answers the RESP2 commands of one connection.
-func (s *PlatformSite) serveEndpoint(c net.Conn, endpoint uint32, bad float64) {
+func (s *PlatformSite) serveEndpoint(c net.Conn, endpoint uint32, badShare float64) {
 	br := bufio.NewReader(c)
 	for {
 		args, err := resp.ReadCommand(br)
 		if err != nil {
 			return
 		}
-		id, err := strconv.ParseUint(string(args[2]), 16, 64)
+		requestID, err := strconv.ParseUint(string(args[2]), 16, 64)
 		if err != nil {
-			id = 0 // no request has it: the checker shows it
+			requestID = 0 // no request has this ID, so the invariant check fails
 		}
-		attempt := &invariants.Attempt{RequestID: id, Endpoint: endpoint, At: s.Clock()}
-		answer, reset := goodAnswer(id), false
-		if rand.Float64() < bad {
+		attempt := &invariants.Attempt{RequestID: requestID, Endpoint: endpoint, At: s.Clock()}
+		answer, reset := goodAnswer(requestID), false
+		if rand.Float64() < badShare {
 			answer, reset = badAnswer(attempt)
 		}
 		s.Record.Update(func(r *invariants.Record) { r.Attempts = append(r.Attempts, attempt) })
@@ -201,7 +203,8 @@
 	return fmt.Sprintf("*3\r\n$17\r\nv%016x\r\n$-1\r\n$-1\r\n", request)
 }
 
-// badAnswer draws one of the ways in which an endpoint may treat an attempt badly.
+// badAnswer draws at random one kind of bad answer: an error, a rejection, no answer, a truncated or malformed answer,
+// two answers, or a reset of the connection.
 func badAnswer(attempt *invariants.Attempt) (answer string, reset bool) {
 	switch rand.IntN(7) {
 	case 0:
@@ -222,7 +225,7 @@
 	}
 }
 
-// SetEndpoint changes one entry of the endpoint list, and sends it to all who watch.
+// SetEndpoint adds or replaces one entry of the endpoint list, and sends the entry to all watchers.
 func (s *PlatformSite) SetEndpoint(host, dial string, build int, health string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +245,7 @@
 	}
 }
 
-// recordEndpoint records that the relay is sent an entry.
+// recordEndpoint records that the router is sent an entry of the endpoint list.
 func (s *PlatformSite) recordEndpoint(entry platformHost) {
 	at := s.Clock()
 	s.Record.Update(func(r *invariants.Record) {
@@ -252,15 +255,15 @@
 	})
 }
 
-// StartDiscovery starts the platform's discovery and gives its address, and a way to end it. While spoil, if it is not nil, returns true,
-// its answers are wrong.
-func (s *PlatformSite) StartDiscovery(spoil func() bool) (address string, end func() error, err error) {
+// StartDiscovery starts the platform's discovery service and returns its address and a function that stops it. If
+// sendInvalid is not nil and returns true for a request, the service answers it with an invalid endpoint list.
+func (s *PlatformSite) StartDiscovery(sendInvalid func() bool) (address string, stop func() error, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if spoil != nil && spoil() {
+		if sendInvalid != nil && sendInvalid() {
 			writeResponse(w, []byte(`{"seq":9,"whole":true,"hosts":[{"host":"u1","health":"SERVING","dial":"nowhere"}]}`+"\n"))
 			return
 		}
@@ -273,7 +276,8 @@
 	return l.Addr().String(), server.Close, nil
 }
 
-// streamList streams the endpoint list: all of it, then its changes, and empty lines in between.
+// streamList streams the endpoint list: first the full list, then its changes, and an empty line after each
+// siteWatchInterval without a change.
 func (s *PlatformSite) streamList(w http.ResponseWriter, r *http.Request) {
 	changes := make(chan []byte, siteWatchBuffer)
 	s.mu.Lock()
@@ -305,17 +309,18 @@
 	}
 }
 
-// fullList is the whole endpoint list. Under the lock.
+// fullList returns the full endpoint list. s.mu must be held.
 func (s *PlatformSite) fullList() platformList {
 	return platformList{Hosts: s.hosts, Sequence: s.sequence, Whole: true}
 }
 
-// releaseState words how the canary stands. Under the lock.
+// releaseState returns the state of the canary in the platform's format: build, stage, phase, canary traffic limit and
+// milliseconds since the stage began. s.mu must be held.
 func (s *PlatformSite) releaseState() string {
 	return fmt.Sprintf("%d %d %s %v %d", PlatformSiteCanary, s.stage, s.phase, s.canaryLimit(), time.Since(s.stageSince).Milliseconds())
 }
 
-// canaryLimit is the canary traffic limit. Under the lock.
+// canaryLimit returns the canary traffic limit. s.mu must be held.
 func (s *PlatformSite) canaryLimit() float64 {
 	if s.phase == phaseReleased {
 		return 1
@@ -323,7 +328,7 @@
 	return PlatformSiteBounds.CanaryLimits[s.stage]
 }
 
-// recordRelease records that the relay is sent how the canary stands. Under the lock.
+// recordRelease records that the router is sent the state of the canary. s.mu must be held.
 func (s *PlatformSite) recordRelease() {
 	phase := s.phase
 	if phase == platformPhaseCanary {
@@ -335,9 +340,10 @@
 	s.Record.Update(func(r *invariants.Record) { r.ReleaseUpdates = append(r.ReleaseUpdates, update) })
 }
 
-// StartControlService starts the platform's control service and gives its address, and a way to end its taking new connections. Each PROCEED moves
-// the canary on; every third answer to a vote is spoilt.
-func (s *PlatformSite) StartControlService() (address string, end func() error, err error) {
+// StartControlService starts the platform's control service and returns its address and a function that stops accepting
+// new connections. Each PROCEED vote on the current stage advances the canary. The first of every three votes gets an
+// invalid answer and does not count.
+func (s *PlatformSite) StartControlService() (address string, stop func() error, err error) {
 	l, err := ServeLines(s.answerControlLine, func(c net.Conn) { writeText(c, "*\r\n") })
 	if address, err = s.track(l, err); err != nil {
 		return "", nil, err
@@ -345,7 +351,8 @@
 	return address, l.Close, nil
 }
 
-// answerControlLine answers a line of the control protocol: "follow", or a vote as "WORD BUILD STAGE VERDICT".
+// answerControlLine answers a line of the control protocol: "follow", or a vote, "judge BUILD STAGE VERDICT", whose
+// first word it does not check.
 func (s *PlatformSite) answerControlLine(c net.Conn, line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -373,7 +380,7 @@
 	}
 }
 
-// promote enters the next stage, or releases the canary after the last. Under the lock.
+// promote enters the next stage, or releases the canary after the last stage. s.mu must be held.
 func (s *PlatformSite) promote() {
 	s.stageSince = time.Now()
 	if s.stage+1 == len(PlatformSiteBounds.CanaryLimits) {
@@ -383,14 +390,15 @@
 	s.stage++
 }
 
-// Config words the platform's file for a relay that listens at an address.
-func (s *PlatformSite) Config(address, discovery, desk string) string {
+// Config returns the platform's configuration file for a router that listens at address, given the addresses of the
+// discovery and control services.
+func (s *PlatformSite) Config(address, discovery, controlService string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 "platform":{"address":%q,"news":{"build":%d,"stage":0,"phase":"trial","cap":%v,"age_ms":0}},
-"known":%s,"settings":%s}`, s.RouterGroup, address, discovery, desk, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0],
+"known":%s,"settings":%s}`, s.RouterGroup, address, discovery, controlService, PlatformSiteCanary, PlatformSiteBounds.CanaryLimits[0],
 		jsonLine(s.fullList()), siteSettings)
 }
 
--- a/internal/fakes/port.go
+++ b/internal/fakes/port.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// FreePort draws from a range below the ephemeral ports of the operating system, so that a process that listens on any free
-// port does not get the same one in the meantime.
+// FreePort draws from a range below the ephemeral ports of the operating system, so that a process that listens on any
+// free port does not get the same one in the meantime.
 const (
 	firstPort    = 15000
 	portCount    = 17000
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -41,7 +41,7 @@
 
 const (
 	retentionSeconds         = 60.0    // after which samples are dropped
-	lookbackMillis           = 5000    // age up to which a sample is current; Prometheus' default of five minutes, scaled down
+	lookbackMillis           = 5000    // maximum age of a current sample; Prometheus' default of 5 min, scaled down
 	tooManySeriesCount       = 100_000 // in a response with FaultTooManySeries
 	inflatedFailureShare     = 0.6     // of answers, with FaultInflatesFailures
 	slowResponseDelay        = time.Second
@@ -58,8 +58,8 @@
 	metricWrongAnswers = "unit_wrong_total"
 )
 
-// QueryServer implements the query part of the Prometheus HTTP API. It evaluates selectors only, over the samples that were
-// added with AddSamples.
+// QueryServer implements the query part of the Prometheus HTTP API. It evaluates selectors only, over the samples that
+// were added with AddSamples.
 type QueryServer struct {
 	URL    string
 	clock  func() float64
@@ -258,7 +258,8 @@
 	writeResponse(w, text)
 }
 
-// applyFault applies the faults that replace or delay a response. done reports that the request needs no further response.
+// applyFault applies the faults that replace or delay a response. done reports that the request needs no further
+// response.
 func applyFault(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
 	case FaultSlow:
--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -71,12 +71,12 @@
 	at float64
 }
 
-// slotTarget is the build that a slot runs or is about to run. The sequence increases with each change, so that an earlier
-// start that is still pending is dropped.
+// slotTarget is the build that a slot runs or is about to run. The sequence increases with each change, so that an
+// earlier start that is still pending is dropped.
 type slotTarget struct{ sequence, build int }
 
-// ReleaseService is a fake release service. It rolls builds out to a fleet stage by stage, as the votes of the router groups
-// decide, and records the updates that each router group was sent.
+// ReleaseService is a fake release service. It rolls builds out to a fleet stage by stage, as the votes of the router
+// groups decide, and records the updates that each router group was sent.
 type ReleaseService struct {
 	plan   ReleasePlan
 	fleet  Fleet
@@ -103,7 +103,8 @@
 	startError     error
 }
 
-// NewReleaseService starts a fleet that runs the first build, with its slow start over, and puts its endpoints on the list.
+// NewReleaseService starts a fleet that runs the first build, with its slow start over, and puts its endpoints on the
+// list.
 func NewReleaseService(plan ReleasePlan, first int, fleet Fleet, list *EndpointList, record *invariants.Record,
 	clock func() float64) (*ReleaseService, error) {
 	s := &ReleaseService{
@@ -146,7 +147,8 @@
 	s.queuedBuilds = append(s.queuedBuilds, build)
 }
 
-// SetPaused sets whether the service is paused. While paused, it stops the rollout, the updates and the replies to votes.
+// SetPaused sets whether the service is paused. While paused, it stops the rollout, the updates and the replies to
+// votes.
 func (s *ReleaseService) SetPaused(paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +203,8 @@
 	}
 }
 
-// countVotes counts the votes on the present build that have not expired. A vote to promote counts in its own stage only.
-// s.mu must be held.
+// countVotes counts the votes on the present build that have not expired. A vote to promote counts in its own stage
+// only. s.mu must be held.
 func (s *ReleaseService) countVotes(now float64) (promote, rollback int) {
 	for _, vote := range s.votes {
 		if vote.Build != s.build || now-vote.at >= s.plan.VoteLifetimeSeconds {
@@ -265,8 +267,8 @@
 	}
 }
 
-// rollOut replaces endpoints until the given share of the slots runs a build. A share of 0 means all slots. s.mu must be
-// held.
+// rollOut replaces endpoints until the given share of the slots runs a build. A share of 0 means all slots. s.mu must
+// be held.
 func (s *ReleaseService) rollOut(build int, share float64) {
 	wanted := len(s.slots)
 	if share > 0 {
@@ -342,8 +344,8 @@
 	return releases.Update{Version: s.version, Build: s.build, Stage: s.stage, Phase: s.phase, CanaryLimit: limit, AgeSeconds: s.clock() - s.phaseSince}
 }
 
-// recordSent records an update that a router group was sent. An update that was overtaken by a newer one is not recorded,
-// because routers discard it.
+// recordSent records an update that a router group was sent. An update that was overtaken by a newer one is not
+// recorded, because routers discard it.
 func (s *ReleaseService) recordSent(routerGroup string, update releases.Update) {
 	now := s.clock()
 	s.mu.Lock()
--- a/internal/fakes/serve.go
+++ b/internal/fakes/serve.go
@@ -38,8 +38,8 @@
 	return l, nil
 }
 
-// ServeLines serves a line protocol. It calls handleLine with each line and, if onIdle is not nil, calls onIdle whenever a
-// connection has received no line for lineIdleInterval.
+// ServeLines serves a line protocol. It calls handleLine with each line and, if onIdle is not nil, calls onIdle
+// whenever a connection has received no line for lineIdleInterval.
 func ServeLines(handleLine func(c net.Conn, line string), onIdle func(c net.Conn)) (net.Listener, error) {
 	return ServeConns(func(c net.Conn) {
 		br := bufio.NewReader(c)
@@ -60,8 +60,8 @@
 	})
 }
 
-// serveUntilClosed runs an HTTP server until it is closed. If the server ends for any other reason, it panics, because the
-// test would otherwise wait for answers that never come.
+// serveUntilClosed runs an HTTP server until it is closed. If the server ends for any other reason, it panics, because
+// the test would otherwise wait for answers that never come.
 func serveUntilClosed(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		panic(fmt.Errorf("fake HTTP server: %w", err))
@@ -94,8 +94,8 @@
 	return http.NewResponseController(w).Flush() == nil
 }
 
-// writeText writes text to a connection. A write fails only if the peer has disconnected; the connection is then closed, so
-// that its reader ends.
+// writeText writes text to a connection. A write fails only if the peer has disconnected; the connection is then
+// closed, so that its reader ends.
 func writeText(c net.Conn, text string) {
 	if _, err := c.Write([]byte(text)); err != nil {
 		c.Close()
--- a/internal/fakes/testca/testca.go
+++ b/internal/fakes/testca/testca.go
@@ -1,4 +1,4 @@
-// Package testca makes certificates for tests: a certificate authority of its own and leaf certificates that it signs.
+// Package testca creates certificates for tests: a certificate authority and the leaf certificates that it signs.
 package testca
 
 import (
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// CA is a certificate authority. Its files are in a folder that is removed after the test; whatever fails ends the test.
+// CA is a certificate authority. Its files are in a directory that is removed after the test. Any error fails the test
+// immediately.
 type CA struct {
 	t    testing.TB
 	dir  string
@@ -23,7 +24,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// New makes an authority with the given common name. Its certificate is valid for an hour.
+// New creates an authority with the given common name. Its certificate expires after an hour.
 func New(t testing.TB, name string) *CA {
 	ca := &CA{t: t, dir: t.TempDir()}
 	ca.key = ca.newKey()
@@ -33,20 +34,20 @@
 	return ca
 }
 
-// CAFile is the PEM file of the authority's own certificate.
+// CAFile returns the path of the PEM file with the authority's own certificate.
 func (ca *CA) CAFile() string { return filepath.Join(ca.dir, "ca.pem") }
 
-// Issue writes a certificate for a DNS name, valid until ends, and its key, as PEM files. A certificate that was issued before under
-// the same file name is replaced.
-func (ca *CA) Issue(file, name string, ends time.Time) (cert, key string) {
-	k := ca.newKey()
+// Issue writes a certificate for a DNS name and its key as PEM files, and returns their paths. The certificate expires
+// at notAfter. It replaces a certificate that was issued before under the same file name.
+func (ca *CA) Issue(file, name string, notAfter time.Time) (certFile, keyFile string) {
+	leafKey := ca.newKey()
 	der := ca.sign(&x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: ends}, &k.PublicKey)
-	raw, err := x509.MarshalECPrivateKey(k)
+		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: notAfter}, &leafKey.PublicKey)
+	keyDER, err := x509.MarshalECPrivateKey(leafKey)
 	if err != nil {
 		ca.t.Fatal(err)
 	}
-	return ca.write(file+".pem", "CERTIFICATE", der), ca.write(file+".key", "EC PRIVATE KEY", raw)
+	return ca.write(file+".pem", "CERTIFICATE", der), ca.write(file+".key", "EC PRIVATE KEY", keyDER)
 }
 
 func (ca *CA) newKey() *ecdsa.PrivateKey {
@@ -57,17 +58,17 @@
 	return key
 }
 
-func (ca *CA) sign(c *x509.Certificate, pub *ecdsa.PublicKey) []byte {
-	der, err := x509.CreateCertificate(rand.Reader, c, ca.cert, pub, ca.key)
+func (ca *CA) sign(template *x509.Certificate, publicKey *ecdsa.PublicKey) []byte {
+	der, err := x509.CreateCertificate(rand.Reader, template, ca.cert, publicKey, ca.key)
 	if err != nil {
 		ca.t.Fatal(err)
 	}
 	return der
 }
 
-func (ca *CA) write(file, kind string, der []byte) string {
+func (ca *CA) write(file, blockType string, der []byte) string {
 	path := filepath.Join(ca.dir, file)
-	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600); err != nil {
 		ca.t.Fatal(err)
 	}
 	return path
