--- a/internal/invariants/answers.go
+++ b/internal/invariants/answers.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// killCloseToleranceSeconds is the largest difference between the end of a killed process and the time at which a client
-// sees its connection to the process close.
+// killCloseToleranceSeconds is the largest difference between the end of a killed process and the time at which a
+// client sees its connection to the process close.
 const killCloseToleranceSeconds = 0.5
 
-// checkAnswers checks rule 1: each request that was sent gets exactly one answer of a known kind by its deadline, and no
-// attempt is sent after the answer.
+// checkAnswers checks rule 1: each request that was sent gets exactly one answer of a known kind by its deadline, and
+// no attempt is sent after the answer.
 func (c *checker) checkAnswers() RuleResult {
 	rule := RuleResult{Name: "1 final answer"}
 	for _, request := range c.requests {
@@ -28,8 +28,8 @@
 	return rule
 }
 
-// checkOneAnswer checks the number, kind and time of a request's answers. It returns the time of the answer, or infinity
-// if there is not exactly one.
+// checkOneAnswer checks the number, kind and time of a request's answers. It returns the time of the answer, or
+// infinity if there is not exactly one.
 func (c *checker) checkOneAnswer(rule *RuleResult, request *Request) (answeredAt float64) {
 	switch n := len(request.Answers); {
 	case n > 1:
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -88,8 +88,8 @@
 	return count
 }
 
-// oldestBuild returns the oldest build that any endpoint runs. That build is not a canary, even before the first release
-// update.
+// oldestBuild returns the oldest build that any endpoint runs. That build is not a canary, even before the first
+// release update.
 func (c *checker) oldestBuild() int {
 	oldest := math.MaxInt
 	for _, endpoint := range c.Endpoints {
@@ -136,8 +136,8 @@
 }
 
 // limitAt returns the state that limits the attempts of a process or router group at a build at the given time: the
-// loosest state that applied within the grace period. since is the time from which the last lower limit has been binding. A
-// build that is not a canary, or was not one at some time within the grace period, is not limited.
+// loosest state that applied within the grace period. since is the time from which the last lower limit has been
+// binding. A build that is not a canary, or was not one at some time within the grace period, is not limited.
 func (c *checker) limitAt(process *Incarnation, build int, at float64, oldestBuild int) (loosest *releaseState, since float64, isCanary bool) {
 	states := c.releaseStates(process, at)
 	ofBuild := make([]*releaseState, len(states))
@@ -170,8 +170,8 @@
 	return loosest, since, true
 }
 
-// supersededAt returns when a state stopped applying, given the states that follow it: the time at which the first of them
-// that was surely delivered was learned, or infinity if there is none.
+// supersededAt returns when a state stopped applying, given the states that follow it: the time at which the first of
+// them that was surely delivered was learned, or infinity if there is none.
 func (c *checker) supersededAt(process *Incarnation, following []releaseState) float64 {
 	for _, next := range following {
 		if !next.mayBeUndelivered {
@@ -182,8 +182,8 @@
 	return math.Inf(1)
 }
 
-// newestKeyBuilds holds the newest build that answered each key, by process or router group. A router that was killed and
-// started again is another process and remembers no keys.
+// newestKeyBuilds holds the newest build that answered each key, by process or router group. A router that was killed
+// and started again is another process and remembers no keys.
 type newestKeyBuilds map[*Incarnation]map[string]keyBuild
 
 type keyBuild struct {
@@ -191,8 +191,8 @@
 	at    float64 // of the answer
 }
 
-// checkOneWayKey checks that a key is not sent to an earlier build than one that has answered it. If the attempt's endpoint
-// answered the request, its build is added to newestBuilds.
+// checkOneWayKey checks that a key is not sent to an earlier build than one that has answered it. If the attempt's
+// endpoint answered the request, its build is added to newestBuilds.
 func (c *checker) checkOneWayKey(rule *RuleResult, newestBuilds newestKeyBuilds, process *Incarnation, request *Request, endpoint *Endpoint, attempt *Attempt) {
 	if request.Key == "" {
 		return
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -104,9 +104,9 @@
 	return c
 }
 
-// responsibleProcess returns the process that must keep rules 3 and 5 for a router group at the given time, or nil if there
-// is none. If the group has a controller, the group as a whole is responsible: the attempts of all its routers count
-// together, and those of a router that died still count.
+// responsibleProcess returns the process that must keep rules 3 and 5 for a router group at the given time, or nil if
+// there is none. If the group has a controller, the group as a whole is responsible: the attempts of all its routers
+// count together, and those of a router that died still count.
 func (c *checker) responsibleProcess(routerGroup string, at float64) *Incarnation {
 	if wholeGroup := c.controlledGroups[routerGroup]; wholeGroup != nil {
 		return wholeGroup
@@ -124,9 +124,9 @@
 // update too.
 const propagationSeconds = 0.3
 
-// learnedAt returns when a router group learned of an update that it was sent at the given time, and whether that is sure.
-// A controller that was killed right afterwards may have passed the update on to no router, and a paused controller reads
-// it only after it is resumed.
+// learnedAt returns when a router group learned of an update that it was sent at the given time, and whether that is
+// sure. A controller that was killed right afterwards may have passed the update on to no router, and a paused
+// controller reads it only after it is resumed.
 func (c *checker) learnedAt(routerGroup string, at float64) (learned float64, sure bool) {
 	if c.controlledGroups[routerGroup] == nil {
 		return at, true
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -36,8 +36,8 @@
 	return rule
 }
 
-// notReadySince returns the time since which an endpoint has not been ready, as of the time at, according to the updates
-// that a process received since its start at from. It returns 0 if the endpoint is ready.
+// notReadySince returns the time since which an endpoint has not been ready, as of the time at, according to the
+// updates that a process received since its start at from. It returns 0 if the endpoint is ready.
 func notReadySince(updates []EndpointUpdate, from, at float64) (since float64) {
 	for _, update := range updates {
 		switch {
--- a/internal/invariants/effects.go
+++ b/internal/invariants/effects.go
@@ -1,9 +1,9 @@
 package invariants
 
-// checkEffects checks rule 2: after an attempt that may have run, a non-idempotent request gets no further attempt, and a
-// request that is idempotent by its key gets further attempts only within its deduplication window and scope. Neither is
-// rejected after such an attempt, because a rejection tells the client that a retry is harmless. The exception is a key
-// that every endpoint recognises.
+// checkEffects checks rule 2: after an attempt that may have run, a non-idempotent request gets no further attempt, and
+// a request that is idempotent by its key gets further attempts only within its deduplication window and scope. Neither
+// is rejected after such an attempt, because a rejection tells the client that a retry is harmless. The exception is a
+// key that every endpoint recognises.
 func (c *checker) checkEffects() RuleResult {
 	rule := RuleResult{Name: "2 effects"}
 	for _, request := range c.requests {
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -5,7 +5,8 @@
 // Idempotency says whether a request may run again. The values are those of the settings files.
 type Idempotency string
 
-// The kinds of idempotency: idempotent, idempotent by a key within a deduplication scope and window, and non-idempotent.
+// The kinds of idempotency: idempotent, idempotent by a key within a deduplication scope and window, and
+// non-idempotent.
 const (
 	Idempotent        Idempotency = "redeliverable"
 	IdempotentWithKey Idempotency = "deduplicated"
@@ -31,8 +32,8 @@
 	phaseWithdrawn   = "withdrawn"
 )
 
-// Request is one request that a client sent. A client's retry is a Request of its own. Times are seconds on the clock of
-// the process that observes all sockets; 0 means that the event did not happen.
+// Request is one request that a client sent. A client's retry is a Request of its own. Times are seconds on the clock
+// of the process that observes all sockets; 0 means that the event did not happen.
 type Request struct {
 	ID                      uint64
 	RouterGroup             string
@@ -117,8 +118,8 @@
 	return p.StartedAt <= at && (p.EndedAt == 0 || at <= p.EndedAt)
 }
 
-// Record holds everything that was observed on sockets. While other goroutines may write, it may only be accessed through
-// Update.
+// Record holds everything that was observed on sockets. While other goroutines may write, it may only be accessed
+// through Update.
 type Record struct {
 	mu                sync.Mutex
 	Requests          map[uint64]*Request // by ID
--- a/internal/invariants/service.go
+++ b/internal/invariants/service.go
@@ -27,8 +27,8 @@
 
 func (w *weightSums) service() float64 { return w.earned / max(w.offered, minWeight) }
 
-// measureService fills in the report's figures on the service that clients got. A request and its retries count once: the
-// last of them adds the weight to the offered sum, and an answer adds it to the earned sum if it arrived within the
+// measureService fills in the report's figures on the service that clients got. A request and its retries count once:
+// the last of them adds the weight to the offered sum, and an answer adds it to the earned sum if it arrived within the
 // latency objective, counted from the first send.
 func (c *checker) measureService(report *Report) {
 	report.Answers, report.ServiceByClass, report.AttemptsByBuild = map[string]int{}, map[string]float64{}, map[int]int{}
--- a/internal/invariants/slowstart.go
+++ b/internal/invariants/slowstart.go
@@ -1,7 +1,8 @@
 package invariants
 
-// checkSlowStart checks rule 4: within any window of SlowStartOverloadSeconds, an endpoint in slow start gets no more work
-// than SlowStartOverloadFactor times its present capacity. A single attempt is never a violation, however much work it is.
+// checkSlowStart checks rule 4: within any window of SlowStartOverloadSeconds, an endpoint in slow start gets no more
+// work than SlowStartOverloadFactor times its present capacity. A single attempt is never a violation, however much
+// work it is.
 func (c *checker) checkSlowStart() RuleResult {
 	rule := RuleResult{Name: "4 cold units"}
 	attempts := map[uint32][]*Attempt{} // by endpoint
