--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -91,11 +91,11 @@
 	stopped  context.Context
 	cancel   context.CancelFunc
 
-	mu          sync.Mutex
-	recentWork  []workItem // work of the last SlowStartOverloadSeconds, during slow start
-	failed      bool       // permanently, from overload in slow start
-	counts      outcomeCounts
-	firstSeenAt map[string]float64 // by idempotency key
+	mu         sync.Mutex
+	recentWork []workItem // work of the last SlowStartOverloadSeconds, during slow start
+	failed     bool       // permanently, from overload in slow start
+	counts     outcomeCounts
+	lastSeenAt map[string]float64 // by idempotency key
 }
 
 // workItem is the arrival time of a request and its work in core seconds.
@@ -126,7 +126,7 @@
 	e := &Endpoint{
 		ID: id, Addr: l.Addr().String(), Build: build, StartedAt: clock(),
 		spec: spec, behavior: behavior, record: record, clock: clock,
-		cores: make(chan struct{}, spec.Cores), firstSeenAt: map[string]float64{},
+		cores: make(chan struct{}, spec.Cores), lastSeenAt: map[string]float64{},
 	}
 	e.fault.Store(&EndpointFault{})
 	e.stopped, e.cancel = context.WithCancel(context.Background())
@@ -221,8 +221,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, seen := e.firstSeenAt[key]
-	e.firstSeenAt[key] = now
+	_, seen := e.lastSeenAt[key]
+	e.lastSeenAt[key] = now
 	return seen
 }
 
