--- a/internal/fakes/releaseservice.go
+++ b/internal/fakes/releaseservice.go
@@ -105,7 +105,7 @@
 
 // NewReleaseService starts a fleet that runs the first build, with its slow start over, and puts its endpoints on the
 // list.
-func NewReleaseService(plan ReleasePlan, first int, fleet Fleet, list *EndpointList, record *invariants.Record,
+func NewReleaseService(plan ReleasePlan, firstBuild int, fleet Fleet, list *EndpointList, record *invariants.Record,
 	clock func() float64) (*ReleaseService, error) {
 	s := &ReleaseService{
 		plan:        plan,
@@ -113,7 +113,7 @@
 		list:        list,
 		record:      record,
 		clock:       clock,
-		build:       first,
+		build:       firstBuild,
 		stage:       len(plan.StageShares) - 1,
 		phase:       phaseReleased,
 		phaseSince:  clock(),
@@ -123,14 +123,14 @@
 		subscribers: map[chan struct{}]struct{}{},
 	}
 	for slot := range plan.Slots {
-		e, err := fleet.StartEndpoint(slot, first)
+		e, err := fleet.StartEndpoint(slot, firstBuild)
 		if err != nil {
 			return nil, err
 		}
 		e.StartedAt -= initialAgeSeconds
 		record.Update(func(r *invariants.Record) { r.Endpoints[e.ID].StartedAt = e.StartedAt })
 		s.slots = append(s.slots, e)
-		s.targets[slot].build = first
+		s.targets[slot].build = firstBuild
 		list.Put(listEntry(e, endpoints.StateReady))
 	}
 	return s, nil
