--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -14,9 +14,9 @@
 func printOutcome(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, event := range out.History {
-		fmt.Fprintf(w, "  %5.1f s  %s\n", event.At, event.What)
+		fmt.Fprintf(w, "  %5.1f s  %s\n", event.At, event.Description)
 	}
-	fmt.Fprintf(w, "tries: %d asked", out.Tries)
+	fmt.Fprintf(w, "tries: %d asked", out.Requests)
 	for _, kind := range slices.Sorted(maps.Keys(out.Answers)) {
 		fmt.Fprintf(w, ", %d %s", out.Answers[kind], kind)
 	}
@@ -29,7 +29,7 @@
 		fmt.Fprintln(w, "settings:", out.Versions)
 	}
 	for _, rule := range out.Rules {
-		fmt.Fprintf(w, "rule %-16s %6d cases, %d broken\n", rule.Name, rule.Checked, rule.Broken)
+		fmt.Fprintf(w, "rule %-16s %6d cases, %d broken\n", rule.Name, rule.Checked, rule.Violations)
 	}
 	return printVerdict(w, out)
 }
@@ -49,10 +49,10 @@
 func printVerdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, rule := range out.Rules {
-		for _, breach := range rule.First {
+		for _, breach := range rule.FirstViolations {
 			fmt.Fprintln(w, "   ", breach)
 		}
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			broken += " " + rule.Name + ";"
 		}
 	}
--- a/cmd/flintspread-lab/scenario.go
+++ b/cmd/flintspread-lab/scenario.go
@@ -136,8 +136,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			serviceValues = append(serviceValues, out.Service)
-			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Tries,
-				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].What)
+			fmt.Fprintf(w, "seed %d: service %.3f, %d tries, p99 %.3f s%s, ended: %s; ", seed, out.Service, out.Requests,
+				out.SucceededWithController.P99, withoutController(out), out.History[len(out.History)-1].Description)
 			if err := printVerdict(w, out); err != nil {
 				broken = err
 			}
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -49,11 +49,11 @@
 }
 
 // endpointScrape returns one scrape of an endpoint: its counters and gauges.
-func endpointScrape(id, build int, answers, wrong, up float64) (scrapes []fakes.Scrape) {
+func endpointScrape(id, build int, answers, wrong, up float64) (scrapes []fakes.Sample) {
 	labels := map[string]string{"unit": strconv.Itoa(id), "build": strconv.Itoa(build)}
 	for name, value := range map[string]float64{"unit_answers_total": answers, "unit_wrong_total": wrong, "unit_errors_total": 0, "unit_probe_success": up,
 		"unit_busy": 0.1, "unit_answer_seconds": 0.05} {
-		scrapes = append(scrapes, fakes.Scrape{Name: name, Labels: labels, Value: value})
+		scrapes = append(scrapes, fakes.Sample{Name: name, Labels: labels, Value: value})
 	}
 	return scrapes
 }
@@ -117,7 +117,7 @@
 	scrape := func(wrongShare float64) {
 		answers += 40
 		for _, q := range servers {
-			q.Enter(wall(), slices.Concat(endpointScrape(1, 1, answers, 0, 0), endpointScrape(2, 1, answers, 0, 1),
+			q.AddSamples(wall(), slices.Concat(endpointScrape(1, 1, answers, 0, 0), endpointScrape(2, 1, answers, 0, 1),
 				endpointScrape(3, 2, answers, wrongShare*answers, 1), endpointScrape(4, 2, answers, wrongShare*answers, 1)))
 		}
 		time.Sleep(60 * time.Millisecond)
@@ -148,7 +148,7 @@
 	})
 	_, lastVersion := marks()
 	for _, q := range servers {
-		q.SetFault(fakes.Dead)
+		q.SetFault(fakes.FaultConnectionReset)
 	}
 	eventually(t, "no health marks without query servers", func() bool {
 		m, version := marks()
@@ -276,11 +276,11 @@
 			scrape := func() {
 				answers += 10
 				for _, q := range servers {
-					var scrapes []fakes.Scrape
+					var scrapes []fakes.Sample
 					for id := range endpointCount {
 						scrapes = append(scrapes, endpointScrape(id+1, 1+id%2, answers, answers/10, 1)...)
 					}
-					q.Enter(wall(), scrapes)
+					q.AddSamples(wall(), scrapes)
 				}
 			}
 			const measuredSeconds = 4
--- a/internal/fakes/fakes_test.go
+++ b/internal/fakes/fakes_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// readLines reads some lines, without their ends.
+// readLines reads count lines and returns them without their line ends.
 func readLines(t *testing.T, br *bufio.Reader, count int) (lines []string) {
 	t.Helper()
 	for range count {
@@ -25,12 +25,13 @@
 	return lines
 }
 
-// The platform's endpoint list is streamed byte for byte as the platform does: all of it, then changes, then empty lines.
+// Checks that the endpoint list is streamed byte for byte as the platform does: the full list, then changes, then empty
+// lines.
 func TestPlatformSiteStreamsEndpoints(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
-	site.List("u1", "127.0.0.1:1", 1, "SERVING")
-	address, _, err := site.Discovery(nil)
+	site.SetEndpoint("u1", "127.0.0.1:1", 1, "SERVING")
+	address, _, err := site.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 	}
 	defer response.Body.Close()
 	const entry = `{"hosts":[{"block":0,"born_ms":0,"class":"m","dial":"127.0.0.1:1","health":"%s","host":"u1","image_id":1,"share":1,"site":"a"}],"seq":%d,"whole":%t}`
-	site.List("u1", "127.0.0.1:1", 1, "DRAINING")
+	site.SetEndpoint("u1", "127.0.0.1:1", 1, "DRAINING")
 	got := readLines(t, bufio.NewReader(response.Body), 3)
 	want := []string{fmt.Sprintf(entry, "SERVING", 1, true), fmt.Sprintf(entry, "DRAINING", 2, false), ""}
 	for i := range want {
@@ -50,7 +51,7 @@
 	}
 }
 
-// Votes move the canary on stage by stage; every third answer is spoilt, and followers are told.
+// Checks that votes advance the canary stage by stage, and that the first of every three votes gets an invalid answer.
 func TestPlatformSiteVotes(t *testing.T) {
 	site := NewPlatformSite("n1")
 	defer site.Close()
@@ -74,7 +75,7 @@
 	} {
 		fmt.Fprintf(c, "%s\r\n", step.vote)
 		line := "*"
-		for line == "*" { // the line of an idle connection
+		for line == "*" { // sent on idle connections
 			line = readLines(t, answers, 1)[0]
 		}
 		if got := age.ReplaceAllString(line, " MS"); got != step.want {
@@ -82,11 +83,11 @@
 		}
 	}
 	if !site.Released() || site.Votes() != 5 {
-		t.Errorf("released %t after %d votes", site.Released(), site.Votes())
+		t.Errorf("released %t after %d votes, want true after 5", site.Released(), site.Votes())
 	}
 }
 
-// A query server evaluates selectors, and answers as its fault has it.
+// Checks that the query server evaluates selectors and responds according to its fault.
 func TestQueryServer(t *testing.T) {
 	q, err := StartQueryServer(func() float64 { return 100 })
 	if err != nil {
@@ -94,11 +95,11 @@
 	}
 	defer q.Stop()
 	for i := range 10 {
-		q.Enter(90+float64(i), []Scrape{{"up", map[string]string{"unit": "7"}, float64(i)}})
+		q.AddSamples(90+float64(i), []Sample{{"up", map[string]string{"unit": "7"}, float64(i)}})
 	}
 	const metric = `"metric":{"__name__":"up","unit":"7"}`
 	for _, test := range []struct {
-		fault      Fault
+		fault      QueryServerFault
 		path       string
 		wantStatus int
 		want       string
@@ -109,11 +110,11 @@
 		{NoFault, "query_range?start=90&end=94&step=2&query=up", 200,
 			`{"status":"success","data":{"resultType":"matrix","result":[{` + metric + `,"values":[[90,"0"],[92,"2"],[94,"4"]]}]}}`},
 		{NoFault, "query?query=" + url.QueryEscape("rate(up[1s])"), 422,
-			`{"status":"error","errorType":"execution","error":"this stand-in evaluates selectors only"}`},
-		{Yesterday, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
-		{TooManyNow, "query?query=up", 429, "too many requests\n"},
-		{Overloaded, "query?query=up", 503, "overloaded\n"},
-		{Garbage, "query?query=up", 200, "<html><body>It works!</body></html>"},
+			`{"status":"error","errorType":"execution","error":"the fake query server evaluates selectors only"}`},
+		{FaultOldTimestamps, "query?query=up", 200, `{"status":"success","data":{"resultType":"vector","result":[{` + metric + `,"value":[-86300,"9"]}]}}`},
+		{FaultTooManyRequests, "query?query=up", 429, "too many requests\n"},
+		{FaultUnavailable, "query?query=up", 503, "overloaded\n"},
+		{FaultNotJSON, "query?query=up", 200, "<html><body>It works!</body></html>"},
 	} {
 		q.SetFault(test.fault)
 		response, err := http.Get(q.URL + "/api/v1/" + test.path)
@@ -127,6 +128,6 @@
 		}
 	}
 	if q.Queries() != 8 {
-		t.Errorf("%d queries", q.Queries())
+		t.Errorf("%d queries, want 8", q.Queries())
 	}
 }
--- a/internal/fakes/queryserver.go
+++ b/internal/fakes/queryserver.go
@@ -17,38 +17,38 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// Fault is what is wrong with a QueryServer. Some faults concern what it scrapes, some what it answers.
-type Fault string
+// QueryServerFault is a fault of a QueryServer. Some faults affect the samples that it scrapes, others its responses.
+type QueryServerFault string
 
-// The faults of a QueryServer, by the words of scenario files.
+// The faults of a QueryServer, with their names in scenario files.
 const (
-	NoFault    Fault = ""
-	Blind      Fault = "blind"     // it scrapes nothing any more
-	Lies       Fault = "lies"      // it says that most answers of the newest build are wrong and fail
-	Flatters   Fault = "flatters"  // it says that nothing ever fails
-	Late       Fault = "late"      // it answers after a second
-	Hangs      Fault = "hangs"     // it does not answer
-	Truncated  Fault = "truncated" // its answers end in the middle
-	TooManyNow Fault = "429"       // too many requests, come back in a second
-	Overloaded Fault = "503"       // service unavailable
-	Elsewhere  Fault = "redirect"  // it redirects to where nothing listens
-	Warns      Fault = "warnings"  // its answers are partial, with a warning
-	Yesterday  Fault = "yesterday" // its samples are dated a day back
-	Exploded   Fault = "exploded"  // it answers with explodedSeries series
-	Garbage    Fault = "garbage"   // it answers with another program's page
-	Dead       Fault = "dead"      // its connections break
+	NoFault               QueryServerFault = ""
+	FaultNoScrapes        QueryServerFault = "blind"     // scrapes are dropped
+	FaultInflatesFailures QueryServerFault = "lies"      // failure counters of the newest build are inflated
+	FaultHidesFailures    QueryServerFault = "flatters"  // failure counters are 0
+	FaultSlow             QueryServerFault = "late"      // responses are delayed by slowResponseDelay
+	FaultNoResponse       QueryServerFault = "hangs"     // queries get no response
+	FaultTruncated        QueryServerFault = "truncated" // response bodies are cut off
+	FaultTooManyRequests  QueryServerFault = "429"       // status 429, with a Retry-After of one second
+	FaultUnavailable      QueryServerFault = "503"       // status 503
+	FaultRedirect         QueryServerFault = "redirect"  // a redirect to an address on which nothing listens
+	FaultPartialResult    QueryServerFault = "warnings"  // responses carry a warning that the result is partial
+	FaultOldTimestamps    QueryServerFault = "yesterday" // timestamps are one day too old
+	FaultTooManySeries    QueryServerFault = "exploded"  // responses contain tooManySeriesCount series
+	FaultNotJSON          QueryServerFault = "garbage"   // responses are an HTML page
+	FaultConnectionReset  QueryServerFault = "dead"      // connections are closed without a response
 )
 
 const (
-	retentionSeconds    = 60.0    // of samples
-	lookbackMillis      = 5000    // age up to which a sample counts for an instant: the servers' own five minutes, in small
-	explodedSeries      = 100_000 // in an answer of Exploded
-	lyingFailureShare   = 0.6     // of answers, by Lies
-	lateness            = time.Second
-	yesterdaySeconds    = 86400
-	maxPointsPerSeries  = 11000 // of a range query
-	minStepSeconds      = 0.001 // of a range query
-	redirectDestination = "http://127.0.0.1:1/api/v1/query"
+	retentionSeconds         = 60.0    // after which samples are dropped
+	lookbackMillis           = 5000    // maximum age of a current sample; Prometheus' default of 5 min, scaled down
+	tooManySeriesCount       = 100_000 // in a response with FaultTooManySeries
+	inflatedFailureShare     = 0.6     // of answers, with FaultInflatesFailures
+	slowResponseDelay        = time.Second
+	oldTimestampShiftSeconds = 86400
+	maxPointsPerSeries       = 11000 // of a range query
+	minStepSeconds           = 0.001 // of a range query
+	redirectTarget           = "http://127.0.0.1:1/api/v1/query"
 )
 
 // Names of the metrics that faults change.
@@ -58,7 +58,8 @@
 	metricWrongAnswers = "unit_wrong_total"
 )
 
-// QueryServer speaks the query part of Prometheus' HTTP API. It evaluates selectors only, over what it was given by Enter.
+// QueryServer implements the query part of the Prometheus HTTP API. It evaluates selectors only, over the samples that
+// were added with AddSamples.
 type QueryServer struct {
 	URL    string
 	clock  func() float64
@@ -66,7 +67,7 @@
 	parser parser.Parser
 
 	mu      sync.Mutex
-	fault   Fault
+	fault   QueryServerFault
 	series  map[string]*scrapedSeries // by metric name and labels
 	queries int
 }
@@ -77,14 +78,14 @@
 	points []model.SamplePair
 }
 
-// Scrape is one sample that a target shows.
-type Scrape struct {
+// Sample is one sample of a scrape.
+type Sample struct {
 	Name   string
 	Labels map[string]string
 	Value  float64
 }
 
-// StartQueryServer starts a server on a loopback port of its own.
+// StartQueryServer starts a server on a free loopback port.
 func StartQueryServer(clock func() float64) (*QueryServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,17 +109,17 @@
 func (q *QueryServer) Stop() { q.server.Close() }
 
 // SetFault replaces the server's fault.
-func (q *QueryServer) SetFault(f Fault) {
-	if f == Exploded {
-		explodedAnswer() // takes a while, the first time
+func (q *QueryServer) SetFault(f QueryServerFault) {
+	if f == FaultTooManySeries {
+		tooManySeriesAnswer() // building it takes a while, so build it before the first query
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fault = f
 }
 
-// Heal ends a fault, unless another has taken its place.
-func (q *QueryServer) Heal(f Fault) {
+// ClearFault ends a fault, unless it has been replaced by another one.
+func (q *QueryServer) ClearFault(f QueryServerFault) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.fault == f {
@@ -126,18 +127,18 @@
 	}
 }
 
-// Queries counts the queries that were received.
+// Queries returns the number of queries received.
 func (q *QueryServer) Queries() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.queries
 }
 
-// Enter adds what was scraped at an instant. Series that are not among it get no further samples.
-func (q *QueryServer) Enter(at float64, samples []Scrape) {
+// AddSamples adds the samples of a scrape at the given time, and removes series without samples in the retention time.
+func (q *QueryServer) AddSamples(at float64, samples []Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.fault == Blind {
+	if q.fault == FaultNoScrapes {
 		return
 	}
 	oldest := model.Time((at - retentionSeconds) * 1000)
@@ -151,10 +152,10 @@
 	for _, sample := range samples {
 		isFailureCounter := sample.Name == metricWrongAnswers || sample.Name == metricErrors
 		switch {
-		case isFailureCounter && q.fault == Flatters:
+		case isFailureCounter && q.fault == FaultHidesFailures:
 			sample.Value = 0
-		case isFailureCounter && q.fault == Lies && sample.Labels["build"] == newest:
-			sample.Value = math.Floor(lyingFailureShare * answers[sample.Labels["unit"]])
+		case isFailureCounter && q.fault == FaultInflatesFailures && sample.Labels["build"] == newest:
+			sample.Value = math.Floor(inflatedFailureShare * answers[sample.Labels["unit"]])
 		}
 		series := q.seriesOf(sample)
 		series.points = append(series.points, model.SamplePair{Timestamp: model.Time(at * 1000), Value: model.SampleValue(sample.Value)})
@@ -169,8 +170,8 @@
 	}
 }
 
-// newestBuild is the highest build number among the labels of samples. Build numbers have no leading zeros.
-func newestBuild(samples []Scrape) (newest string) {
+// newestBuild returns the highest build number among the labels of samples. Build numbers have no leading zeros.
+func newestBuild(samples []Sample) (newest string) {
 	for _, sample := range samples {
 		build := sample.Labels["build"]
 		if len(build) > len(newest) || len(build) == len(newest) && build > newest {
@@ -180,8 +181,8 @@
 	return newest
 }
 
-// seriesOf gives the series of a sample, a new one if there is none. Under the lock.
-func (q *QueryServer) seriesOf(sample Scrape) *scrapedSeries {
+// seriesOf returns the series of a sample, which it creates if there is none. q.mu must be held.
+func (q *QueryServer) seriesOf(sample Sample) *scrapedSeries {
 	sampleLabels := labels.FromMap(sample.Labels)
 	key := sample.Name + sampleLabels.String()
 	series := q.series[key]
@@ -194,7 +195,7 @@
 	return series
 }
 
-// apiAnswer and apiData are the JSON of the HTTP API.
+// apiAnswer and apiData are the JSON objects of a response.
 type apiAnswer struct {
 	Status    string   `json:"status"`
 	Data      any      `json:"data,omitempty"`
@@ -208,29 +209,29 @@
 	Result     any    `json:"result"`
 }
 
-// apiError is an error of a query, with its HTTP status.
+// apiError is an error response to a query.
 type apiError struct {
 	status    int
 	errorType string
 	text      string
 }
 
-// Error gives the text that the API shows.
+// Error returns the error text of the response.
 func (e *apiError) Error() string { return e.text }
 
-func badData(format string, args ...any) *apiError {
+func newBadDataError(format string, args ...any) *apiError {
 	return &apiError{http.StatusBadRequest, "bad_data", fmt.Sprintf(format, args...)}
 }
 
-var errNotSelector = &apiError{http.StatusUnprocessableEntity, "execution", "this stand-in evaluates selectors only"}
+var errNotSelector = &apiError{http.StatusUnprocessableEntity, "execution", "the fake query server evaluates selectors only"}
 
-// query evaluates an expression by the parameters of a request. Timestamps are moved back by shift seconds. It is called under the
-// lock.
-type query func(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError)
+// queryFunc evaluates an expression with the parameters of a request. Timestamps in the result are moved back by shift
+// seconds. It is called with QueryServer.mu held.
+type queryFunc func(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError)
 
-// serve answers a query, or as the fault has it.
-func (q *QueryServer) serve(w http.ResponseWriter, r *http.Request, evaluate query) {
-	// The server notices that its client left only once it has read the request.
+// serve answers a query, subject to the server's fault.
+func (q *QueryServer) serve(w http.ResponseWriter, r *http.Request, evaluate queryFunc) {
+	// net/http notices that the client has disconnected only once the request body has been read.
 	if err := r.ParseForm(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -239,7 +240,7 @@
 	fault := q.fault
 	q.queries++
 	q.mu.Unlock()
-	if done := misbehave(w, r, fault); done {
+	if done := applyFault(w, r, fault); done {
 		return
 	}
 	answer, status := q.answer(r, evaluate, fault)
@@ -249,7 +250,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if fault == Truncated {
+	if fault == FaultTruncated {
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		text = text[:len(text)*2/3]
 	}
@@ -257,75 +258,76 @@
 	writeResponse(w, text)
 }
 
-// misbehave does what a fault does instead of an answer, or before it. It reports whether there is nothing more to answer.
-func misbehave(w http.ResponseWriter, r *http.Request, fault Fault) (done bool) {
+// applyFault applies the faults that replace or delay a response. done reports that the request needs no further
+// response.
+func applyFault(w http.ResponseWriter, r *http.Request, fault QueryServerFault) (done bool) {
 	switch fault {
-	case Late:
+	case FaultSlow:
 		select {
 		case <-r.Context().Done():
 			return true
-		case <-time.After(lateness):
+		case <-time.After(slowResponseDelay):
 			return false
 		}
-	case Hangs:
+	case FaultNoResponse:
 		<-r.Context().Done()
-	case Dead:
+	case FaultConnectionReset:
 		panic(http.ErrAbortHandler)
-	case TooManyNow:
+	case FaultTooManyRequests:
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many requests", http.StatusTooManyRequests)
-	case Overloaded:
+	case FaultUnavailable:
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
-	case Elsewhere:
-		http.Redirect(w, r, redirectDestination, http.StatusFound)
-	case Garbage:
+	case FaultRedirect:
+		http.Redirect(w, r, redirectTarget, http.StatusFound)
+	case FaultNotJSON:
 		writeResponse(w, []byte("<html><body>It works!</body></html>"))
-	case Exploded:
-		writeResponse(w, explodedAnswer())
+	case FaultTooManySeries:
+		writeResponse(w, tooManySeriesAnswer())
 	default:
 		return false
 	}
 	return true
 }
 
-// answer evaluates a query and gives the answer with its HTTP status.
-func (q *QueryServer) answer(r *http.Request, evaluate query, fault Fault) (*apiAnswer, int) {
+// answer evaluates a query and returns the response with its HTTP status.
+func (q *QueryServer) answer(r *http.Request, evaluate queryFunc, fault QueryServerFault) (*apiAnswer, int) {
 	data, problem := q.evaluate(r, evaluate, fault)
 	if problem != nil {
 		return &apiAnswer{Status: "error", ErrorType: problem.errorType, Error: problem.text}, problem.status
 	}
 	answer := &apiAnswer{Status: "success", Data: data}
-	if fault == Warns {
+	if fault == FaultPartialResult {
 		answer.Warnings = []string{"remote_read: one of the stores did not answer"}
 	}
 	return answer, http.StatusOK
 }
 
-func (q *QueryServer) evaluate(r *http.Request, evaluate query, fault Fault) (apiData, *apiError) {
+func (q *QueryServer) evaluate(r *http.Request, evaluate queryFunc, fault QueryServerFault) (apiData, *apiError) {
 	expression, err := q.parser.ParseExpr(r.FormValue("query"))
 	if err != nil {
-		return apiData{}, badData("invalid parameter \"query\": %v", err)
+		return apiData{}, newBadDataError("invalid parameter \"query\": %v", err)
 	}
 	shift := 0.0
-	if fault == Yesterday {
-		shift = yesterdaySeconds
+	if fault == FaultOldTimestamps {
+		shift = oldTimestampShiftSeconds
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return evaluate(r, expression, shift)
 }
 
-// parameter gives a number of a request, or another value if it has none.
-func parameter(r *http.Request, name string, otherwise float64) float64 {
-	if x, err := strconv.ParseFloat(r.FormValue(name), 64); err == nil {
-		return x
+// floatParameter returns a number from a request's parameters, or defaultValue if it is missing or malformed.
+func floatParameter(r *http.Request, name string, defaultValue float64) float64 {
+	if value, err := strconv.ParseFloat(r.FormValue(name), 64); err == nil {
+		return value
 	}
-	return otherwise
+	return defaultValue
 }
 
-// instantQuery gives the samples of a range selector, or the values of a selector as of an instant.
+// instantQuery returns the samples of a range selector, or the values of an instant selector, as of the query time.
 func (q *QueryServer) instantQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
-	at := parameter(r, "time", q.clock())
+	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
 	case *parser.MatrixSelector:
 		matrix := model.Matrix{}
@@ -338,7 +340,7 @@
 	case *parser.VectorSelector:
 		vector := model.Vector{}
 		for _, series := range q.match(selector.LabelMatchers) {
-			if value, ok := series.asOf(at); ok {
+			if value, ok := series.valueAt(at); ok {
 				vector = append(vector, &model.Sample{Metric: series.metric(), Value: value, Timestamp: model.Time((at - shift) * 1000)})
 			}
 		}
@@ -347,20 +349,20 @@
 	return apiData{}, errNotSelector
 }
 
-// rangeQuery gives the values of a selector step by step.
+// rangeQuery returns the values of a selector at each step between the start and the end of the query.
 func (q *QueryServer) rangeQuery(r *http.Request, expression parser.Expr, shift float64) (apiData, *apiError) {
-	at := parameter(r, "time", q.clock())
+	at := floatParameter(r, "time", q.clock())
 	switch selector := expression.(type) {
 	case *parser.MatrixSelector:
-		return apiData{}, badData("invalid expression type \"range vector\" for range query, must be Scalar or instant Vector")
+		return apiData{}, newBadDataError("invalid expression type \"range vector\" for range query, must be Scalar or instant Vector")
 	case *parser.VectorSelector:
 		matrix := model.Matrix{}
-		start, end := parameter(r, "start", at), parameter(r, "end", at)
-		step := max(minStepSeconds, parameter(r, "step", 1))
+		start, end := floatParameter(r, "start", at), floatParameter(r, "end", at)
+		step := max(minStepSeconds, floatParameter(r, "step", 1))
 		for _, series := range q.match(selector.LabelMatchers) {
 			var points []model.SamplePair
 			for t := start; t <= end+1e-9 && len(points) < maxPointsPerSeries; t += step {
-				if value, ok := series.asOf(t); ok {
+				if value, ok := series.valueAt(t); ok {
 					points = append(points, model.SamplePair{Timestamp: model.Time((t - shift) * 1000), Value: value})
 				}
 			}
@@ -373,9 +375,9 @@
 	return apiData{}, errNotSelector
 }
 
-// explodedAnswer is what a label with a request's id in it does.
-var explodedAnswer = sync.OnceValue(func() []byte {
-	matrix := make(model.Matrix, explodedSeries)
+// tooManySeriesAnswer returns a response with one series per request, as a request ID in a label would cause.
+var tooManySeriesAnswer = sync.OnceValue(func() []byte {
+	matrix := make(model.Matrix, tooManySeriesCount)
 	for i := range matrix {
 		matrix[i] = &model.SampleStream{
 			Metric: model.Metric{"__name__": metricAnswers, "unit": "1", "build": "1", "request": model.LabelValue(strconv.Itoa(i))},
@@ -384,12 +386,12 @@
 	}
 	text, err := json.Marshal(&apiAnswer{Status: "success", Data: apiData{"matrix", matrix}})
 	if err != nil {
-		panic(err) // of a value made here
+		panic(err) // the value above can always be marshalled
 	}
 	return text
 })
 
-// match gives the series that match a selector, in the order of their labels. Under the lock.
+// match returns the series that match a selector, ordered by their labels. q.mu must be held.
 func (q *QueryServer) match(matchers []*labels.Matcher) (found []*scrapedSeries) {
 	for _, series := range q.series {
 		mismatches := func(m *labels.Matcher) bool { return !m.Matches(series.labels.Get(m.Name)) }
@@ -407,7 +409,7 @@
 	return metric
 }
 
-// between gives the samples after one instant up to another.
+// between returns the samples later than from and not later than to, with timestamps moved back by shift seconds.
 func (s *scrapedSeries) between(from, to, shift float64) (points []model.SamplePair) {
 	for _, point := range s.points {
 		if point.Timestamp > model.Time(from*1000) && point.Timestamp <= model.Time(to*1000) {
@@ -418,8 +420,8 @@
 	return points
 }
 
-// asOf gives the last sample at an instant, unless it is older than the lookback.
-func (s *scrapedSeries) asOf(t float64) (model.SampleValue, bool) {
+// valueAt returns the value of the last sample at time t; false if there is none or it is older than the lookback.
+func (s *scrapedSeries) valueAt(t float64) (model.SampleValue, bool) {
 	at := model.Time(t * 1000)
 	for i := len(s.points) - 1; i >= 0; i-- {
 		if point := s.points[i]; point.Timestamp <= at {
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -36,16 +36,16 @@
 	s.node.Reload(&cfg)
 	time.Sleep(300 * time.Millisecond)
 	stopOld()
-	s.List("u1", "127.0.0.1:1", 1, "DRAINING")
+	s.SetEndpoint("u1", "127.0.0.1:1", 1, "DRAINING")
 	waitFor(t, "the release", s.Released)
 	time.Sleep(200 * time.Millisecond)
-	s.List("u1", "127.0.0.1:1", 1, "DELETED")
+	s.SetEndpoint("u1", "127.0.0.1:1", 1, "DELETED")
 	close(s.stopClients)
 	s.clients.Wait()
 	s.stopNode()
 	report := s.checkInvariants(5)
-	if report.Answers["acked"] < report.Tries*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
-		t.Errorf("%d requests, answers %v, attempts by build %v", report.Tries, report.Answers, report.AttemptsByBuild)
+	if report.Answers["acked"] < report.Requests*8/10 || report.AttemptsByBuild[fakes.PlatformSiteCanary] == 0 {
+		t.Errorf("%d requests, answers %v, attempts by build %v", report.Requests, report.Answers, report.AttemptsByBuild)
 	}
 }
 
--- a/internal/platform/node/site_test.go
+++ b/internal/platform/node/site_test.go
@@ -52,13 +52,13 @@
 	cfg := must[*Config](t)(ParseConfig([]byte(site.Config(site.address, discovery, platform))))
 	site.node = New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	edit(site.node)
-	site.incarnation = &invariants.Incarnation{Relay: site.Relay, From: site.Clock()}
-	site.Record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.incarnation) })
+	site.incarnation = &invariants.Incarnation{RouterGroup: site.RouterGroup, StartedAt: site.Clock()}
+	site.Record.Update(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, site.incarnation) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- site.node.Run(ctx, listener) }()
 	for i := range clients {
-		site.clients.Go(func() { site.Client(i+1, site.address, site.stopClients) })
+		site.clients.Go(func() { site.RunClient(i+1, site.address, site.stopClients) })
 	}
 	site.stopNode = func() {
 		site.incarnation.DrainingFrom = site.Clock()
@@ -73,11 +73,11 @@
 // checkInvariants waits for the clients to end and checks the first ruleCount invariants.
 func (s *testSite) checkInvariants(ruleCount int) *invariants.Report {
 	s.clients.Wait()
-	s.incarnation.To = s.Clock()
+	s.incarnation.EndedAt = s.Clock()
 	report := invariants.Check(s.Record, fakes.PlatformSiteBounds)
 	for _, rule := range report.Rules[:ruleCount] {
-		if rule.Broken > 0 {
-			s.t.Errorf("%s: broken in %d of %d checks: %v", rule.Name, rule.Broken, rule.Checked, rule.First)
+		if rule.Violations > 0 {
+			s.t.Errorf("%s: broken in %d of %d checks: %v", rule.Name, rule.Violations, rule.Checked, rule.FirstViolations)
 		}
 	}
 	return report
@@ -104,7 +104,7 @@
 // request with a malformed message if sendMalformed is not nil and returns true. stop ends the discovery service and its
 // connections; the control service only stops accepting connections.
 func (s *testSite) startServices(t *testing.T, sendMalformed func() bool) (discovery, platform string, stop func()) {
-	discovery, endDiscovery, discoveryErr := s.Discovery(sendMalformed)
+	discovery, endDiscovery, discoveryErr := s.StartDiscovery(sendMalformed)
 	platform, endPlatform, platformErr := s.StartControlService()
 	if err := errors.Join(discoveryErr, platformErr); err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 // that returns the number of accepted connections.
 func silentListener(t *testing.T) (address string, accepted func() int) {
 	var count atomic.Int32
-	listener, err := fakes.Serve(func(c net.Conn) {
+	listener, err := fakes.ServeConns(func(c net.Conn) {
 		count.Add(1)
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			c.Close()
--- a/internal/promclient/client_test.go
+++ b/internal/promclient/client_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	defer server.Stop()
-	server.Enter(999, []fakes.Scrape{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
+	server.AddSamples(999, []fakes.Sample{{Name: "up", Labels: map[string]string{"unit": "7"}, Value: 1}})
 	shortTimeout := newTestClient(t, server.URL, Limits{TimeoutSeconds: 0.5, MaxBytes: 40 << 20, MaxSeries: 100})
 	longTimeout := newTestClient(t, server.URL, Limits{TimeoutSeconds: 30, MaxBytes: 40 << 20, MaxSeries: 100})
 	get := func(client *Client, query string, form promquery.Form) string {
@@ -145,16 +145,16 @@
 		return fmt.Sprint(len(series), " series")
 	}
 	for _, test := range []struct {
-		fault fakes.Fault
+		fault fakes.QueryServerFault
 		want  string
 	}{
-		{fakes.Late, "timed out"}, {fakes.Hangs, "timed out"}, {fakes.Dead, "unreachable"}, {fakes.Truncated, "unreachable"},
-		{fakes.TooManyNow, "busy: status 429"}, {fakes.Overloaded, "busy: status 503"}, {fakes.Elsewhere, "redirected"},
-		{fakes.Warns, "partial"}, {fakes.Garbage, "malformed"}, {fakes.Exploded, "too many series: more than 100; a label may have too many values"},
+		{fakes.FaultSlow, "timed out"}, {fakes.FaultNoResponse, "timed out"}, {fakes.FaultConnectionReset, "unreachable"}, {fakes.FaultTruncated, "unreachable"},
+		{fakes.FaultTooManyRequests, "busy: status 429"}, {fakes.FaultUnavailable, "busy: status 503"}, {fakes.FaultRedirect, "redirected"},
+		{fakes.FaultPartialResult, "partial"}, {fakes.FaultNotJSON, "malformed"}, {fakes.FaultTooManySeries, "too many series: more than 100; a label may have too many values"},
 	} {
 		server.SetFault(test.fault)
 		client := shortTimeout
-		if test.fault == fakes.Exploded {
+		if test.fault == fakes.FaultTooManySeries {
 			client = longTimeout // the large response takes longer
 		}
 		if got := get(client, "up[5s]", promquery.Samples); !strings.HasPrefix(got, "query server q1: "+test.want) {
@@ -168,7 +168,7 @@
 		}
 	}
 	smallLimit := newTestClient(t, server.URL, Limits{TimeoutSeconds: 2, MaxBytes: 1 << 20, MaxSeries: 100})
-	server.SetFault(fakes.Exploded)
+	server.SetFault(fakes.FaultTooManySeries)
 	if _, err := smallLimit.Query(context.Background(), Request{Query: "up[5s]", Form: promquery.Samples, At: 1000}); err == nil || !strings.Contains(err.Error(), "q1: too big: response exceeds 1048576 bytes") {
 		t.Errorf("got error %v, want a response that exceeds 1048576 bytes", err)
 	}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -79,7 +79,7 @@
 // addEndpoint starts an endpoint that runs script for each connection, and adds it to the endpoint list as ready.
 func (h *harness) addEndpoint(id uint32, build int, script func(endpoint *scriptedEndpoint, c net.Conn, br *bufio.Reader)) *scriptedEndpoint {
 	endpoint := &scriptedEndpoint{id: id}
-	listener, err := fakes.Serve(func(c net.Conn) { script(endpoint, c, bufio.NewReader(c)) })
+	listener, err := fakes.ServeConns(func(c net.Conn) { script(endpoint, c, bufio.NewReader(c)) })
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -285,7 +285,7 @@
 	set(document(5, 7, f.documentText(5)))
 	// The streams break, and nothing has changed when they are back.
 	lines := len(control.Log())
-	control.Drop()
+	control.CloseStreams()
 	f.eventually("the streams begin again", func() bool { return len(control.Log()) >= lines+2 })
 	set(document(6, 0, f.documentText(6)))
 	waitUntilServing(6)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -27,7 +27,7 @@
 	"closes":          onSome(func(e Event, f *fakes.EndpointFault) { f.ResetShare = e.Amount }),
 	"few-connections": onSome(func(e Event, f *fakes.EndpointFault) { f.MaxConns = int(e.Amount) }),
 	"slow-handshake":  onSome(func(e Event, f *fakes.EndpointFault) { f.AcceptDelaySeconds = e.Amount }),
-	"one-sided":       onSome(func(e Event, f *fakes.EndpointFault) { f.Unresponsive, f.OnlyFromRelay = true, e.Relay }),
+	"one-sided":       onSome(func(e Event, f *fakes.EndpointFault) { f.Unresponsive, f.OnlyFromRouterGroup = true, e.Relay }),
 	"probes-fail":     onSome(func(_ Event, f *fakes.EndpointFault) { f.FailProbes = true }),
 	"answers-wrong":   onSome(func(e Event, f *fakes.EndpointFault) { f.WrongAnswerShare = e.Amount }),
 	"all-slow":        onAll(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount }),
@@ -164,9 +164,9 @@
 }
 
 func (r *runner) makeRelayHot(e Event) {
-	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRelay, b.HotRelayShare = e.Relay, e.Amount })
+	r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup, b.HotRouterGroupShare = e.Relay, e.Amount })
 	r.after(e.Seconds, func() {
-		r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRelay = "" })
+		r.clients.ChangeBehavior(func(b *fakes.ClientBehavior) { b.HotRouterGroup = "" })
 	})
 }
 
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %d, %s: %w", seed, name, err)
 		}
-		c.Kept, c.Service[i] = c.Kept && out.Kept(), out.Service
+		c.Kept, c.Service[i] = c.Kept && out.Passed(), out.Service
 		return out, nil
 	}
 	with, err := play(0, "with", comparisonWrongBuild, func(*Script) {})
@@ -58,7 +58,7 @@
 		return c, err
 	}
 	lied, err := play(2, "lied", comparisonGoodBuild, func(s *Script) {
-		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.Lies)})
+		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.FaultInflatesFailures)})
 	})
 	if err != nil {
 		return c, err
@@ -89,9 +89,9 @@
 func (o *Outcome) RollbackAfter(build int) (seconds float64, rolledBack bool) {
 	offeredAt := 0.0
 	for _, event := range o.History {
-		if event.What == fmt.Sprintf("build %d is offered", build) {
+		if event.Description == fmt.Sprintf("build %d is offered", build) {
 			offeredAt = event.At
-		} else if strings.HasPrefix(event.What, fmt.Sprintf("build %d goes back", build)) {
+		} else if strings.HasPrefix(event.Description, fmt.Sprintf("build %d goes back", build)) {
 			return event.At - offeredAt, true
 		}
 	}
@@ -100,5 +100,5 @@
 
 // happened reports whether the history has an entry.
 func (o *Outcome) happened(what string) bool {
-	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.What == what })
+	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.Description == what })
 }
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -15,9 +15,9 @@
 }
 
 // queryServerFaults are the faults that an event may name.
-var queryServerFaults = []fakes.Fault{
-	fakes.Blind, fakes.Lies, fakes.Flatters, fakes.Late, fakes.Hangs, fakes.Truncated, fakes.TooManyNow, fakes.Overloaded,
-	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
+var queryServerFaults = []fakes.QueryServerFault{
+	fakes.FaultNoScrapes, fakes.FaultInflatesFailures, fakes.FaultHidesFailures, fakes.FaultSlow, fakes.FaultNoResponse, fakes.FaultTruncated, fakes.FaultTooManyRequests, fakes.FaultUnavailable,
+	fakes.FaultRedirect, fakes.FaultPartialResult, fakes.FaultOldTimestamps, fakes.FaultTooManySeries, fakes.FaultNotJSON, fakes.FaultConnectionReset,
 }
 
 // startQueryServers starts the query servers, if the script has any. They scrape the endpoints until the scenario ends.
@@ -55,7 +55,7 @@
 
 // scrape gives each query server what the endpoints show.
 func (r *runner) scrape() {
-	var samples []fakes.Scrape
+	var samples []fakes.Sample
 	r.mu.Lock()
 	for _, e := range r.endpoints {
 		samples = append(samples, e.Metrics()...)
@@ -63,13 +63,13 @@
 	r.mu.Unlock()
 	at := r.clock()
 	for _, server := range r.queryServers {
-		server.Enter(at, samples)
+		server.AddSamples(at, samples)
 	}
 }
 
 // injectQueryServerFault gives one query server a fault, all of them if the event names none. With no duration it lasts.
 func (r *runner) injectQueryServerFault(e Event) {
-	fault := fakes.Fault(e.Fault)
+	fault := fakes.QueryServerFault(e.Fault)
 	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
 		r.addError(fmt.Errorf("event at %g s: query server %d, fault %q: no such", e.At, e.Server, e.Fault))
 		return
@@ -80,7 +80,7 @@
 		}
 		server.SetFault(fault)
 		if e.Seconds > 0 {
-			r.after(e.Seconds, func() { server.Heal(fault) })
+			r.after(e.Seconds, func() { server.ClearFault(fault) })
 		}
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("no build %d in the script", build)
 	}
 	fleet, rules := r.script.Fleet, r.script.Rules
-	shape := fakes.EndpointShape{
+	shape := fakes.EndpointSpec{
 		Cores:                    fleet.Cores,
 		QueueLength:              fleet.QueueLength,
 		SlowStartInitialShare:    rules.SlowStartInitialShare,
@@ -166,17 +166,17 @@
 	platform, release, fleet := r.script.Platform, r.script.Release, r.script.Fleet
 	r.list = fakes.NewEndpointList(platform.ListLagSeconds, r.record, r.clock)
 	plan := fakes.ReleasePlan{
-		StageShares:         release.StageShares,
-		CanaryLimits:        release.CanaryLimits,
-		Slots:               fleet.Slots,
-		StartSeconds:        fleet.StartSeconds,
-		DrainSeconds:        fleet.DrainSeconds,
-		BakeSeconds:         platform.BakeSeconds,
-		PromoteVotes:        platform.PromoteVotes,
-		RollbackVotes:       release.RollbackVotes,
-		VoteLifetimeSeconds: release.VoteLifetimeSeconds,
-		PropagationSeconds:  platform.PropagationSeconds,
-		PushSeconds:         platform.PushSeconds,
+		StageShares:             release.StageShares,
+		CanaryLimits:            release.CanaryLimits,
+		Slots:                   fleet.Slots,
+		StartSeconds:            fleet.StartSeconds,
+		DrainSeconds:            fleet.DrainSeconds,
+		BakeSeconds:             platform.BakeSeconds,
+		PromoteVotes:            platform.PromoteVotes,
+		RollbackVotes:           release.RollbackVotes,
+		VoteLifetimeSeconds:     release.VoteLifetimeSeconds,
+		PropagationDelaySeconds: platform.PropagationSeconds,
+		PushIntervalSeconds:     platform.PushSeconds,
 	}
 	if r.releaseService, err = fakes.NewReleaseService(plan, r.script.firstBuild(), r, r.list, r.record, r.clock); err != nil {
 		return err
@@ -277,7 +277,7 @@
 	for r.ctx.Err() == nil {
 		history, _ := r.releaseService.History() // outcome gives the error
 		for ; printed < len(history); printed++ {
-			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].What)
+			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].Description)
 		}
 		select {
 		case <-r.ctx.Done():
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 		if r.Checked == 0 {
 			t.Errorf("rule %s was never put to the test", r.Name)
@@ -40,13 +40,13 @@
 	}
 	history := ""
 	for _, h := range out.History {
-		history += h.What + "\n"
+		history += h.Description + "\n"
 	}
 	if !strings.Contains(history, "build 2 goes back") {
 		t.Errorf("the bad build was not rolled back: %s", history)
 	}
-	if out.Answers["acked"] < out.Tries/2 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+	if out.Answers["acked"] < out.Requests/2 {
+		t.Errorf("%v of %d tries", out.Answers, out.Requests)
 	}
 }
 
@@ -70,15 +70,15 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 	}
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
 		t.Errorf("%d kills and pauses, %d requests without a controller", kills, out.SucceededWithoutController.N)
 	}
-	if out.Answers["acked"] < out.Tries*9/10 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+	if out.Answers["acked"] < out.Requests*9/10 {
+		t.Errorf("%v of %d tries", out.Answers, out.Requests)
 	}
 }
 
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !out.Kept() {
+	if !out.Passed() {
 		t.Errorf("%+v", out.Rules)
 	}
 	v, relays := out.Versions, script.Relays
@@ -127,7 +127,7 @@
 			break
 		}
 	}
-	if rep := invariants.Check(rec, script.bounds()); rep.Kept() {
+	if rep := invariants.Check(rec, script.bounds()); rep.Passed() {
 		t.Error("a second attempt went unseen")
 	}
 }
@@ -157,8 +157,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
-		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+		if r.Violations > 0 {
+			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Violations, r.Checked, strings.Join(r.FirstViolations, "; "))
 		}
 	}
 	if _, back := out.RollbackAfter(2); !back {
@@ -214,7 +214,7 @@
 		inspectRecord = func(r *invariants.Record) { rec = r }
 		defer func() { inspectRecord = func(*invariants.Record) {} }()
 		out, err := Run(script, programs(t), t.TempDir(), io.Discard)
-		if err != nil || !out.Kept() {
+		if err != nil || !out.Passed() {
 			t.Fatal(err, out)
 		}
 		all, its, first := 0, 0, rec.Attempts[0].At
