--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -213,16 +213,28 @@
 	}
 }
 
-// If both attempts of a hedged request are answered, the client gets one answer.
+// If both attempts of a hedged request are answered, the client gets one answer. The proxy hedges after a multiple of the
+// latency that it has seen, which grows on a busy machine: the endpoints answer only once it has hedged a request.
 func TestHedgedRequestGetsOneAnswer(t *testing.T) {
+	const (
+		slowAnswerDelay = 80 * time.Millisecond
+		maxHedgeWait    = 200 * time.Millisecond // with slowAnswerDelay below the latency objective of 0.3 s
+	)
 	h := newHarness(t, nil)
+	hasHedged := func() bool {
+		stats := h.proxy.Stats()
+		return stats.Attempts > stats.Received
+	}
 	slow := func(endpoint *scriptedEndpoint, conn net.Conn, br *bufio.Reader) {
 		for {
 			if _, ok := endpoint.readRequest(br); !ok {
 				return
 			}
 			if endpoint.count() > 30 {
-				time.Sleep(80 * time.Millisecond)
+				time.Sleep(slowAnswerDelay)
+				for waitUntil := time.Now().Add(maxHedgeWait); !hasHedged() && time.Now().Before(waitUntil); {
+					time.Sleep(time.Millisecond)
+				}
 			}
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", endpoint.id)
 		}
