--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -47,14 +47,13 @@
 
 var documentPattern = regexp.MustCompile(`(?s):schema.*\}`)
 
-// freeAddr returns a local address that was free a moment ago; another process may take it before it is used.
+// freeAddr returns a local address on which nothing listens.
 func freeAddr(t *testing.T) string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	addr, err := fakes.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	return listener.Addr().String()
+	return addr
 }
 
 func newFixture(t *testing.T) *fixture {
