--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -67,7 +67,7 @@
 			defer mu.Unlock()
 			comparisons = append(comparisons, c)
 			fmt.Fprintf(w, "seed %d: back after %.2f s with the source, %.2f s without; lied about: back %t, released %t; rules kept %t; service %.3f\n",
-				c.Seed, c.With, c.Without, c.LiedAbout, c.Released, c.Kept, c.Service)
+				c.Seed, c.RollbackSecondsWithServers, c.Without, c.LiedAbout, c.Released, c.Kept, c.Service)
 			return nil
 		})
 	}
@@ -83,14 +83,14 @@
 	liedAbout, released, broken := 0, 0, 0
 	var with, without, ratios []float64
 	for _, c := range comparisons {
-		if c.With > 0 {
-			with = append(with, c.With)
+		if c.RollbackSecondsWithServers > 0 {
+			with = append(with, c.RollbackSecondsWithServers)
 		}
 		if c.Without > 0 {
 			without = append(without, c.Without)
 		}
-		if c.With > 0 && c.Without > 0 {
-			ratios = append(ratios, c.With/c.Without)
+		if c.RollbackSecondsWithServers > 0 && c.Without > 0 {
+			ratios = append(ratios, c.RollbackSecondsWithServers/c.Without)
 		}
 		if c.LiedAbout {
 			liedAbout++
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -20,7 +20,7 @@
 // HealthComparison is what one seed shows of the evidence from metrics.
 type HealthComparison struct {
 	Seed      uint64
-	With      float64    // seconds until the wrong build was rolled back with query servers; 0: it was not
+	RollbackSecondsWithServers      float64    // seconds until the wrong build was rolled back with query servers; 0: it was not
 	Without   float64    // the same without query servers
 	LiedAbout bool       // the good build that the query servers lied about was rolled back
 	Released  bool       // it was released
@@ -63,7 +63,7 @@
 	if err != nil {
 		return c, err
 	}
-	c.With, _ = with.RollbackAfter(comparisonWrongBuild)
+	c.RollbackSecondsWithServers, _ = with.RollbackAfter(comparisonWrongBuild)
 	c.Without, _ = without.RollbackAfter(comparisonWrongBuild)
 	_, c.LiedAbout = lied.RollbackAfter(comparisonGoodBuild)
 	c.Released = lied.happened(fmt.Sprintf("build %d is released", comparisonGoodBuild))
