--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -23,7 +23,7 @@
 	RollbackSecondsWithServers      float64    // seconds until the wrong build was rolled back with query servers; 0: it was not
 	RollbackSecondsWithoutServers   float64    // the same without query servers
 	GoodBuildRolledBack bool       // the good build that the query servers lied about was rolled back
-	Released  bool       // it was released
+	GoodBuildReleased  bool       // it was released
 	Kept      bool       // no rule was broken in the three runs
 	Service   [3]float64 // of the three runs
 }
@@ -66,7 +66,7 @@
 	c.RollbackSecondsWithServers, _ = with.RollbackAfter(comparisonWrongBuild)
 	c.RollbackSecondsWithoutServers, _ = without.RollbackAfter(comparisonWrongBuild)
 	_, c.GoodBuildRolledBack = lied.RollbackAfter(comparisonGoodBuild)
-	c.Released = lied.happened(fmt.Sprintf("build %d is released", comparisonGoodBuild))
+	c.GoodBuildReleased = lied.happened(fmt.Sprintf("build %d is released", comparisonGoodBuild))
 	return c, nil
 }
 
