--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -67,7 +67,7 @@
 			defer mu.Unlock()
 			comparisons = append(comparisons, c)
 			fmt.Fprintf(w, "seed %d: back after %.2f s with the source, %.2f s without; lied about: back %t, released %t; rules kept %t; service %.3f\n",
-				c.Seed, c.RollbackSecondsWithServers, c.RollbackSecondsWithoutServers, c.GoodBuildRolledBack, c.GoodBuildReleased, c.Kept, c.Service)
+				c.Seed, c.RollbackSecondsWithServers, c.RollbackSecondsWithoutServers, c.GoodBuildRolledBack, c.GoodBuildReleased, c.RulesKept, c.Service)
 			return nil
 		})
 	}
@@ -98,7 +98,7 @@
 		if c.GoodBuildReleased {
 			released++
 		}
-		if !c.Kept {
+		if !c.RulesKept {
 			broken++
 		}
 	}
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -24,14 +24,14 @@
 	RollbackSecondsWithoutServers   float64    // the same without query servers
 	GoodBuildRolledBack bool       // the good build that the query servers lied about was rolled back
 	GoodBuildReleased  bool       // it was released
-	Kept      bool       // no rule was broken in the three runs
+	RulesKept      bool       // no rule was broken in the three runs
 	Service   [3]float64 // of the three runs
 }
 
 // CompareHealth plays HealthComparisonDay three times with one seed: a wrong build with query servers and without, and a good build
 // that all query servers lie about. Each run gets a folder in dir.
 func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
-	c := HealthComparison{Seed: seed, Kept: true}
+	c := HealthComparison{Seed: seed, RulesKept: true}
 	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
 		script, err := comparisonScript(seed, build)
 		if err != nil {
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %d, %s: %w", seed, name, err)
 		}
-		c.Kept, c.Service[i] = c.Kept && out.Kept(), out.Service
+		c.RulesKept, c.Service[i] = c.RulesKept && out.Kept(), out.Service
 		return out, nil
 	}
 	with, err := play(0, "with", comparisonWrongBuild, func(*Script) {})
