--- a/internal/scenario/configstorm.go
+++ b/internal/scenario/configstorm.go
@@ -14,21 +14,21 @@
 	"flintspread/internal/fakes"
 )
 
-// ConfigStorm sends configuration versions from control services, one in three of them bad.
+// ConfigStorm configures control services that keep sending configuration versions, about one in three of them invalid.
 type ConfigStorm struct {
-	IntervalSeconds float64 // between two versions
+	IntervalSeconds float64 // time between two versions
 }
 
-// badVersionOneIn is how rare bad versions are.
+// badVersionOneIn is the N in "one version in N is invalid, on average".
 const badVersionOneIn = 3
 
-// configStorm serves the endpoint list and the configuration versions of all relays over xDS, with a control service for each.
+// configStorm serves the endpoint list and the configuration versions of all relays over xDS, from one control service per relay.
 type configStorm struct {
 	runner    *runner
-	services  map[string]*fakes.ControlService // by relay
-	addresses map[string]string                // by relay
-	sent      int
-	bad       int
+	services  map[string]*fakes.ControlService // by relay name
+	addresses map[string]string                // by relay name
+	sent      int                              // versions sent to each relay
+	bad       int                              // invalid versions among them
 }
 
 func (r *runner) newConfigStorm() (*configStorm, error) {
@@ -50,15 +50,16 @@
 
 var bodyBytes = regexp.MustCompile(`:body-bytes \d+`)
 
-// send sends versions until the scenario ends. Each differs from the others in a bound that does not matter.
-func (s *configStorm) send() {
+// sendVersions sends versions until the scenario ends. Valid versions differ only in :body-bytes, a limit that does not affect the
+// scenario.
+func (s *configStorm) sendVersions() {
 	rnd := rand.New(rand.NewPCG(s.runner.script.Seed, 4))
 	script := s.runner.script
 	text := "{:schema 1" + boundsEntries + string(script.policyEntries()) + script.routesEntry() + "}"
 	for number := uint64(1); s.runner.ctx.Err() == nil; number++ {
 		document := bodyBytes.ReplaceAllString(text, fmt.Sprintf(":body-bytes %d", 100000+number))
 		if rnd.IntN(badVersionOneIn) == 0 {
-			document = spoil(document, rnd.IntN(4))
+			document = corruptDocument(document, rnd.IntN(4))
 			s.bad++
 		}
 		s.sent++
@@ -77,33 +78,34 @@
 	windowAndGraceEntry = regexp.MustCompile(`:window [\d.]+ :grace [\d.]+`)
 )
 
-// spoil makes a document that must be rejected, in one of four ways.
-func spoil(document string, way int) string {
+// corruptDocument returns a document that relays must reject. way, from 0 to 3, selects what is wrong with it.
+func corruptDocument(document string, way int) string {
 	switch way {
-	case 0:
+	case 0: // truncated
 		return document[:len(document)*2/3]
-	case 1: // no canary attempts, whatever the stage
+	case 1: // no canary attempts in any rollout stage
 		return canaryLimitsEntry.ReplaceAllString(document, ":caps [0 0 0]")
-	case 2:
+	case 2: // a canary window shorter than the grace
 		return windowAndGraceEntry.ReplaceAllString(document, ":window 1 :grace 2")
 	}
+	// A key that the schema does not have.
 	return strings.Replace(document, ":deliveries", ":delivery", 1)
 }
 
-// ConfigVersions counts what became of the versions of a config storm.
+// ConfigVersions counts the versions of a config storm by the relays' answers.
 type ConfigVersions struct {
-	Sent     int `json:"sent"`        // to each relay
-	Bad      int `json:"bad"`         // of them
-	Accepted int `json:"taken"`       // by all relays
-	Rejected int `json:"turned_down"` // by all relays
+	Sent     int `json:"sent"`        // versions sent to each relay
+	Bad      int `json:"bad"`         // invalid versions among those sent
+	Accepted int `json:"taken"`       // ACKs of all relays together
+	Rejected int `json:"turned_down"` // NACKs of all relays together
 }
 
-// String words the counts for a report.
+// String formats the counts for a report.
 func (v *ConfigVersions) String() string {
 	return fmt.Sprintf("%d versions to each relay, %d of them bad; %d taken, %d turned down", v.Sent, v.Bad, v.Accepted, v.Rejected)
 }
 
-// outcome counts what the relays answered, and stops the services.
+// outcome counts the relays' ACKs and NACKs, and stops the control services.
 func (s *configStorm) outcome() *ConfigVersions {
 	versions := &ConfigVersions{Sent: s.sent, Bad: s.bad}
 	for _, service := range s.services {
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,5 +1,6 @@
-// Package scenario plays scripts: real routers and controllers run between the fakes of package fakes, while faults that the script
-// names are injected, and the five rules of package invariants are checked from what was seen on the sockets.
+// Package scenario runs scripts. A script starts real router and controller processes together with the fakes of package fakes, and
+// injects the faults that it lists. At the end, the rules of package invariants are checked against the traffic that the fakes
+// recorded on their sockets.
 //
-// A script is an EDN file; its durations are float64 seconds, its shares fractions of 1. The keys are the operators' words.
+// A script is an EDN file. Durations are float64 seconds, shares are fractions of 1. The keys are part of the operators' interface.
 package scenario
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -9,29 +9,29 @@
 	"flintspread/internal/fakes"
 )
 
-// neighbourSeconds is how long the noisy neighbour of the event "neighbour" is active, and then not.
+// neighbourSeconds is the length of both the active and the idle phases of the noisy neighbour in the event "neighbour".
 const neighbourSeconds = 1
 
-// events holds what happens at an event of each kind. It begins when called, and ends by itself after Event.Seconds.
-var events = map[edn.Keyword]func(*runner, Event){
-	// Releases and the services around.
+// eventHandlers maps each kind of event to the function that starts it. An event with a duration ends after Event.Seconds.
+var eventHandlers = map[edn.Keyword]func(*runner, Event){
+	// The release service, the endpoint list and the query servers.
 	"offer":           func(r *runner, e Event) { r.releaseService.Offer(e.Build) },
 	"list-stale":      (*runner).delayList,
 	"list-down":       (*runner).stopList,
 	"installer-still": (*runner).pauseReleaseService,
 	"query-server":    (*runner).injectQueryServerFault,
 
-	// Endpoints: a share of them by Event.Share.
-	"fast-errors":     onSome(func(e Event, f *fakes.EndpointFault) { f.ErrorShare = e.Amount }),
-	"slow":            onSome(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount }),
-	"closes":          onSome(func(e Event, f *fakes.EndpointFault) { f.ResetShare = e.Amount }),
-	"few-connections": onSome(func(e Event, f *fakes.EndpointFault) { f.MaxConns = int(e.Amount) }),
-	"slow-handshake":  onSome(func(e Event, f *fakes.EndpointFault) { f.AcceptDelaySeconds = e.Amount }),
-	"one-sided":       onSome(func(e Event, f *fakes.EndpointFault) { f.Unresponsive, f.OnlyFromRelay = true, e.Relay }),
-	"probes-fail":     onSome(func(_ Event, f *fakes.EndpointFault) { f.FailProbes = true }),
-	"answers-wrong":   onSome(func(e Event, f *fakes.EndpointFault) { f.WrongAnswerShare = e.Amount }),
-	"all-slow":        onAll(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount }),
-	"heavy-tail":      onAll(func(e Event, f *fakes.EndpointFault) { f.SlowTailShare = e.Amount }),
+	// Endpoints. Event.Share is the share of them that is affected.
+	"fast-errors":     onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.ErrorShare = e.Amount }),
+	"slow":            onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount }),
+	"closes":          onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.ResetShare = e.Amount }),
+	"few-connections": onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.MaxConns = int(e.Amount) }),
+	"slow-handshake":  onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.AcceptDelaySeconds = e.Amount }),
+	"one-sided":       onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.Unresponsive, f.OnlyFromRelay = true, e.Relay }),
+	"probes-fail":     onShareOfEndpoints(func(_ Event, f *fakes.EndpointFault) { f.FailProbes = true }),
+	"answers-wrong":   onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.WrongAnswerShare = e.Amount }),
+	"all-slow":        onAllEndpoints(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount }),
+	"heavy-tail":      onAllEndpoints(func(e Event, f *fakes.EndpointFault) { f.SlowTailShare = e.Amount }),
 	"neighbour":       (*runner).slowInTurns,
 	"silent":          (*runner).silenceAndRestart,
 	"vanish":          func(r *runner, e Event) { r.crash(r.slots(e.Share)) },
@@ -50,8 +50,8 @@
 	"give-up":    (*runner).abandonRequests,
 }
 
-// onSome gives a share of the endpoints a fault.
-func onSome(set func(Event, *fakes.EndpointFault)) func(*runner, Event) {
+// onShareOfEndpoints returns a handler that injects a fault into the share Event.Share of the endpoints.
+func onShareOfEndpoints(set func(Event, *fakes.EndpointFault)) func(*runner, Event) {
 	return func(r *runner, e Event) {
 		var fault fakes.EndpointFault
 		set(e, &fault)
@@ -64,15 +64,15 @@
 	}
 }
 
-// onAll gives all endpoints a fault.
-func onAll(set func(Event, *fakes.EndpointFault)) func(*runner, Event) {
+// onAllEndpoints returns a handler that injects a fault into all endpoints.
+func onAllEndpoints(set func(Event, *fakes.EndpointFault)) func(*runner, Event) {
 	return func(r *runner, e Event) {
 		e.Share = 1
-		onSome(set)(r, e)
+		onShareOfEndpoints(set)(r, e)
 	}
 }
 
-// slots gives a share of the slots, at least one. They are the last ones: rollouts begin with the first.
+// slots returns a share of the slots, at least one. It counts from the last slot down, because rollouts start with the first one.
 func (r *runner) slots(share float64) (slots []int) {
 	all := r.script.Fleet.Slots
 	count := max(1, int(math.Round(share*float64(all))))
@@ -82,7 +82,7 @@
 	return slots
 }
 
-// crash replaces endpoints by new processes, without a drain.
+// crash replaces the endpoints in the given slots by new processes, without draining the old ones.
 func (r *runner) crash(slots []int) {
 	for _, slot := range slots {
 		r.releaseService.Restart(slot, true)
@@ -104,9 +104,9 @@
 	r.after(e.Seconds, func() { r.releaseService.SetPaused(false) })
 }
 
-// slowInTurns slows endpoints as a noisy neighbour does: for a second, then not for a second, and so on.
+// slowInTurns slows endpoints as a noisy neighbour does: slow and normal phases of neighbourSeconds alternate.
 func (r *runner) slowInTurns(e Event) {
-	slow := onSome(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount })
+	slow := onShareOfEndpoints(func(e Event, f *fakes.EndpointFault) { f.SlowFactor = e.Amount })
 	for at := 0.0; at < e.Seconds; at += 2 * neighbourSeconds {
 		r.after(at, func() {
 			slow(r, Event{Share: e.Share, Amount: e.Amount, Seconds: min(neighbourSeconds, e.Seconds-at)})
@@ -114,14 +114,14 @@
 	}
 }
 
-// silenceAndRestart makes endpoints unresponsive, then replaces them by new processes.
+// silenceAndRestart makes endpoints unresponsive for Event.Seconds, then replaces them by new processes.
 func (r *runner) silenceAndRestart(e Event) {
-	onSome(func(_ Event, f *fakes.EndpointFault) { f.Unresponsive = true })(r, e)
+	onShareOfEndpoints(func(_ Event, f *fakes.EndpointFault) { f.Unresponsive = true })(r, e)
 	slots := r.slots(e.Share)
 	r.after(e.Seconds, func() { r.crash(slots) })
 }
 
-// killRelay kills the controller and all routers of a relay.
+// killRelay kills the controller and all routers of a relay, and restarts them after Event.Seconds.
 func (r *runner) killRelay(e Event) {
 	for _, p := range append(r.controllers.ofRelay(e.Relay), r.routers.ofRelay(e.Relay)...) {
 		p.restartAfter(e.Seconds)
@@ -146,7 +146,7 @@
 	}
 }
 
-// restartRoutersInTurn restarts all routers one after the other, each gracefully.
+// restartRoutersInTurn restarts all routers gracefully, spread evenly over Event.Seconds.
 func (r *runner) restartRoutersInTurn(e Event) {
 	for i, p := range r.routers {
 		r.after(e.Seconds*float64(i)/float64(len(r.routers)), func() {
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -11,25 +11,25 @@
 	"flintspread/internal/fakes"
 )
 
-// The builds of HealthComparisonDay.
+// The builds that HealthComparisonDay can offer: one that answers wrongly and one that is sound.
 const (
 	comparisonWrongBuild = 2
 	comparisonGoodBuild  = 3
 )
 
-// HealthComparison is what one seed shows of the evidence from metrics.
+// HealthComparison is the result of one seed: how the evidence from metrics changes the rollback of a wrong build and of a good one.
 type HealthComparison struct {
-	Seed      uint64
-	RollbackSecondsWithServers      float64    // seconds until the wrong build was rolled back with query servers; 0: it was not
-	RollbackSecondsWithoutServers   float64    // the same without query servers
-	GoodBuildRolledBack bool       // the good build that the query servers lied about was rolled back
-	GoodBuildReleased  bool       // it was released
-	RulesKept      bool       // no rule was broken in the three runs
-	Service   [3]float64 // of the three runs
+	Seed                          uint64
+	RollbackSecondsWithServers    float64    // from the offer of the wrong build to its rollback; 0: no rollback
+	RollbackSecondsWithoutServers float64    // the same in the run without query servers
+	GoodBuildRolledBack           bool       // in the run with false evidence against it
+	GoodBuildReleased             bool       // in the same run
+	RulesKept                     bool       // in all three runs
+	Service                       [3]float64 // Outcome.Service of the three runs
 }
 
-// CompareHealth plays HealthComparisonDay three times with one seed: a wrong build with query servers and without, and a good build
-// that all query servers lie about. Each run gets a folder in dir.
+// CompareHealth runs HealthComparisonDay three times with one seed: with a wrong build and query servers, with a wrong build and no
+// query servers, and with a good build while all query servers return false evidence against it. Each run gets a folder in dir.
 func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
 	c := HealthComparison{Seed: seed, RulesKept: true}
 	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
@@ -44,7 +44,7 @@
 		}
 		out, err := Run(script, bin, runDir, io.Discard)
 		if err != nil {
-			return nil, fmt.Errorf("seed %d, %s: %w", seed, name, err)
+			return nil, fmt.Errorf("seed %d, run %q: %w", seed, name, err)
 		}
 		c.RulesKept, c.Service[i] = c.RulesKept && out.Kept(), out.Service
 		return out, nil
@@ -66,11 +66,11 @@
 	c.RollbackSecondsWithServers, _ = with.RollbackAfter(comparisonWrongBuild)
 	c.RollbackSecondsWithoutServers, _ = without.RollbackAfter(comparisonWrongBuild)
 	_, c.GoodBuildRolledBack = lied.RollbackAfter(comparisonGoodBuild)
-	c.GoodBuildReleased = lied.happened(fmt.Sprintf("build %d is released", comparisonGoodBuild))
+	c.GoodBuildReleased = lied.hasHistoryEntry(fmt.Sprintf("build %d is released", comparisonGoodBuild))
 	return c, nil
 }
 
-// comparisonScript is HealthComparisonDay with one build that is offered.
+// comparisonScript returns HealthComparisonDay with the given seed, offering only the given build.
 func comparisonScript(seed uint64, build int) (*Script, error) {
 	script, err := Read(HealthComparisonDay)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return script, nil
 }
 
-// RollbackAfter gives the seconds from the offer of a build until it was rolled back, and whether it was.
+// RollbackAfter returns the seconds from the offer of a build to its rollback, and whether it was rolled back at all.
 func (o *Outcome) RollbackAfter(build int) (seconds float64, rolledBack bool) {
 	offeredAt := 0.0
 	for _, event := range o.History {
@@ -98,7 +98,7 @@
 	return 0, false
 }
 
-// happened reports whether the history has an entry.
-func (o *Outcome) happened(what string) bool {
+// hasHistoryEntry reports whether the history has an entry with exactly this text.
+func (o *Outcome) hasHistoryEntry(what string) bool {
 	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.What == what })
 }
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	startAttempts    = 300 // to connect to a process that was started
+	startAttempts    = 300 // connection attempts to a started process before it counts as failed
 	startInterval    = 10 * time.Millisecond
 	startDialTimeout = 100 * time.Millisecond
 )
 
-// process is a router or controller with its settings, across its starts and stops. Its methods may be called from any goroutine.
+// process is a router or controller together with its settings. It can be started and stopped repeatedly; its methods may be called
+// from any goroutine.
 type process struct {
 	runner       *runner
 	relay        string
 	isController bool
 	program      string
-	adminAddress string // accepts connections once the process runs
+	adminAddress string // accepts connections as soon as the process is up
 	settingsFile string
 	logFile      string
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd               // nil: it is stopped
-	life *invariants.Incarnation // the record of cmd
+	mu          sync.Mutex
+	cmd         *exec.Cmd               // nil while the process is stopped
+	incarnation *invariants.Incarnation // record of the run of cmd
 }
 
 type processes []*process
 
-// ofRelay gives the processes of a relay, those of the first one if the name is empty.
+// ofRelay returns the processes of the named relay, or those of the first relay if the name is empty.
 func (list processes) ofRelay(name string) (found processes) {
 	if name == "" && len(list) > 0 {
 		name = list[0].relay
@@ -52,7 +53,8 @@
 	return found
 }
 
-// startRelay starts a relay's controller, if the script has any, and its routers. It gives the address that clients connect to.
+// startRelay starts a relay's routers, and its controller if the script has controllers. It returns the address that clients connect
+// to.
 func (r *runner) startRelay(relay string) (address string, err error) {
 	listen, err := fakes.FreePort()
 	if err != nil {
@@ -79,7 +81,7 @@
 	}
 	p.program = "flintspread-router"
 	r.routers = append(r.routers, p)
-	return p.startWith(r.script.routerFile(relay, name, listen, r.path(name), addresses))
+	return p.writeSettingsAndStart(r.script.routerFile(relay, name, listen, r.path(name), addresses))
 }
 
 func (r *runner) startController(relay string) error {
@@ -90,12 +92,12 @@
 	}
 	p.program, p.isController = "flintspread-controller", true
 	r.controllers = append(r.controllers, p)
-	return p.startWith(r.script.controllerFile(relay, r.path(name), addresses))
+	return p.writeSettingsAndStart(r.script.controllerFile(relay, r.path(name), addresses))
 }
 
 func (r *runner) path(name string) string { return filepath.Join(r.dir, name) }
 
-// newProcess makes a process that is not started yet.
+// newProcess returns a process without starting it.
 func (r *runner) newProcess(relay, name string) (*process, processAddresses, error) {
 	admin, err := fakes.FreePort()
 	if err != nil {
@@ -105,18 +107,18 @@
 	return p, processAddresses{admin: admin, link: r.linkAddress(relay), services: r.servicesAddress}, nil
 }
 
-// linkAddress is where a relay's routers and controller meet.
+// linkAddress returns the Unix socket address of the link between a relay's controller and its routers.
 func (r *runner) linkAddress(relay string) string { return "unix:" + r.path(relay+".sock") }
 
-// startWith writes the settings and starts the process.
-func (p *process) startWith(settings []byte) error {
+// writeSettingsAndStart writes the settings file and starts the process.
+func (p *process) writeSettingsAndStart(settings []byte) error {
 	if err := os.WriteFile(p.settingsFile, settings, 0o644); err != nil {
 		return err
 	}
 	return p.start()
 }
 
-// start starts the process unless it runs or the scenario is over, and waits until it accepts connections.
+// start starts the process and waits until it accepts connections. It does nothing if the process is running or the scenario is over.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,8 +135,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.life = &invariants.Incarnation{Relay: p.relay, Controller: p.isController, From: p.runner.clock()}
-	p.runner.record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.life) })
+	p.incarnation = &invariants.Incarnation{Relay: p.relay, Controller: p.isController, From: p.runner.clock()}
+	p.runner.record.Enter(func(r *invariants.Record) { r.Incarnations = append(r.Incarnations, p.incarnation) })
 	p.cmd = cmd
 	for range startAttempts {
 		if c, err := net.DialTimeout("tcp", p.adminAddress, startDialTimeout); err == nil {
@@ -143,10 +145,10 @@
 		}
 		time.Sleep(startInterval)
 	}
-	return fmt.Errorf("%s does not accept; its log: %s", p.settingsFile, p.readLog())
+	return fmt.Errorf("%s with settings %s does not accept connections on %s; its log: %s", p.program, p.settingsFile, p.adminAddress, p.readLog())
 }
 
-// readLog gives the process's log, or why it can't be read.
+// readLog returns the process's log, or the error text if it cannot be read.
 func (p *process) readLog() []byte {
 	text, err := os.ReadFile(p.logFile)
 	if err != nil {
@@ -155,7 +157,7 @@
 	return bytes.TrimSpace(text)
 }
 
-// stop ends the process by a signal and waits for it. One that fails, but for a SIGKILL, is an error of the scenario.
+// stop sends the process a signal and waits until it exits. A failure exit is an error of the scenario, except after SIGKILL.
 func (p *process) stop(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,26 +165,26 @@
 		return
 	}
 	p.runner.record.Enter(func(*invariants.Record) {
-		if p.life.Killed = sig == syscall.SIGKILL; !p.life.Killed {
-			p.life.DrainingFrom = p.runner.clock()
+		if p.incarnation.Killed = sig == syscall.SIGKILL; !p.incarnation.Killed {
+			p.incarnation.DrainingFrom = p.runner.clock()
 		}
 	})
 	p.signal(sig)
 	err := p.cmd.Wait()
-	p.runner.record.Enter(func(*invariants.Record) { p.life.To = p.runner.clock() })
+	p.runner.record.Enter(func(*invariants.Record) { p.incarnation.To = p.runner.clock() })
 	if err != nil && sig != syscall.SIGKILL {
-		p.runner.addError(fmt.Errorf("%s, stopped: %w (log: %s)", p.settingsFile, err, p.logFile))
+		p.runner.addError(fmt.Errorf("%s with settings %s failed while stopping: %w (log: %s)", p.program, p.settingsFile, err, p.logFile))
 	}
 	p.cmd = nil
 }
 
-// restartAfter kills the process, and starts it again some seconds later.
+// restartAfter kills the process and starts it again after the given time.
 func (p *process) restartAfter(seconds float64) {
 	p.stop(syscall.SIGKILL)
 	p.runner.after(seconds, func() { p.runner.addError(p.start()) })
 }
 
-// pause stops the process from outside for a while. The process is locked meanwhile.
+// pause suspends the process with SIGSTOP for the given time. It holds the lock meanwhile, so that no other start or stop interferes.
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,12 +195,15 @@
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.signal(syscall.SIGCONT)
-	p.runner.record.Enter(func(*invariants.Record) { p.life.Pauses = append(p.life.Pauses, [2]float64{from, p.runner.clock()}) })
+	p.runner.record.Enter(func(*invariants.Record) {
+		p.incarnation.Pauses = append(p.incarnation.Pauses, [2]float64{from, p.runner.clock()})
+	})
 }
 
-// signal sends a signal. A process that has ended already is no error here: stop reports how it ended. Under the lock.
+// signal sends a signal. A process that has already exited is not an error here, because stop reports how it exited. The caller must
+// hold the lock.
 func (p *process) signal(sig syscall.Signal) {
 	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.runner.addError(fmt.Errorf("%s: %w", p.settingsFile, err))
+		p.runner.addError(fmt.Errorf("failed to send signal %s to %s with settings %s: %w", sig, p.program, p.settingsFile, err))
 	}
 }
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -8,19 +8,19 @@
 	"flintspread/internal/fakes"
 )
 
-// QueryServers are a scenario's Prometheus servers.
+// QueryServers describes a scenario's Prometheus servers.
 type QueryServers struct {
 	Count         int     `edn:"servers" validate:"gt=0,lte=8"`
-	ScrapeSeconds float64 `edn:"scrape" validate:"gt=0"` // between two scrapes of the endpoints
+	ScrapeSeconds float64 `edn:"scrape" validate:"gt=0"` // time between two scrapes of the endpoints
 }
 
-// queryServerFaults are the faults that an event may name.
+// queryServerFaults are the faults that the event "query-server" accepts.
 var queryServerFaults = []fakes.Fault{
 	fakes.Blind, fakes.Lies, fakes.Flatters, fakes.Late, fakes.Hangs, fakes.Truncated, fakes.TooManyNow, fakes.Overloaded,
 	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
 }
 
-// startQueryServers starts the query servers, if the script has any. They scrape the endpoints until the scenario ends.
+// startQueryServers starts the query servers, if the script has any, and scrapes the endpoints for them until the scenario ends.
 func (r *runner) startQueryServers() error {
 	r.script.queryServerURLs = nil
 	if r.script.QueryServers == nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// scrape gives each query server what the endpoints show.
+// scrape collects the metrics of all endpoints and adds them to each query server.
 func (r *runner) scrape() {
 	var samples []fakes.Scrape
 	r.mu.Lock()
@@ -67,11 +67,13 @@
 	}
 }
 
-// injectQueryServerFault gives one query server a fault, all of them if the event names none. With no duration it lasts.
+// injectQueryServerFault injects a fault into the query server that the event names, or into all of them if it names none. A fault
+// without a duration stays until the end of the scenario.
 func (r *runner) injectQueryServerFault(e Event) {
 	fault := fakes.Fault(e.Fault)
 	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
-		r.addError(fmt.Errorf("event at %g s: query server %d, fault %q: no such", e.At, e.Server, e.Fault))
+		r.addError(fmt.Errorf("event at %g s: query server %d with fault %q: the fault must be one of %q, the server at most %d",
+			e.At, e.Server, e.Fault, queryServerFaults, len(r.queryServers)))
 		return
 	}
 	for i, server := range r.queryServers {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	tickInterval     = 10 * time.Millisecond // of endpoint list and release service
+	tickInterval     = 10 * time.Millisecond // between two ticks of the endpoint list and the release service
 	progressInterval = 200 * time.Millisecond
 )
 
-// Outcome is what a scenario showed.
+// Outcome is the result of a scenario.
 type Outcome struct {
 	*invariants.Report
-	History  []fakes.ReleaseEvent `json:"history"`            // instants are seconds from the start
-	Versions *ConfigVersions      `json:"versions,omitempty"` // of a config storm
+	History  []fakes.ReleaseEvent `json:"history"`            // instants are seconds since the clients started
+	Versions *ConfigVersions      `json:"versions,omitempty"` // nil without a config storm
 }
 
-// runner is a scenario that is being played.
+// runner is a running scenario.
 type runner struct {
 	script        *Script
-	dir           string // of settings, logs and states
+	dir           string // folder of settings, logs and state folders
 	bin           string // folder of the programs
 	record        *invariants.Record
 	startedAt     time.Time
 	startedAtUnix float64
-	clientsFrom   float64 // when the clients began, on the runner's clock
+	clientsFrom   float64 // when the clients started, on the runner's clock
 
 	list            *fakes.EndpointList
 	releaseService  *fakes.ReleaseService
-	servicesAddress string // of both
+	servicesAddress string // of the endpoint list and the release service
 	clients         *fakes.Clients
 	routers         processes
 	controllers     processes
-	configStorm     *configStorm // nil: none
+	configStorm     *configStorm // nil if the script has none
 	queryServers    []*fakes.QueryServer
 
-	ctx        context.Context // ends with the clients
-	goroutines sync.WaitGroup  // that end with ctx
+	ctx        context.Context // cancelled when the clients have finished
+	goroutines sync.WaitGroup  // goroutines that end with ctx
 
 	mu             sync.Mutex
 	lastEndpointID uint32
@@ -55,10 +55,10 @@
 	errs           []error
 }
 
-// clock is the clock of all fakes: Unix seconds by a monotonic clock.
+// clock returns the time for all fakes: Unix seconds that advance with a monotonic clock.
 func (r *runner) clock() float64 { return r.startedAtUnix + time.Since(r.startedAt).Seconds() }
 
-// after calls do some seconds from now, unless the scenario ends before.
+// after calls do after the given time, unless the scenario ends first.
 func (r *runner) after(secs float64, do func()) {
 	r.goroutines.Go(func() {
 		select {
@@ -69,10 +69,10 @@
 	})
 }
 
-// duration turns a number of seconds into a duration.
+// duration converts seconds to a time.Duration.
 func duration(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
 
-// addError keeps an error for the end of the scenario. No error is none.
+// addError stores an error that Run returns at the end of the scenario. A nil error is ignored.
 func (r *runner) addError(err error) {
 	if err != nil {
 		r.mu.Lock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// StartEndpoint starts an endpoint of a build for the release service.
+// StartEndpoint starts an endpoint that runs the given build. The release service calls it.
 func (r *runner) StartEndpoint(_, build int) (*fakes.Endpoint, error) {
 	r.mu.Lock()
 	r.lastEndpointID++
@@ -89,7 +89,7 @@
 	r.mu.Unlock()
 	behavior, ok := r.script.Builds[build]
 	if !ok {
-		return nil, fmt.Errorf("no build %d in the script", build)
+		return nil, fmt.Errorf("cannot start an endpoint: the script has no build %d", build)
 	}
 	fleet, rules := r.script.Fleet, r.script.Rules
 	shape := fakes.EndpointShape{
@@ -110,7 +110,7 @@
 	return e, nil
 }
 
-// StopEndpoint stops an endpoint for the release service.
+// StopEndpoint stops an endpoint. The release service calls it.
 func (r *runner) StopEndpoint(e *fakes.Endpoint) {
 	e.Stop()
 	r.mu.Lock()
@@ -126,8 +126,9 @@
 	}
 }
 
-// Run plays a script with the programs of the folder bin. Settings, logs and states go into the folder dir, which must exist. progress
-// gets a line for each thing that happens to a build. Errors of processes come with an outcome.
+// Run runs a script with the programs in the folder bin. Settings, logs and state folders are written to the folder dir, which must
+// exist. Each event in the history of the builds is written to progress as a line. If processes fail during the scenario, Run returns
+// both an outcome and an error.
 func Run(script *Script, bin, dir string, progress io.Writer) (*Outcome, error) {
 	now := time.Now()
 	ctx, end := context.WithCancel(context.Background())
@@ -147,11 +148,11 @@
 	}
 	r.clientsFrom = r.clock()
 	for _, event := range script.Events {
-		r.after(event.At, func() { events[event.Kind](r, event) })
+		r.after(event.At, func() { eventHandlers[event.Kind](r, event) })
 	}
 	r.after(0, func() { r.printProgress(progress) })
 	if r.configStorm != nil {
-		r.after(0, r.configStorm.send)
+		r.after(0, r.configStorm.sendVersions)
 	}
 	r.clients.Run(r.clientsFrom + script.LengthSeconds)
 	end()
@@ -161,7 +162,7 @@
 	return r.outcome()
 }
 
-// startFakes starts all that is around the relays, but for the clients.
+// startFakes starts all fakes except the clients.
 func (r *runner) startFakes() (err error) {
 	platform, release, fleet := r.script.Platform, r.script.Release, r.script.Fleet
 	r.list = fakes.NewEndpointList(platform.ListLagSeconds, r.record, r.clock)
@@ -193,7 +194,7 @@
 	return r.startQueryServers()
 }
 
-// startRelays starts the relays and makes their clients.
+// startRelays starts the relays and creates their clients.
 func (r *runner) startRelays() (err error) {
 	addresses, names := map[string]string{}, r.script.relayNames()
 	for _, name := range names {
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// clientClasses gives the request classes as clients send them.
+// clientClasses returns the request classes in the form that the fake clients need.
 func (s *Script) clientClasses() (classes []fakes.RequestClass) {
 	for _, class := range s.Classes {
 		classes = append(classes, fakes.RequestClass{
@@ -234,10 +235,10 @@
 	return classes
 }
 
-// inspectRecord is called with the record of each scenario before it is checked. Tests replace it.
+// inspectRecord is called with the record of each scenario before the rules are checked. Tests replace it.
 var inspectRecord = func(*invariants.Record) {}
 
-// outcome checks the record, once nothing runs any more.
+// outcome checks the record against the rules. It must be called after all processes and clients have stopped.
 func (r *runner) outcome() (*Outcome, error) {
 	history, err := r.releaseService.History()
 	r.addError(err)
@@ -252,7 +253,7 @@
 	return out, errors.Join(r.errs...)
 }
 
-// bounds gives the checker the numbers that the relays' settings have.
+// bounds returns the limits from the relays' settings that the invariant check needs.
 func (s *Script) bounds() invariants.Bounds {
 	rules := s.Rules
 	return invariants.Bounds{
@@ -271,11 +272,11 @@
 	}
 }
 
-// printProgress prints what happens to builds until the scenario ends.
+// printProgress prints new entries of the release history until the scenario ends.
 func (r *runner) printProgress(w io.Writer) {
 	printed := 0
 	for r.ctx.Err() == nil {
-		history, _ := r.releaseService.History() // outcome gives the error
+		history, _ := r.releaseService.History() // outcome reports the error
 		for ; printed < len(history); printed++ {
 			fmt.Fprintf(w, "%5.1f s  %s\n", history[printed].At-r.clientsFrom, history[printed].What)
 		}
@@ -286,8 +287,8 @@
 	}
 }
 
-// startServices serves endpoint list and release service, to each relay under a path of its own, and ticks them until the scenario
-// ends.
+// startServices serves the endpoint list and the release service under a separate path for each relay, and ticks both until the
+// scenario ends.
 func (r *runner) startServices() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -10,32 +10,33 @@
 	"flintspread/internal/invariants"
 )
 
-// programs builds the programs that scenarios are played with, and gives their folder.
-func programs(t *testing.T) string {
+// buildPrograms builds the router and the controller, and returns their folder.
+func buildPrograms(t *testing.T) string {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir, "flintspread/cmd/flintspread-router", "flintspread/cmd/flintspread-controller").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	build := exec.Command("go", "build", "-o", dir, "flintspread/cmd/flintspread-router", "flintspread/cmd/flintspread-controller")
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("failed to build the programs: %v: %s", err, out)
 	}
 	return dir
 }
 
-// A short scenario with real processes: all rules are kept, though relays die and are restarted, and endpoints fail in four ways; the
-// bad build is rolled back. That the checker would see a breach is shown in package invariants.
-func TestShortDay(t *testing.T) {
+// TestShortScenario runs a short scenario with real processes: relays are killed and restarted, and endpoints fail in four ways. All
+// rules must be kept and the bad build must be rolled back. The tests of package invariants show that the check detects violations.
+func TestShortScenario(t *testing.T) {
 	script, err := Read("short-day.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := Run(script, programs(t), t.TempDir(), io.Discard)
+	out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
 		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d violations in %d checks: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
 		}
 		if r.Checked == 0 {
-			t.Errorf("rule %s was never put to the test", r.Name)
+			t.Errorf("rule %s was never checked", r.Name)
 		}
 	}
 	history := ""
@@ -46,13 +47,13 @@
 		t.Errorf("the bad build was not rolled back: %s", history)
 	}
 	if out.Answers["acked"] < out.Tries/2 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+		t.Errorf("too few successful attempts: answers %v in %d attempts", out.Answers, out.Tries)
 	}
 }
 
-// Controllers and routers are killed and paused while a bad build is judged: no answer is lost, doubled or late, and the sum of each
-// relay's routers keeps the rules.
-func TestPlannerDay(t *testing.T) {
+// TestControllerAndRouterFaults kills and pauses controllers and routers during the analysis of a bad build. No answer may be lost,
+// duplicated or late, and the routers of each relay must keep the rules together.
+func TestControllerAndRouterFaults(t *testing.T) {
 	script, err := Read(PlannerDay)
 	if err != nil {
 		t.Fatal(err)
@@ -65,70 +66,71 @@
 			kills++
 		}
 	}
-	out, err := Run(script, programs(t), t.TempDir(), io.Discard)
+	out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
 		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d violations in %d checks: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
 		}
 	}
 	if kills < 2 || out.SucceededWithoutController.N == 0 {
-		t.Errorf("%d kills and pauses, %d requests without a controller", kills, out.SucceededWithoutController.N)
+		t.Errorf("%d controller kills and pauses, want at least 2; %d successful requests without a controller, want some", kills, out.SucceededWithoutController.N)
 	}
 	if out.Answers["acked"] < out.Tries*9/10 {
-		t.Errorf("%v of %d tries", out.Answers, out.Tries)
+		t.Errorf("too few successful attempts: answers %v in %d attempts", out.Answers, out.Tries)
 	}
 }
 
-// Configuration versions come quickly, some of them bad, to controllers and their routers: the bad ones are rejected, the good ones
-// accepted, and no rule is broken.
+// TestConfigStorm sends valid and invalid configuration versions at short intervals to controllers. Relays must reject the invalid
+// versions, accept the valid ones and keep all rules.
 func TestConfigStorm(t *testing.T) {
 	script, err := Read(PlannerDay)
 	if err != nil {
 		t.Fatal(err)
 	}
 	script.LengthSeconds, script.Platform.SlackSeconds, script.ConfigStorm = 6, 0.15, &ConfigStorm{IntervalSeconds: 0.7}
-	out, err := Run(script, programs(t), t.TempDir(), io.Discard)
+	out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !out.Kept() {
-		t.Errorf("%+v", out.Rules)
+		t.Errorf("rules were broken: %+v", out.Rules)
 	}
 	v, relays := out.Versions, script.Relays
 	good := v.Sent - v.Bad
-	// The last one may be on its way when the scenario ends.
+	// The relays may not have answered the last version when the scenario ends.
 	if v.Bad == 0 || v.Accepted > relays*good || v.Accepted < relays*(good-1) || v.Rejected > relays*v.Bad || v.Rejected < relays*(v.Bad-1) {
-		t.Error(v)
+		t.Errorf("wrong counts of versions on %d relays: %v", relays, v)
 	}
 }
 
-// The checker is not blind to real traffic: the same record with one attempt entered twice is a breach.
-func TestCheckerSeesTraffic(t *testing.T) {
+// TestCheckerDetectsDuplicateAttempt duplicates one attempt of a non-idempotent request in the record of a real run, and expects the
+// check to report a violation.
+func TestCheckerDetectsDuplicateAttempt(t *testing.T) {
 	script, err := Read("short-day.edn")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script.LengthSeconds, script.Events = 1.5, nil
-	file := programs(t)
+	bin := buildPrograms(t)
 	var rec *invariants.Record
 	inspectRecord = func(r *invariants.Record) { rec = r }
 	defer func() { inspectRecord = func(*invariants.Record) {} }()
-	if _, err := Run(script, file, t.TempDir(), io.Discard); err != nil {
+	if _, err := Run(script, bin, t.TempDir(), io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range rec.Attempts {
-		if c := rec.Requests[d.RequestID]; c.Idempotency == invariants.NonIdempotent {
-			again := *d
-			again.At += 0.001
-			rec.Attempts = append(rec.Attempts, &again)
+	for _, attempt := range rec.Attempts {
+		if request := rec.Requests[attempt.RequestID]; request.Idempotency == invariants.NonIdempotent {
+			duplicate := *attempt
+			duplicate.At += 0.001
+			rec.Attempts = append(rec.Attempts, &duplicate)
 			break
 		}
 	}
 	if rep := invariants.Check(rec, script.bounds()); rep.Kept() {
-		t.Error("a second attempt went unseen")
+		t.Error("a second attempt of a non-idempotent request was not reported")
 	}
 }
 
@@ -137,13 +139,14 @@
 		t.Error(err)
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none.edn")); err == nil {
-		t.Error("read nothing")
+		t.Error("read a script from a file that does not exist")
 	}
 }
 
-// A request from its client through a router's decisions to an endpoint and back, with all the rules, while the query servers lie, stop
-// answering, disagree and fail in every other way; an endpoint fails its probes and serves well, and a build answers fast but wrongly.
-func TestHealthDay(t *testing.T) {
+// TestQueryServerFaults runs a scenario in which the query servers return false data, hang, disagree and fail in other ways. An
+// endpoint fails its probes but serves correctly, and a build answers fast but wrongly. All rules must be kept, the wrong build must be
+// rolled back and the endpoint must keep its traffic. Single requests are traced from client to endpoint and back.
+func TestQueryServerFaults(t *testing.T) {
 	script, err := Read(HealthDay)
 	if err != nil {
 		t.Fatal(err)
@@ -152,86 +155,87 @@
 	var rec *invariants.Record
 	inspectRecord = func(r *invariants.Record) { rec = r }
 	defer func() { inspectRecord = func(*invariants.Record) {} }()
-	out, err := Run(script, programs(t), t.TempDir(), io.Discard)
+	out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range out.Rules {
 		if r.Broken > 0 {
-			t.Errorf("rule %s: %d of %d broken: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
+			t.Errorf("rule %s: %d violations in %d checks: %s", r.Name, r.Broken, r.Checked, strings.Join(r.First, "; "))
 		}
 	}
 	if _, back := out.RollbackAfter(2); !back {
 		t.Errorf("the wrong build was not rolled back: %v", out.History)
 	}
-	// One request, followed by what the sockets saw alone: it reached one endpoint once, and the endpoint's answer reached the client in
-	// time.
-	followed := 0
-	of := map[uint64][]*invariants.Attempt{}
+	// Trace requests using only the traffic recorded on the sockets: each reached one endpoint once, and the answer reached the client
+	// before the deadline.
+	traced := 0
+	attemptsByRequest := map[uint64][]*invariants.Attempt{}
 	perEndpoint := map[uint32]int{}
 	for _, d := range rec.Attempts {
-		of[d.RequestID] = append(of[d.RequestID], d)
+		attemptsByRequest[d.RequestID] = append(attemptsByRequest[d.RequestID], d)
 		perEndpoint[d.Endpoint]++
 	}
 	for id, c := range rec.Requests {
-		list := of[id]
+		list := attemptsByRequest[id]
 		if c.Class != "seal-gate" || len(c.Answers) != 1 || c.Answers[0].Kind != "acked" || len(list) != 1 {
 			continue
 		}
 		d, a := list[0], c.Answers[0]
 		if d.Endpoint != a.Endpoint || d.At < c.SentAt || a.At < d.At || a.At > c.Deadline || rec.Endpoints[d.Endpoint] == nil {
-			t.Errorf("command %d: asked %.3f, delivered %.3f to %d, answered %.3f by %d, due %.3f", id, c.SentAt, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
+			t.Errorf("request %d: sent %.3f, received %.3f by endpoint %d, answered %.3f by endpoint %d, deadline %.3f", id, c.SentAt, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
 		}
-		followed++
+		traced++
 	}
-	if followed < 50 {
-		t.Errorf("%d requests followed", followed)
+	if traced < 50 {
+		t.Errorf("%d requests traced, want at least 50", traced)
 	}
-	// The endpoint that fails its probes, the last slot's at the start, kept its share of the traffic.
+	// The endpoint that fails its probes (the one that starts in the last slot) kept its share of the traffic.
 	mean := 0
 	for u := range uint32(script.Fleet.Slots) {
 		mean += perEndpoint[u+1]
 	}
 	mean /= script.Fleet.Slots
 	if n := perEndpoint[uint32(script.Fleet.Slots)]; n < mean/2 {
-		t.Errorf("the endpoint that fails its probes got %d attempts, %d is the mean", n, mean)
+		t.Errorf("the endpoint that fails its probes got %d attempts, less than half the mean of %d", n, mean)
 	}
 }
 
-// An endpoint that answers fast but wrongly loses its traffic while the query servers see it, and keeps it where there are none.
-func TestWrongUnitLosesTraffic(t *testing.T) {
-	share := func(with bool) float64 {
+// TestWrongEndpointLosesTraffic has one endpoint answer fast but wrongly. With query servers it must get at most half the share of
+// attempts that it gets without them.
+func TestWrongEndpointLosesTraffic(t *testing.T) {
+	share := func(withQueryServers bool) float64 {
 		script, err := Read(HealthComparisonDay)
 		if err != nil {
 			t.Fatal(err)
 		}
 		script.LengthSeconds, script.Platform.SlackSeconds, script.Release.WrongAnswerReportShare = 6, 0.15, 0.01
 		script.Events = []Event{{At: 0.5, Kind: "answers-wrong", Share: 0.08, Amount: 0.6, Seconds: 6}}
-		if !with {
+		if !withQueryServers {
 			script.QueryServers = nil
 		}
 		var rec *invariants.Record
 		inspectRecord = func(r *invariants.Record) { rec = r }
 		defer func() { inspectRecord = func(*invariants.Record) {} }()
-		out, err := Run(script, programs(t), t.TempDir(), io.Discard)
+		out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 		if err != nil || !out.Kept() {
 			t.Fatal(err, out)
 		}
-		all, its, first := 0, 0, rec.Attempts[0].At
+		all, ofWrongEndpoint, first := 0, 0, rec.Attempts[0].At
 		for _, d := range rec.Attempts {
 			if d.At < first+2.5 {
 				continue
 			}
 			all++
 			if d.Endpoint == uint32(script.Fleet.Slots) {
-				its++
+				ofWrongEndpoint++
 			}
 		}
-		return float64(its) / float64(all)
+		return float64(ofWrongEndpoint) / float64(all)
 	}
 	with, without := share(true), share(false)
-	t.Logf("share of the attempts: %.3f with query servers, %.3f without", with, without)
+	t.Logf("the wrong endpoint's share of the attempts: %.3f with query servers, %.3f without", with, without)
 	if with > without/2 {
-		t.Errorf("share of the attempts: %.3f with query servers, %.3f without", with, without)
+		t.Errorf("the wrong endpoint's share of the attempts: %.3f with query servers, %.3f without", with, without)
 	}
 }
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Entries of settings files that are the same in each scenario.
+// Entries of settings files that are the same in every scenario.
 const (
 	linkEntries   = ":beat 0.1 :silence 1.0 :lease 1.0"
 	boundsEntries = " :clients {:connections 4096 :head-bytes 16384 :body-bytes 1048576 :read-time 5.0 :idle-time 60.0 :drain-time 10.0}\n" +
 		" :units {:connections 64 :dial-time 0.25 :idle-time 15.0 :answer-bytes 1048576}\n"
 )
 
-// processAddresses are what the settings of one process name. The admin address is HOST:PORT, link is that of routers and controller,
-// services that of endpoint list and release service.
+// processAddresses are the addresses in the settings of one process: its admin address (HOST:PORT), the link between routers and
+// controller, and the server of the endpoint list and the release service.
 type processAddresses struct {
 	admin, link, services string
 }
 
-// routerFile writes the settings of a router.
+// routerFile returns the settings file of a router.
 func (s *Script) routerFile(relay, name, listen, stateDir string, addresses processAddresses) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "{:relay %q :edge %q :listen %q :admin %q :state-dir %q :log {:format :text :level :info}\n",
@@ -36,7 +36,7 @@
 	return b.Bytes()
 }
 
-// controllerFile writes the settings of a controller.
+// controllerFile returns the settings file of a controller.
 func (s *Script) controllerFile(relay, stateDir string, addresses processAddresses) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "{:relay %q :admin %q :state-dir %q :log {:format :text :level :info}\n%s :link {:address %q %s}\n",
@@ -48,7 +48,7 @@
 	return b.Bytes()
 }
 
-// controlEntry names a relay's control service if there is one.
+// controlEntry returns the entry for a relay's control service, or an empty string if the relay has none.
 func (s *Script) controlEntry(relay string) string {
 	if s.controlAddresses[relay] == "" {
 		return ""
@@ -57,7 +57,7 @@
 		s.controlAddresses[relay])
 }
 
-// sourcesEntry names the release service, and the endpoint list unless a control service sends it.
+// sourcesEntry returns the entry for the release service. It includes the endpoint list unless a control service sends that list.
 func (s *Script) sourcesEntry(relay, services string) string {
 	list := ""
 	if s.controlAddresses[relay] == "" {
@@ -66,7 +66,7 @@
 	return fmt.Sprintf(" :sources {%s :installer \"http://%s/%s\" :silence 5.0 :back-least 0.05 :back-most 1.0}\n", list, services, relay)
 }
 
-// routesEntry gives each class a path.
+// routesEntry returns the entry that maps a path to each request class.
 func (s *Script) routesEntry() string {
 	var b strings.Builder
 	b.WriteString(" :routes [")
@@ -77,19 +77,19 @@
 	return b.String()
 }
 
-// policyEntries writes what is the same in the settings of a router and of its controller.
+// policyEntries returns the entries that a router and its controller have in common.
 func (s *Script) policyEntries() []byte {
 	var b bytes.Buffer
-	r, rel := s.Rules, s.Release
+	rules, release := s.Rules, s.Release
 	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
 		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		r.RouterGroups, r.TimerResolutionSeconds, r.MaxAttempts, r.AllowHedging, r.MaxRetryAfterSeconds, r.SlowStartInitialShare, r.SlowStartSeconds, r.SlowStartOverloadFactor,
-		r.SlowStartOverloadSeconds, r.CanaryWindowSeconds, r.GraceSeconds, r.CanaryFreeAttempts, r.CanaryLimitPerClass, r.IdempotentOnlyStages, r.OneWayKeys,
-		r.MaxRememberedKeys, r.ForgetEndpointSeconds)
+		rules.RouterGroups, rules.TimerResolutionSeconds, rules.MaxAttempts, rules.AllowHedging, rules.MaxRetryAfterSeconds, rules.SlowStartInitialShare, rules.SlowStartSeconds, rules.SlowStartOverloadFactor,
+		rules.SlowStartOverloadSeconds, rules.CanaryWindowSeconds, rules.GraceSeconds, rules.CanaryFreeAttempts, rules.CanaryLimitPerClass, rules.IdempotentOnlyStages, rules.OneWayKeys,
+		rules.MaxRememberedKeys, rules.ForgetEndpointSeconds)
 	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
-		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", rel.StageShares, rel.CanaryLimits, rel.RollbackVotes, rel.AutomaticStages,
-		rel.ReplaceInPlace, rel.WrongAnswerPrice, rel.StaleBuildPrice, rel.WrongAnswerReportShare, rel.VoteLifetimeSeconds, rel.VoteTimeoutSeconds,
-		rel.VotesPerSecond)
+		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", release.StageShares, release.CanaryLimits, release.RollbackVotes, release.AutomaticStages,
+		release.ReplaceInPlace, release.WrongAnswerPrice, release.StaleBuildPrice, release.WrongAnswerReportShare, release.VoteLifetimeSeconds, release.VoteTimeoutSeconds,
+		release.VotesPerSecond)
 	b.WriteString(" :op-types [")
 	for _, class := range s.Classes {
 		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", class.Name, class.LatencyObjectiveSeconds, class.TimeoutSeconds,
@@ -103,7 +103,7 @@
 	return b.Bytes()
 }
 
-// healthEntry writes a controller's queries to the query servers, if there are any.
+// healthEntry returns a controller's queries to the query servers, or an empty string if there are no query servers.
 func (s *Script) healthEntry() string {
 	if len(s.queryServerURLs) == 0 {
 		return ""
