--- a/internal/loadgen/conn.go
+++ b/internal/loadgen/conn.go
@@ -11,15 +11,15 @@
 
 const (
 	readBufferBytes = 4096
-	// timerSlackSeconds is how long before a deadline an error is taken for the deadline's.
+	// timerSlackSeconds is how long before a request's deadline an I/O error already counts as the client's timeout.
 	timerSlackSeconds = 0.001
 )
 
-// conn is one connection of a client, which is opened when a request needs it. Its goroutine sends and reads.
+// conn is a client's connection. It is opened when a request needs it; one goroutine sends its requests and reads the responses.
 type conn struct {
 	requests     chan *request // holds at most one; closed when the run ends
-	localAddress string        // HOST:0; empty: any
-	nc           net.Conn      // nil: it is not open
+	localAddress string        // HOST:0; empty: any local address
+	nc           net.Conn      // nil while the connection is closed
 	br           *bufio.Reader
 	buf          bytes.Buffer
 }
@@ -31,7 +31,8 @@
 	}
 }
 
-// open connects to an address. A client whose number gives no loopback address connects from any.
+// open connects to an address. If localAddress does not resolve, which happens for client numbers too large for a loopback address,
+// the connection uses any local address.
 func (c *conn) open(address string, deadline time.Time) error {
 	dialer := net.Dialer{Deadline: deadline}
 	if c.localAddress != "" {
@@ -47,43 +48,43 @@
 	return nil
 }
 
-// try sends a request and waits for its answer until the client gives up.
-func (r *runner) try(c *conn, q *request) (end ending, retryAfter float64) {
+// attempt sends a request and waits for the response until the client's timeout.
+func (r *runner) attempt(c *conn, q *request) (result requestResult, retryAfterSeconds float64) {
 	due := r.deadline(q)
-	left := due - r.now()
-	if left <= 0 {
+	remainingSeconds := due - r.now()
+	if remainingSeconds <= 0 {
 		return gaveUp, 0
 	}
 	deadline := r.startedAt.Add(seconds(due))
 	if c.nc == nil {
 		if err := c.open(r.plan.Address, deadline); err != nil {
-			return r.endingOfError(due, notConnected), 0
+			return r.resultOfError(due, notConnected), 0
 		}
 	}
-	answer, err := c.exchange(q, &r.plan.Classes[q.class], left, deadline)
+	answer, err := c.exchange(q, &r.plan.Classes[q.class], remainingSeconds, deadline)
 	if err != nil {
 		c.close()
-		return r.endingOfError(due, connectionClosed), 0
+		return r.resultOfError(due, connectionClosed), 0
 	}
 	if answer.close {
 		c.close()
 	}
-	return answer.ending, answer.retryAfter
+	return answer.result, answer.retryAfter
 }
 
-// endingOfError tells an error of the client's deadline from others.
-func (r *runner) endingOfError(due float64, otherwise ending) ending {
+// resultOfError returns gaveUp if an error was caused by the client's timeout, which is at due, and the fallback for other errors.
+func (r *runner) resultOfError(due float64, fallback requestResult) requestResult {
 	if r.now() >= due-timerSlackSeconds {
 		return gaveUp
 	}
-	return otherwise
+	return fallback
 }
 
-// exchange writes a request, with the seconds that its client has left, and reads the answer.
-func (c *conn) exchange(q *request, class *RequestClass, left float64, deadline time.Time) (answer, error) {
+// exchange writes a request and reads the response. A header of the request carries the seconds until the client's timeout.
+func (c *conn) exchange(q *request, class *RequestClass, remainingSeconds float64, deadline time.Time) (response, error) {
 	c.buf.Reset()
 	fmt.Fprintf(&c.buf, "%s %s%d HTTP/1.1\r\nHost: load\r\nFlint-Time: %.4f\r\nFlint-Key: %d\r\nIdempotency-Key: %d-%d\r\n",
-		class.Method, class.Path, q.key, left, q.key, q.key, int64(q.first*1e6))
+		class.Method, class.Path, q.key, remainingSeconds, q.key, q.key, int64(q.firstDueAt*1e6))
 	if q.retries > 0 {
 		c.buf.WriteString("Flint-Repeat: 1\r\n")
 	}
@@ -94,33 +95,33 @@
 	c.buf.Write(make([]byte, class.BodyBytes))
 	c.nc.SetDeadline(deadline)
 	if _, err := c.nc.Write(c.buf.Bytes()); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return readAnswer(c.br)
+	return readResponse(c.br)
 }
 
-// answer is what a request got.
-type answer struct {
-	ending     ending  // succeeded, rejected or failed
-	retryAfter float64 // seconds
-	close      bool    // the other end closes the connection
+// response holds the parts of an HTTP response that the load generator uses.
+type response struct {
+	result     requestResult // succeeded, rejected or failed
+	retryAfter float64       // seconds
+	close      bool          // the server will close the connection
 }
 
-// statusClassAt is the place of a status line's first digit of the status, after "HTTP/1.1 ".
-const statusClassAt = 9
+// statusClassOffset is the offset of the first digit of the status code in a status line, after "HTTP/1.1 ".
+const statusClassOffset = 9
 
-// readAnswer reads one answer and discards its body. Numbers that can't be read count as 0.
-func readAnswer(br *bufio.Reader) (a answer, err error) {
+// readResponse reads one response and discards its body. Header values that are not numbers count as 0.
+func readResponse(br *bufio.Reader) (a response, err error) {
 	status, err := br.ReadSlice('\n')
 	if err != nil {
 		return a, err
 	}
-	if status = bytes.TrimRight(status, "\r\n"); len(status) < statusClassAt+3 {
-		return a, fmt.Errorf("no status in %q", status)
+	if status = bytes.TrimRight(status, "\r\n"); len(status) < statusClassOffset+3 {
+		return a, fmt.Errorf("status line %q has no status code", status)
 	}
-	a.ending = failed
-	if status[statusClassAt] == '2' {
-		a.ending = succeeded
+	a.result = failed
+	if status[statusClassOffset] == '2' {
+		a.result = succeeded
 	}
 	length := 0
 	for {
@@ -136,7 +137,7 @@
 		case "Content-Length":
 			length, _ = strconv.Atoi(string(value))
 		case "Flint-Answer":
-			a.ending = endingOfAnswer(string(value))
+			a.result = resultOfHeader(string(value))
 		case "Flint-Pause":
 			a.retryAfter, _ = strconv.ParseFloat(string(value), 64)
 		case "Connection":
@@ -147,9 +148,9 @@
 	return a, err
 }
 
-// endingOfAnswer maps the wire's word.
-func endingOfAnswer(word string) ending {
-	switch word {
+// resultOfHeader maps the value of the header Flint-Answer to a result.
+func resultOfHeader(value string) requestResult {
+	switch value {
 	case "acked":
 		return succeeded
 	case "nacked":
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,6 +1,5 @@
-// Package loadgen offers requests to an address in an open loop: they are sent at instants that do not wait for answers, and each is
-// measured from the instant at which it was meant to be sent. A router that stands still so shows as long latencies, not as fewer
-// requests.
+// Package loadgen generates open-loop load: requests are sent on a schedule that does not depend on responses, and the latency of each
+// request is measured from its scheduled time. A router that stalls therefore shows up as long latencies, not as fewer requests.
 //
-// Instants are float64 seconds from the start of a run, durations float64 seconds.
+// Instants are float64 seconds since the start of a run; durations are float64 seconds.
 package loadgen
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -14,15 +14,15 @@
 	"flintspread/internal/fakes"
 )
 
-func times(s Shape) (at []float64) {
-	next := s.Times(3)
+func arrivalTimes(s Shape) (at []float64) {
+	next := s.Arrivals(3)
 	for a, ok := next(); ok; a, ok = next() {
 		at = append(at, a.At)
 	}
 	return at
 }
 
-// Each shape offers as much as its rate's integral, in order.
+// TestShapes checks that each shape yields as many arrivals as the integral of its rate, in order of time.
 func TestShapes(t *testing.T) {
 	for _, c := range []struct {
 		s    Shape
@@ -37,17 +37,17 @@
 		if err := c.s.Check(); err != nil {
 			t.Fatal(err)
 		}
-		at := times(c.s)
+		at := arrivalTimes(c.s)
 		if n := float64(len(at)); math.Abs(n-c.want) > 4*math.Sqrt(c.want) {
-			t.Errorf("%s: %g arrivals, %g expected", c.s.Kind, n, c.want)
+			t.Errorf("%s: %g arrivals, want about %g", c.s.Kind, n, c.want)
 		}
 		for i := 1; i < len(at); i++ {
 			if at[i] < at[i-1] || at[i] > c.s.LengthSeconds {
-				t.Fatalf("%s: %g after %g", c.s.Kind, at[i], at[i-1])
+				t.Fatalf("%s: arrival at %g s after one at %g s, length %g s", c.s.Kind, at[i], at[i-1], c.s.LengthSeconds)
 			}
 		}
 	}
-	rush := times(Shape{Kind: "rush", RequestsPerSecond: 100, LengthSeconds: 100})
+	rush := arrivalTimes(Shape{Kind: "rush", RequestsPerSecond: 100, LengthSeconds: 100})
 	early, top := 0, 0
 	for _, x := range rush {
 		if x < 20 {
@@ -57,11 +57,11 @@
 		}
 	}
 	if top < 2*early {
-		t.Errorf("rush: %d in the first fifth, %d at the top", early, top)
+		t.Errorf("rush: %d arrivals in the first fifth, %d around the peak; want at least twice as many around the peak", early, top)
 	}
 	for _, s := range []Shape{{Kind: "sine", RequestsPerSecond: 1, LengthSeconds: 1}, {Kind: "poisson", LengthSeconds: 1}, {Kind: "on-off", RequestsPerSecond: 1, LengthSeconds: 1}, {Kind: "trace"}, {Kind: "ramp", RequestsPerSecond: 1, LengthSeconds: 1}} {
 		if s.Check() == nil {
-			t.Errorf("%+v was taken", s)
+			t.Errorf("Check accepted the invalid shape %+v", s)
 		}
 	}
 }
@@ -93,8 +93,9 @@
 	}
 }
 
-// While an endpoint pauses, each request that is due shows its wait by itself, where a closed loop sees one or two.
-func TestPauseIsSeen(t *testing.T) {
+// TestPauseDelaysEveryDueRequest pauses an endpoint. Open-loop load must show the delay on every request that is due during the pause;
+// a closed loop would show it on one or two requests only.
+func TestPauseDelaysEveryDueRequest(t *testing.T) {
 	q, err := fakes.StartFastEndpoint()
 	if err != nil {
 		t.Fatal(err)
@@ -109,12 +110,13 @@
 		t.Fatal(err)
 	}
 	if !o.Valid {
-		t.Skip("this machine is too busy to tell: ", o.InvalidBecause)
+		t.Skip("machine too busy for a valid run: ", o.InvalidBecause)
 	}
 	if o.Offered != int(rate*3) || o.Classes[0].Ends["acked"] != o.Offered {
 		t.Fatalf("%d offered, %v", o.Offered, o.Classes[0].Ends)
 	}
-	// Due in the pause and waiting longer than w: rate x (pause - w). Timers end a pause some milliseconds late.
+	// Requests that are due during the pause and wait longer than w: rate x (pause - w). The tolerance covers timers that end the pause
+	// some milliseconds late.
 	const w = 0.2
 	late := 0
 	for _, bar := range o.latencies.Distribution() {
@@ -122,32 +124,32 @@
 			late += int(bar.Count)
 		}
 	}
-	t.Logf("%d waited longer than %g s, arithmetic says %g; p50 %.3f, most %.3f s", late, w, rate*(pause-w), o.Latency.P50, o.Latency.Max)
+	t.Logf("%d requests waited longer than %g s, expected %g; p50 %.3f s, maximum %.3f s", late, w, rate*(pause-w), o.Latency.P50, o.Latency.Max)
 	if want := rate * (pause - w); math.Abs(float64(late)-want) > 0.06*want {
-		t.Errorf("%d requests waited longer than %g s, arithmetic says %g", late, w, want)
+		t.Errorf("%d requests waited longer than %g s, want about %g", late, w, want)
 	}
-	// The same pause, met by a client that waits for each answer before it sends the next request.
+	// The same pause with a closed loop: the client waits for each response before it sends the next request.
 	seen, sent := 0, 0
 	r := &runner{plan: p, startedAt: time.Now()}
 	c := &conn{}
 	time.AfterFunc(500*time.Millisecond, func() { q.Pause(time.Duration(pause * float64(time.Second))) })
 	for r.now() < 2 {
 		from := r.now()
-		r.try(c, &request{first: from, key: 1})
+		r.attempt(c, &request{firstDueAt: from, key: 1})
 		if sent++; r.now()-from > w {
 			seen++
 		}
 		time.Sleep(time.Millisecond)
 	}
 	c.close()
-	t.Logf("the closed loop saw %d of %d", seen, sent)
+	t.Logf("closed loop: %d of %d requests were delayed", seen, sent)
 	if seen > 2 || sent < 50 {
-		t.Errorf("the closed loop saw %d of %d", seen, sent)
+		t.Errorf("closed loop: %d of %d requests were delayed, want at most 2 of at least 50", seen, sent)
 	}
 }
 
-// A run with a dead address ends, and no answer is counted.
-func TestNobodyThere(t *testing.T) {
+// TestUnreachableAddress checks that a run against a closed port ends and counts no request as successful.
+func TestUnreachableAddress(t *testing.T) {
 	q, err := fakes.StartFastEndpoint()
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +157,7 @@
 	q.Stop()
 	o, err := Run(context.Background(), &Plan{Address: q.Addr, Shape: Shape{Kind: "poisson", RequestsPerSecond: 200, LengthSeconds: 0.5}, MaxConns: 10, KeyCount: 10, Seed: 1, MaxRetries: 2,
 		Classes: []RequestClass{{Name: "any", Method: "GET", Path: "/", Share: 1, LatencyObjectiveSeconds: 0.1, TimeoutSeconds: 0.2}}}, nil)
-	if err != nil || o.Classes[0].Ends["acked"] != 0 || o.open() != 0 || o.Offered < 50 {
-		t.Errorf("%+v %v", o, err)
+	if err != nil || o.Classes[0].Ends["acked"] != 0 || o.unfinished() != 0 || o.Offered < 50 {
+		t.Errorf("outcome %+v, error %v", o, err)
 	}
 }
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,71 +1,70 @@
 package loadgen
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 )
 
-// RequestClass is one class of requests. Its JSON is part of the inputs that runs keep.
+// RequestClass is a class of requests. Its JSON is stored in the inputs of a run.
 type RequestClass struct {
 	Name                    string  `json:"Name"`
 	Method                  string  `json:"Method"`
-	Path                    string  `json:"Path"`  // a key is put behind it
-	Share                   float64 `json:"Share"` // of all requests
+	Path                    string  `json:"Path"`  // the request's key is appended
+	Share                   float64 `json:"Share"` // share of all requests
 	LatencyObjectiveSeconds float64 `json:"Target"`
 	TimeoutSeconds          float64 `json:"Timeout"`
 	BodyBytes               int     `json:"Body"`
 }
 
-// Plan is what a run offers, and how. Its JSON is part of the inputs that runs keep.
+// Plan describes the load of a run. Its JSON is stored in the inputs of a run.
 type Plan struct {
-	// Address is HOST:PORT.
+	// Address is the HOST:PORT that requests are sent to.
 	Address string         `json:"Address"`
 	Shape   Shape          `json:"Shape"`
 	Classes []RequestClass `json:"Ops"`
-	// KeyCount is the number of different keys.
+	// KeyCount is the number of distinct keys.
 	KeyCount uint64 `json:"Keys"`
-	// ZipfExponent, above 1, is how unevenly keys are drawn; 0: evenly.
+	// ZipfExponent, above 1, is the exponent of the Zipf distribution of keys. With 0, keys are drawn uniformly.
 	ZipfExponent float64 `json:"Zipf"`
-	// MaxConns bounds the connections. Requests wait for one.
+	// MaxConns is the maximum number of connections. If all are in use, requests wait.
 	MaxConns int `json:"Conns"`
-	// ClientAddresses is the number of different loopback addresses that connections come from; 0: one.
+	// ClientAddresses is the number of distinct loopback addresses that connections come from; 0 means one.
 	ClientAddresses int `json:"Clients"`
-	// MaxRetries bounds the retries of a request that was rejected.
+	// MaxRetries is the maximum number of retries of a rejected request.
 	MaxRetries int `json:"Retries"`
-	// IgnoreRetryAfter retries at once.
+	// IgnoreRetryAfter makes clients retry without waiting for the retry-after time.
 	IgnoreRetryAfter bool   `json:"AtOnce"`
 	Seed             uint64 `json:"Seed"`
-	// MaxLagSeconds is the generator's own lag, at the 99th percentile, above which a run is invalid; 0: it never is.
+	// MaxLagSeconds is the limit on the generator's own p99 lag. A run above it is invalid; 0 means no limit.
 	MaxLagSeconds float64 `json:"Lag"`
 }
 
-// check reports what is wrong with a plan.
+// check returns an error if the plan is invalid.
 func (p *Plan) check() error {
 	if err := p.Shape.Check(); err != nil {
 		return err
 	}
 	if len(p.Classes) == 0 || p.MaxConns <= 0 {
-		return errors.New("no op types, or no connections")
+		return fmt.Errorf("the plan has %d request classes and at most %d connections; both must be at least 1", len(p.Classes), p.MaxConns)
 	}
 	return nil
 }
 
-// request is one request, or a retry of it.
+// request is one attempt of a request: the first one or a retry.
 type request struct {
-	at      float64 // when this try is meant to be sent
-	first   float64 // when the request was meant to be sent
-	class   int
-	key     uint64
-	client  uint64 // 0: any
-	retries int    // before this try
+	dueAt      float64 // when this attempt is due
+	firstDueAt float64 // when the first attempt was due
+	class      int
+	key        uint64
+	client     uint64 // number of the client; 0: any
+	retries    int    // number of retries including this one; 0 for the first attempt
 }
 
-// requestSource draws what arrivals leave open.
+// requestSource turns arrivals into requests. It draws at random what an arrival does not specify.
 type requestSource struct {
 	plan        *Plan
 	rand        *rand.Rand
-	zipf        *rand.Zipf // nil: keys are drawn evenly
+	zipf        *rand.Zipf // nil: keys are drawn uniformly
 	classByName map[string]int
 }
 
@@ -80,15 +79,15 @@
 	return s
 }
 
-// request makes the request of an arrival.
+// request returns the request for an arrival.
 func (s *requestSource) request(a Arrival) (*request, error) {
-	r := &request{at: a.At, first: a.At, key: a.Key, client: a.Client}
+	r := &request{dueAt: a.At, firstDueAt: a.At, key: a.Key, client: a.Client}
 	if a.Class == "" {
 		r.class = s.drawClass()
 	} else {
 		class, ok := s.classByName[a.Class]
 		if !ok {
-			return nil, fmt.Errorf("the trace names op type %q, which the plan does not", a.Class)
+			return nil, fmt.Errorf("the trace has request class %q, which is not in the plan", a.Class)
 		}
 		r.class = class
 	}
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Inputs says what a run or experiment was made with.
+// Inputs records the plan, the machine and the program of a run or an experiment.
 type Inputs struct {
 	Plan    any    `json:"plan"`
 	Seed    uint64 `json:"seed"`
@@ -24,7 +24,7 @@
 	Build   string `json:"build"`
 }
 
-// NewInputs describes this machine and this program.
+// NewInputs returns inputs that describe this machine and this program.
 func NewInputs(plan any, seed uint64) Inputs {
 	build := runtime.Version()
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -38,11 +38,11 @@
 	return Inputs{plan, seed, machine, build}
 }
 
-// latencyChartQuantiles are the points of a latency chart, in percent.
+// latencyChartQuantiles are the percentiles shown in a latency chart.
 var latencyChartQuantiles = []float64{10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99}
 
-// Save writes the folder of a run: inputs.json, outcome.json, table.txt, and the charts latency.svg, seconds.svg and p99.svg unless
-// nothing succeeded.
+// Save writes the result folder of a run: inputs.json, outcome.json and table.txt. If any request succeeded, it also writes the charts
+// latency.svg, seconds.svg and p99.svg.
 func (o *Outcome) Save(dir string, in Inputs) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -84,7 +84,7 @@
 		inObjective = append(inObjective, plotter.XY{X: x, Y: float64(second.InObjective)})
 		p99 = append(p99, plotter.XY{X: x, Y: 1e3 * second.P99})
 	}
-	err := Chart(filepath.Join(dir, "latency.svg"), "Latency from the intended time", "nines of the commands", "ms", []Line{{"acked", latency}})
+	err := Chart(filepath.Join(dir, "latency.svg"), "Latency from the intended time", "quantile, in nines", "ms", []Line{{"acked", latency}})
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Line is one line of a chart.
+// Line is a line of a chart.
 type Line struct {
 	Name   string
 	Points plotter.XYs
@@ -115,7 +115,7 @@
 	color.RGBA{20, 80, 160, 255}, color.RGBA{200, 80, 20, 255}, color.RGBA{40, 140, 60, 255}, color.RGBA{120, 40, 140, 255},
 }
 
-// Chart draws lines into an SVG or PNG file, by its ending. Lines without points are left out.
+// Chart draws lines into a file whose extension selects SVG or PNG. Lines without points are omitted.
 func Chart(file, title, xLabel, yLabel string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxWaitSeconds is the longest time between two looks at requests that wait for a connection.
-	maxWaitSeconds = 0.05
-	// A retry must have its class's latency objective divided by this left before the client's timeout.
+	// maxSleepSeconds is the maximum time between two checks for expired requests that wait for a connection.
+	maxSleepSeconds = 0.05
+	// A retry is scheduled only if the class's latency objective divided by retryObjectiveDivisor remains until the client's timeout.
 	retryObjectiveDivisor = 4
 )
 
-// retryQueue is a heap of retries by the instant at which they are to be sent.
+// retryQueue is a heap of retries, ordered by the time at which they are due.
 type retryQueue []*request
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q retryQueue) Len() int { return len(q) }
 
-// Less is part of heap.Interface.
-func (q retryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+// Less implements heap.Interface.
+func (q retryQueue) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q retryQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *retryQueue) Push(x any) { *q = append(*q, x.(*request)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *retryQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -40,28 +40,28 @@
 
 // runner is a run in progress.
 type runner struct {
-	plan      *Plan
-	startedAt time.Time
-	serving   sync.WaitGroup // goroutines of connections
-
-	mu      sync.Mutex
-	idle    []*conn
-	conns   int
-	waiting []*request // for a connection: none is idle, and no more may be opened
-	retries retryQueue
-	outcome *Outcome
+	plan           *Plan
+	startedAt      time.Time
+	connGoroutines sync.WaitGroup // goroutines of the connections
+
+	mu              sync.Mutex
+	idleConns       []*conn
+	connCount       int
+	waitingRequests []*request // requests that wait because no connection is idle and MaxConns are open
+	retries         retryQueue
+	outcome         *Outcome
 }
 
 func (r *runner) now() float64 { return time.Since(r.startedAt).Seconds() }
 
-// Run offers a plan's requests and waits until each has ended. progress, if it is not nil, is called each second, and must not block.
-// A run whose context ends gives the context's error.
+// Run sends a plan's requests and waits until each has a final result. If progress is not nil, it is called once a second and must not
+// block. If the context ends before the run, Run returns the context's error.
 func Run(ctx context.Context, p *Plan, progress func(t float64, o *Outcome)) (*Outcome, error) {
 	if err := p.check(); err != nil {
 		return nil, err
 	}
 	r := &runner{plan: p, startedAt: time.Now(), outcome: newOutcome(p)}
-	source, arrivals := newRequestSource(p), p.Shape.Times(p.Seed)
+	source, arrivals := newRequestSource(p), p.Shape.Arrivals(p.Seed)
 	arrival, more := arrivals()
 	nextProgress := 1.0
 	for ctx.Err() == nil {
@@ -71,18 +71,18 @@
 			if err != nil {
 				return nil, err
 			}
-			r.send(request)
+			r.dispatch(request)
 			arrival, more = arrivals()
 			now = r.now()
 		}
-		next := now + maxWaitSeconds
+		next := now + maxSleepSeconds
 		if more {
 			next = min(next, arrival.At)
 		}
 		next = min(next, r.sendRetries(now, next))
 		r.mu.Lock()
-		r.giveUpWaiting(now)
-		done := !more && r.outcome.open() == 0
+		r.expireWaiting(now)
+		done := !more && r.outcome.unfinished() == 0
 		if now >= nextProgress && progress != nil {
 			progress(now, r.outcome)
 			nextProgress++
@@ -99,93 +99,94 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	r.serving.Wait()
+	r.connGoroutines.Wait()
 	r.outcome.finish(p)
 	return r.outcome, nil
 }
 
-// seconds turns a number of seconds into a duration.
+// seconds converts seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sendRetries sends the retries that are due, and gives when the next one is, at latest.
+// sendRetries sends the retries that are due. It returns the time of the next retry, or latest if that is earlier.
 func (r *runner) sendRetries(now, latest float64) float64 {
 	for {
-		retry, next := r.takeRetry(now, latest)
+		retry, next := r.popDueRetry(now, latest)
 		if retry == nil {
 			return next
 		}
-		r.send(retry)
+		r.dispatch(retry)
 	}
 }
 
-// takeRetry takes a retry that is due, or gives when the next one is, at latest.
-func (r *runner) takeRetry(now, latest float64) (*request, float64) {
+// popDueRetry removes and returns a retry that is due. If none is due, it returns nil and the time of the next retry, or latest if that
+// is earlier.
+func (r *runner) popDueRetry(now, latest float64) (*request, float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case len(r.retries) == 0:
 		return nil, latest
-	case r.retries[0].at <= now:
+	case r.retries[0].dueAt <= now:
 		return heap.Pop(&r.retries).(*request), latest
 	}
-	return nil, min(latest, r.retries[0].at)
+	return nil, min(latest, r.retries[0].dueAt)
 }
 
-// giveUpWaiting ends requests that wait for a connection longer than their clients would. Under the lock.
-func (r *runner) giveUpWaiting(now float64) {
+// expireWaiting gives up requests whose client's timeout expires while they wait for a connection. The caller must hold the lock.
+func (r *runner) expireWaiting(now float64) {
 	count := 0
-	for count < len(r.waiting) && now >= r.deadline(r.waiting[count]) {
-		r.outcome.ended(r.waiting[count], now, gaveUp)
+	for count < len(r.waitingRequests) && now >= r.deadline(r.waitingRequests[count]) {
+		r.outcome.recordResult(r.waitingRequests[count], now, gaveUp)
 		count++
 	}
-	r.waiting = r.waiting[count:]
+	r.waitingRequests = r.waitingRequests[count:]
 }
 
-// deadline is when the client of a request gives up.
+// deadline returns the time at which the client of a request gives up.
 func (r *runner) deadline(q *request) float64 {
-	return q.first + r.plan.Classes[q.class].TimeoutSeconds
+	return q.firstDueAt + r.plan.Classes[q.class].TimeoutSeconds
 }
 
-// closeIdle ends the goroutines of idle connections, and notes the length of the run.
+// closeIdle ends the goroutines of idle connections and stores the length of the run.
 func (r *runner) closeIdle() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.idle {
+	for _, c := range r.idleConns {
 		close(c.requests)
 	}
-	r.idle = nil
+	r.idleConns = nil
 	r.outcome.LengthSeconds = r.now()
 }
 
-// send hands a request to an idle connection or to a new one, or lets it wait for one.
-func (r *runner) send(q *request) {
+// dispatch passes a request to an idle connection or to a new one. If neither is available, the request waits.
+func (r *runner) dispatch(q *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q.retries == 0 {
-		r.outcome.began(q)
+		r.outcome.recordArrival(q)
 	}
-	if n := len(r.idle); n > 0 {
-		c := r.idle[n-1]
-		r.idle = r.idle[:n-1]
-		r.outcome.lagged(r.now() - q.at)
-		c.requests <- q // it is idle: there is room
+	if n := len(r.idleConns); n > 0 {
+		c := r.idleConns[n-1]
+		r.idleConns = r.idleConns[:n-1]
+		r.outcome.recordLag(r.now() - q.dueAt)
+		c.requests <- q // does not block: the channel of an idle connection is empty
 		return
 	}
-	if r.conns >= r.plan.MaxConns {
-		r.waiting = append(r.waiting, q)
+	if r.connCount >= r.plan.MaxConns {
+		r.waitingRequests = append(r.waitingRequests, q)
 		return
 	}
-	r.conns++
-	r.outcome.lagged(r.now() - q.at)
+	r.connCount++
+	r.outcome.recordLag(r.now() - q.dueAt)
 	c := &conn{requests: make(chan *request, 1)}
 	if r.plan.ClientAddresses > 0 {
 		c.localAddress = fmt.Sprintf("127.0.%d.%d:0", 1+q.client/250, 1+q.client%250)
 	}
 	c.requests <- q
-	r.serving.Go(func() { r.serve(c) })
+	r.connGoroutines.Go(func() { r.serve(c) })
 }
 
-// serve sends the requests that a connection is handed until there are no more.
+// serve sends the requests that are passed to a connection until its channel is closed.
 func (r *runner) serve(c *conn) {
 	defer c.close()
 	for q := range c.requests {
@@ -195,39 +196,41 @@
 	}
 }
 
-// serveOne sends one request, enters what became of it, and gives the request that the connection is to send next, if any waits.
+// serveOne sends one request and records its result. It returns a waiting request for the connection to send next, or nil if none
+// waits.
 func (r *runner) serveOne(c *conn, q *request) (next *request) {
-	end, retryAfter := r.try(c, q)
+	result, retryAfterSeconds := r.attempt(c, q)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if end != rejected || !r.scheduleRetry(q, now, retryAfter) {
-		r.outcome.ended(q, now, end)
+	if result != rejected || !r.scheduleRetry(q, now, retryAfterSeconds) {
+		r.outcome.recordResult(q, now, result)
 	}
-	if len(r.waiting) > 0 {
-		next = r.waiting[0]
-		r.waiting = r.waiting[1:]
+	if len(r.waitingRequests) > 0 {
+		next = r.waitingRequests[0]
+		r.waitingRequests = r.waitingRequests[1:]
 		return next
 	}
-	r.idle = append(r.idle, c)
+	r.idleConns = append(r.idleConns, c)
 	return nil
 }
 
-// scheduleRetry schedules a retry of a rejected request, unless it has no retry or too little time left. Under the lock.
-func (r *runner) scheduleRetry(q *request, now, retryAfter float64) bool {
+// scheduleRetry schedules a retry of a rejected request. It returns false if the request has no retries or too little time left. The
+// caller must hold the lock.
+func (r *runner) scheduleRetry(q *request, now, retryAfterSeconds float64) bool {
 	if q.retries >= r.plan.MaxRetries {
 		return false
 	}
 	at := now
 	if !r.plan.IgnoreRetryAfter {
-		at += retryAfter
+		at += retryAfterSeconds
 	}
 	if at+r.plan.Classes[q.class].LatencyObjectiveSeconds/retryObjectiveDivisor >= r.deadline(q) {
 		return false
 	}
 	r.outcome.Retries++
 	retry := *q
-	retry.at, retry.retries = at, q.retries+1
+	retry.dueAt, retry.retries = at, q.retries+1
 	heap.Push(&r.retries, &retry)
 	return true
 }
--- a/internal/loadgen/trace.go
+++ b/internal/loadgen/trace.go
@@ -13,16 +13,16 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Arrival is one request that is to be sent. Its JSON is part of the inputs that runs keep.
+// Arrival is a scheduled request. Its JSON is stored in the inputs of a run.
 type Arrival struct {
 	At     float64 `parquet:"at" json:"At"`
-	Class  string  `parquet:"op" json:"Op"`         // empty: drawn
-	Key    uint64  `parquet:"key" json:"Key"`       // 0: drawn
-	Client uint64  `parquet:"client" json:"Client"` // number of the client; 0: drawn
+	Class  string  `parquet:"op" json:"Op"`         // empty: drawn at random
+	Key    uint64  `parquet:"key" json:"Key"`       // 0: drawn at random
+	Client uint64  `parquet:"client" json:"Client"` // number of the client; 0: drawn at random
 }
 
-// ReadTrace reads arrivals, in order of time, from a CSV file with a head (at, and if known op, key and client) or from a Parquet file
-// with such columns.
+// ReadTrace reads arrivals, which must be in order of time, from a CSV file with a header line or from a Parquet file. The column "at"
+// is required; "op", "key" and "client" are optional in CSV files.
 func ReadTrace(file string) ([]Arrival, error) {
 	if strings.HasSuffix(file, ".parquet") {
 		trace, err := parquet.ReadFile[Arrival](file)
@@ -54,7 +54,7 @@
 		columns[strings.TrimSpace(name)] = i
 	}
 	if _, ok := columns["at"]; !ok {
-		return nil, fmt.Errorf("%s:1: no column \"at\"", file)
+		return nil, fmt.Errorf("%s:1: no column \"at\" in the header line", file)
 	}
 	for {
 		row, err := r.Read()
@@ -73,11 +73,11 @@
 	}
 }
 
-// parseArrival reads one row, whose columns are given by name.
+// parseArrival parses one row. columns maps column names to indices.
 func parseArrival(row []string, columns map[string]int) (a Arrival, err error) {
 	at := row[columns["at"]]
 	if a.At, err = strconv.ParseFloat(at, 64); err != nil || a.At < 0 || math.IsInf(a.At, 0) || math.IsNaN(a.At) {
-		return a, fmt.Errorf("at: %q is no time in s", at)
+		return a, fmt.Errorf("at: %q is not a finite, non-negative number of seconds", at)
 	}
 	if i, ok := columns["op"]; ok {
 		a.Class = row[i]
@@ -92,7 +92,7 @@
 			continue
 		}
 		if *number.to, err = strconv.ParseUint(row[i], 10, 64); err != nil {
-			return a, fmt.Errorf("%s: %q is no number", number.name, row[i])
+			return a, fmt.Errorf("%s: %q is not a non-negative integer of at most 64 bits", number.name, row[i])
 		}
 	}
 	return a, nil
@@ -101,7 +101,7 @@
 func checkOrder(file string, trace []Arrival) error {
 	for i := 1; i < len(trace); i++ {
 		if trace[i].At < trace[i-1].At {
-			return fmt.Errorf("%s: arrival %d, at %g s, is before the one ahead of it", file, i+1, trace[i].At)
+			return fmt.Errorf("%s: arrival %d at %g s is earlier than the arrival before it at %g s", file, i+1, trace[i].At, trace[i-1].At)
 		}
 	}
 	return nil
