--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	startAttempts  = 500 // to see that a router has its endpoint list
+	startAttempts  = 500 // checks whether a started router has its endpoint list
 	startInterval  = 10 * time.Millisecond
 	metricsTimeout = 2 * time.Second
 	minMemoryBytes = 1 << 20
 )
 
-// Bench is a router process between fast endpoints.
+// Bench is a test bench: a router process with fast fake endpoints, a fake endpoint list and a fake release service.
 type Bench struct {
 	Address string // HOST:PORT that clients connect to
 
 	adminAddress string
-	dir          string // of settings, log and state
+	dir          string // folder of settings, log and state
 	cmd          *exec.Cmd
 	endpoints    []*fakes.FastEndpoint
 	stopServices func()
 }
 
-// RouterOptions says how a bench's router runs.
+// RouterOptions configures a bench and its router.
 type RouterOptions struct {
-	Bin         string // folder of flintspread-router
-	MaxProcs    int    // processors that it may use; 0: all
-	Shed        bool   // reject requests when it is overloaded itself
-	MemoryBytes int64  // bound of what connections and messages use
-	Endpoints   int    // at least one is started
+	Bin         string // folder of the program flintspread-router
+	MaxProcs    int    // processors that the router may use; 0: all
+	Shed        bool   // enables load shedding: the router rejects requests when it is itself overloaded
+	MemoryBytes int64  // memory budget for connections and messages, in bytes
+	Endpoints   int    // number of endpoints; at least one is started
 }
 
-// Classes are the request classes of the bench's settings, the one with the shortest latency objective first.
+// Classes returns the request classes of the bench's settings. The first one has the shortest latency objective.
 func Classes() []loadgen.RequestClass {
 	return []loadgen.RequestClass{
 		{Name: "chute-lookup", Method: "GET", Path: "/chute/", Share: 0.4, LatencyObjectiveSeconds: 0.3, TimeoutSeconds: 0.75},
@@ -57,7 +57,9 @@
 	}
 }
 
-// settingsText is the router's file: listen and admin addresses, state folder, address of the services, shed and memory are put in.
+// settingsText is the format of the router's settings file. Its arguments are the listen address, the admin address,
+// the state folder, the address of the endpoint list and release service, whether to shed load, and the memory budget
+// in bytes.
 const settingsText = `{:relay "r1" :listen %q :admin %q :state-dir %q :log {:format :text :level :warn}
  :sources {:list "http://%[4]s/list" :installer "http://%[4]s" :silence 5.0 :back-least 0.1 :back-most 5.0}
  :overload {:shed %[5]t :memory %[6]d} :schema 1
@@ -76,7 +78,7 @@
           {:method "POST" :path "/divert/" :op-type "divert-record"} {:method "POST" :path "/seal/"   :op-type "seal-gate"}]}
 `
 
-// Start starts a router and what is around it, and waits until it has its endpoint list. Its owner stops it.
+// Start starts a router with its fakes and waits until the router has its endpoint list. The caller must stop the bench.
 func Start(options RouterOptions) (*Bench, error) {
 	b := &Bench{stopServices: func() {}}
 	if err := b.start(options); err != nil {
@@ -107,7 +109,7 @@
 	return b.waitUntilReady()
 }
 
-// startFakes starts endpoints, and their list and a release service at one address.
+// startFakes starts endpoints, and serves their list and a release service at one address, which it returns.
 func (b *Bench) startFakes(endpoints int) (services string, err error) {
 	for range endpoints {
 		e, err := fakes.StartFastEndpoint()
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// waitUntilReady waits until the router has all endpoints.
+// waitUntilReady waits until the router knows all endpoints.
 func (b *Bench) waitUntilReady() error {
 	for range startAttempts {
 		if n, err := b.Metric("flintedge_units"); err == nil && int(n) == len(b.endpoints) {
@@ -159,15 +161,16 @@
 	}
 	log, err := os.ReadFile(b.logFile())
 	if err != nil {
-		return fmt.Errorf("the edge does not serve: %w", err)
+		return fmt.Errorf("the router did not get its %d endpoints, and reading its log failed: %w", len(b.endpoints), err)
 	}
-	return fmt.Errorf("the edge does not serve: %s", bytes.TrimSpace(log))
+	return fmt.Errorf("the router did not get its %d endpoints; its log: %s", len(b.endpoints), bytes.TrimSpace(log))
 }
 
-// Stop ends the router gracefully, then all that is around it. The error is how the router ended.
+// Stop stops the router gracefully, then the fakes, and removes the bench's folder. The error reports how the router
+// exited.
 func (b *Bench) Stop() (err error) {
 	if b.cmd != nil {
-		b.signal(syscall.SIGCONT) // a fault may have stopped it
+		b.signal(syscall.SIGCONT) // a fault may have suspended it
 		b.signal(syscall.SIGTERM)
 		err = b.cmd.Wait()
 		b.cmd = nil
@@ -182,23 +185,24 @@
 	return err
 }
 
-// stopOrWarn is Stop where a run's own result matters more than how its router ended.
+// stopOrWarn calls Stop and logs its error. It is for callers whose own result matters more than how the router exited.
 func (b *Bench) stopOrWarn() {
 	if err := b.Stop(); err != nil {
-		slog.Warn("router did not stop cleanly", "error", err)
+		slog.Warn("router did not exit cleanly", "error", err)
 	}
 }
 
-// signal sends a signal to the router. One that has ended already is no error here: Stop reports how it ended.
+// signal sends a signal to the router. A router that has already exited is not an error here, because Stop reports how
+// it exited.
 func (b *Bench) signal(sig syscall.Signal) { signalProcess(b.cmd.Process, sig) }
 
 func signalProcess(process *os.Process, sig syscall.Signal) {
 	if err := process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		slog.Warn("cannot signal the router", "signal", sig.String(), "error", err)
+		slog.Warn("failed to send a signal to the router", "signal", sig.String(), "error", err)
 	}
 }
 
-// Metric reads a metric of the router that has no labels.
+// Metric reads the value of a router's metric without labels.
 func (b *Bench) Metric(name string) (float64, error) {
 	client := http.Client{Timeout: metricsTimeout}
 	response, err := client.Get("http://" + b.adminAddress + "/metrics")
@@ -212,20 +216,21 @@
 	}
 	match := regexp.MustCompile(`(?m)^` + regexp.QuoteMeta(name) + ` (\S+)$`).FindSubmatch(text)
 	if match == nil {
-		return 0, errors.New("no number " + name)
+		return 0, fmt.Errorf("the router's metrics have no %s without labels", name)
 	}
 	return strconv.ParseFloat(string(match[1]), 64)
 }
 
-// Resident is the router's resident memory in bytes.
-func (b *Bench) Resident() (int64, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", b.cmd.Process.Pid))
+// ResidentBytes returns the router's resident memory.
+func (b *Bench) ResidentBytes() (int64, error) {
+	file := fmt.Sprintf("/proc/%d/statm", b.cmd.Process.Pid)
+	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
 	}
 	words := strings.Fields(string(text))
 	if len(words) < 2 {
-		return 0, errors.New("statm of another form")
+		return 0, fmt.Errorf("%s has %d fields, want at least 2", file, len(words))
 	}
 	pages, err := strconv.ParseInt(words[1], 10, 64)
 	return pages * int64(os.Getpagesize()), err
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"time"
@@ -11,31 +10,31 @@
 )
 
 const (
-	firstTriedRate  = 4000.0 // requests a second
-	rateGrowth      = 1.6    // from one tried rate to the next, until one is too high
-	maxTriedRate    = 1e6
-	capacityRatio   = 1.05 // of the bounds between which the capacity is known well enough
-	capacityGap     = 100  // the same as a difference, requests a second
-	minService      = 0.99 // of a rate that is not too high
-	capacitySeconds = 3    // of a run
-	settleTime      = time.Second
+	firstTriedPerSecond     = 4000.0 // requests per second
+	rateGrowth              = 1.6    // factor from one tried rate to the next, until one is too high
+	maxTriedPerSecond       = 1e6
+	maxCapacityRatio        = 1.05 // the search ends when the ratio of its bounds is at most this
+	maxCapacityGapPerSecond = 100  // or when their difference, in requests per second, is at most this
+	minService              = 0.99 // minimum share of requests within their latency objectives at a rate that counts as served
+	capacityRunSeconds      = 3    // length of each run
+	settleTime              = time.Second
 )
 
-// Capacity finds the rate, in requests a second, that a router without shedding serves within the latency objectives, to a twentieth.
-// What it tries is written to progress.
+// Capacity finds the highest rate, in requests per second, that a router without load shedding serves within the
+// latency objectives, to within maxCapacityRatio or maxCapacityGapPerSecond. Each tried rate is written to progress.
 func (x *Experiment) Capacity(ctx context.Context, bin string, progress io.Writer) (float64, error) {
 	b, err := Start(RouterOptions{Bin: bin, MaxProcs: x.MaxProcs, Endpoints: x.Endpoints, MemoryBytes: x.Variants[0].MemoryBytes})
 	if err != nil {
 		return 0, err
 	}
 	defer b.stopOrWarn()
-	low, high := 0.0, 0.0 // served, not served
+	low, high := 0.0, 0.0 // highest served rate, lowest rate not served (0: none yet)
 	try := func(rate float64) error {
-		o, err := loadgen.Run(ctx, x.plan(b, rate, capacitySeconds), nil)
+		o, err := loadgen.Run(ctx, x.plan(b, rate, capacityRunSeconds), nil)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(progress, "  %7.0f a second: service %.4f, p99 %.1f ms, own lag %.1f ms\n", rate, o.Service, 1e3*o.Latency.P99, 1e3*o.OwnLag.P99)
+		fmt.Fprintf(progress, "  %7.0f requests/s: service %.4f, p99 %.1f ms, generator lag p99 %.1f ms\n", rate, o.Service, 1e3*o.Latency.P99, 1e3*o.OwnLag.P99)
 		time.Sleep(settleTime)
 		if o.Service >= minService {
 			low = rate
@@ -44,15 +43,15 @@
 		}
 		return nil
 	}
-	for rate := firstTriedRate; high == 0; rate *= rateGrowth {
+	for rate := firstTriedPerSecond; high == 0; rate *= rateGrowth {
 		if err := try(rate); err != nil {
 			return 0, err
 		}
-		if rate > maxTriedRate {
-			return 0, errors.New("no capacity found up to a million commands a second")
+		if rate > maxTriedPerSecond {
+			return 0, fmt.Errorf("found no capacity: the search tried %.0f requests/s and ends above %.0f", rate, maxTriedPerSecond)
 		}
 	}
-	for high/max(low, 1) > capacityRatio && high-low > capacityGap {
+	for high/max(low, 1) > maxCapacityRatio && high-low > maxCapacityGapPerSecond {
 		if err := try((low + high) / 2); err != nil {
 			return 0, err
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -9,39 +8,39 @@
 )
 
 const (
-	minComparedRuns = 3 // of a cell, on each side
-	resamples       = 2000
-	// The resampled ratios at these places, in order, hold the middle 95 in 100 between them.
-	intervalLow  = 50
-	intervalHigh = 1949
+	minComparedRuns = 3 // valid runs that a cell needs in each folder
+	resampleCount   = 2000
+	// Indices of the 2.5th and 97.5th percentiles in the sorted resampled ratios: the bounds of the 95% interval.
+	intervalLowIndex  = 50
+	intervalHighIndex = 1949
 )
 
-// Compare tells, cell by cell, the ratio of the goodput of the runs in folder b to that of those in folder a, with a 95% interval by
-// resampling, and whether that is a difference or noise.
+// Compare prints, for each cell, the ratio of the median goodput of the runs in folder b to that of the runs in folder
+// a, a 95% bootstrap interval of the ratio, and whether the interval shows a difference or only noise.
 func Compare(a, b string, w io.Writer) error {
-	resultsA, err := Results(a)
+	resultsA, err := ReadResults(a)
 	if err != nil {
 		return err
 	}
-	resultsB, err := Results(b)
+	resultsB, err := ReadResults(b)
 	if err != nil {
 		return err
 	}
 	cellsA, cellsB := byCell(resultsA), byCell(resultsB)
 	common := commonCells(cellsA, cellsB)
 	if len(common) == 0 {
-		return errors.New("no cell is in both")
+		return fmt.Errorf("%s and %s have no combination of variant and rate in common", a, b)
 	}
 	for _, at := range common {
-		x, y := validValues(cellsA[at], goodput), validValues(cellsB[at], goodput)
+		x, y := sortedValidValues(cellsA[at], goodput), sortedValidValues(cellsB[at], goodput)
 		low, high := ratioInterval(x, y)
 		fmt.Fprintf(w, "%s at %g: goodput %.0f and %.0f, ratio %.3f, 95%% from %.3f to %.3f: %s\n", at.variant, at.rate, median(x), median(y),
-			median(y)/median(x), low, high, judge(len(x), len(y), low, high))
+			median(y)/median(x), low, high, classifyInterval(len(x), len(y), low, high))
 	}
 	return nil
 }
 
-// commonCells gives the cells that are in both, by variant and rate.
+// commonCells returns the cells that are in both maps, sorted by variant and rate.
 func commonCells(a, b map[cell][]*Result) (common []cell) {
 	for at := range a {
 		if b[at] != nil {
@@ -57,8 +56,9 @@
 	return common
 }
 
-// judge words an interval of ratios, by the number of runs on each side.
-func judge(runsA, runsB int, low, high float64) string {
+// classifyInterval returns a text that says whether an interval of ratios shows a difference, given the number of runs
+// on each side.
+func classifyInterval(runsA, runsB int, low, high float64) string {
 	switch {
 	case runsA < minComparedRuns || runsB < minComparedRuns:
 		return "too few runs to tell"
@@ -68,7 +68,8 @@
 	return "noise"
 }
 
-// ratioInterval resamples both sides and gives the middle 95% of the ratios of y's median to x's. It draws the same each time.
+// ratioInterval returns the 95% bootstrap interval of the ratio of y's median to x's median. The random seed is fixed,
+// so that the same values always give the same interval.
 func ratioInterval(x, y []float64) (low, high float64) {
 	if len(x) == 0 || len(y) == 0 {
 		return 0, 0
@@ -82,10 +83,10 @@
 		sort.Float64s(sample)
 		return median(sample)
 	}
-	ratios := make([]float64, resamples)
+	ratios := make([]float64, resampleCount)
 	for i := range ratios {
 		ratios[i] = resampledMedian(y) / resampledMedian(x)
 	}
 	sort.Float64s(ratios)
-	return ratios[intervalLow], ratios[intervalHigh]
+	return ratios[intervalLowIndex], ratios[intervalHighIndex]
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,11 +14,12 @@
 	"flintspread/internal/loadgen"
 )
 
-// An experiment that is stopped goes on where it was, does not play a run twice, and refuses another's folder.
+// TestExperimentResumes interrupts an experiment and starts it again. It must resume with the missing runs, repeat
+// none, and refuse the folder of a different experiment.
 func TestExperimentResumes(t *testing.T) {
 	bin, dir := t.TempDir(), t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", bin, "flintspread/cmd/flintspread-router").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("failed to build the router: %v: %s", err, out)
 	}
 	file := filepath.Join(dir, "x.edn")
 	text := `{:title "small" :seed 1 :repeats 1 :length 0.5 :rates [100 200] :units 2 :conns 50 :lag 0.5
@@ -33,22 +34,22 @@
 	}
 	out := filepath.Join(dir, "out")
 	ctx, cancel := context.WithCancel(context.Background())
-	err = x.Run(ctx, bin, out, stopAfter{cancel, 2, new(int)})
-	first, _ := Results(out)
+	err = x.Run(ctx, bin, out, cancelAfterLines{cancel, 2, new(int)})
+	first, _ := ReadResults(out)
 	if err == nil || len(first) != 2 {
-		t.Fatalf("%v, %d runs", err, len(first))
+		t.Fatalf("interrupted experiment: error %v, %d saved runs, want an error and 2 runs", err, len(first))
 	}
-	var said bytes.Buffer
-	if err := x.Run(context.Background(), bin, out, &said); err != nil {
+	var progress bytes.Buffer
+	if err := x.Run(context.Background(), bin, out, &progress); err != nil {
 		t.Fatal(err)
 	}
-	all, err := Results(out)
-	if err != nil || len(all) != 4 || strings.Count(said.String(), "goodput") != 2 {
-		t.Fatalf("%v, %d runs: %s", err, len(all), said.String())
+	all, err := ReadResults(out)
+	if err != nil || len(all) != 4 || strings.Count(progress.String(), "goodput") != 2 {
+		t.Fatalf("resumed experiment: error %v, %d saved runs, want 4, 2 of them new: %s", err, len(all), progress.String())
 	}
 	for _, r := range all {
 		if r.Load.Offered < 20 || r.Load.Service < 0.5 {
-			t.Errorf("%s at %g: %+v", r.Variant, r.Rate, r.Load)
+			t.Errorf("%s at %g: too few requests offered or served: %+v", r.Variant, r.Rate, r.Load)
 		}
 	}
 	report, err := os.ReadFile(filepath.Join(out, "report.md"))
@@ -59,25 +60,26 @@
 	other := *x
 	other.Seed = 2
 	if err := other.Run(context.Background(), bin, out, io.Discard); err == nil || !strings.Contains(err.Error(), "another experiment") {
-		t.Error(err)
+		t.Errorf("folder of a different experiment: got error %v", err)
 	}
 }
 
-// stopAfter ends a context with the nth line that is written to it.
-type stopAfter struct {
+// cancelAfterLines is a writer that cancels a context at the nth write. Run writes each line with one write.
+type cancelAfterLines struct {
 	cancel context.CancelFunc
 	n      int
 	lines  *int
 }
 
-func (s stopAfter) Write(p []byte) (int, error) {
+func (s cancelAfterLines) Write(p []byte) (int, error) {
 	if *s.lines++; *s.lines == s.n {
 		s.cancel()
 	}
 	return len(p), nil
 }
 
-// A tenth more with little spread is a difference; the same spread around one value is noise; two runs tell nothing.
+// TestCompare checks the three verdicts: 10% more goodput with little spread is a difference, the same values in
+// another order are noise, and two runs are too few.
 func TestCompare(t *testing.T) {
 	folder := func(goodput ...float64) string {
 		dir := t.TempDir()
@@ -96,10 +98,10 @@
 	for want, b := range map[string]string{": a difference": folder(110, 111, 109, 112, 110), ": noise": folder(101, 99, 100, 102, 98), "too few": folder(110, 112)} {
 		var w bytes.Buffer
 		if err := Compare(a, b, &w); err != nil || !strings.Contains(w.String(), want) {
-			t.Errorf("%q: %s %v", want, w.String(), err)
+			t.Errorf("want %q: got %s, error %v", want, w.String(), err)
 		}
 	}
 	if err := Compare(a, t.TempDir(), io.Discard); err == nil {
-		t.Error("nothing was compared with something")
+		t.Error("Compare accepted a folder without runs")
 	}
 }
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	starvePeriodMillis = 20                    // of the fault "starve"
-	largeAnswerWork    = 50 * time.Millisecond // of an answer of the fault "large"
+	starvePeriodMillis = 20                    // period of the fault "starve"
+	largeAnswerWork    = 50 * time.Millisecond // work per response during the fault "large"
 )
 
-// InjectFaults injects faults until ctx ends. It does not wait for them.
+// InjectFaults starts goroutines that inject the faults at their times, unless ctx ends first. It returns immediately.
 func (b *Bench) InjectFaults(ctx context.Context, faults []Fault) {
 	process := b.cmd.Process
 	for _, fault := range faults {
@@ -24,7 +24,7 @@
 	}
 }
 
-// wait waits some seconds. It reports whether ctx did not end meanwhile.
+// wait waits for the given time or until ctx ends. It returns false if ctx ended first.
 func wait(ctx context.Context, seconds float64) bool {
 	select {
 	case <-ctx.Done():
@@ -34,7 +34,7 @@
 	}
 }
 
-// duration turns a number of seconds into a duration.
+// duration converts seconds to a time.Duration.
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 func (b *Bench) inject(ctx context.Context, process *os.Process, fault Fault) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// starve stops the router for a part of each period.
+// starve suspends the router for fault.Amount milliseconds of every period.
 func starve(ctx context.Context, process *os.Process, fault Fault) {
 	for end := time.Now().Add(duration(fault.Seconds)); time.Now().Before(end) && ctx.Err() == nil; {
 		signalProcess(process, syscall.SIGSTOP)
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -10,23 +10,23 @@
 	"flintspread/internal/loadgen"
 )
 
-// Result is what one run showed.
+// Result is the result of one run.
 type Result struct {
 	Variant          string           `json:"variant"`
-	Rate             float64          `json:"rate"` // as the experiment names it
+	Rate             float64          `json:"rate"` // as in the experiment's Rates
 	Repeat           int              `json:"repeat"`
-	OfferedPerSecond float64          `json:"a_second"` // requests
+	OfferedPerSecond float64          `json:"a_second"` // offered requests per second
 	Load             *loadgen.Outcome `json:"load"`
-	Shed             float64          `json:"shed"`                // requests that the router rejected because it was overloaded itself
-	MemoryPeakBytes  float64          `json:"memory_peak"`         // as the router counts
-	ResidentBytes    int64            `json:"resident"`            // at the end of the run
-	RecoveredSeconds float64          `json:"recovered,omitempty"` // see recoveredAfter; 0 without a recovery time
+	Shed             float64          `json:"shed"`                // requests that the router shed
+	MemoryPeakBytes  float64          `json:"memory_peak"`         // peak of the memory that the router counts against its budget; 0 if it does not count
+	ResidentBytes    int64            `json:"resident"`            // resident memory at the end of the run
+	RecoveredSeconds float64          `json:"recovered,omitempty"` // see recoverySeconds; 0 without a recovery time
 }
 
-// batchService is the service of the class batch-table, whose requests need the most work.
+// batchService returns the service of the class batch-table, whose requests need the most work.
 func (r *Result) batchService() float64 { return r.Load.Classes[1].Service }
 
-// unanswered counts the requests that got no answer in time.
+// unanswered counts the requests without a response in time.
 func (r *Result) unanswered() int {
 	count := 0
 	for _, class := range r.Load.Classes {
@@ -35,8 +35,8 @@
 	return count
 }
 
-// Results reads the runs of a folder, in the order of their files' names.
-func Results(dir string) (list []*Result, err error) {
+// ReadResults reads the saved runs of a folder, sorted by file name.
+func ReadResults(dir string) (list []*Result, err error) {
 	files, err := filepath.Glob(filepath.Join(dir, "runs", "*.json"))
 	if err != nil {
 		return nil, err
@@ -49,20 +49,20 @@
 		}
 		r := &Result{}
 		if err := json.Unmarshal(text, r); err != nil {
-			return nil, fmt.Errorf("%s: %w", file, err)
+			return nil, fmt.Errorf("failed to parse %s: %w", file, err)
 		}
 		list = append(list, r)
 	}
 	return list, nil
 }
 
-// cell is a cell of the grid.
+// cell is a cell of the grid: a variant at a rate.
 type cell struct {
 	variant string
 	rate    float64
 }
 
-// byCell groups results by their cell.
+// byCell groups results by cell.
 func byCell(list []*Result) map[cell][]*Result {
 	cells := map[cell][]*Result{}
 	for _, r := range list {
@@ -72,8 +72,8 @@
 	return cells
 }
 
-// validValues gives a value of each valid run, sorted.
-func validValues(list []*Result, value func(*Result) float64) (values []float64) {
+// sortedValidValues returns a value of each valid run, in ascending order.
+func sortedValidValues(list []*Result, value func(*Result) float64) (values []float64) {
 	for _, r := range list {
 		if r.Load.Valid {
 			values = append(values, value(r))
@@ -83,7 +83,7 @@
 	return values
 }
 
-// median is that of sorted values, 0 if there are none.
+// median returns the median of sorted values, or 0 if there are none.
 func median(sorted []float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -14,13 +14,14 @@
 	"flintspread/internal/loadgen"
 )
 
-// Run plays the runs of the grid that the folder dir does not hold yet, variants in turn within each rate and repeat, and writes the
-// report. bin is the folder of the router. progress gets a line for each run.
+// Run executes the runs of the grid that are not yet saved in the folder dir, and writes the report. The variants are
+// interleaved: within each repeat and rate, every variant runs once. bin is the folder of the router program. A line
+// for each run is written to progress.
 func (x *Experiment) Run(ctx context.Context, bin, dir string, progress io.Writer) error {
 	if err := os.MkdirAll(filepath.Join(dir, "runs"), 0o755); err != nil {
 		return err
 	}
-	if err := x.claim(dir); err != nil {
+	if err := x.writeOrCheckInputs(dir); err != nil {
 		return err
 	}
 	rateScale, err := x.rateScale(ctx, bin, dir, progress)
@@ -30,9 +31,9 @@
 	for repeat := range x.Repeats {
 		for _, rate := range x.Rates {
 			for i := range x.Variants {
-				variant := x.Variants[(i+repeat)%len(x.Variants)] // each comes first in its turn
+				variant := x.Variants[(i+repeat)%len(x.Variants)] // the variant that runs first rotates with the repeat
 				g := gridRun{variant, rate, rate * rateScale, x.idleRate(rateScale), repeat}
-				if err := x.playUnlessKept(ctx, bin, dir, g, progress); err != nil {
+				if err := x.playUnlessSaved(ctx, bin, dir, g, progress); err != nil {
 					return err
 				}
 			}
@@ -41,42 +42,44 @@
 	return x.writeReport(dir, rateScale)
 }
 
-// gridRun is one run of the grid.
+// gridRun is a run of the grid.
 type gridRun struct {
 	variant          Variant
-	rate             float64 // as the experiment names it
+	rate             float64 // as in the experiment's Rates
 	offeredPerSecond float64
 	idlePerSecond    float64 // before and after the run
-	repeat           int     // from 0 on
+	repeat           int     // starting at 0
 }
 
-// file is where a folder keeps the run's result.
+// file returns the path of the run's result within the experiment's folder.
 func (g gridRun) file(dir string) string {
 	return filepath.Join(dir, "runs", fmt.Sprintf("%s-%g-%d.json", g.variant.Name, g.rate, g.repeat))
 }
 
-// claim writes the experiment's inputs into its folder. A folder with another experiment's inputs is refused.
-func (x *Experiment) claim(dir string) error {
+// writeOrCheckInputs writes the experiment's inputs into its folder. If the folder already has inputs, they must be
+// those of the same experiment.
+func (x *Experiment) writeOrCheckInputs(dir string) error {
 	file := filepath.Join(dir, "inputs.json")
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return loadgen.SaveJSON(file, loadgen.NewInputs(x, x.Seed))
 	}
-	var kept loadgen.Inputs
-	if err := json.Unmarshal(text, &kept); err != nil {
-		return fmt.Errorf("%s: %w", file, err)
+	var saved loadgen.Inputs
+	if err := json.Unmarshal(text, &saved); err != nil {
+		return fmt.Errorf("failed to parse %s: %w", file, err)
 	}
-	same, err := sameJSON(kept.Plan, x)
+	same, err := sameJSON(saved.Plan, x)
 	if err != nil {
-		return fmt.Errorf("%s: %w", file, err)
+		return fmt.Errorf("failed to compare the experiment with %s: %w", file, err)
 	}
 	if !same {
-		return fmt.Errorf("%s: another experiment's runs lie there", dir)
+		return fmt.Errorf("folder %s has the runs of another experiment", dir)
 	}
 	return nil
 }
 
-// rateScale is the number of requests a second that a rate of 1 stands for: the capacity, which is found once and kept, or 1.
+// rateScale returns the requests per second that correspond to a rate of 1: the capacity if rates are relative,
+// otherwise 1. The capacity is measured once and saved in the folder.
 func (x *Experiment) rateScale(ctx context.Context, bin, dir string, progress io.Writer) (float64, error) {
 	if !x.RatesAreRelative {
 		return 1, nil
@@ -86,7 +89,7 @@
 	text, err := os.ReadFile(file)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		fmt.Fprintln(progress, "looking for the capacity")
+		fmt.Fprintln(progress, "searching for the capacity")
 		if capacity, err = x.Capacity(ctx, bin, progress); err != nil {
 			return 0, err
 		}
@@ -97,12 +100,12 @@
 	if err != nil {
 		return 0, err
 	}
-	fmt.Fprintf(progress, "capacity: %.0f commands a second\n", capacity)
+	fmt.Fprintf(progress, "capacity: %.0f requests/s\n", capacity)
 	return capacity, nil
 }
 
-// playUnlessKept plays one run and keeps its result, unless the folder holds it.
-func (x *Experiment) playUnlessKept(ctx context.Context, bin, dir string, g gridRun, progress io.Writer) error {
+// playUnlessSaved executes a run and saves its result, unless the folder already has the result.
+func (x *Experiment) playUnlessSaved(ctx context.Context, bin, dir string, g gridRun, progress io.Writer) error {
 	file := g.file(dir)
 	if _, err := os.Stat(file); err == nil {
 		return nil
@@ -111,16 +114,17 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(progress, "%s at %g, run %d: goodput %.0f a second, service %.4f, batch-table %.4f, p99 %.1f ms, valid %t\n",
+	fmt.Fprintf(progress, "%s at %g, run %d: goodput %.0f requests/s, service %.4f, batch-table %.4f, p99 %.1f ms, valid %t\n",
 		g.variant.Name, g.rate, g.repeat+1, r.Load.Goodput, r.Load.Service, r.batchService(), 1e3*r.Load.Latency.P99, r.Load.Valid)
-	// Whole or not at all: an experiment that is killed here goes on with this run.
+	// Rename the complete file, so that an experiment that is killed here repeats this run instead of finding a
+	// truncated result.
 	if err := loadgen.SaveJSON(file+".part", r); err != nil {
 		return err
 	}
 	return os.Rename(file+".part", file)
 }
 
-// play plays one run on a bench of its own.
+// play executes a run on a new bench.
 func (x *Experiment) play(ctx context.Context, bin string, g gridRun) (*Result, error) {
 	b, err := Start(RouterOptions{
 		Bin: bin, MaxProcs: x.MaxProcs, Shed: g.variant.Shed, MemoryBytes: g.variant.MemoryBytes, Endpoints: x.Endpoints,
@@ -148,26 +152,28 @@
 	if r.MemoryPeakBytes, err = b.Metric("flintedge_memory_peak_bytes"); err != nil {
 		r.MemoryPeakBytes = 0 // the router does not count its memory
 	}
-	if r.ResidentBytes, err = b.Resident(); err != nil {
+	if r.ResidentBytes, err = b.ResidentBytes(); err != nil {
 		return nil, err
 	}
 	if x.RecoverySeconds > 0 {
-		r.RecoveredSeconds = recoveredAfter(load, x.LengthSeconds)
+		r.RecoveredSeconds = recoverySeconds(load, x.LengthSeconds)
 	}
 	return r, nil
 }
 
-// recoveredObjectiveDivisor makes the p99 that counts as recovered out of the shortest latency objective.
+// recoveredObjectiveDivisor divides the shortest latency objective to give the p99 below which a second counts as
+// recovered.
 const recoveredObjectiveDivisor = 3
 
-// recoveredAfter is the time, in seconds from when the load fell, until a second in which each request succeeded, 99 in 100 of them
-// within a third of the shortest latency objective; -1 if there is none.
-func recoveredAfter(load *loadgen.Outcome, fellAt float64) float64 {
+// recoverySeconds returns the time from the drop of the load until the first second with load in which no request was
+// rejected or unanswered and p99 was below a third of the shortest latency objective. It returns -1 if there is no such
+// second.
+func recoverySeconds(load *loadgen.Outcome, loadDroppedAt float64) float64 {
 	limit := Classes()[0].LatencyObjectiveSeconds / recoveredObjectiveDivisor
-	for i := int(fellAt); i < len(load.Seconds); i++ {
+	for i := int(loadDroppedAt); i < len(load.Seconds); i++ {
 		s := load.Seconds[i]
 		if s.Offered > 0 && s.P99 < limit && s.Rejected+s.Unanswered == 0 {
-			return float64(i) - fellAt
+			return float64(i) - loadDroppedAt
 		}
 	}
 	return -1
@@ -186,7 +192,7 @@
 	return bytes.Equal(canonicalA, canonicalB), nil
 }
 
-// canonicalJSON marshals a value by way of maps, which are written in the order of their keys.
+// canonicalJSON marshals a value with sorted keys. It decodes the value's JSON into maps, whose keys encoding/json sorts.
 func canonicalJSON(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
