--- a/internal/loadgen/conn.go
+++ b/internal/loadgen/conn.go
@@ -15,7 +15,8 @@
 	timerSlackSeconds = 0.001
 )
 
-// conn is a client's connection. It is opened when a request needs it; one goroutine sends its requests and reads the responses.
+// conn is a client's connection. It is opened when a request needs it; one goroutine sends its requests and reads the
+// responses.
 type conn struct {
 	requests     chan *request // holds at most one; closed when the run ends
 	localAddress string        // HOST:0; empty: any local address
@@ -31,8 +32,8 @@
 	}
 }
 
-// open connects to an address. If localAddress does not resolve, which happens for client numbers too large for a loopback address,
-// the connection uses any local address.
+// open connects to an address. If localAddress does not resolve, which happens for client numbers too large for a
+// loopback address, the connection uses any local address.
 func (c *conn) open(address string, deadline time.Time) error {
 	dialer := net.Dialer{Deadline: deadline}
 	if c.localAddress != "" {
@@ -72,7 +73,8 @@
 	return answer.result, answer.retryAfter
 }
 
-// resultOfError returns gaveUp if an error was caused by the client's timeout, which is at due, and the fallback for other errors.
+// resultOfError returns gaveUp if an error was caused by the client's timeout, which is at due, and the fallback for
+// other errors.
 func (r *runner) resultOfError(due float64, fallback requestResult) requestResult {
 	if r.now() >= due-timerSlackSeconds {
 		return gaveUp
@@ -80,7 +82,8 @@
 	return fallback
 }
 
-// exchange writes a request and reads the response. A header of the request carries the seconds until the client's timeout.
+// exchange writes a request and reads the response. A header of the request carries the seconds until the client's
+// timeout.
 func (c *conn) exchange(q *request, class *RequestClass, remainingSeconds float64, deadline time.Time) (response, error) {
 	c.buf.Reset()
 	fmt.Fprintf(&c.buf, "%s %s%d HTTP/1.1\r\nHost: load\r\nFlint-Time: %.4f\r\nFlint-Key: %d\r\nIdempotency-Key: %d-%d\r\n",
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestPauseDelaysEveryDueRequest pauses an endpoint. Open-loop load must show the delay on every request that is due during the pause;
-// a closed loop would show it on one or two requests only.
+// TestPauseDelaysEveryDueRequest pauses an endpoint. Open-loop load must show the delay on every request that is due
+// during the pause; a closed loop would show it on one or two requests only.
 func TestPauseDelaysEveryDueRequest(t *testing.T) {
 	q, err := fakes.StartFastEndpoint()
 	if err != nil {
@@ -115,8 +115,8 @@
 	if o.Offered != int(rate*3) || o.Classes[0].Ends["acked"] != o.Offered {
 		t.Fatalf("%d offered, %v", o.Offered, o.Classes[0].Ends)
 	}
-	// Requests that are due during the pause and wait longer than w: rate x (pause - w). The tolerance covers timers that end the pause
-	// some milliseconds late.
+	// Requests that are due during the pause and wait longer than w: rate x (pause - w). The tolerance covers timers
+	// that end the pause some milliseconds late.
 	const w = 0.2
 	late := 0
 	for _, bar := range o.latencies.Distribution() {
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -41,8 +41,8 @@
 // latencyChartQuantiles are the percentiles shown in a latency chart.
 var latencyChartQuantiles = []float64{10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99}
 
-// Save writes the result folder of a run: inputs.json, outcome.json and table.txt. If any request succeeded, it also writes the charts
-// latency.svg, seconds.svg and p99.svg.
+// Save writes the result folder of a run: inputs.json, outcome.json and table.txt. If any request succeeded, it also
+// writes the charts latency.svg, seconds.svg and p99.svg.
 func (o *Outcome) Save(dir string, in Inputs) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -11,7 +11,8 @@
 const (
 	// maxSleepSeconds is the maximum time between two checks for expired requests that wait for a connection.
 	maxSleepSeconds = 0.05
-	// A retry is scheduled only if the class's latency objective divided by retryObjectiveDivisor remains until the client's timeout.
+	// A retry is scheduled only if the class's latency objective divided by retryObjectiveDivisor remains until the
+	// client's timeout.
 	retryObjectiveDivisor = 4
 )
 
@@ -54,8 +55,8 @@
 
 func (r *runner) now() float64 { return time.Since(r.startedAt).Seconds() }
 
-// Run sends a plan's requests and waits until each has a final result. If progress is not nil, it is called once a second and must not
-// block. If the context ends before the run, Run returns the context's error.
+// Run sends a plan's requests and waits until each has a final result. If progress is not nil, it is called once a
+// second and must not block. If the context ends before the run, Run returns the context's error.
 func Run(ctx context.Context, p *Plan, progress func(t float64, o *Outcome)) (*Outcome, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -118,8 +119,8 @@
 	}
 }
 
-// popDueRetry removes and returns a retry that is due. If none is due, it returns nil and the time of the next retry, or latest if that
-// is earlier.
+// popDueRetry removes and returns a retry that is due. If none is due, it returns nil and the time of the next retry,
+// or latest if that is earlier.
 func (r *runner) popDueRetry(now, latest float64) (*request, float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,8 @@
 	return nil, min(latest, r.retries[0].dueAt)
 }
 
-// expireWaiting gives up requests whose client's timeout expires while they wait for a connection. The caller must hold the lock.
+// expireWaiting gives up requests whose client's timeout expires while they wait for a connection. The caller must hold
+// the lock.
 func (r *runner) expireWaiting(now float64) {
 	count := 0
 	for count < len(r.waitingRequests) && now >= r.deadline(r.waitingRequests[count]) {
@@ -196,8 +198,8 @@
 	}
 }
 
-// serveOne sends one request and records its result. It returns a waiting request for the connection to send next, or nil if none
-// waits.
+// serveOne sends one request and records its result. It returns a waiting request for the connection to send next, or
+// nil if none waits.
 func (r *runner) serveOne(c *conn, q *request) (next *request) {
 	result, retryAfterSeconds := r.attempt(c, q)
 	r.mu.Lock()
@@ -215,8 +217,8 @@
 	return nil
 }
 
-// scheduleRetry schedules a retry of a rejected request. It returns false if the request has no retries or too little time left. The
-// caller must hold the lock.
+// scheduleRetry schedules a retry of a rejected request. It returns false if the request has no retries or too little
+// time left. The caller must hold the lock.
 func (r *runner) scheduleRetry(q *request, now, retryAfterSeconds float64) bool {
 	if q.retries >= r.plan.MaxRetries {
 		return false
--- a/internal/loadgen/shape.go
+++ b/internal/loadgen/shape.go
@@ -11,7 +11,8 @@
 type Shape struct {
 	// Kind is constant, poisson, on-off, ramp, step, rush or trace.
 	Kind string `json:"Kind"`
-	// RequestsPerSecond is the rate. For a ramp it is the rate at the start, for a step the rate before the step, for a rush the peak rate.
+	// RequestsPerSecond is the rate. For a ramp it is the rate at the start, for a step the rate before the step, for a
+	// rush the peak rate.
 	RequestsPerSecond float64 `json:"Rate"`
 	// EndRequestsPerSecond is the rate at the end of a ramp, or after a step.
 	EndRequestsPerSecond float64 `json:"To"`
@@ -100,7 +101,8 @@
 	return s.LengthSeconds
 }
 
-// Arrivals returns a function that yields the arrivals of a shape one by one. Its second result is false after the last arrival.
+// Arrivals returns a function that yields the arrivals of a shape one by one. Its second result is false after the last
+// arrival.
 func (s *Shape) Arrivals(seed uint64) func() (Arrival, bool) {
 	switch s.Kind {
 	case "trace":
--- a/internal/loadgen/trace.go
+++ b/internal/loadgen/trace.go
@@ -21,8 +21,8 @@
 	Client uint64  `parquet:"client" json:"Client"` // number of the client; 0: drawn at random
 }
 
-// ReadTrace reads arrivals, which must be in order of time, from a CSV file with a header line or from a Parquet file. The column "at"
-// is required; "op", "key" and "client" are optional in CSV files.
+// ReadTrace reads arrivals, which must be in order of time, from a CSV file with a header line or from a Parquet file.
+// The column "at" is required; "op", "key" and "client" are optional in CSV files.
 func ReadTrace(file string) ([]Arrival, error) {
 	if strings.HasSuffix(file, ".parquet") {
 		trace, err := parquet.ReadFile[Arrival](file)
--- a/internal/scenario/configstorm.go
+++ b/internal/scenario/configstorm.go
@@ -22,7 +22,8 @@
 // badVersionOneIn is the N in "one version in N is invalid, on average".
 const badVersionOneIn = 3
 
-// configStorm serves the endpoint list and the configuration versions of all relays over xDS, from one control service per relay.
+// configStorm serves the endpoint list and the configuration versions of all relays over xDS, from one control service
+// per relay.
 type configStorm struct {
 	runner    *runner
 	services  map[string]*fakes.ControlService // by relay name
@@ -50,8 +51,8 @@
 
 var bodyBytes = regexp.MustCompile(`:body-bytes \d+`)
 
-// sendVersions sends versions until the scenario ends. Valid versions differ only in :body-bytes, a limit that does not affect the
-// scenario.
+// sendVersions sends versions until the scenario ends. Valid versions differ only in :body-bytes, a limit that does not
+// affect the scenario.
 func (s *configStorm) sendVersions() {
 	rnd := rand.New(rand.NewPCG(s.runner.script.Seed, 4))
 	script := s.runner.script
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -12,7 +12,8 @@
 // neighbourSeconds is the length of both the active and the idle phases of the noisy neighbour in the event "neighbour".
 const neighbourSeconds = 1
 
-// eventHandlers maps each kind of event to the function that starts it. An event with a duration ends after Event.Seconds.
+// eventHandlers maps each kind of event to the function that starts it. An event with a duration ends after
+// Event.Seconds.
 var eventHandlers = map[edn.Keyword]func(*runner, Event){
 	// The release service, the endpoint list and the query servers.
 	"offer":           func(r *runner, e Event) { r.releaseService.Offer(e.Build) },
@@ -72,7 +73,8 @@
 	}
 }
 
-// slots returns a share of the slots, at least one. It counts from the last slot down, because rollouts start with the first one.
+// slots returns a share of the slots, at least one. It counts from the last slot down, because rollouts start with the
+// first one.
 func (r *runner) slots(share float64) (slots []int) {
 	all := r.script.Fleet.Slots
 	count := max(1, int(math.Round(share*float64(all))))
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -17,7 +17,8 @@
 	comparisonGoodBuild  = 3
 )
 
-// HealthComparison is the result of one seed: how the evidence from metrics changes the rollback of a wrong build and of a good one.
+// HealthComparison is the result of one seed: how the evidence from metrics changes the rollback of a wrong build and
+// of a good one.
 type HealthComparison struct {
 	Seed                          uint64
 	RollbackSecondsWithServers    float64    // from the offer of the wrong build to its rollback; 0: no rollback
@@ -28,8 +29,9 @@
 	Service                       [3]float64 // Outcome.Service of the three runs
 }
 
-// CompareHealth runs HealthComparisonDay three times with one seed: with a wrong build and query servers, with a wrong build and no
-// query servers, and with a good build while all query servers return false evidence against it. Each run gets a folder in dir.
+// CompareHealth runs HealthComparisonDay three times with one seed: with a wrong build and query servers, with a wrong
+// build and no query servers, and with a good build while all query servers return false evidence against it. Each run
+// gets a folder in dir.
 func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
 	c := HealthComparison{Seed: seed, RulesKept: true}
 	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -22,8 +22,8 @@
 	startDialTimeout = 100 * time.Millisecond
 )
 
-// process is a router or controller together with its settings. It can be started and stopped repeatedly; its methods may be called
-// from any goroutine.
+// process is a router or controller together with its settings. It can be started and stopped repeatedly; its methods
+// may be called from any goroutine.
 type process struct {
 	runner       *runner
 	relay        string
@@ -53,8 +53,8 @@
 	return found
 }
 
-// startRelay starts a relay's routers, and its controller if the script has controllers. It returns the address that clients connect
-// to.
+// startRelay starts a relay's routers, and its controller if the script has controllers. It returns the address that
+// clients connect to.
 func (r *runner) startRelay(relay string) (address string, err error) {
 	listen, err := fakes.FreePort()
 	if err != nil {
@@ -118,7 +118,8 @@
 	return p.start()
 }
 
-// start starts the process and waits until it accepts connections. It does nothing if the process is running or the scenario is over.
+// start starts the process and waits until it accepts connections. It does nothing if the process is running or the
+// scenario is over.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +158,8 @@
 	return bytes.TrimSpace(text)
 }
 
-// stop sends the process a signal and waits until it exits. A failure exit is an error of the scenario, except after SIGKILL.
+// stop sends the process a signal and waits until it exits. A failure exit is an error of the scenario, except after
+// SIGKILL.
 func (p *process) stop(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +186,8 @@
 	p.runner.after(seconds, func() { p.runner.addError(p.start()) })
 }
 
-// pause suspends the process with SIGSTOP for the given time. It holds the lock meanwhile, so that no other start or stop interferes.
+// pause suspends the process with SIGSTOP for the given time. It holds the lock meanwhile, so that no other start or
+// stop interferes.
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,8 +203,8 @@
 	})
 }
 
-// signal sends a signal. A process that has already exited is not an error here, because stop reports how it exited. The caller must
-// hold the lock.
+// signal sends a signal. A process that has already exited is not an error here, because stop reports how it exited.
+// The caller must hold the lock.
 func (p *process) signal(sig syscall.Signal) {
 	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.runner.addError(fmt.Errorf("failed to send signal %s to %s with settings %s: %w", sig, p.program, p.settingsFile, err))
--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -20,7 +20,8 @@
 	fakes.Elsewhere, fakes.Warns, fakes.Yesterday, fakes.Exploded, fakes.Garbage, fakes.Dead,
 }
 
-// startQueryServers starts the query servers, if the script has any, and scrapes the endpoints for them until the scenario ends.
+// startQueryServers starts the query servers, if the script has any, and scrapes the endpoints for them until the
+// scenario ends.
 func (r *runner) startQueryServers() error {
 	r.script.queryServerURLs = nil
 	if r.script.QueryServers == nil {
@@ -67,8 +68,8 @@
 	}
 }
 
-// injectQueryServerFault injects a fault into the query server that the event names, or into all of them if it names none. A fault
-// without a duration stays until the end of the scenario.
+// injectQueryServerFault injects a fault into the query server that the event names, or into all of them if it names
+// none. A fault without a duration stays until the end of the scenario.
 func (r *runner) injectQueryServerFault(e Event) {
 	fault := fakes.Fault(e.Fault)
 	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// Run runs a script with the programs in the folder bin. Settings, logs and state folders are written to the folder dir, which must
-// exist. Each event in the history of the builds is written to progress as a line. If processes fail during the scenario, Run returns
-// both an outcome and an error.
+// Run runs a script with the programs in the folder bin. Settings, logs and state folders are written to the folder
+// dir, which must exist. Each event in the history of the builds is written to progress as a line. If processes fail
+// during the scenario, Run returns both an outcome and an error.
 func Run(script *Script, bin, dir string, progress io.Writer) (*Outcome, error) {
 	now := time.Now()
 	ctx, end := context.WithCancel(context.Background())
@@ -287,8 +287,8 @@
 	}
 }
 
-// startServices serves the endpoint list and the release service under a separate path for each relay, and ticks both until the
-// scenario ends.
+// startServices serves the endpoint list and the release service under a separate path for each relay, and ticks both
+// until the scenario ends.
 func (r *runner) startServices() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -20,8 +20,9 @@
 	return dir
 }
 
-// TestShortScenario runs a short scenario with real processes: relays are killed and restarted, and endpoints fail in four ways. All
-// rules must be kept and the bad build must be rolled back. The tests of package invariants show that the check detects violations.
+// TestShortScenario runs a short scenario with real processes: relays are killed and restarted, and endpoints fail in
+// four ways. All rules must be kept and the bad build must be rolled back. The tests of package invariants show that
+// the check detects violations.
 func TestShortScenario(t *testing.T) {
 	script, err := Read("short-day.edn")
 	if err != nil {
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestControllerAndRouterFaults kills and pauses controllers and routers during the analysis of a bad build. No answer may be lost,
-// duplicated or late, and the routers of each relay must keep the rules together.
+// TestControllerAndRouterFaults kills and pauses controllers and routers during the analysis of a bad build. No answer
+// may be lost, duplicated or late, and the routers of each relay must keep the rules together.
 func TestControllerAndRouterFaults(t *testing.T) {
 	script, err := Read(PlannerDay)
 	if err != nil {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestConfigStorm sends valid and invalid configuration versions at short intervals to controllers. Relays must reject the invalid
-// versions, accept the valid ones and keep all rules.
+// TestConfigStorm sends valid and invalid configuration versions at short intervals to controllers. Relays must reject
+// the invalid versions, accept the valid ones and keep all rules.
 func TestConfigStorm(t *testing.T) {
 	script, err := Read(PlannerDay)
 	if err != nil {
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestCheckerDetectsDuplicateAttempt duplicates one attempt of a non-idempotent request in the record of a real run, and expects the
-// check to report a violation.
+// TestCheckerDetectsDuplicateAttempt duplicates one attempt of a non-idempotent request in the record of a real run,
+// and expects the check to report a violation.
 func TestCheckerDetectsDuplicateAttempt(t *testing.T) {
 	script, err := Read("short-day.edn")
 	if err != nil {
@@ -143,9 +144,10 @@
 	}
 }
 
-// TestQueryServerFaults runs a scenario in which the query servers return false data, hang, disagree and fail in other ways. An
-// endpoint fails its probes but serves correctly, and a build answers fast but wrongly. All rules must be kept, the wrong build must be
-// rolled back and the endpoint must keep its traffic. Single requests are traced from client to endpoint and back.
+// TestQueryServerFaults runs a scenario in which the query servers return false data, hang, disagree and fail in other
+// ways. An endpoint fails its probes but serves correctly, and a build answers fast but wrongly. All rules must be
+// kept, the wrong build must be rolled back and the endpoint must keep its traffic. Single requests are traced from
+// client to endpoint and back.
 func TestQueryServerFaults(t *testing.T) {
 	script, err := Read(HealthDay)
 	if err != nil {
@@ -167,8 +169,8 @@
 	if _, back := out.RollbackAfter(2); !back {
 		t.Errorf("the wrong build was not rolled back: %v", out.History)
 	}
-	// Trace requests using only the traffic recorded on the sockets: each reached one endpoint once, and the answer reached the client
-	// before the deadline.
+	// Trace requests using only the traffic recorded on the sockets: each reached one endpoint once, and the answer
+	// reached the client before the deadline.
 	traced := 0
 	attemptsByRequest := map[uint64][]*invariants.Attempt{}
 	perEndpoint := map[uint32]int{}
@@ -201,8 +203,8 @@
 	}
 }
 
-// TestWrongEndpointLosesTraffic has one endpoint answer fast but wrongly. With query servers it must get at most half the share of
-// attempts that it gets without them.
+// TestWrongEndpointLosesTraffic has one endpoint answer fast but wrongly. With query servers it must get at most half
+// the share of attempts that it gets without them.
 func TestWrongEndpointLosesTraffic(t *testing.T) {
 	share := func(withQueryServers bool) float64 {
 		script, err := Read(HealthComparisonDay)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -20,7 +20,8 @@
 	LengthSeconds float64 `edn:"length" validate:"gt=0"`
 	// Relays is the number of relays. They are named r1, r2 and so on.
 	Relays int `edn:"relays" validate:"gt=0,lte=64"`
-	// Routers is the number of routers of each relay, which one controller directs. Optional; 0 means one router without a controller.
+	// Routers is the number of routers of each relay, which one controller directs. Optional; 0 means one router
+	// without a controller.
 	Routers int `edn:"edges"`
 	// ConfigStorm makes control services send configuration versions; nil means that none are sent. Files cannot set it.
 	ConfigStorm *ConfigStorm `edn:"-"`
@@ -109,7 +110,8 @@
 	HealthComparisonDay = "witness-day.edn"
 )
 
-// Read reads a built-in script by its name, or any other script from a file. An invalid text is reported as a *config.FieldError.
+// Read reads a built-in script by its name, or any other script from a file. An invalid text is reported as a
+// *config.FieldError.
 func Read(file string) (*Script, error) {
 	text, err := builtInScripts.ReadFile(file)
 	name := "built-in " + file
@@ -131,7 +133,8 @@
 	return s, nil
 }
 
-// validateEvent checks one event and returns the key and description of the first problem. The key is empty if the event is valid.
+// validateEvent checks one event and returns the key and description of the first problem. The key is empty if the
+// event is valid.
 func (s *Script) validateEvent(event Event) (key, problem string) {
 	if _, ok := eventHandlers[event.Kind]; !ok {
 		return "do", "unknown event kind :" + string(event.Kind)
@@ -165,8 +168,8 @@
 // defaultRoutersPerRelay is the number of routers per relay that AddProcessFaults sets in a script without controllers.
 const defaultRoutersPerRelay = 2
 
-// AddProcessFaults adds events that kill, pause and restart controllers and routers. Their instants are drawn from the seed, between
-// one second after the start and three seconds before the end. The events do not overlap.
+// AddProcessFaults adds events that kill, pause and restart controllers and routers. Their instants are drawn from the
+// seed, between one second after the start and three seconds before the end. The events do not overlap.
 func (s *Script) AddProcessFaults(seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	if s.Routers == 0 {
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -13,8 +13,8 @@
 		" :units {:connections 64 :dial-time 0.25 :idle-time 15.0 :answer-bytes 1048576}\n"
 )
 
-// processAddresses are the addresses in the settings of one process: its admin address (HOST:PORT), the link between routers and
-// controller, and the server of the endpoint list and the release service.
+// processAddresses are the addresses in the settings of one process: its admin address (HOST:PORT), the link between
+// routers and controller, and the server of the endpoint list and the release service.
 type processAddresses struct {
 	admin, link, services string
 }
@@ -57,7 +57,8 @@
 		s.controlAddresses[relay])
 }
 
-// sourcesEntry returns the entry for the release service. It includes the endpoint list unless a control service sends that list.
+// sourcesEntry returns the entry for the release service. It includes the endpoint list unless a control service sends
+// that list.
 func (s *Script) sourcesEntry(relay, services string) string {
 	list := ""
 	if s.controlAddresses[relay] == "" {
