--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -32,10 +32,10 @@
 		return fmt.Errorf("%s and %s have no combination of variant and rate in common", a, b)
 	}
 	for _, at := range common {
-		x, y := sortedValidValues(cellsA[at], goodput), sortedValidValues(cellsB[at], goodput)
-		low, high := ratioInterval(x, y)
-		fmt.Fprintf(w, "%s at %g: goodput %.0f and %.0f, ratio %.3f, 95%% from %.3f to %.3f: %s\n", at.variant, at.rate, median(x), median(y),
-			median(y)/median(x), low, high, classifyInterval(len(x), len(y), low, high))
+		goodputA, goodputB := sortedValidValues(cellsA[at], goodput), sortedValidValues(cellsB[at], goodput)
+		low, high := ratioInterval(goodputA, goodputB)
+		fmt.Fprintf(w, "%s at %g: goodput %.0f and %.0f, ratio %.3f, 95%% from %.3f to %.3f: %s\n", at.variant, at.rate, median(goodputA), median(goodputB),
+			median(goodputB)/median(goodputA), low, high, classifyInterval(len(goodputA), len(goodputB), low, high))
 	}
 	return nil
 }
--- a/internal/loadgen/conn.go
+++ b/internal/loadgen/conn.go
@@ -50,8 +50,8 @@
 }
 
 // attempt sends a request and waits for the response until the client's timeout.
-func (r *runner) attempt(c *conn, q *request) (result requestResult, retryAfterSeconds float64) {
-	due := r.deadline(q)
+func (r *runner) attempt(c *conn, req *request) (result requestResult, retryAfterSeconds float64) {
+	due := r.deadline(req)
 	remainingSeconds := due - r.now()
 	if remainingSeconds <= 0 {
 		return gaveUp, 0
@@ -62,15 +62,15 @@
 			return r.resultOfError(due, notConnected), 0
 		}
 	}
-	answer, err := c.exchange(q, &r.plan.Classes[q.class], remainingSeconds, deadline)
+	resp, err := c.exchange(req, &r.plan.Classes[req.class], remainingSeconds, deadline)
 	if err != nil {
 		c.close()
 		return r.resultOfError(due, connectionClosed), 0
 	}
-	if answer.close {
+	if resp.close {
 		c.close()
 	}
-	return answer.result, answer.retryAfter
+	return resp.result, resp.retryAfterSeconds
 }
 
 // resultOfError returns gaveUp if an error was caused by the client's timeout, which is at due, and the fallback for
@@ -84,11 +84,11 @@
 
 // exchange writes a request and reads the response. A header of the request carries the seconds until the client's
 // timeout.
-func (c *conn) exchange(q *request, class *RequestClass, remainingSeconds float64, deadline time.Time) (response, error) {
+func (c *conn) exchange(req *request, class *RequestClass, remainingSeconds float64, deadline time.Time) (response, error) {
 	c.buf.Reset()
 	fmt.Fprintf(&c.buf, "%s %s%d HTTP/1.1\r\nHost: load\r\nFlint-Time: %.4f\r\nFlint-Key: %d\r\nIdempotency-Key: %d-%d\r\n",
-		class.Method, class.Path, q.key, remainingSeconds, q.key, q.key, int64(q.firstDueAt*1e6))
-	if q.retries > 0 {
+		class.Method, class.Path, req.key, remainingSeconds, req.key, req.key, int64(req.firstDueAt*1e6))
+	if req.retries > 0 {
 		c.buf.WriteString("Flint-Repeat: 1\r\n")
 	}
 	if class.BodyBytes > 0 {
@@ -105,32 +105,32 @@
 
 // response holds the parts of an HTTP response that the load generator uses.
 type response struct {
-	result     requestResult // succeeded, rejected or failed
-	retryAfter float64       // seconds
-	close      bool          // the server will close the connection
+	result            requestResult // succeeded, rejected or failed
+	retryAfterSeconds float64       // seconds
+	close             bool          // the server will close the connection
 }
 
 // statusClassOffset is the offset of the first digit of the status code in a status line, after "HTTP/1.1 ".
 const statusClassOffset = 9
 
 // readResponse reads one response and discards its body. Header values that are not numbers count as 0.
-func readResponse(br *bufio.Reader) (a response, err error) {
+func readResponse(br *bufio.Reader) (resp response, err error) {
 	status, err := br.ReadSlice('\n')
 	if err != nil {
-		return a, err
+		return resp, err
 	}
 	if status = bytes.TrimRight(status, "\r\n"); len(status) < statusClassOffset+3 {
-		return a, fmt.Errorf("status line %q has no status code", status)
+		return resp, fmt.Errorf("status line %q has no status code", status)
 	}
-	a.result = failed
+	resp.result = failed
 	if status[statusClassOffset] == '2' {
-		a.result = succeeded
+		resp.result = succeeded
 	}
 	length := 0
 	for {
 		line, err := br.ReadSlice('\n')
 		if err != nil {
-			return a, err
+			return resp, err
 		}
 		if line = bytes.TrimRight(line, "\r\n"); len(line) == 0 {
 			break
@@ -140,15 +140,15 @@
 		case "Content-Length":
 			length, _ = strconv.Atoi(string(value))
 		case "Flint-Answer":
-			a.result = resultOfHeader(string(value))
+			resp.result = resultOfHeader(string(value))
 		case "Flint-Pause":
-			a.retryAfter, _ = strconv.ParseFloat(string(value), 64)
+			resp.retryAfterSeconds, _ = strconv.ParseFloat(string(value), 64)
 		case "Connection":
-			a.close = string(value) == "close"
+			resp.close = string(value) == "close"
 		}
 	}
 	_, err = br.Discard(length)
-	return a, err
+	return resp, err
 }
 
 // resultOfHeader maps the value of the header Flint-Answer to a result.
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -73,7 +73,7 @@
 	Latency        Quantiles      `json:"latency"`
 	Classes        []ClassOutcome `json:"ops"`
 	Seconds        []*Second      `json:"seconds"`
-	OwnLag         Quantiles      `json:"own_lag"` // the generator's delay between due and actual time of sending; requests that waited for a connection are not included
+	OwnLag         Quantiles      `json:"own_lag"` // delay between due and actual sending; excludes requests that waited for a connection
 	Valid          bool           `json:"valid"`   // OwnLag was within the plan's limit
 	InvalidBecause string         `json:"why,omitempty"`
 
@@ -121,24 +121,24 @@
 }
 
 // recordArrival counts a request that is due, before its first attempt.
-func (o *Outcome) recordArrival(q *request) {
+func (o *Outcome) recordArrival(req *request) {
 	o.Offered++
-	o.Classes[q.class].Offered++
-	o.second(q.firstDueAt).Offered++
+	o.Classes[req.class].Offered++
+	o.second(req.firstDueAt).Offered++
 }
 
 // recordResult counts the final result of a request.
-func (o *Outcome) recordResult(q *request, now float64, end requestResult) {
+func (o *Outcome) recordResult(req *request, now float64, result requestResult) {
 	o.finished++
-	class, second := &o.Classes[q.class], o.second(q.firstDueAt)
-	class.Ends[resultNames[end]]++
-	switch end {
+	class, second := &o.Classes[req.class], o.second(req.firstDueAt)
+	class.Ends[resultNames[result]]++
+	switch result {
 	case succeeded:
-		latency := now - q.firstDueAt
+		latency := now - req.firstDueAt
 		record(o.latencies, latency)
-		record(o.latenciesByClass[q.class], latency)
+		record(o.latenciesByClass[req.class], latency)
 		record(second.latencies, latency)
-		if latency <= o.objectives[q.class] {
+		if latency <= o.objectives[req.class] {
 			class.InObjective++
 			second.InObjective++
 		}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -81,23 +81,23 @@
 
 // request returns the request for an arrival.
 func (s *requestSource) request(a Arrival) (*request, error) {
-	r := &request{dueAt: a.At, firstDueAt: a.At, key: a.Key, client: a.Client}
+	req := &request{dueAt: a.At, firstDueAt: a.At, key: a.Key, client: a.Client}
 	if a.Class == "" {
-		r.class = s.drawClass()
+		req.class = s.drawClass()
 	} else {
 		class, ok := s.classByName[a.Class]
 		if !ok {
 			return nil, fmt.Errorf("the trace has request class %q, which is not in the plan", a.Class)
 		}
-		r.class = class
+		req.class = class
 	}
-	if r.key == 0 {
-		r.key = s.drawKey()
+	if req.key == 0 {
+		req.key = s.drawKey()
 	}
-	if r.client == 0 && s.plan.ClientAddresses > 0 {
-		r.client = s.rand.Uint64N(uint64(s.plan.ClientAddresses)) + 1
+	if req.client == 0 && s.plan.ClientAddresses > 0 {
+		req.client = s.rand.Uint64N(uint64(s.plan.ClientAddresses)) + 1
 	}
-	return r, nil
+	return req, nil
 }
 
 func (s *requestSource) drawClass() int {
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -117,11 +117,11 @@
 
 // Chart draws lines into a file whose extension selects SVG or PNG. Lines without points are omitted.
 func Chart(file, title, xLabel, yLabel string, lines []Line) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
-	p.Y.Min = 0
-	p.Legend.Top, p.Legend.Left = true, true
-	p.Add(plotter.NewGrid())
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, xLabel, yLabel
+	chart.Y.Min = 0
+	chart.Legend.Top, chart.Legend.Left = true, true
+	chart.Add(plotter.NewGrid())
 	for i, line := range lines {
 		if len(line.Points) == 0 {
 			continue
@@ -131,8 +131,8 @@
 			return err
 		}
 		curve.Color, points.Color = lineColors[i%len(lineColors)], lineColors[i%len(lineColors)]
-		p.Add(curve, points)
-		p.Legend.Add(line.Name, curve)
+		chart.Add(curve, points)
+		chart.Legend.Add(line.Name, curve)
 	}
-	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, file)
+	return chart.Save(16*vg.Centimeter, 9*vg.Centimeter, file)
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -108,7 +108,7 @@
 // seconds converts seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sendRetries sends the retries that are due. It returns the time of the next retry, or latest if that is earlier.
+// sendRetries sends the retries that are due. It returns the time of the next retry, but at most latest.
 func (r *runner) sendRetries(now, latest float64) float64 {
 	for {
 		retry, next := r.popDueRetry(now, latest)
@@ -120,7 +120,7 @@
 }
 
 // popDueRetry removes and returns a retry that is due. If none is due, it returns nil and the time of the next retry,
-// or latest if that is earlier.
+// but at most latest.
 func (r *runner) popDueRetry(now, latest float64) (*request, float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,8 +145,8 @@
 }
 
 // deadline returns the time at which the client of a request gives up.
-func (r *runner) deadline(q *request) float64 {
-	return q.firstDueAt + r.plan.Classes[q.class].TimeoutSeconds
+func (r *runner) deadline(req *request) float64 {
+	return req.firstDueAt + r.plan.Classes[req.class].TimeoutSeconds
 }
 
 // closeIdle ends the goroutines of idle connections and stores the length of the run.
@@ -161,52 +161,52 @@
 }
 
 // dispatch passes a request to an idle connection or to a new one. If neither is available, the request waits.
-func (r *runner) dispatch(q *request) {
+func (r *runner) dispatch(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if q.retries == 0 {
-		r.outcome.recordArrival(q)
+	if req.retries == 0 {
+		r.outcome.recordArrival(req)
 	}
 	if n := len(r.idleConns); n > 0 {
 		c := r.idleConns[n-1]
 		r.idleConns = r.idleConns[:n-1]
-		r.outcome.recordLag(r.now() - q.dueAt)
-		c.requests <- q // does not block: the channel of an idle connection is empty
+		r.outcome.recordLag(r.now() - req.dueAt)
+		c.requests <- req // does not block: the channel of an idle connection is empty
 		return
 	}
 	if r.connCount >= r.plan.MaxConns {
-		r.waitingRequests = append(r.waitingRequests, q)
+		r.waitingRequests = append(r.waitingRequests, req)
 		return
 	}
 	r.connCount++
-	r.outcome.recordLag(r.now() - q.dueAt)
+	r.outcome.recordLag(r.now() - req.dueAt)
 	c := &conn{requests: make(chan *request, 1)}
 	if r.plan.ClientAddresses > 0 {
-		c.localAddress = fmt.Sprintf("127.0.%d.%d:0", 1+q.client/250, 1+q.client%250)
+		c.localAddress = fmt.Sprintf("127.0.%d.%d:0", 1+req.client/250, 1+req.client%250)
 	}
-	c.requests <- q
+	c.requests <- req
 	r.connGoroutines.Go(func() { r.serve(c) })
 }
 
 // serve sends the requests that are passed to a connection until its channel is closed.
 func (r *runner) serve(c *conn) {
 	defer c.close()
-	for q := range c.requests {
-		for q != nil {
-			q = r.serveOne(c, q)
+	for req := range c.requests {
+		for req != nil {
+			req = r.serveOne(c, req)
 		}
 	}
 }
 
 // serveOne sends one request and records its result. It returns a waiting request for the connection to send next, or
 // nil if none waits.
-func (r *runner) serveOne(c *conn, q *request) (next *request) {
-	result, retryAfterSeconds := r.attempt(c, q)
+func (r *runner) serveOne(c *conn, req *request) (next *request) {
+	result, retryAfterSeconds := r.attempt(c, req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if result != rejected || !r.scheduleRetry(q, now, retryAfterSeconds) {
-		r.outcome.recordResult(q, now, result)
+	if result != rejected || !r.scheduleRetry(req, now, retryAfterSeconds) {
+		r.outcome.recordResult(req, now, result)
 	}
 	if len(r.waitingRequests) > 0 {
 		next = r.waitingRequests[0]
@@ -219,20 +219,20 @@
 
 // scheduleRetry schedules a retry of a rejected request. It returns false if the request has no retries or too little
 // time left. The caller must hold the lock.
-func (r *runner) scheduleRetry(q *request, now, retryAfterSeconds float64) bool {
-	if q.retries >= r.plan.MaxRetries {
+func (r *runner) scheduleRetry(req *request, now, retryAfterSeconds float64) bool {
+	if req.retries >= r.plan.MaxRetries {
 		return false
 	}
 	at := now
 	if !r.plan.IgnoreRetryAfter {
 		at += retryAfterSeconds
 	}
-	if at+r.plan.Classes[q.class].LatencyObjectiveSeconds/retryObjectiveDivisor >= r.deadline(q) {
+	if at+r.plan.Classes[req.class].LatencyObjectiveSeconds/retryObjectiveDivisor >= r.deadline(req) {
 		return false
 	}
 	r.outcome.Retries++
-	retry := *q
-	retry.dueAt, retry.retries = at, q.retries+1
+	retry := *req
+	retry.dueAt, retry.retries = at, req.retries+1
 	heap.Push(&r.retries, &retry)
 	return true
 }
--- a/internal/loadgen/shape.go
+++ b/internal/loadgen/shape.go
@@ -126,13 +126,13 @@
 
 // poissonArrivals yields a Poisson process with the rate of rateAt: arrivals are drawn at the peak rate and thinned.
 func (s *Shape) poissonArrivals(seed uint64) func() (Arrival, bool) {
-	top := max(s.RequestsPerSecond, s.EndRequestsPerSecond)
+	peakRate := max(s.RequestsPerSecond, s.EndRequestsPerSecond)
 	t := 0.0
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	return func() (Arrival, bool) {
 		for t < s.LengthSeconds {
-			t += rnd.ExpFloat64() / top
-			if t < s.LengthSeconds && rnd.Float64()*top < s.rateAt(t) {
+			t += rnd.ExpFloat64() / peakRate
+			if t < s.LengthSeconds && rnd.Float64()*peakRate < s.rateAt(t) {
 				return Arrival{At: t}, true
 			}
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -99,11 +99,11 @@
 	if !out.Kept() {
 		t.Errorf("rules were broken: %+v", out.Rules)
 	}
-	v, relays := out.Versions, script.Relays
-	good := v.Sent - v.Bad
+	versions, relays := out.Versions, script.Relays
+	good := versions.Sent - versions.Bad
 	// The relays may not have answered the last version when the scenario ends.
-	if v.Bad == 0 || v.Accepted > relays*good || v.Accepted < relays*(good-1) || v.Rejected > relays*v.Bad || v.Rejected < relays*(v.Bad-1) {
-		t.Errorf("wrong counts of versions on %d relays: %v", relays, v)
+	if versions.Bad == 0 || versions.Accepted > relays*good || versions.Accepted < relays*(good-1) || versions.Rejected > relays*versions.Bad || versions.Rejected < relays*(versions.Bad-1) {
+		t.Errorf("wrong counts of versions on %d relays: %v", relays, versions)
 	}
 }
 
@@ -174,18 +174,18 @@
 	traced := 0
 	attemptsByRequest := map[uint64][]*invariants.Attempt{}
 	perEndpoint := map[uint32]int{}
-	for _, d := range rec.Attempts {
-		attemptsByRequest[d.RequestID] = append(attemptsByRequest[d.RequestID], d)
-		perEndpoint[d.Endpoint]++
+	for _, attempt := range rec.Attempts {
+		attemptsByRequest[attempt.RequestID] = append(attemptsByRequest[attempt.RequestID], attempt)
+		perEndpoint[attempt.Endpoint]++
 	}
-	for id, c := range rec.Requests {
+	for id, request := range rec.Requests {
 		list := attemptsByRequest[id]
-		if c.Class != "seal-gate" || len(c.Answers) != 1 || c.Answers[0].Kind != "acked" || len(list) != 1 {
+		if request.Class != "seal-gate" || len(request.Answers) != 1 || request.Answers[0].Kind != "acked" || len(list) != 1 {
 			continue
 		}
-		d, a := list[0], c.Answers[0]
-		if d.Endpoint != a.Endpoint || d.At < c.SentAt || a.At < d.At || a.At > c.Deadline || rec.Endpoints[d.Endpoint] == nil {
-			t.Errorf("request %d: sent %.3f, received %.3f by endpoint %d, answered %.3f by endpoint %d, deadline %.3f", id, c.SentAt, d.At, d.Endpoint, a.At, a.Endpoint, c.Deadline)
+		attempt, answer := list[0], request.Answers[0]
+		if attempt.Endpoint != answer.Endpoint || attempt.At < request.SentAt || answer.At < attempt.At || answer.At > request.Deadline || rec.Endpoints[attempt.Endpoint] == nil {
+			t.Errorf("request %d: sent %.3f, received %.3f by endpoint %d, answered %.3f by endpoint %d, deadline %.3f", id, request.SentAt, attempt.At, attempt.Endpoint, answer.At, answer.Endpoint, request.Deadline)
 		}
 		traced++
 	}
@@ -224,12 +224,12 @@
 			t.Fatal(err, out)
 		}
 		all, ofWrongEndpoint, first := 0, 0, rec.Attempts[0].At
-		for _, d := range rec.Attempts {
-			if d.At < first+2.5 {
+		for _, attempt := range rec.Attempts {
+			if attempt.At < first+2.5 {
 				continue
 			}
 			all++
-			if d.Endpoint == uint32(script.Fleet.Slots) {
+			if attempt.Endpoint == uint32(script.Fleet.Slots) {
 				ofWrongEndpoint++
 			}
 		}
