--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -23,14 +23,14 @@
 // Capacity finds the highest rate, in requests per second, that a router without load shedding serves within the
 // latency objectives, to within maxCapacityRatio or maxCapacityGapPerSecond. Each tried rate is written to progress.
 func (x *Experiment) Capacity(ctx context.Context, bin string, progress io.Writer) (float64, error) {
-	b, err := Start(RouterOptions{Bin: bin, MaxProcs: x.MaxProcs, Endpoints: x.Endpoints, MemoryBytes: x.Variants[0].MemoryBytes})
+	bench, err := Start(RouterOptions{Bin: bin, MaxProcs: x.MaxProcs, Endpoints: x.Endpoints, MemoryBytes: x.Variants[0].MemoryBytes})
 	if err != nil {
 		return 0, err
 	}
-	defer b.stopOrWarn()
+	defer bench.stopOrWarn()
 	low, high := 0.0, 0.0 // highest served rate, lowest rate not served (0: none yet)
 	try := func(rate float64) error {
-		o, err := loadgen.Run(ctx, x.plan(b, rate, capacityRunSeconds), nil)
+		o, err := loadgen.Run(ctx, x.plan(bench, rate, capacityRunSeconds), nil)
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -68,10 +68,10 @@
 	return "noise"
 }
 
-// ratioInterval returns the 95% bootstrap interval of the ratio of y's median to x's median. The random seed is fixed,
-// so that the same values always give the same interval.
-func ratioInterval(x, y []float64) (low, high float64) {
-	if len(x) == 0 || len(y) == 0 {
+// ratioInterval returns the 95% bootstrap interval of the ratio of valuesB's median to valuesA's median. The random
+// seed is fixed, so that the same values always give the same interval.
+func ratioInterval(valuesA, valuesB []float64) (low, high float64) {
+	if len(valuesA) == 0 || len(valuesB) == 0 {
 		return 0, 0
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -85,7 +85,7 @@
 	}
 	ratios := make([]float64, resampleCount)
 	for i := range ratios {
-		ratios[i] = resampledMedian(y) / resampledMedian(x)
+		ratios[i] = resampledMedian(valuesB) / resampledMedian(valuesA)
 	}
 	sort.Float64s(ratios)
 	return ratios[intervalLowIndex], ratios[intervalHighIndex]
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -78,8 +78,8 @@
 	return len(p), nil
 }
 
-// TestCompare checks the three verdicts: 10% more goodput with little spread is a difference, the same values in
-// another order are noise, and two runs are too few.
+// TestCompare checks the three verdicts: 10% more goodput with little spread is a difference, the same spread around
+// the same median is noise, and two runs are too few.
 func TestCompare(t *testing.T) {
 	folder := func(goodput ...float64) string {
 		dir := t.TempDir()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -33,7 +33,7 @@
 			for i := range x.Variants {
 				variant := x.Variants[(i+repeat)%len(x.Variants)] // the variant that runs first rotates with the repeat
 				g := gridRun{variant, rate, rate * rateScale, x.idleRate(rateScale), repeat}
-				if err := x.playUnlessSaved(ctx, bin, dir, g, progress); err != nil {
+				if err := x.executeUnlessSaved(ctx, bin, dir, g, progress); err != nil {
 					return err
 				}
 			}
@@ -104,13 +104,13 @@
 	return capacity, nil
 }
 
-// playUnlessSaved executes a run and saves its result, unless the folder already has the result.
-func (x *Experiment) playUnlessSaved(ctx context.Context, bin, dir string, g gridRun, progress io.Writer) error {
+// executeUnlessSaved executes a run and saves its result, unless the folder already has the result.
+func (x *Experiment) executeUnlessSaved(ctx context.Context, bin, dir string, g gridRun, progress io.Writer) error {
 	file := g.file(dir)
 	if _, err := os.Stat(file); err == nil {
 		return nil
 	}
-	r, err := x.play(ctx, bin, g)
+	r, err := x.executeRun(ctx, bin, g)
 	if err != nil {
 		return err
 	}
@@ -124,35 +124,35 @@
 	return os.Rename(file+".part", file)
 }
 
-// play executes a run on a new bench.
-func (x *Experiment) play(ctx context.Context, bin string, g gridRun) (*Result, error) {
-	b, err := Start(RouterOptions{
+// executeRun executes a run on a new bench.
+func (x *Experiment) executeRun(ctx context.Context, bin string, g gridRun) (*Result, error) {
+	bench, err := Start(RouterOptions{
 		Bin: bin, MaxProcs: x.MaxProcs, Shed: g.variant.Shed, MemoryBytes: g.variant.MemoryBytes, Endpoints: x.Endpoints,
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer b.stopOrWarn()
+	defer bench.stopOrWarn()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if x.LeadInSeconds > 0 {
-		if _, err := loadgen.Run(ctx, x.plan(b, g.idlePerSecond, x.LeadInSeconds), nil); err != nil {
+		if _, err := loadgen.Run(ctx, x.plan(bench, g.idlePerSecond, x.LeadInSeconds), nil); err != nil {
 			return nil, err
 		}
 	}
-	b.InjectFaults(ctx, x.Faults)
-	load, err := loadgen.Run(ctx, x.measuredPlan(b, g), nil)
+	bench.InjectFaults(ctx, x.Faults)
+	load, err := loadgen.Run(ctx, x.measuredPlan(bench, g), nil)
 	if err != nil {
 		return nil, err
 	}
 	r := &Result{Variant: g.variant.Name, Rate: g.rate, Repeat: g.repeat, OfferedPerSecond: g.offeredPerSecond, Load: load}
-	if r.Shed, err = b.Metric("flintedge_shed_total"); err != nil {
+	if r.Shed, err = bench.Metric("flintedge_shed_total"); err != nil {
 		return nil, err
 	}
-	if r.MemoryPeakBytes, err = b.Metric("flintedge_memory_peak_bytes"); err != nil {
+	if r.MemoryPeakBytes, err = bench.Metric("flintedge_memory_peak_bytes"); err != nil {
 		r.MemoryPeakBytes = 0 // the router does not count its memory
 	}
-	if r.ResidentBytes, err = b.ResidentBytes(); err != nil {
+	if r.ResidentBytes, err = bench.ResidentBytes(); err != nil {
 		return nil, err
 	}
 	if x.RecoverySeconds > 0 {
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -34,7 +34,7 @@
 // gets a folder in dir.
 func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
 	c := HealthComparison{Seed: seed, RulesKept: true}
-	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
+	runVariant := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
 		script, err := comparisonScript(seed, build)
 		if err != nil {
 			return nil, err
@@ -51,15 +51,15 @@
 		c.RulesKept, c.Service[i] = c.RulesKept && out.Kept(), out.Service
 		return out, nil
 	}
-	with, err := play(0, "with", comparisonWrongBuild, func(*Script) {})
+	with, err := runVariant(0, "with", comparisonWrongBuild, func(*Script) {})
 	if err != nil {
 		return c, err
 	}
-	without, err := play(1, "without", comparisonWrongBuild, func(s *Script) { s.QueryServers = nil })
+	without, err := runVariant(1, "without", comparisonWrongBuild, func(s *Script) { s.QueryServers = nil })
 	if err != nil {
 		return c, err
 	}
-	lied, err := play(2, "lied", comparisonGoodBuild, func(s *Script) {
+	falseEvidence, err := runVariant(2, "lied", comparisonGoodBuild, func(s *Script) {
 		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.Lies)})
 	})
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 	c.RollbackSecondsWithServers, _ = with.RollbackAfter(comparisonWrongBuild)
 	c.RollbackSecondsWithoutServers, _ = without.RollbackAfter(comparisonWrongBuild)
-	_, c.GoodBuildRolledBack = lied.RollbackAfter(comparisonGoodBuild)
-	c.GoodBuildReleased = lied.hasHistoryEntry(fmt.Sprintf("build %d is released", comparisonGoodBuild))
+	_, c.GoodBuildRolledBack = falseEvidence.RollbackAfter(comparisonGoodBuild)
+	c.GoodBuildReleased = falseEvidence.hasHistoryEntry(fmt.Sprintf("build %d is released", comparisonGoodBuild))
 	return c, nil
 }
 
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -35,7 +35,7 @@
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd               // nil while the process is stopped
-	incarnation *invariants.Incarnation // record of the run of cmd
+	incarnation *invariants.Incarnation // record of the lifetime of cmd
 }
 
 type processes []*process
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -101,7 +101,7 @@
 	}
 	versions, relays := out.Versions, script.Relays
 	good := versions.Sent - versions.Bad
-	// The relays may not have answered the last version when the scenario ends.
+	// A relay may not have answered the last version when the scenario ends.
 	if versions.Bad == 0 || versions.Accepted > relays*good || versions.Accepted < relays*(good-1) || versions.Rejected > relays*versions.Bad || versions.Rejected < relays*(versions.Bad-1) {
 		t.Errorf("wrong counts of versions on %d relays: %v", relays, versions)
 	}
@@ -194,8 +194,8 @@
 	}
 	// The endpoint that fails its probes (the one that starts in the last slot) kept its share of the traffic.
 	mean := 0
-	for u := range uint32(script.Fleet.Slots) {
-		mean += perEndpoint[u+1]
+	for slot := range uint32(script.Fleet.Slots) {
+		mean += perEndpoint[slot+1]
 	}
 	mean /= script.Fleet.Slots
 	if n := perEndpoint[uint32(script.Fleet.Slots)]; n < mean/2 {
@@ -221,7 +221,7 @@
 		defer func() { inspectRecord = func(*invariants.Record) {} }()
 		out, err := Run(script, buildPrograms(t), t.TempDir(), io.Discard)
 		if err != nil || !out.Kept() {
-			t.Fatal(err, out)
+			t.Fatalf("run failed or broke a rule: error %v, outcome %+v", err, out)
 		}
 		all, ofWrongEndpoint, first := 0, 0, rec.Attempts[0].At
 		for _, attempt := range rec.Attempts {
@@ -238,6 +238,6 @@
 	with, without := share(true), share(false)
 	t.Logf("the wrong endpoint's share of the attempts: %.3f with query servers, %.3f without", with, without)
 	if with > without/2 {
-		t.Errorf("the wrong endpoint's share of the attempts: %.3f with query servers, %.3f without", with, without)
+		t.Errorf("the wrong endpoint's share of the attempts: %.3f with query servers, want at most half of %.3f without", with, without)
 	}
 }
