--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -84,17 +84,21 @@
 	rules, release := s.Rules, s.Release
 	fmt.Fprintf(&b, " :rules {:relays %d :round %g :deliveries %d :parallel %t :max-pause %g :cold-from %g :warm-up %g :fall-multiple %g"+
 		" :fall-time %g :window %g :grace %g :free %g :count-per-op-type %t :guarded-stages %d :one-way-keys %t :keys-kept %d :forget-units %g}\n",
-		rules.RouterGroups, rules.TimerResolutionSeconds, rules.MaxAttempts, rules.AllowHedging, rules.MaxRetryAfterSeconds, rules.SlowStartInitialShare, rules.SlowStartSeconds, rules.SlowStartOverloadFactor,
-		rules.SlowStartOverloadSeconds, rules.CanaryWindowSeconds, rules.GraceSeconds, rules.CanaryFreeAttempts, rules.CanaryLimitPerClass, rules.IdempotentOnlyStages, rules.OneWayKeys,
-		rules.MaxRememberedKeys, rules.ForgetEndpointSeconds)
+		rules.RouterGroups, rules.TimerResolutionSeconds, rules.MaxAttempts, rules.AllowHedging,
+		rules.MaxRetryAfterSeconds, rules.SlowStartInitialShare, rules.SlowStartSeconds, rules.SlowStartOverloadFactor,
+		rules.SlowStartOverloadSeconds, rules.CanaryWindowSeconds, rules.GraceSeconds, rules.CanaryFreeAttempts,
+		rules.CanaryLimitPerClass, rules.IdempotentOnlyStages, rules.OneWayKeys, rules.MaxRememberedKeys,
+		rules.ForgetEndpointSeconds)
 	fmt.Fprintf(&b, " :release {:stages %v :caps %v :back-votes %d :by-clock %t :replace %t :harm-price %g :stale-price %g :report-share %g"+
-		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n", release.StageShares, release.CanaryLimits, release.RollbackVotes, release.AutomaticStages,
-		release.ReplaceInPlace, release.WrongAnswerPrice, release.StaleBuildPrice, release.WrongAnswerReportShare, release.VoteLifetimeSeconds, release.VoteTimeoutSeconds,
-		release.VotesPerSecond)
+		" :vote-life %g :vote-timeout %g :votes-a-second %g}\n",
+		release.StageShares, release.CanaryLimits, release.RollbackVotes, release.AutomaticStages,
+		release.ReplaceInPlace, release.WrongAnswerPrice, release.StaleBuildPrice, release.WrongAnswerReportShare,
+		release.VoteLifetimeSeconds, release.VoteTimeoutSeconds, release.VotesPerSecond)
 	b.WriteString(" :op-types [")
 	for _, class := range s.Classes {
-		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g", class.Name, class.LatencyObjectiveSeconds, class.TimeoutSeconds,
-			class.PriorityWeight, string(class.Idempotency), class.DedupWindowSeconds)
+		fmt.Fprintf(&b, "{:name %q :target %g :timeout %g :importance %g :effect :%s :window %g",
+			class.Name, class.LatencyObjectiveSeconds, class.TimeoutSeconds, class.PriorityWeight,
+			string(class.Idempotency), class.DedupWindowSeconds)
 		if class.DedupScope != "" {
 			fmt.Fprintf(&b, " :group :%s", string(class.DedupScope))
 		}
