--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -24,7 +24,7 @@
 	startAttempts  = 500 // checks whether a started router has its endpoint list
 	startInterval  = 10 * time.Millisecond
 	metricsTimeout = 2 * time.Second
-	minMemoryBytes = 1 << 20
+	minMemoryBytes = 1 << 20 // smallest memory budget that the settings allow
 )
 
 // Bench is a test bench: a router process with fast fake endpoints, a fake endpoint list and a fake release service.
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	firstTriedPerSecond     = 4000.0 // requests per second
-	rateGrowth              = 1.6    // factor from one tried rate to the next, until one is too high
-	maxTriedPerSecond       = 1e6
-	maxCapacityRatio        = 1.05 // the search ends when the ratio of its bounds is at most this
-	maxCapacityGapPerSecond = 100  // or when their difference, in requests per second, is at most this
-	minService              = 0.99 // minimum share of requests within their latency objectives at a rate that counts as served
-	capacityRunSeconds      = 3    // length of each run
-	settleTime              = time.Second
+	firstTriedPerSecond     = 4000.0      // requests per second
+	rateGrowth              = 1.6         // factor from one tried rate to the next, until one is too high
+	maxTriedPerSecond       = 1e6         // the search fails above this rate
+	maxCapacityRatio        = 1.05        // the search ends when the ratio of its bounds is at most this
+	maxCapacityGapPerSecond = 100         // or when their difference, in requests per second, is at most this
+	minService              = 0.99        // minimum share of requests within their latency objectives at a rate that counts as served
+	capacityRunSeconds      = 3           // length of each run
+	settleTime              = time.Second // pause after each run
 )
 
 // Capacity finds the highest rate, in requests per second, that a router without load shedding serves within the
