--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -67,7 +67,7 @@
 			defer mu.Unlock()
 			comparisons = append(comparisons, c)
 			fmt.Fprintf(w, "seed %d: rollback after %.2f s with query servers, %.2f s without; good build with false metrics: rolled back %t, released %t; rules kept %t; service %.3f\n",
-				c.Seed, c.With, c.Without, c.LiedAbout, c.Released, c.Kept, c.Service)
+				c.Seed, c.RollbackSecondsWithServers, c.RollbackSecondsWithoutServers, c.GoodBuildRolledBack, c.GoodBuildReleased, c.RulesKept, c.Service)
 			return nil
 		})
 	}
@@ -83,22 +83,22 @@
 	liedAbout, released, broken := 0, 0, 0
 	var with, without, ratios []float64
 	for _, c := range comparisons {
-		if c.With > 0 {
-			with = append(with, c.With)
+		if c.RollbackSecondsWithServers > 0 {
+			with = append(with, c.RollbackSecondsWithServers)
 		}
-		if c.Without > 0 {
-			without = append(without, c.Without)
+		if c.RollbackSecondsWithoutServers > 0 {
+			without = append(without, c.RollbackSecondsWithoutServers)
 		}
-		if c.With > 0 && c.Without > 0 {
-			ratios = append(ratios, c.With/c.Without)
+		if c.RollbackSecondsWithServers > 0 && c.RollbackSecondsWithoutServers > 0 {
+			ratios = append(ratios, c.RollbackSecondsWithServers/c.RollbackSecondsWithoutServers)
 		}
-		if c.LiedAbout {
+		if c.GoodBuildRolledBack {
 			liedAbout++
 		}
-		if c.Released {
+		if c.GoodBuildReleased {
 			released++
 		}
-		if !c.Kept {
+		if !c.RulesKept {
 			broken++
 		}
 	}
--- a/internal/scenario/healthcomparison.go
+++ b/internal/scenario/healthcomparison.go
@@ -11,28 +11,30 @@
 	"flintspread/internal/fakes"
 )
 
-// The builds of HealthComparisonDay.
+// The builds that HealthComparisonDay can offer: one that answers wrongly and one that is sound.
 const (
 	comparisonWrongBuild = 2
 	comparisonGoodBuild  = 3
 )
 
-// HealthComparison is what one seed shows of the evidence from metrics.
+// HealthComparison is the result of one seed: how the evidence from metrics changes the rollback of a wrong build and
+// of a good one.
 type HealthComparison struct {
-	Seed      uint64
-	With      float64    // seconds until the wrong build was rolled back with query servers; 0: it was not
-	Without   float64    // the same without query servers
-	LiedAbout bool       // the good build that the query servers lied about was rolled back
-	Released  bool       // it was released
-	Kept      bool       // no rule was broken in the three runs
-	Service   [3]float64 // of the three runs
+	Seed                          uint64
+	RollbackSecondsWithServers    float64    // from the offer of the wrong build to its rollback; 0: no rollback
+	RollbackSecondsWithoutServers float64    // the same in the run without query servers
+	GoodBuildRolledBack           bool       // in the run with false evidence against it
+	GoodBuildReleased             bool       // in the same run
+	RulesKept                     bool       // in all three runs
+	Service                       [3]float64 // Outcome.Service of the three runs
 }
 
-// CompareHealth plays HealthComparisonDay three times with one seed: a wrong build with query servers and without, and a good build
-// that all query servers lie about. Each run gets a folder in dir.
+// CompareHealth runs HealthComparisonDay three times with one seed: with a wrong build and query servers, with a wrong
+// build and no query servers, and with a good build while all query servers return false evidence against it. Each run
+// gets a folder in dir.
 func CompareHealth(seed uint64, bin, dir string) (HealthComparison, error) {
-	c := HealthComparison{Seed: seed, Kept: true}
-	play := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
+	c := HealthComparison{Seed: seed, RulesKept: true}
+	runVariant := func(i int, name string, build int, edit func(*Script)) (*Outcome, error) {
 		script, err := comparisonScript(seed, build)
 		if err != nil {
 			return nil, err
@@ -44,33 +46,33 @@
 		}
 		out, err := Run(script, bin, runDir, io.Discard)
 		if err != nil {
-			return nil, fmt.Errorf("seed %d, %s: %w", seed, name, err)
+			return nil, fmt.Errorf("seed %d, run %q: %w", seed, name, err)
 		}
-		c.Kept, c.Service[i] = c.Kept && out.Passed(), out.Service
+		c.RulesKept, c.Service[i] = c.RulesKept && out.Passed(), out.Service
 		return out, nil
 	}
-	with, err := play(0, "with", comparisonWrongBuild, func(*Script) {})
+	with, err := runVariant(0, "with", comparisonWrongBuild, func(*Script) {})
 	if err != nil {
 		return c, err
 	}
-	without, err := play(1, "without", comparisonWrongBuild, func(s *Script) { s.QueryServers = nil })
+	without, err := runVariant(1, "without", comparisonWrongBuild, func(s *Script) { s.QueryServers = nil })
 	if err != nil {
 		return c, err
 	}
-	lied, err := play(2, "lied", comparisonGoodBuild, func(s *Script) {
+	falseEvidence, err := runVariant(2, "lied", comparisonGoodBuild, func(s *Script) {
 		s.Events = append(s.Events, Event{At: 0, Kind: "query-server", Fault: string(fakes.FaultInflatesFailures)})
 	})
 	if err != nil {
 		return c, err
 	}
-	c.With, _ = with.RollbackAfter(comparisonWrongBuild)
-	c.Without, _ = without.RollbackAfter(comparisonWrongBuild)
-	_, c.LiedAbout = lied.RollbackAfter(comparisonGoodBuild)
-	c.Released = lied.happened(fmt.Sprintf("build %d is released", comparisonGoodBuild))
+	c.RollbackSecondsWithServers, _ = with.RollbackAfter(comparisonWrongBuild)
+	c.RollbackSecondsWithoutServers, _ = without.RollbackAfter(comparisonWrongBuild)
+	_, c.GoodBuildRolledBack = falseEvidence.RollbackAfter(comparisonGoodBuild)
+	c.GoodBuildReleased = falseEvidence.hasHistoryEntry(fmt.Sprintf("build %d is released", comparisonGoodBuild))
 	return c, nil
 }
 
-// comparisonScript is HealthComparisonDay with one build that is offered.
+// comparisonScript returns HealthComparisonDay with the given seed, offering only the given build.
 func comparisonScript(seed uint64, build int) (*Script, error) {
 	script, err := Read(HealthComparisonDay)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return script, nil
 }
 
-// RollbackAfter gives the seconds from the offer of a build until it was rolled back, and whether it was.
+// RollbackAfter returns the seconds from the offer of a build to its rollback, and whether it was rolled back at all.
 func (o *Outcome) RollbackAfter(build int) (seconds float64, rolledBack bool) {
 	offeredAt := 0.0
 	for _, event := range o.History {
@@ -98,7 +100,7 @@
 	return 0, false
 }
 
-// happened reports whether the history has an entry.
-func (o *Outcome) happened(what string) bool {
+// hasHistoryEntry reports whether the history has an entry with exactly this text.
+func (o *Outcome) hasHistoryEntry(what string) bool {
 	return slices.ContainsFunc(o.History, func(event fakes.ReleaseEvent) bool { return event.Description == what })
 }
