--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -13,7 +13,7 @@
 func TestLateControllerSkipsReports(t *testing.T) {
 	controller := newController(exampleSettings(t), discardLog(), nil)
 	controller.restore(1, SavedState{})
-	controller.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: controller.log}
+	controller.voteSender = &releases.VoteSender{RouterGroup: "r1", URL: "http://127.0.0.1:1", Log: controller.log}
 	controller.voteSender.Open()
 	controller.mu.Lock()
 	(&endpoints.Update{Full: true, Endpoints: []endpoints.Endpoint{{ID: 1, Build: 1, State: "ready"}, {ID: 2, Build: 1, State: "ready"},
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer mustClose(t, controller.store)
-	controller.voteSender = &releases.VoteSender{Router: "r1", URL: services.serve(t), TimeoutSeconds: 0.5, Client: http.DefaultClient, Log: controller.log,
+	controller.voteSender = &releases.VoteSender{RouterGroup: "r1", URL: services.serve(t), TimeoutSeconds: 0.5, Client: http.DefaultClient, Log: controller.log,
 		OnSend: controller.onVoteSend, OnReply: controller.onVoteReply}
 	controller.voteSender.Open()
 	update := &endpoints.Update{Version: 1, Full: true}
@@ -261,7 +261,7 @@
 			if controller.metricsEvidence, err = controller.newMetricsEvidence(); err != nil {
 				b.Fatal(err)
 			}
-			controller.voteSender = &releases.VoteSender{Router: "r1", URL: "http://127.0.0.1:1", Log: controller.log} // not running, so votes are not sent
+			controller.voteSender = &releases.VoteSender{RouterGroup: "r1", URL: "http://127.0.0.1:1", Log: controller.log} // not running, so votes are not sent
 			controller.voteSender.Open()
 			update := &endpoints.Update{Version: 1, Full: true}
 			for id := range endpointCount {
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -16,7 +16,7 @@
 // openVoteSender creates the sender of votes to the release service. Its Run method sends the votes that ticks cast.
 func (c *Controller) openVoteSender(client *http.Client) {
 	c.voteSender = &releases.VoteSender{
-		Router: c.settings.RouterGroup, URL: c.settings.Sources.ReleaseServiceURL, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
+		RouterGroup: c.settings.RouterGroup, URL: c.settings.Sources.ReleaseServiceURL, TimeoutSeconds: c.settings.Release.VoteTimeoutSeconds, Client: client, Log: c.log,
 		OnSend: c.onVoteSend, OnReply: c.onVoteReply,
 	}
 	c.voteSender.Open()
--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -33,7 +33,7 @@
 // VoteSender sends votes to the release service, one at a time. Open must be called first, then Run on a goroutine of
 // its own; Cast may be called from any goroutine.
 type VoteSender struct {
-	Router         string  // name of the voting router
+	RouterGroup         string  // name of the voting router
 	URL            string  // URL of the release service
 	TimeoutSeconds float64 // maximum time from sending a vote to the end of its reply
 	Client         *http.Client
@@ -102,7 +102,7 @@
 }
 
 func (s *VoteSender) newRequest(ctx context.Context, vote Vote) (*http.Request, error) {
-	text, err := json.Marshal(VoteMessage{Router: s.Router, Build: vote.Build, Stage: vote.Stage, Verdict: verdicts[vote.Verdict]})
+	text, err := json.Marshal(VoteMessage{Router: s.RouterGroup, Build: vote.Build, Stage: vote.Stage, Verdict: verdicts[vote.Verdict]})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -128,7 +128,7 @@
 func (r *Router) startStandalone() error {
 	settings := r.config
 	r.voteSender = &releases.VoteSender{
-		Router:         settings.RouterGroup,
+		RouterGroup:         settings.RouterGroup,
 		URL:            settings.Sources.ReleaseServiceURL,
 		TimeoutSeconds: settings.Release.VoteTimeoutSeconds,
 		Client:         r.httpClient,
