--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -24,7 +24,7 @@
 
 // VoteMessage is a vote in the release service's protocol.
 type VoteMessage struct {
-	Router  string `json:"relay"` // name of the voting router
+	RouterGroup  string `json:"relay"` // name of the voting router
 	Build   int    `json:"build"`
 	Stage   int    `json:"stage"`
 	Verdict string `json:"verdict"` // a value of verdicts
@@ -102,7 +102,7 @@
 }
 
 func (s *VoteSender) newRequest(ctx context.Context, vote Vote) (*http.Request, error) {
-	text, err := json.Marshal(VoteMessage{Router: s.RouterGroup, Build: vote.Build, Stage: vote.Stage, Verdict: verdicts[vote.Verdict]})
+	text, err := json.Marshal(VoteMessage{RouterGroup: s.RouterGroup, Build: vote.Build, Stage: vote.Stage, Verdict: verdicts[vote.Verdict]})
 	if err != nil {
 		return nil, err
 	}
