--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -125,7 +125,7 @@
 		seed = rand.Uint64()
 	}
 	c.balancer = policy.New(settings.Policy(), seed, c.startedAtSeconds)
-	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, Relay: settings.RouterGroup,
+	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, RouterGroup: settings.RouterGroup,
 		AcceptReport: c.acceptReport, NextAssignment: c.nextAssignment}
 	return c
 }
--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -31,7 +31,7 @@
 	linkpb.UnimplementedPlannerServer
 	Config *config.Link
 	Log    *slog.Logger
-	Relay  string // must match that of every router
+	RouterGroup  string // must match that of every router
 	// AcceptReport records a report and returns lease.Accepted, or why the report is rejected. It is called from one
 	// goroutine per router and must not block.
 	AcceptReport func(report *linkpb.Digest) lease.Reason
@@ -130,8 +130,8 @@
 		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", report.Edge, report.Major,
 			report.Minor, lease.SchemaMajor, lease.SchemaMinor)
 	}
-	if report.Relay != s.Relay {
-		return status.Errorf(codes.FailedPrecondition, "edge %q is of relay %q, this planner of %q", report.Edge, report.Relay, s.Relay)
+	if report.Relay != s.RouterGroup {
+		return status.Errorf(codes.FailedPrecondition, "edge %q is of relay %q, this planner of %q", report.Edge, report.Relay, s.RouterGroup)
 	}
 	return nil
 }
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -60,7 +60,7 @@
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, link.LeaseSeconds, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
-	server := &ControllerServer{Config: link, Log: log.logger(), Relay: "r1",
+	server := &ControllerServer{Config: link, Log: log.logger(), RouterGroup: "r1",
 		AcceptReport: func(report *linkpb.Digest) lease.Reason {
 			mu.Lock()
 			defer mu.Unlock()
@@ -273,7 +273,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	err := (&ControllerServer{Relay: "r1"}).Follow(&repeatedReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&ControllerServer{RouterGroup: "r1"}).Follow(&repeatedReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
