--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -93,7 +93,7 @@
 	settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = url+"/list", url
 	startedAt := time.Now()
 	applied := make(chan struct{}, 1)
-	client := &controlrpc.RouterClient{Config: &settings.Link, Log: log, Now: func() float64 { return time.Since(startedAt).Seconds() }, Relay: "r1", Router: "e",
+	client := &controlrpc.RouterClient{Config: &settings.Link, Log: log, Now: func() float64 { return time.Since(startedAt).Seconds() }, RouterGroup: "r1", Router: "e",
 		Incarnation: 1,
 		FillReport:  func(*linkpb.Digest) {},
 		ApplyAssignment: func(assignment *linkpb.View, _, _ bool, _ float64) {
--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -99,7 +99,7 @@
 	assignments, lists = new(atomic.Int64), new(atomic.Int64)
 	startedAt := time.Now()
 	router = &RouterClient{Config: link, Log: log.logger(), Now: func() float64 { return 100 + time.Since(startedAt).Seconds() },
-		Relay: "r1", Router: "e1", Incarnation: 1,
+		RouterGroup: "r1", Router: "e1", Incarnation: 1,
 		FillReport: func(*linkpb.Digest) {},
 		ApplyAssignment: func(assignment *linkpb.View, endpoints, _ bool, _ float64) {
 			assignments.Add(1)
@@ -264,7 +264,7 @@
 	defer end()
 	router, _, _, stop := startRouter(t, link, log)
 	stop()
-	router.Relay = "r2"
+	router.RouterGroup = "r2"
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- router.Run(ctx, 0) }()
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -30,7 +30,7 @@
 	Config      *config.Link
 	Log         *slog.Logger
 	Now         func() float64 // seconds since the Unix epoch, monotonic
-	Relay       string         // must match that of the controller
+	RouterGroup       string         // must match that of the controller
 	Router      string         // this router's name
 	Incarnation uint64         // of this process; higher than that of every earlier process of this router
 	ConfigHash  uint64         // of the settings that must match those of the controller
@@ -208,7 +208,7 @@
 // queueReport builds a report and queues it for the stream. The report replaces an unsent one, because reports are
 // cumulative. Only one goroutine may call it for a queue, whose capacity must be one.
 func (r *RouterClient) queueReport(queue chan *linkpb.Digest) {
-	report := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: r.Relay, Edge: r.Router, Terms: r.ConfigHash}
+	report := &linkpb.Digest{Major: lease.SchemaMajor, Minor: lease.SchemaMinor, Relay: r.RouterGroup, Edge: r.Router, Terms: r.ConfigHash}
 	r.FillReport(report)
 	r.mu.Lock()
 	report.Life, report.Seq, report.Following = r.follower.NextReport(r.Now())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -174,7 +174,7 @@
 		Config:          settings.Controller,
 		Log:             r.log,
 		Now:             r.proxy.Now,
-		Relay:           settings.RouterGroup,
+		RouterGroup:           settings.RouterGroup,
 		Router:          settings.Name,
 		Incarnation:     uint64(time.Now().UnixNano()),
 		ConfigHash:      ConfigHash(settings.Policy()),
