--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -29,9 +29,9 @@
 // Serve and not changed afterwards.
 type ControllerServer struct {
 	linkpb.UnimplementedPlannerServer
-	Config *config.Link
-	Log    *slog.Logger
-	RouterGroup  string // must match that of every router
+	Config      *config.Link
+	Log         *slog.Logger
+	RouterGroup string // must match that of every router
 	// AcceptReport records a report and returns lease.Accepted, or why the report is rejected. It is called from one
 	// goroutine per router and must not block.
 	AcceptReport func(report *linkpb.Digest) lease.Reason
--- a/internal/controlrpc/router_client.go
+++ b/internal/controlrpc/router_client.go
@@ -30,7 +30,7 @@
 	Config      *config.Link
 	Log         *slog.Logger
 	Now         func() float64 // seconds since the Unix epoch, monotonic
-	RouterGroup       string         // must match that of the controller
+	RouterGroup string         // must match that of the controller
 	Router      string         // this router's name
 	Incarnation uint64         // of this process; higher than that of every earlier process of this router
 	ConfigHash  uint64         // of the settings that must match those of the controller
--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -24,16 +24,16 @@
 
 // VoteMessage is a vote in the release service's protocol.
 type VoteMessage struct {
-	RouterGroup  string `json:"relay"` // name of the voting router
-	Build   int    `json:"build"`
-	Stage   int    `json:"stage"`
-	Verdict string `json:"verdict"` // a value of verdicts
+	RouterGroup string `json:"relay"` // name of the voting router
+	Build       int    `json:"build"`
+	Stage       int    `json:"stage"`
+	Verdict     string `json:"verdict"` // a value of verdicts
 }
 
 // VoteSender sends votes to the release service, one at a time. Open must be called first, then Run on a goroutine of
 // its own; Cast may be called from any goroutine.
 type VoteSender struct {
-	RouterGroup         string  // name of the voting router
+	RouterGroup    string  // name of the voting router
 	URL            string  // URL of the release service
 	TimeoutSeconds float64 // maximum time from sending a vote to the end of its reply
 	Client         *http.Client
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -128,7 +128,7 @@
 func (r *Router) startStandalone() error {
 	settings := r.config
 	r.voteSender = &releases.VoteSender{
-		RouterGroup:         settings.RouterGroup,
+		RouterGroup:    settings.RouterGroup,
 		URL:            settings.Sources.ReleaseServiceURL,
 		TimeoutSeconds: settings.Release.VoteTimeoutSeconds,
 		Client:         r.httpClient,
@@ -174,7 +174,7 @@
 		Config:          settings.Controller,
 		Log:             r.log,
 		Now:             r.proxy.Now,
-		RouterGroup:           settings.RouterGroup,
+		RouterGroup:     settings.RouterGroup,
 		Router:          settings.Name,
 		Incarnation:     uint64(time.Now().UnixNano()),
 		ConfigHash:      ConfigHash(settings.Policy()),
