--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller runs the control plane of one relay. A controller follows the endpoint list, the release service
-// and, if configured, control services and query servers; combines their data with the routers' reports in a
+// Package controller runs the control plane of one router group. A controller follows the endpoint list, the release
+// service and, if configured, control services and query servers; combines their data with the routers' reports in a
 // policy.Balancer; votes on the canary; and sends assignments to every router over gRPC (package controlrpc).
 //
 // Instants are float64 seconds since the Unix epoch on the controller's clock, and their names end in At; durations are
@@ -42,10 +42,10 @@
 	voteSender *releases.VoteSender
 	server     *controlrpc.ControllerServer
 
-	startedAt        time.Time     // origin of now on the monotonic clock
-	startedAtSeconds float64       // the same instant in seconds since the Unix epoch
-	configHash       uint64        // of the settings that must match those of the routers
-	saveRequests     chan struct{} // capacity 1; a value makes saveEndpoints save the list
+	startTime    time.Time     // origin of Controller.now on the monotonic clock
+	startedAt    float64       // startTime in seconds since the Unix epoch
+	configHash   uint64        // of the settings that must match those of the routers
+	saveRequests chan struct{} // capacity 1; a value makes saveEndpoints save the list
 
 	mu                sync.Mutex // serializes calls to the policy; guards the non-atomic fields below
 	balancer          *policy.Balancer
@@ -53,21 +53,22 @@
 	endpointList      endpoints.List
 	release           releases.Update // Version is 0 if none was received yet; AgeSeconds is as of releaseReceivedAt
 	releaseReceivedAt float64
-	lastNotified      notifiedVote
+	lastNotified      notifiedVote // last vote that the routers were notified of
 	configVersions    *configVersions
 	metricsEvidence   *metricsEvidence        // nil without query servers
 	routerStatuses    map[string]routerStatus // by router
 	mismatchLogged    map[string]bool         // routers whose differing configuration hash was logged
 	supersededLogged  bool                    // whether the existence of a newer controller was logged
 	nextTickAt        float64                 // 0: no tick yet
-	reportStride      atomic.Uint64           // only every reportStride-th report is read; 0 has the effect of 1
-	reportsSkipped    atomic.Uint64
+	reportStride      atomic.Uint64           // the samples of one in reportStride reports are used; 0 means 1
+	reportsSkipped    atomic.Uint64           // reports whose samples were skipped
 	reportsAccepted   uint64
 	assignmentsMade   uint64
 }
 
-// Run runs a controller until ctx ends or a component fails, then stops all components and waits for them. It returns nil
-// if ctx ended, and otherwise the error that prevented the start or ended the run.
+// Run runs a controller until ctx ends, the gRPC server fails or following the control services fails; then it stops all
+// components and waits for them. It returns nil if ctx ended, and otherwise the error that prevented the start or ended
+// the run.
 func Run(ctx context.Context, settings *config.Controller, log *slog.Logger) error {
 	store, saved, err := openStateStore(settings.StateDir, log)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return err
 }
 
-// openStateStore opens the store in the state folder, and logs if an unreadable file had to be renamed.
+// openStateStore opens the store in the state folder. If it had to rename an unreadable state file, that is logged.
 func openStateStore(dir string, log *slog.Logger) (*StateStore, SavedState, error) {
 	store, saved, renamed, err := OpenStateStore(dir)
 	if err != nil {
@@ -111,12 +112,12 @@
 	}
 }
 
-// newController returns a controller without restored state, feeds and listeners.
+// newController returns a controller that has neither restored its state nor started any component.
 func newController(settings *config.Controller, log *slog.Logger, store *StateStore) *Controller {
 	now := time.Now()
 	c := &Controller{
 		settings: settings, log: log, store: store,
-		startedAt: now, startedAtSeconds: float64(now.UnixNano()) / 1e9,
+		startTime: now, startedAt: float64(now.UnixNano()) / 1e9,
 		configHash: router.ConfigHash(settings.Policy()), saveRequests: make(chan struct{}, 1),
 		mismatchLogged: map[string]bool{}, routerStatuses: map[string]routerStatus{},
 	}
@@ -124,14 +125,14 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	c.balancer = policy.New(settings.Policy(), seed, c.startedAtSeconds)
+	c.balancer = policy.New(settings.Policy(), seed, c.startedAt)
 	c.server = &controlrpc.ControllerServer{Config: &settings.Link, Log: log, RouterGroup: settings.RouterGroup,
 		AcceptReport: c.acceptReport, NextAssignment: c.nextAssignment}
 	return c
 }
 
 // now returns seconds since the Unix epoch: the wall clock time at startup, advanced by the monotonic clock.
-func (c *Controller) now() float64 { return c.startedAtSeconds + time.Since(c.startedAt).Seconds() }
+func (c *Controller) now() float64 { return c.startedAt + time.Since(c.startTime).Seconds() }
 
 // resume starts a new epoch, restores the state that the previous process saved, and opens the configuration history.
 func (c *Controller) resume(saved SavedState) error {
@@ -149,7 +150,8 @@
 	return err
 }
 
-// restore starts as the leader of the new epoch, and passes the saved endpoint list, release and vote to the policy.
+// restore makes the controller the leader of the new epoch, and passes the saved endpoint list, release and vote to the
+// policy. A saved release that is invalid, for example because the settings now have fewer stages, is ignored.
 func (c *Controller) restore(epoch uint64, saved SavedState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,13 +191,13 @@
 	return l, nil
 }
 
-// serve runs all components of the controller until ctx ends or the control services or the gRPC server fail, and waits
-// for the components to stop.
+// serve runs all components of the controller until ctx ends, the gRPC server fails or following the control services
+// fails, and waits for the components to stop. A failure of the metrics server is only logged.
 func (c *Controller) serve(ctx context.Context, client *http.Client, l listeners) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var running sync.WaitGroup
-	failed := make(chan error, 2) // capacity for one error each of the control services and the gRPC server
+	failed := make(chan error, 2) // capacity for the errors of the gRPC server and of following the control services
 	c.startFeeds(ctx, &running, client, failed)
 	running.Go(func() { c.voteSender.Run(ctx) })
 	running.Go(func() { c.saveEndpoints(ctx) })
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -9,10 +9,10 @@
 // acceptReport records a router's report (a Digest on the wire) and returns lease.Accepted, or why the report is
 // rejected. The gRPC server calls it from one goroutine per router; it does not block on disk or network I/O.
 func (c *Controller) acceptReport(report *linkpb.Digest) lease.Reason {
-	// Reports are cumulative, so a controller whose ticks are late can skip the samples of some reports: later ones
-	// include them. A skipped report still shows that its router is alive.
-	read := report.Seq%max(1, c.reportStride.Load()) == 0
-	if !read {
+	// A controller whose ticks are late skips the samples of some reports. That loses nothing, because reports are
+	// cumulative, and a report whose samples are skipped still shows that its router is alive.
+	useSamples := report.Seq%max(1, c.reportStride.Load()) == 0
+	if !useSamples {
 		c.reportsSkipped.Add(1)
 		report.Tally = nil
 	}
@@ -32,17 +32,19 @@
 		c.log.Error("router has other settings than the controller in :rules, :release or :op-types", "router", report.Edge)
 	}
 	c.reportsAccepted++
-	if read {
+	if useSamples {
 		c.balancer.ApplyReport(report.Edge, evidence)
 	}
-	c.routerStatuses[report.Edge] = routerStatus{report.ConfigNo, report.ConfigFits, report.MarksNo}
+	c.routerStatuses[report.Edge] = routerStatus{
+		configInForce: report.ConfigNo, configApplicable: report.ConfigFits, marksVersion: report.MarksNo,
+	}
 	if c.configVersions != nil {
 		c.configVersions.onReport(report)
 	}
 	return reason
 }
 
-// evidenceOf converts a report's tallies to policy.Evidence. Failure kinds that the report does not contain are zero.
+// evidenceOf converts a report's tallies to policy.Evidence. The counts of a failure kind that a tally lacks stay zero.
 func evidenceOf(report *linkpb.Digest) policy.Evidence {
 	evidence := policy.Evidence{
 		Build:             int(report.Build),
