--- a/internal/controller/config_versions_test.go
+++ b/internal/controller/config_versions_test.go
@@ -12,8 +12,9 @@
 	"flintspread/internal/lease"
 )
 
-// A version that the controller accepts but one router rejects is rejected for all. A version that all accept takes
-// effect at the controller and is sent to the routers, including a router that starts later.
+// A version that the controller accepts but one router rejects is rejected for all. A version that all routers accept
+// takes effect at the controller and is sent to the routers, including a router that starts later; it stays in force
+// after a restart. An older version is rejected, and so is one that the routers do not answer in time.
 func TestVersionRequiresAllRouters(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -34,13 +35,15 @@
 		t.Fatal(err)
 	}
 	sequence := uint64(0)
+	// report sends a router's report with the numbers of the version in force, of the version that the router can apply
+	// and of the one that it rejects for the given reason, and returns the assignment in reply.
 	report := func(router string, inForce, applicable, rejected uint64, reason string) *linkpb.View {
 		sequence++
 		controller.acceptReport(&linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: router, Life: 1, Seq: sequence, ConfigNo: inForce, ConfigFits: applicable,
 			ConfigRefused: rejected, ConfigReason: reason})
 		return controller.nextAssignment(router, 0)
 	}
-	var proposed *configstate.Version
+	var proposed *configstate.Version // the last one
 	propose := func(number uint64, text string) {
 		version, err := configstate.ParseVersion(number, []byte(text))
 		if err != nil {
@@ -48,7 +51,7 @@
 		}
 		proposed = version
 		if outcome, err := controller.configVersions.propose(version); outcome != configstate.Waiting || err != nil {
-			t.Fatal(outcome, err)
+			t.Fatalf("proposed version %d: outcome %v with error %v, want %v", number, outcome, err, configstate.Waiting)
 		}
 	}
 	recheck := func(want configstate.Outcome, reason string) {
@@ -62,7 +65,8 @@
 	report("b", 0, 0, 0, "")
 	propose(4, document)
 	if assignment := report("a", 0, 0, 0, ""); assignment.ConfigNext != 4 || assignment.ConfigTextNo != 4 || string(assignment.ConfigText) != document || assignment.ConfigNo != 0 {
-		t.Error("versions in force, proposed and with text:", assignment.ConfigNo, assignment.ConfigNext, assignment.ConfigTextNo)
+		t.Errorf("version %d in force, %d proposed, text of version %d; want 0, 4 and 4 with the proposed text",
+			assignment.ConfigNo, assignment.ConfigNext, assignment.ConfigTextNo)
 	}
 	recheck(configstate.Waiting, "")
 	report("a", 0, 4, 0, "")
@@ -71,7 +75,7 @@
 	if assignment := report("a", 0, 4, 0, ""); assignment.ConfigNext != 0 || assignment.ConfigNo != 0 {
 		t.Error("a rejected version is still proposed")
 	}
-	propose(5, document+" ")
+	propose(5, document+" ") // the space makes the text differ from that of version 4
 	report("a", 0, 5, 0, "")
 	recheck(configstate.Waiting, "")
 	report("b", 0, 5, 0, "")
@@ -90,7 +94,7 @@
 		t.Error("accepted version 4 after version 5:", outcome, err)
 	}
 	propose(6, document+"  ")
-	time.Sleep(600 * time.Millisecond)
+	time.Sleep(600 * time.Millisecond) // longer than RequiredListTimeoutSeconds
 	recheck(configstate.Rejected, "no word in time from edges a, b, c")
 	mustClose(t, controller.configVersions.store)
 	if controller.configVersions, err = controller.openConfigVersions(); err != nil || controller.configVersions.state.Current().Number != 5 {
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -28,12 +28,13 @@
 	mu          sync.Mutex
 	votes       []releases.VoteMessage
 	release     releases.Update
-	holdReplies bool // whether votes are recorded but not answered
+	holdReplies bool // record votes, but do not reply to them
 }
 
-// serve serves both until the test ends, and returns their base URL.
+// serve serves the endpoint list and the release service until the test ends, and returns their base URL.
 func (f *fakeServices) serve(t testing.TB) string {
 	mux := http.NewServeMux()
+	// stream writes the objects that next returns, every 20 ms, until the client disconnects.
 	stream := func(w http.ResponseWriter, req *http.Request, next func() any) {
 		for req.Context().Err() == nil {
 			if err := json.NewEncoder(w).Encode(next()); err != nil {
@@ -47,10 +48,14 @@
 	}
 	mux.HandleFunc("GET /list", func(w http.ResponseWriter, req *http.Request) {
 		update := endpoints.Update{Version: 1, Full: true}
-		for id := range uint32(4) {
+		for id := range uint32(4) { // endpoints 1 and 2 run build 1, endpoints 3 and 4 build 2
 			update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: id + 1, Addr: "127.0.0.1:1", State: "ready", Build: 1 + int(id)/2, StartedAt: 1000})
 		}
-		stream(w, req, func() any { next := update; update = endpoints.Update{Version: 1}; return next })
+		stream(w, req, func() any {
+			next := update
+			update = endpoints.Update{Version: 1} // after the full list, only updates that change nothing
+			return next
+		})
 	})
 	mux.HandleFunc("GET /stage", func(w http.ResponseWriter, req *http.Request) {
 		stream(w, req, func() any { f.mu.Lock(); defer f.mu.Unlock(); return f.release })
@@ -62,9 +67,9 @@
 		}
 		f.mu.Lock()
 		f.votes = append(f.votes, vote)
-		hold, reply := f.holdReplies, f.release
+		holdReply, reply := f.holdReplies, f.release
 		f.mu.Unlock()
-		if hold {
+		if holdReply {
 			<-req.Context().Done()
 			return
 		}
@@ -88,7 +93,8 @@
 	return verdicts
 }
 
-// exampleSettings returns the settings of the example file. changes are pairs of texts to replace and their replacements.
+// exampleSettings returns the settings of the controller's example file. changes lists texts to replace in it, each
+// followed by its replacement.
 func exampleSettings(t testing.TB, changes ...string) *config.Controller {
 	text, err := os.ReadFile("../../deploy/plan.edn")
 	if err != nil {
@@ -101,7 +107,8 @@
 	return settings
 }
 
-// testSettings returns the example's settings with the given state folder, services and number of votes for a rollback.
+// testSettings returns the example settings with the given state folder, base URL of the services, and number of votes
+// that a rollback requires.
 func testSettings(t *testing.T, dir, url string, rollbackVotes int) *config.Controller {
 	settings := exampleSettings(t, ":back-votes 1", fmt.Sprintf(":back-votes %d", rollbackVotes))
 	settings.StateDir, settings.MetricsAddress, settings.Sources.EndpointListURL, settings.Sources.ReleaseServiceURL = dir, "127.0.0.1:0", url+"/list", url
@@ -109,10 +116,11 @@
 	return settings
 }
 
-// canaryFailureReport returns the report of a router at which half of the canary's attempts failed.
+// canaryFailureReport returns the report of a router at which half of the attempts on the canary, build 2, failed with
+// server errors, and none on the baseline, build 1.
 func canaryFailureReport(sequence uint64) *linkpb.Digest {
 	report := &linkpb.Digest{Major: lease.SchemaMajor, Relay: "r1", Edge: "e", Life: 1, Seq: sequence, Build: 2, Rate: 100}
-	for id := range uint32(4) {
+	for id := range uint32(4) { // endpoints 1 and 2 run build 1, endpoints 3 and 4 build 2
 		failures := float32(id/2) * 50
 		report.Tally = append(report.Tally, &linkpb.Tally{Unit: id + 1, Build: 1 + int32(id)/2, N: []float32{100, 100, 100, 100}, Bad: []float32{0, failures, 0, 0}})
 	}
@@ -127,8 +135,8 @@
 	return func() error { cancel(); return <-done }
 }
 
-// eventually waits for a condition, and fails the test if it does not become true within 5 s.
-func eventually(t *testing.T, what string, condition func() bool) {
+// eventually waits for the described condition, and fails the test if it does not become true within 5 s.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 500 {
 		if condition() {
@@ -136,7 +144,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("condition not met within 5 s: %s", what)
+	t.Errorf("condition not met within 5 s: %s", description)
 }
 
 // discardLog returns a logger that discards everything.
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -9,7 +9,8 @@
 	"flintspread/internal/releases"
 )
 
-// A controller whose ticks are late reads only one report in several, but still votes and counts the routers as alive.
+// A controller whose ticks are late uses the samples of only one report in several, but still votes and counts the
+// routers as alive.
 func TestLateControllerSkipsReports(t *testing.T) {
 	controller := newController(exampleSettings(t), discardLog(), nil)
 	controller.restore(1, SavedState{})
@@ -23,9 +24,9 @@
 	controller.shedLoad(controller.now())
 	controller.mu.Unlock()
 	if controller.reportStride.Load() < 2 {
-		t.Fatal("no reports are skipped: stride ", controller.reportStride.Load())
+		t.Fatalf("the samples of one report in %d are used, want fewer", controller.reportStride.Load())
 	}
-	for sequence := uint64(1); sequence < 8; sequence++ {
+	for sequence := uint64(1); sequence < 8; sequence++ { // the controller is late enough to skip all but every eighth report
 		if reason := controller.acceptReport(canaryFailureReport(sequence)); reason != lease.Accepted {
 			t.Fatal(reason)
 		}
@@ -38,11 +39,11 @@
 	verdict := controller.balancer.TickAndVote(controller.now()).Verdict
 	controller.mu.Unlock()
 	if verdict != policy.VoteRollback {
-		t.Error("no rollback vote after the report that was read; verdict", verdict)
+		t.Error("no rollback vote after the report whose samples were used; verdict", verdict)
 	}
-	controller.tick()
-	controller.tick()
+	controller.tick() // still late; sets the time of the next tick
+	controller.tick() // not late
 	if controller.reportStride.Load() != 1 {
-		t.Errorf("reads only one in %d reports although its ticks are in time again", controller.reportStride.Load())
+		t.Errorf("the samples of only one report in %d are used although the ticks are no longer late", controller.reportStride.Load())
 	}
 }
