--- a/internal/controlrpc/controller_server.go
+++ b/internal/controlrpc/controller_server.go
@@ -21,8 +21,8 @@
 	"flintspread/internal/lease"
 )
 
-// keepAliveIntervals is the number of report intervals after which a router is sent an assignment even if nothing has
-// changed, to show that the controller is alive.
+// keepAliveIntervals is the time between keep-alive assignments, in report intervals. They are sent even if nothing has
+// changed, to show the routers that the controller is alive.
 const keepAliveIntervals = 2
 
 // ControllerServer is the controller's side of the connections to its routers. The exported fields must be set before
@@ -40,16 +40,16 @@
 	NextAssignment func(router string, listVersion uint64) *linkpb.View
 
 	mu      sync.Mutex
-	streams map[*routerStream]struct{} // guarded by mu
+	routers map[*connectedRouter]struct{} // guarded by mu
 }
 
-// routerStream is the open stream of a router.
-type routerStream struct {
+// connectedRouter is the state of a router's open stream.
+type connectedRouter struct {
 	wake        chan struct{} // capacity 1; a value requests an assignment
 	listVersion atomic.Uint64 // of the endpoint list that the router has
 }
 
-// Listen listens on the configured address. It replaces an existing socket file, which a killed controller has left. The
+// Listen listens on the configured address. It replaces a socket file that a killed controller has left behind. The
 // caller must have the controller's state store open, which ensures that no other controller is listening on the socket.
 // A file that is not a socket is not replaced and results in an error.
 func Listen(link *config.Link) (net.Listener, error) {
@@ -75,7 +75,7 @@
 		return fmt.Errorf(":link: %w", err)
 	}
 	s.mu.Lock()
-	s.streams = map[*routerStream]struct{}{}
+	s.routers = map[*connectedRouter]struct{}{}
 	s.mu.Unlock()
 	server := grpc.NewServer(grpc.Creds(transport), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.ConnectionTimeout(seconds(s.Config.SilenceSeconds)))
 	linkpb.RegisterPlannerServer(server, s)
@@ -91,13 +91,13 @@
 func (s *ControllerServer) NotifyAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for stream := range s.streams {
-		stream.notify()
+	for router := range s.routers {
+		router.notify()
 	}
 }
 
 // notify requests an assignment. It does not block; pending requests are coalesced.
-func (r *routerStream) notify() {
+func (r *connectedRouter) notify() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -113,7 +113,7 @@
 	if err := s.checkCompatible(first); err != nil {
 		return err
 	}
-	router := &routerStream{wake: make(chan struct{}, 1)}
+	router := &connectedRouter{wake: make(chan struct{}, 1)}
 	s.register(router)
 	defer s.unregister(router)
 	s.Log.Info("router connected", "router", first.Edge, "incarnation", first.Life)
@@ -123,8 +123,8 @@
 	return s.sendAssignments(stream, router, first.Edge, failed)
 }
 
-// checkCompatible rejects a router with another major schema version or relay. The status is sent to the router, which
-// logs it.
+// checkCompatible rejects a router with another major schema version or of another router group. The returned status is
+// sent to the router, which logs it.
 func (s *ControllerServer) checkCompatible(report *linkpb.Digest) error {
 	if report.Major != lease.SchemaMajor {
 		return status.Errorf(codes.FailedPrecondition, "edge %q speaks schema %d.%d, this planner %d.%d", report.Edge, report.Major,
@@ -136,23 +136,23 @@
 	return nil
 }
 
-// register adds a router's stream to those that NotifyAll notifies.
-func (s *ControllerServer) register(router *routerStream) {
+// register adds a router to those that NotifyAll notifies.
+func (s *ControllerServer) register(router *connectedRouter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams[router] = struct{}{}
+	s.routers[router] = struct{}{}
 }
 
-// unregister removes a router's stream from those that NotifyAll notifies.
-func (s *ControllerServer) unregister(router *routerStream) {
+// unregister removes a router from those that NotifyAll notifies.
+func (s *ControllerServer) unregister(router *connectedRouter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.streams, router)
+	delete(s.routers, router)
 }
 
 // receiveReports processes the reports of a stream until the stream fails, and returns the error. first is the report that
 // the caller has already received.
-func (s *ControllerServer) receiveReports(stream linkpb.Planner_FollowServer, router *routerStream, first *linkpb.Digest) error {
+func (s *ControllerServer) receiveReports(stream linkpb.Planner_FollowServer, router *connectedRouter, first *linkpb.Digest) error {
 	for report := first; ; {
 		s.processReport(router, report)
 		var err error
@@ -163,7 +163,7 @@
 }
 
 // processReport passes a report to AcceptReport, and requests an assignment in reply if the report was accepted.
-func (s *ControllerServer) processReport(router *routerStream, report *linkpb.Digest) {
+func (s *ControllerServer) processReport(router *connectedRouter, report *linkpb.Digest) {
 	if reason := s.AcceptReport(report); reason != lease.Accepted {
 		s.Log.Info("rejected a report", "router", report.Edge, "reason", reason, "incarnation", report.Life, "sequence", report.Seq)
 		return
@@ -172,9 +172,9 @@
 	router.notify()
 }
 
-// sendAssignments sends an assignment on every notification and keep-alive interval until the stream fails. An assignment
-// is built when it can be sent, so that a slow reader receives fewer assignments, but no outdated ones.
-func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *routerStream, name string, failed <-chan error) error {
+// sendAssignments sends an assignment after every notification and keep-alive interval until the stream fails. Each is
+// built only after the previous one was sent, so that a slow reader receives fewer assignments, but no outdated ones.
+func (s *ControllerServer) sendAssignments(stream linkpb.Planner_FollowServer, router *connectedRouter, name string, failed <-chan error) error {
 	keepAlive := time.NewTicker(seconds(s.Config.ReportIntervalSeconds * keepAliveIntervals))
 	defer keepAlive.Stop()
 	for {
