--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,11 +14,11 @@
 
 // Exit codes.
 const (
-	ExitFailed    = 1 // any other error
+	ExitFailed    = 1 // any error except an invalid settings file
 	ExitBadConfig = 2 // the settings file is invalid; nothing was started
 )
 
-// Main adds the version command to a root command, runs it, prints its error, if any, and exits the process.
+// Main adds the version command to root, executes root, prints its error, if any, and exits the process.
 func Main(root *cobra.Command) {
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.AddCommand(&cobra.Command{
