--- a/internal/scenario/queryservers.go
+++ b/internal/scenario/queryservers.go
@@ -14,7 +14,7 @@
 	ScrapeSeconds float64 `edn:"scrape" validate:"gt=0"` // time between two scrapes of the endpoints
 }
 
-// queryServerFaults are the faults that the event "query-server" accepts.
+// queryServerFaults are the faults that an event of kind "query-server" may inject.
 var queryServerFaults = []fakes.QueryServerFault{
 	fakes.FaultNoScrapes, fakes.FaultInflatesFailures, fakes.FaultHidesFailures, fakes.FaultSlow, fakes.FaultNoResponse, fakes.FaultTruncated, fakes.FaultTooManyRequests, fakes.FaultUnavailable,
 	fakes.FaultRedirect, fakes.FaultPartialResult, fakes.FaultOldTimestamps, fakes.FaultTooManySeries, fakes.FaultNotJSON, fakes.FaultConnectionReset,
@@ -54,12 +54,12 @@
 	return nil
 }
 
-// scrape collects the metrics of all endpoints and adds them to each query server.
+// scrape collects the metrics of all endpoints and adds the samples to each query server.
 func (r *runner) scrape() {
 	var samples []fakes.Sample
 	r.mu.Lock()
-	for _, e := range r.endpoints {
-		samples = append(samples, e.Metrics()...)
+	for _, endpoint := range r.endpoints {
+		samples = append(samples, endpoint.Metrics()...)
 	}
 	r.mu.Unlock()
 	at := r.clock()
@@ -70,20 +70,20 @@
 
 // injectQueryServerFault injects a fault into the query server that the event names, or into all of them if it names
 // none. A fault without a duration stays until the end of the scenario.
-func (r *runner) injectQueryServerFault(e Event) {
-	fault := fakes.QueryServerFault(e.Fault)
-	if !slices.Contains(queryServerFaults, fault) || e.Server > len(r.queryServers) {
-		r.addError(fmt.Errorf("event at %g s: query server %d with fault %q: the fault must be one of %q, the server at most %d",
-			e.At, e.Server, e.Fault, queryServerFaults, len(r.queryServers)))
+func (r *runner) injectQueryServerFault(event Event) {
+	fault := fakes.QueryServerFault(event.Fault)
+	if !slices.Contains(queryServerFaults, fault) || event.Server > len(r.queryServers) {
+		r.addError(fmt.Errorf("event at %g s: cannot inject fault %q into query server %d: the fault must be one of %q, "+
+			"and the server 0 (all) to %d", event.At, event.Fault, event.Server, queryServerFaults, len(r.queryServers)))
 		return
 	}
 	for i, server := range r.queryServers {
-		if e.Server != 0 && e.Server != i+1 {
+		if event.Server != 0 && event.Server != i+1 {
 			continue
 		}
 		server.SetFault(fault)
-		if e.Seconds > 0 {
-			r.after(e.Seconds, func() { server.ClearFault(fault) })
+		if event.Seconds > 0 {
+			r.after(event.Seconds, func() { server.ClearFault(fault) })
 		}
 	}
 }
