--- a/internal/metricsanalysis/promquery/template_test.go
+++ b/internal/metricsanalysis/promquery/template_test.go
@@ -36,11 +36,12 @@
 	}
 }
 
-// The placeholders of a template determine how many queries it yields. Label values are escaped.
+// The placeholders of a template determine how many queries it yields: .Unit one per endpoint, .Units one per 100
+// endpoints, and .Build one per build. Label values are escaped.
 func TestQueries(t *testing.T) {
 	endpoints := make([]string, 250)
 	for i := range endpoints {
-		endpoints[i] = "10.0.0.1:80\"x"
+		endpoints[i] = "10.0.0.1:80\"x" // an unescaped quote would end the label value
 	}
 	for text, want := range map[string]int{
 		`up`:                       1,
@@ -69,6 +70,6 @@
 	}
 	queries, err := template.Queries(nil, []string{"10.0.0.1:80"})
 	if err != nil || len(queries) != 1 || queries[0] != `up{instance=~"10\\.0\\.0\\.1:80"}` {
-		t.Errorf("got queries %q and error %v", queries, err)
+		t.Errorf("got queries %q and error %v, want one query with escaped dots", queries, err)
 	}
 }
