--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/policy"
 )
 
-// exampleDocument is the text of the part of the example settings that a version may change.
+// exampleDocument is the part of the example settings that a configuration version consists of, as text.
 var exampleDocument = func() string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
@@ -61,7 +61,7 @@
 	class   string
 }
 
-// simulation offers versions in any order while requests arrive, wait and end, with the real policy.Balancer.
+// simulation offers versions in random order to a State, while requests arrive, wait and end in a real policy.Balancer.
 type simulation struct {
 	now         float64
 	state       *State
@@ -112,8 +112,8 @@
 	version := newVersion(rapid.Uint64Range(1, 30).Draw(t, "number"), names, rapid.Uint64Range(0, 4).Draw(t, "required list"))
 	outcome, err := s.state.Offer(s.now, version, s.conditions())
 	s.checkOutcome(t, version, outcome, err)
-	if again, _ := s.state.Offer(s.now, version, s.conditions()); outcome == Applied && again != AlreadyApplied {
-		t.Fatalf("an applied version that is offered again is %v", again)
+	if second, _ := s.state.Offer(s.now, version, s.conditions()); outcome == Applied && second != AlreadyApplied {
+		t.Fatalf("offered applied version %d again: outcome %v, want %v", version.Number, second, AlreadyApplied)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 }
 
-// receive receives a request under the version in force, if that has a class for it.
+// receive receives a request under the version in force, if the version has a class for it.
 func (s *simulation) receive(t *rapid.T) {
 	version := s.state.Current()
 	name := rapid.SampledFrom(classNames).Draw(t, "name")
@@ -137,8 +137,8 @@
 	s.inFlight = append(s.inFlight, requestInFlight{request, version, name})
 }
 
-// checkVersions checks that every version in use is consistent, and that each request keeps the version that it was
-// received under.
+// checkVersions checks that every version in use is consistent, and that each request keeps the version under which it
+// was received.
 func (s *simulation) checkVersions(t *rapid.T) {
 	if err := checkConsistent(s.state.Current()); err != nil {
 		t.Fatal(err)
@@ -148,13 +148,13 @@
 			t.Fatal("request in flight: ", err)
 		}
 		if r.request.Config != r.version.Policy {
-			t.Fatal("a request has another configuration than the version that it was received under")
+			t.Fatal("a request has another configuration than the version under which it was received")
 		}
 	}
 }
 
-// A request is served from start to end under the version that it was received under. No rejected version takes effect,
-// version numbers never decrease, and a class with a request in flight keeps its index.
+// A request is served from start to end under the version that was in force when it arrived. No rejected version takes
+// effect, version numbers never decrease, and a class with a request in flight keeps its index.
 func TestRequestsKeepTheirVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation()
@@ -173,7 +173,7 @@
 			"pick again": func(t *rapid.T) {
 				if len(sim.inFlight) > 0 {
 					r := sim.inFlight[rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "which")]
-					sim.balancer.Pick(sim.now, r.request) // the index of its class stays valid whatever was applied since
+					sim.balancer.Pick(sim.now, r.request) // must not fail: its class keeps its index in versions applied since then
 				}
 			},
 			"end": func(*rapid.T) {
