--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -173,7 +173,8 @@
 			"pick again": func(t *rapid.T) {
 				if len(sim.inFlight) > 0 {
 					r := sim.inFlight[rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "which")]
-					sim.balancer.Pick(sim.now, r.request) // must not fail: its class keeps its index in versions applied since then
+					// Pick must not fail: the request's class has kept its index in the versions applied since.
+					sim.balancer.Pick(sim.now, r.request)
 				}
 			},
 			"end": func(*rapid.T) {
--- a/internal/controller/load_shedding_test.go
+++ b/internal/controller/load_shedding_test.go
@@ -26,7 +26,8 @@
 	if controller.reportStride.Load() < 2 {
 		t.Fatalf("the samples of one report in %d are used, want fewer", controller.reportStride.Load())
 	}
-	for sequence := uint64(1); sequence < 8; sequence++ { // the controller is late enough to skip all but every eighth report
+	// The controller is late enough to skip the samples of all but every eighth report.
+	for sequence := uint64(1); sequence < 8; sequence++ {
 		if reason := controller.acceptReport(canaryFailureReport(sequence)); reason != lease.Accepted {
 			t.Fatal(reason)
 		}
