--- a/internal/controlrpc/controlrpc_test.go
+++ b/internal/controlrpc/controlrpc_test.go
@@ -60,7 +60,7 @@
 	var mu sync.Mutex
 	leader := lease.NewLeader(epoch, link.LeaseSeconds, 0, 1, 0)
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e9 }
-	server := &ControllerServer{Config: link, Log: log.logger(), Relay: "r1",
+	server := &ControllerServer{Config: link, Log: log.logger(), RouterGroup: "r1",
 		AcceptReport: func(report *linkpb.Digest) lease.Reason {
 			mu.Lock()
 			defer mu.Unlock()
@@ -99,7 +99,7 @@
 	assignments, lists = new(atomic.Int64), new(atomic.Int64)
 	startedAt := time.Now()
 	router = &RouterClient{Config: link, Log: log.logger(), Now: func() float64 { return 100 + time.Since(startedAt).Seconds() },
-		Relay: "r1", Router: "e1", Incarnation: 1,
+		RouterGroup: "r1", Router: "e1", Incarnation: 1,
 		FillReport: func(*linkpb.Digest) {},
 		ApplyAssignment: func(assignment *linkpb.View, endpoints, _ bool, _ float64) {
 			assignments.Add(1)
@@ -264,7 +264,7 @@
 	defer end()
 	router, _, _, stop := startRouter(t, link, log)
 	stop()
-	router.Relay = "r2"
+	router.RouterGroup = "r2"
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- router.Run(ctx, 0) }()
@@ -273,7 +273,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	err := (&ControllerServer{Relay: "r1"}).Follow(&repeatedReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
+	err := (&ControllerServer{RouterGroup: "r1"}).Follow(&repeatedReport{report: &linkpb.Digest{Major: lease.SchemaMajor + 1, Edge: "e9", Relay: "r1"}})
 	if err == nil || !strings.Contains(err.Error(), `edge "e9" speaks schema 2.0, this planner 1.1`) {
 		t.Error(err)
 	}
