--- a/internal/releases/vote.go
+++ b/internal/releases/vote.go
@@ -24,7 +24,7 @@
 
 // VoteMessage is a vote in the release service's protocol.
 type VoteMessage struct {
-	RouterGroup string `json:"relay"` // name of the voting router
+	RouterGroup string `json:"relay"` // name of the voting router group
 	Build       int    `json:"build"`
 	Stage       int    `json:"stage"`
 	Verdict     string `json:"verdict"` // a value of verdicts
@@ -33,7 +33,7 @@
 // VoteSender sends votes to the release service, one at a time. Open must be called first, then Run on a goroutine of
 // its own; Cast may be called from any goroutine.
 type VoteSender struct {
-	RouterGroup    string  // name of the voting router
+	RouterGroup    string  // name of the voting router group
 	URL            string  // URL of the release service
 	TimeoutSeconds float64 // maximum time from sending a vote to the end of its reply
 	Client         *http.Client
