--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -88,8 +88,8 @@
 	"range":   promquery.Range,
 }
 
-// AnswerForm returns the form of the answers.
-func (q *Query) AnswerForm() promquery.Form { return answerForms[q.Form] }
+// ResultForm returns the form of the answers.
+func (q *Query) ResultForm() promquery.Form { return answerForms[q.Form] }
 
 // Templates returns the templates of Query and Total. total is nil except for counts.
 func (q *Query) Templates() (query, total *promquery.Template) {
@@ -184,13 +184,13 @@
 
 // parseTemplates parses the templates. On an error it also returns the key of the invalid one.
 func (q *Query) parseTemplates() (key string, err error) {
-	if q.queryTemplate, err = promquery.Parse(q.Query, q.AnswerForm()); err != nil {
+	if q.queryTemplate, err = promquery.Parse(q.Query, q.ResultForm()); err != nil {
 		return "query", err
 	}
 	if !q.isCounts() {
 		return "", nil
 	}
-	if q.totalTemplate, err = promquery.Parse(q.Total, q.AnswerForm()); err != nil {
+	if q.totalTemplate, err = promquery.Parse(q.Total, q.ResultForm()); err != nil {
 		return "total", err
 	}
 	return "", nil
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -254,7 +254,7 @@
 // failures and outcomes match.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (series, totals []LabeledSeries, err error) {
 	query, client := &p.settings.Queries[job.Query], p.clients[job.Server]
-	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
+	request := Request{Query: chunk.query, Form: query.ResultForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
 	series, err = client.Query(ctx, request)
 	if err == nil && chunk.totalQuery != "" {
 		request.Query = chunk.totalQuery
