--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -103,8 +103,8 @@
 	"probe":      metricsanalysis.Probe,
 }
 
-// Questions returns the queries as input for package metricsanalysis.
-func (h *Health) Questions() (questions []metricsanalysis.Query) {
+// AnalyzerQueries returns the queries as input for package metricsanalysis.
+func (h *Health) AnalyzerQueries() (questions []metricsanalysis.Query) {
 	for _, q := range h.Queries {
 		questions = append(questions, metricsanalysis.Query{
 			Name:                 q.Name,
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -29,7 +29,7 @@
 // newMetricsEvidence prepares polling of the configured query servers; run starts it.
 func (c *Controller) newMetricsEvidence() (m *metricsEvidence, err error) {
 	health := c.settings.Health
-	m = &metricsEvidence{controller: c, analysis: metricsanalysis.NewAnalyzer(health.Questions(), len(health.Servers))}
+	m = &metricsEvidence{controller: c, analysis: metricsanalysis.NewAnalyzer(health.AnalyzerQueries(), len(health.Servers))}
 	m.poller, err = promclient.NewPoller(health, c.log, c.now, m.applyAnswer)
 	return m, err
 }
