--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -24,8 +24,8 @@
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// MaxBackoffSeconds is the maximum backoff between queries to a failing server.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
-	// MaxAnswerBytes and MaxSeries are the maximum size and the maximum number of time series of an answer.
-	MaxAnswerBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
+	// MaxResponseBytes and MaxSeries are the maximum size and the maximum number of time series of an answer.
+	MaxResponseBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
 	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
 	// MaxClockSkewSeconds is how far a server's clock may be ahead of this program's.
 	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -79,7 +79,7 @@
 		wake: make(chan struct{}, 1), scheduler: metricsanalysis.NewScheduler(settings.Bounds(), len(settings.Servers), now()),
 		chunks: make([][]queryChunk, len(settings.Queries)), lastCauses: map[serverQuery]Cause{},
 	}
-	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxAnswerBytes, MaxSeries: settings.MaxSeries}
+	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxResponseBytes, MaxSeries: settings.MaxSeries}
 	for _, server := range settings.Servers {
 		client, err := NewClient(server.Name, server.URL, limits)
 		if err != nil {
