--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -83,10 +83,10 @@
 	return db.Close()
 }
 
-// OpenOrSetAside opens a store for writing, like Open. If the store is unreadable, it renames the file and opens an
+// OpenOrReplace opens a store for writing, like Open. If the store is unreadable, it renames the file and opens an
 // empty store instead; aside is then the new name and the reason. It does not rename a store that another process has
 // open.
-func OpenOrSetAside(file string, check func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
+func OpenOrReplace(file string, check func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
 	db, err = Open(file, false, check)
 	if err == nil || errors.Is(err, ErrInUse) {
 		return db, "", err
--- a/internal/controller/state_store.go
+++ b/internal/controller/state_store.go
@@ -65,7 +65,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, SavedState{}, "", err
 	}
-	db, renamed, err := boltstore.OpenOrSetAside(stateFile(dir), saved.read)
+	db, renamed, err := boltstore.OpenOrReplace(stateFile(dir), saved.read)
 	if err != nil {
 		return nil, SavedState{}, renamed, err
 	}
--- a/internal/revisions/store.go
+++ b/internal/revisions/store.go
@@ -37,7 +37,7 @@
 // Open opens a store for writing, and creates it if needed. It renames an unreadable file; aside is then the new name
 // and the reason. The caller must close the store.
 func Open(file string) (s *Store, aside string, err error) {
-	db, aside, err := boltstore.OpenOrSetAside(file, checkEntries)
+	db, aside, err := boltstore.OpenOrReplace(file, checkEntries)
 	if err != nil {
 		return nil, aside, err
 	}
