--- a/internal/config/health.go
+++ b/internal/config/health.go
@@ -24,9 +24,9 @@
 	TimeoutSeconds float64 `edn:"timeout" validate:"gt=0"`
 	// MaxBackoffSeconds is the maximum backoff between queries to a failing server.
 	MaxBackoffSeconds float64 `edn:"back-most" validate:"gt=0"`
-	// MaxResponseBytes and MaxSeries are the maximum size and the maximum number of time series of an answer.
+	// MaxResponseBytes and MaxSeries are the maximum size and the maximum number of time series of a response.
 	MaxResponseBytes int64 `edn:"answer-bytes" validate:"gte=1024"`
-	MaxSeries      int   `edn:"series" validate:"gt=0,lte=1000000"`
+	MaxSeries        int   `edn:"series" validate:"gt=0,lte=1000000"`
 	// MaxClockSkewSeconds is how far a server's clock may be ahead of this program's.
 	MaxClockSkewSeconds float64 `edn:"skew" validate:"gte=0"`
 }
@@ -38,16 +38,16 @@
 	URL  string `edn:"url" validate:"required,http_url"`
 }
 
-// Query is one query and the meaning of its answers.
+// Query is one query and the meaning of its results.
 type Query struct {
 	// Name labels the query in metrics and logs.
 	Name string `edn:"name" validate:"required,printascii,excludesall= "`
-	// Meaning is what the answer tells about an endpoint: counts of failures, a latency quantile in seconds, a saturation
+	// Meaning is what the values of the result are: counts of failures, a latency quantile in seconds, a saturation
 	// from 0 to 1, or whether a probe succeeded.
 	Meaning edn.Keyword `edn:"meaning" validate:"oneof=counts quantile saturation probe"`
 	// FailureKind is the kind of failure that is counted. Required for counts, not allowed otherwise.
 	FailureKind edn.Keyword `edn:"kind" validate:"omitempty,oneof=wrong failed lost slow"`
-	// Form is the form of the answer: samples of a range vector, an instant vector, or a range query. Counts must be
+	// Form is the form of the result: samples of a range vector, an instant vector, or a range query. Counts must be
 	// samples.
 	Form edn.Keyword `edn:"form" validate:"oneof=samples instant range"`
 	// Query is the template of a PromQL expression. For counts it selects the counters of failures.
@@ -60,7 +60,7 @@
 	StepSeconds  float64 `edn:"step" validate:"omitempty,gt=0"`
 	// PeriodSeconds is the time between two queries.
 	PeriodSeconds float64 `edn:"period" validate:"gte=0.05"`
-	// StaleAfterSeconds is the age above which an answer no longer counts as evidence.
+	// StaleAfterSeconds is the age above which a result no longer counts as evidence.
 	StaleAfterSeconds float64 `edn:"stale" validate:"gtfield=PeriodSeconds"`
 	// Weight scales the evidence; at most 1.
 	Weight float64 `edn:"weight" validate:"gt=0,lte=1"`
@@ -82,14 +82,14 @@
 	totalTemplate *promquery.Template // nil except for counts
 }
 
-var answerForms = map[edn.Keyword]promquery.Form{
+var resultForms = map[edn.Keyword]promquery.Form{
 	"samples": promquery.Samples,
 	"instant": promquery.Instant,
 	"range":   promquery.Range,
 }
 
-// ResultForm returns the form of the answers.
-func (q *Query) ResultForm() promquery.Form { return answerForms[q.Form] }
+// ResultForm returns the form of the results.
+func (q *Query) ResultForm() promquery.Form { return resultForms[q.Form] }
 
 // Templates returns the templates of Query and Total. total is nil except for counts.
 func (q *Query) Templates() (query, total *promquery.Template) {
@@ -103,10 +103,10 @@
 	"probe":      metricsanalysis.Probe,
 }
 
-// AnalyzerQueries returns the queries as input for package metricsanalysis.
-func (h *Health) AnalyzerQueries() (questions []metricsanalysis.Query) {
+// AnalyzerQueries returns the queries as input for a metricsanalysis.Analyzer.
+func (h *Health) AnalyzerQueries() (queries []metricsanalysis.Query) {
 	for _, q := range h.Queries {
-		questions = append(questions, metricsanalysis.Query{
+		queries = append(queries, metricsanalysis.Query{
 			Name:                 q.Name,
 			Meaning:              meanings[q.Meaning],
 			FailureKind:          slices.Index(policy.FailureKindNames[:], string(q.FailureKind)),
@@ -117,7 +117,7 @@
 			IndependentOfRouters: q.IndependentOfRouters,
 		})
 	}
-	return questions
+	return queries
 }
 
 // Bounds returns the limits on the cost of the queries.
@@ -169,7 +169,7 @@
 	case q.isCounts() && q.FailureKind == "":
 		return "kind", "missing; :counts needs the kind of failure that is counted"
 	case q.isCounts() && q.Form != "samples":
-		return "form", fmt.Sprintf("%v must be :samples for :counts; values computed from counters hide resets, gaps and ages", q.Form)
+		return "form", fmt.Sprintf("%v must be :samples for :counts; functions of the samples hide resets, gaps and staleness", q.Form)
 	case q.isCounts() && q.Total == "":
 		return "total", "missing; :counts needs the counters of all outcomes besides those of failures"
 	case !q.isCounts() && hasCountsFields:
--- a/internal/config/health_test.go
+++ b/internal/config/health_test.go
@@ -68,9 +68,9 @@
 	// plan.edn:29: :health :queries 0 :meaning: :errors must be one of counts quantile saturation probe
 	// plan.edn:29: :health :queries 0 :kind: missing; :counts needs the kind of failure that is counted
 	// plan.edn:29: :health :queries 0 :kind: :late must be one of wrong failed lost slow
-	// plan.edn:29: :health :queries 0 :form: :instant must be :samples for :counts; values computed from counters hide resets, gaps and ages
-	// plan.edn:30: :health :queries 0 :query: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
-	// plan.edn:31: :health :queries 0 :total: must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages
+	// plan.edn:29: :health :queries 0 :form: :instant must be :samples for :counts; functions of the samples hide resets, gaps and staleness
+	// plan.edn:30: :health :queries 0 :query: must be a range vector selector such as name{...}[15s]: functions of the samples hide resets, gaps and staleness
+	// plan.edn:31: :health :queries 0 :total: must be a range vector selector such as name{...}[15s]: functions of the samples hide resets, gaps and staleness
 	// plan.edn:30: :health :queries 0 :query: query:1:28: executing "query" at <.Unknown>: can't evaluate field Unknown in type promquery.fill
 	// plan.edn:33: :health :queries 1 :query: 1:10: parse error: unexpected end of input inside braces
 	// plan.edn:33: :health :queries 1 :span: a :range query needs a :span above 0, and a :step above 0 and at most :span
--- a/internal/metricsanalysis/promquery/template.go
+++ b/internal/metricsanalysis/promquery/template.go
@@ -93,7 +93,7 @@
 func checkSamples(expression parser.Expr) error {
 	matrix, ok := expression.(*parser.MatrixSelector)
 	if !ok {
-		return errors.New("must be the bare samples, such as name{...}[15s]: what is reckoned from them hides resets, gaps and ages")
+		return errors.New("must be a range vector selector such as name{...}[15s]: functions of the samples hide resets, gaps and staleness")
 	}
 	if vector, ok := matrix.VectorSelector.(*parser.VectorSelector); !ok || !isAtQueryTime(vector) {
 		return errors.New("must not use offset or @: the samples must be those up to the query time")
--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -20,9 +20,9 @@
 	pausedRecheckSeconds = 0.2
 	// maxWaitSeconds is the maximum time between two checks of the schedule.
 	maxWaitSeconds = 10.0
-	// labelHoldsAddress and labelHoldsID are the values of config.Query.EndpointLabelKind.
-	labelHoldsAddress = "address"
-	labelHoldsID      = "id"
+	// labelKindAddress and labelKindID are the values of config.Query.EndpointLabelKind.
+	labelKindAddress = "address"
+	labelKindID      = "id"
 )
 
 // Fleet is the set of endpoints and builds that the queries cover.
@@ -105,7 +105,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.EndpointLabelKind == labelHoldsAddress {
+		if query.EndpointLabelKind == labelKindAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.generateChunks(query, labels)
--- a/internal/promclient/series.go
+++ b/internal/promclient/series.go
@@ -32,7 +32,7 @@
 func (p *Poller) identify(query *config.Query, labels model.Metric) (endpoint uint32, build int, known bool) {
 	value := string(labels[model.LabelName(query.EndpointLabel)])
 	endpoint, known = p.idByAddress[value]
-	if query.EndpointLabelKind == labelHoldsID {
+	if query.EndpointLabelKind == labelKindID {
 		id, err := strconv.ParseUint(value, 10, 32)
 		endpoint, known = uint32(id), err == nil
 	}
