--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -13,7 +13,7 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrInUse is wrapped by the errors of Open and OpenOrSetAside if another process has the store open.
+// ErrInUse is wrapped by the errors of Open and OpenOrReplace if another process has the store open.
 var ErrInUse = errors.New("in use by another process")
 
 const (
@@ -84,9 +84,9 @@
 }
 
 // OpenOrReplace opens a store for writing, like Open. If the store is unreadable, it renames the file and opens an
-// empty store instead; aside is then the new name and the reason. It does not rename a store that another process has
+// empty store instead; renamed is then the new name and the reason. It does not rename a store that another process has
 // open.
-func OpenOrReplace(file string, check func(*bolt.Tx) error) (db *bolt.DB, aside string, err error) {
+func OpenOrReplace(file string, check func(*bolt.Tx) error) (db *bolt.DB, renamed string, err error) {
 	db, err = Open(file, false, check)
 	if err == nil || errors.Is(err, ErrInUse) {
 		return db, "", err
@@ -95,7 +95,7 @@
 	if renameErr := os.Rename(file, name); renameErr != nil {
 		return nil, "", errors.Join(err, renameErr)
 	}
-	aside = name + ": " + err.Error()
+	renamed = name + ": " + err.Error()
 	db, err = Open(file, false, check)
-	return db, aside, err
+	return db, renamed, err
 }
--- a/internal/revisions/resume.go
+++ b/internal/revisions/resume.go
@@ -15,12 +15,12 @@
 // uses until it receives another version. If that version cannot be read or applied, Resume logs the error, and the
 // program starts with the configuration of its settings file. The caller must close the store.
 func Resume(stateDir string, log *slog.Logger, apply func(*configstate.Version) error) (*Store, error) {
-	store, aside, err := Open(filepath.Join(stateDir, storeFileName))
+	store, renamed, err := Open(filepath.Join(stateDir, storeFileName))
 	if err != nil {
 		return nil, err
 	}
-	if aside != "" {
-		log.Error("unreadable configuration history renamed; starting with the configuration of the settings file", "file", aside)
+	if renamed != "" {
+		log.Error("renamed an unreadable configuration history; starting with the configuration of the settings file", "file", renamed)
 	}
 	last, err := store.Last()
 	if err != nil || last == nil {
--- a/internal/revisions/store.go
+++ b/internal/revisions/store.go
@@ -34,14 +34,14 @@
 // disk I/O.
 type Store struct{ db *bolt.DB }
 
-// Open opens a store for writing, and creates it if needed. It renames an unreadable file; aside is then the new name
+// Open opens a store for writing, and creates it if needed. It renames an unreadable file; renamed is then the new name
 // and the reason. The caller must close the store.
-func Open(file string) (s *Store, aside string, err error) {
-	db, aside, err := boltstore.OpenOrReplace(file, checkEntries)
+func Open(file string) (s *Store, renamed string, err error) {
+	db, renamed, err := boltstore.OpenOrReplace(file, checkEntries)
 	if err != nil {
-		return nil, aside, err
+		return nil, renamed, err
 	}
-	return &Store{db}, aside, nil
+	return &Store{db}, renamed, nil
 }
 
 // Read opens a store read-only. The error wraps boltstore.ErrInUse if a running program has it open; read a copy of the
--- a/internal/revisions/store_test.go
+++ b/internal/revisions/store_test.go
@@ -17,9 +17,9 @@
 	if _, err := Read(file); err == nil {
 		t.Error("Read succeeded without a file")
 	}
-	s, aside, err := Open(file)
-	if err != nil || aside != "" {
-		t.Fatal(aside, err)
+	s, renamed, err := Open(file)
+	if err != nil || renamed != "" {
+		t.Fatal(renamed, err)
 	}
 	if e, err := s.Last(); e != nil || err != nil {
 		t.Error(e, err)
@@ -64,9 +64,9 @@
 		if err := os.WriteFile(file, corrupt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, aside, err := Open(file)
-		if err != nil || aside == "" {
-			t.Fatal(aside, err)
+		s, renamed, err := Open(file)
+		if err != nil || renamed == "" {
+			t.Fatal(renamed, err)
 		}
 		if entries, err := s.All(); len(entries) > 0 || err != nil {
 			t.Error(entries, err)
@@ -91,9 +91,9 @@
 	if err := os.WriteFile(file, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, aside, err := Open(file)
-	if err != nil || aside != "" {
-		t.Fatal(aside, err)
+	s, renamed, err := Open(file)
+	if err != nil || renamed != "" {
+		t.Fatal(renamed, err)
 	}
 	entries, err := s.All()
 	if err != nil || len(entries) != 3 {
--- a/internal/storedformats/storedformats_test.go
+++ b/internal/storedformats/storedformats_test.go
@@ -41,9 +41,9 @@
 // The present code reads a controller's store and prints the same state as the program that wrote it.
 func TestControllerState(t *testing.T) {
 	dir := filepath.Dir(copyFile(t, "planner.db"))
-	store, state, aside, err := controller.OpenStateStore(dir)
-	if err != nil || aside != "" {
-		t.Fatalf("opening the store: error %v, renamed to %q", err, aside)
+	store, state, renamed, err := controller.OpenStateStore(dir)
+	if err != nil || renamed != "" {
+		t.Fatalf("opening the store: error %v, renamed to %q", err, renamed)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
