--- a/internal/endpoints/file.go
+++ b/internal/endpoints/file.go
@@ -41,7 +41,7 @@
 	if err := json.Unmarshal(text, list); err != nil {
 		corruptFile := file + fmt.Sprintf(corruptFileSuffix, time.Now().UnixNano())
 		err = errors.Join(err, os.Rename(file, corruptFile), cleanupErr)
-		return &List{}, fmt.Errorf("%s: %w; set aside as %s", file, err, corruptFile)
+		return &List{}, fmt.Errorf("%s: %w; renamed to %s", file, err, corruptFile)
 	}
 	return list, cleanupErr
 }
--- a/internal/endpoints/file_test.go
+++ b/internal/endpoints/file_test.go
@@ -41,8 +41,8 @@
 			t.Fatal(err)
 		}
 		loaded, err = Load(file)
-		if err == nil || loaded.Len() != 0 || !strings.Contains(err.Error(), "set aside") {
-			t.Errorf("loaded %v from %q, error %v; want an empty list and an error with \"set aside\"", loaded, corrupt, err)
+		if err == nil || loaded.Len() != 0 || !strings.Contains(err.Error(), "renamed to") {
+			t.Errorf("loaded %v from %q, error %v; want an empty list and an error with \"renamed to\"", loaded, corrupt, err)
 		}
 		if _, err := os.Stat(file); err == nil {
 			t.Errorf("the corrupt file %q was not renamed", corrupt)
