--- a/internal/policyconfig/decode.go
+++ b/internal/policyconfig/decode.go
@@ -95,7 +95,7 @@
 	text := d.text(key)
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		d.fail("setting %s is no number: %q", key, text)
+		d.fail("setting %s is not a number: %q", key, text)
 	}
 	return value
 }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -102,7 +102,7 @@
 	// unknown event code 3
 	// reference to 900 bytes at 0 exceeds the tail of 0 bytes
 	// setting rules.fall is missing
-	// setting family_info.window is no number: "four"
+	// setting family_info.window is not a number: "four"
 	// request class 7, want 0 to 0
 	// endpoint table 16, want 0 to 15
 	// reference to 27 bytes at 0 exceeds the tail of 0 bytes
