--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -52,7 +52,7 @@
 			onBreak()
 		}
 		pause := Backoff(attempt, source.BackoffMinSeconds, source.BackoffMaxSeconds, rand.Float64())
-		source.Log.Warn("stream broke; reconnecting after a pause", "url", source.URL, "objects", objects, "error", err,
+		source.Log.Warn("stream failed; reconnecting after a delay", "url", source.URL, "objects", objects, "error", err,
 			"retry_in_seconds", fmt.Sprintf("%.2f", pause))
 		select {
 		case <-ctx.Done():
@@ -159,6 +159,7 @@
 
 func (s *silenceTimer) stop() { s.timer.Stop() }
 
+// duration converts a number of seconds to a time.Duration.
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // objectReader reads a stream's bytes. It reports received bytes and heartbeats, and fails on an object larger than
