--- a/cmd/flintspread-lab/healthcomparison.go
+++ b/cmd/flintspread-lab/healthcomparison.go
@@ -77,10 +77,10 @@
 	return comparisons, nil
 }
 
-// printComparisons prints a summary of all seeds, whose last line says whether the rules were kept. It returns
+// printComparisons prints a summary of all seeds, whose last line states whether any rule was broken. It returns
 // errRuleBroken if a rule was broken in any run, and nil otherwise.
 func printComparisons(w io.Writer, comparisons []scenario.HealthComparison) error {
-	liedAbout, released, broken := 0, 0, 0
+	goodBuildRolledBack, released, broken := 0, 0, 0
 	var with, without, ratios []float64
 	for _, c := range comparisons {
 		if c.With > 0 {
@@ -93,7 +93,7 @@
 			ratios = append(ratios, c.With/c.Without)
 		}
 		if c.LiedAbout {
-			liedAbout++
+			goodBuildRolledBack++
 		}
 		if c.Released {
 			released++
@@ -104,7 +104,7 @@
 	}
 	fmt.Fprintf(w, "wrong build: rolled back in %d of %d runs with query servers, after %s s; in %d without, after %s s; ratio of the times with and without %s\n",
 		len(with), len(comparisons), formatDistribution(with), len(without), formatDistribution(without), formatDistribution(ratios))
-	fmt.Fprintf(w, "good build with false metrics: rolled back in %d of %d runs, released in %d\n", liedAbout, len(comparisons), released)
+	fmt.Fprintf(w, "good build with false metrics: rolled back in %d of %d runs, released in %d\n", goodBuildRolledBack, len(comparisons), released)
 	if broken > 0 {
 		fmt.Fprintf(w, "rules: BROKEN in %d runs\n", broken)
 		return errRuleBroken
--- a/cmd/flintspread-lab/outcome.go
+++ b/cmd/flintspread-lab/outcome.go
@@ -10,7 +10,7 @@
 )
 
 // printOutcome prints the outcome of a scenario. Other programs parse the text, so its wording is fixed. The last line
-// says whether the rules were kept.
+// names the broken rules, if any.
 func printOutcome(w io.Writer, out *scenario.Outcome) error {
 	fmt.Fprintln(w, "releases:")
 	for _, event := range out.History {
@@ -44,13 +44,13 @@
 	return fmt.Sprintf(" (%d without a planner: p99 %.3f s, %.2f times)", without.N, without.P99, without.P99/with.P99)
 }
 
-// printVerdict prints the first breaches of each rule, and a line that names the broken rules. It returns errRuleBroken
+// printVerdict prints the first violations of each rule, and a line that names the broken rules. It returns errRuleBroken
 // if there are any, and nil otherwise.
 func printVerdict(w io.Writer, out *scenario.Outcome) error {
 	broken := ""
 	for _, rule := range out.Rules {
-		for _, breach := range rule.FirstViolations {
-			fmt.Fprintln(w, "   ", breach)
+		for _, violation := range rule.FirstViolations {
+			fmt.Fprintln(w, "   ", violation)
 		}
 		if rule.Violations > 0 {
 			broken += " " + rule.Name + ";"
--- a/internal/invariants/canary.go
+++ b/internal/invariants/canary.go
@@ -201,8 +201,8 @@
 		newestBuilds[process] = map[string]keyBuild{}
 	}
 	newest, known := newestBuilds[process][request.Key]
-	wentBack := known && endpoint.Build < newest.build && attempt.At > newest.at+c.bounds.SlackSeconds
-	if wentBack && !c.wasRolledBack(request.RouterGroup, newest.build, attempt.At) {
+	isEarlierBuild := known && endpoint.Build < newest.build && attempt.At > newest.at+c.bounds.SlackSeconds
+	if isEarlierBuild && !c.wasRolledBack(request.RouterGroup, newest.build, attempt.At) {
 		rule.addViolation("%s sent key %q to build %d after build %d had answered it", request.RouterGroup, request.Key, endpoint.Build, newest.build)
 	}
 	isAnswered := len(request.Answers) == 1 && request.Answers[0].Kind == kindSucceeded && request.Answers[0].Endpoint == attempt.Endpoint
