--- a/internal/platform/node/config_test.go
+++ b/internal/platform/node/config_test.go
@@ -24,7 +24,7 @@
 		"limits.sockets: 0 must be at least 64":                      {`"sockets":256`, `"socks":256`},
 		"limits.cores: 0 must be above 0":                            {`"cores":1.0`, `"cores":0`},
 		"setting rules.fall is missing":                              {`"fall":1000.0`, `"fell":1000.0`},
-		"setting family_info.window is no number":                    {`"window":1000.0`, `"window":"four"`},
+		"setting family_info.window is not a number":                 {`"window":1000.0`, `"window":"four"`},
 		"setting classes.0.name is missing":                          {`"name":"lookup"`, `"nom":"lookup"`},
 		"platform.news: unknown phase \"on\"":                        {`"phase":"trial"`, `"phase":"on"`},
 		"known: host \"u1\" (entry 0): unknown health":               {`"known":{"hosts":null`, `"known":{"hosts":[{"host":"u1","health":"x"}]`},
