--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), toDuration(plan.GiveUpAt-max(plan.ServeUntil, plan.AcceptUntil)))
 	defer cancel()
 	if err := n.proxy.Drain(ctx); err != nil {
-		n.log.Error("failed to complete all requests before the end of the drain", "error", err)
+		n.log.Error("failed to answer all requests before the end of the drain", "error", err)
 	}
 }
 
@@ -205,4 +205,5 @@
 	}
 }
 
+// toDuration converts a number of seconds to a time.Duration.
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/router/controllerlink.go
+++ b/internal/router/controllerlink.go
@@ -35,13 +35,13 @@
 func (r *Router) applyAssignment(assignment *linkpb.View, newEndpoints, newRelease bool, leaseEndsAt float64) {
 	if newEndpoints {
 		if err := r.applyEndpointUpdate(endpointUpdate(assignment)); err != nil {
-			r.log.Error("endpoint list in an assignment rejected", "error", err)
+			r.log.Error("rejected the endpoint list in an assignment", "error", err)
 		}
 	}
 	if newRelease {
 		update := releaseUpdate(assignment)
 		if err := r.applyRelease(update); err != nil {
-			r.log.Error("release update in an assignment rejected", "error", err)
+			r.log.Error("rejected the release update in an assignment", "error", err)
 		} else {
 			r.saveRelease(update)
 		}
--- a/internal/router/releases.go
+++ b/internal/router/releases.go
@@ -25,7 +25,7 @@
 func (r *Router) onVoteReply(_ releases.Vote, reply policy.VoteReply, update *releases.Update) {
 	if update != nil {
 		if err := r.applyRelease(update); err != nil {
-			r.log.Warn("release update in a vote's reply rejected", "error", err)
+			r.log.Warn("rejected the release update in a vote reply", "error", err)
 		}
 	}
 	r.proxy.OnVoteReply(reply)
@@ -40,7 +40,7 @@
 	r.releaseMu.Lock()
 	defer r.releaseMu.Unlock()
 	if update.Version < r.releaseVersion {
-		r.log.Info("outdated release update dropped", "version", update.Version, "applied_version", r.releaseVersion)
+		r.log.Info("ignored an outdated release update", "version", update.Version, "applied_version", r.releaseVersion)
 		return nil
 	}
 	r.releaseVersion = update.Version
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -208,7 +208,7 @@
 
 func (r *Router) serveMetrics(server *http.Server, listener net.Listener) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		r.log.Error("metrics server stopped", "error", err)
+		r.log.Error("metrics server failed", "error", err)
 	}
 }
 
@@ -247,6 +247,7 @@
 	}
 }
 
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // wallClock returns the Unix time in seconds.
