--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -27,8 +27,8 @@
 	endpointListAgeDesc   = metric("list_age_seconds", "Age of the endpoint list.")
 	endpointsDesc         = metric("units", "Endpoints in the endpoint list.")
 	markedEndpointsDesc   = metric("health_units_marked", "Endpoints with a health mark.")
-	freshEndpointsDesc    = metric("health_units_known", "Endpoints with fresh answers of a query server to a query.", "server", "query")
-	disputedEndpointsDesc = metric("health_units_disputed", "Endpoints on which the query servers' answers to a query disagree.", "query")
+	freshEndpointsDesc    = metric("health_units_known", "Endpoints with fresh results of a query from a query server.", "server", "query")
+	disputedEndpointsDesc = metric("health_units_disputed", "Endpoints on which the query servers' results of a query disagree.", "query")
 	verdictDesc           = metric("verdict", "Vote in force: 0 none, 1 promote, 2 hold, 3 roll back.")
 )
 
--- a/internal/controller/metrics_evidence.go
+++ b/internal/controller/metrics_evidence.go
@@ -12,7 +12,7 @@
 	"flintspread/internal/promclient"
 )
 
-// metricsEvidence connects the controller to its query servers. From their answers it computes evidence for the policy
+// metricsEvidence connects the controller to its query servers. From their results it computes evidence for the policy
 // and health marks for the routers.
 type metricsEvidence struct {
 	controller *Controller
@@ -20,7 +20,7 @@
 
 	mu           sync.Mutex // guards the fields below; locked after the controller's lock, never before it
 	analysis     *metricsanalysis.Analyzer
-	hasNewAnswer bool // whether an answer has arrived since the policy last received the evidence
+	hasNewResult bool // whether a result has arrived since the policy last received the evidence
 	marks        []policy.HealthMark
 	marksVersion uint64  // incremented when the routers need new marks
 	marksAt      float64 // when the marks were last computed
@@ -30,20 +30,20 @@
 func (c *Controller) newMetricsEvidence() (m *metricsEvidence, err error) {
 	health := c.settings.Health
 	m = &metricsEvidence{controller: c, analysis: metricsanalysis.NewAnalyzer(health.AnalyzerQueries(), len(health.Servers))}
-	m.poller, err = promclient.NewPoller(health, c.log, c.now, m.applyAnswer)
+	m.poller, err = promclient.NewPoller(health, c.log, c.now, m.applyResult)
 	return m, err
 }
 
 // run polls the query servers until ctx ends.
 func (m *metricsEvidence) run(ctx context.Context) { m.poller.Run(ctx) }
 
-// applyAnswer records a query server's answer. The poller calls it from several goroutines.
-func (m *metricsEvidence) applyAnswer(answer *metricsanalysis.QueryResult) metricsanalysis.ApplySummary {
+// applyResult records the result of a query to one server. The poller calls it from several goroutines.
+func (m *metricsEvidence) applyResult(result *metricsanalysis.QueryResult) metricsanalysis.ApplySummary {
 	now := m.controller.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hasNewAnswer = true
-	return m.analysis.ApplyResult(now, answer)
+	m.hasNewResult = true
+	return m.analysis.ApplyResult(now, result)
 }
 
 // setEndpoints passes the controller's endpoint list, without endpoints that are gone, to the analysis and the poller. The
@@ -80,10 +80,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	marksDue := now >= m.marksAt+metricsanalysis.MarksIntervalSeconds
-	// The evidence also changes without a new answer, because the answers of an unresponsive server become stale.
-	if m.hasNewAnswer || marksDue {
+	// The evidence also changes without a new result, because the results of an unresponsive server become stale.
+	if m.hasNewResult || marksDue {
 		m.controller.balancer.SetMetricsEvidence(m.analysis.Evidence(now))
-		m.hasNewAnswer = false
+		m.hasNewResult = false
 	}
 	if !marksDue {
 		return false
@@ -114,7 +114,7 @@
 	}
 }
 
-// collect emits the metrics of the marks and the query servers' answers. The caller holds the controller's lock.
+// collect emits the metrics of the marks and the query servers' results. The caller holds the controller's lock.
 func (m *metricsEvidence) collect(now float64, gauge gaugeFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/metrics_evidence_test.go
+++ b/internal/controller/metrics_evidence_test.go
@@ -235,7 +235,7 @@
 }
 
 // BenchmarkMetricsEvidence measures a controller's cost of sending five queries to each of two query servers once a
-// second, all in one process. It reports the cores used by as many queries whose answers are discarded, which is the
+// second, all in one process. It reports the cores used by as many queries whose responses are discarded, which is the
 // servers' cost; the additional cores used by poller, analysis and ticks; the heap in use, including the servers'; and
 // the p99 query time.
 func BenchmarkMetricsEvidence(b *testing.B) {
@@ -338,7 +338,7 @@
 	}
 }
 
-// queryAndDiscard sends queryCount queries, evenly spread until the deadline of ctx, and discards the answers.
+// queryAndDiscard sends queryCount queries, evenly spread until the deadline of ctx, and discards the responses.
 func queryAndDiscard(ctx context.Context, queryCount int, urls []string) {
 	queries := []string{"unit_wrong_total[3s]", "unit_answers_total[3s]", "unit_errors_total[3s]", "unit_answers_total[3s]", "unit_probe_success",
 		"unit_busy", "unit_answer_seconds[2s]"}
