--- a/internal/controlrpc/controlrpc.go
+++ b/internal/controlrpc/controlrpc.go
@@ -16,5 +16,5 @@
 // fleet is well below it.
 const maxMessageBytes = 64 << 20
 
-// seconds converts a duration in seconds, as in the settings, to a time.Duration.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/promclient/client.go
+++ b/internal/promclient/client.go
@@ -233,7 +233,7 @@
 	return s
 }
 
-// toDuration converts a duration from seconds.
+// toDuration converts a number of seconds to a time.Duration.
 func toDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -125,7 +125,7 @@
 // Now returns the time on the proxy's clock: the Unix time of its creation in seconds, advanced monotonically since.
 func (p *Proxy) Now() float64 { return p.clockBaseSeconds + time.Since(p.clockBase).Seconds() }
 
-// secondsToDuration converts float seconds for sockets and timers.
+// secondsToDuration converts a number of seconds to a time.Duration, for sockets and timers.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -62,5 +62,5 @@
 	return group.Wait()
 }
 
-// seconds converts a duration from the settings.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
