--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -4,7 +4,7 @@
 const sentReportsKept = 64
 
 // unknownSentAt is the value of acknowledgedSentAt if the last assignment acknowledged no report, or one whose send time
-// is no longer kept.
+// is no longer stored.
 const unknownSentAt = -1
 
 // Follower is the router's side of the protocol. It follows only the controller with the highest epoch that it has
@@ -72,8 +72,8 @@
 	return Accepted
 }
 
-// sentAt returns when a report was sent, or unknownSentAt if that is no longer kept. An assignment that acknowledges so
-// old a report does not show that the controller is alive now, so it grants no lease.
+// sentAt returns when a report was sent, or unknownSentAt if that time is no longer stored. An assignment that
+// acknowledges so old a report does not show that the controller is alive now, so it grants no lease.
 func (f *Follower) sentAt(report uint64) float64 {
 	if report > 0 && f.reportsSent-report < sentReportsKept {
 		return f.reportSentAt[report%sentReportsKept]
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -119,8 +119,8 @@
 }
 
 // readings returns the servers' readings of each series of a query. Servers whose values are all stale are ignored,
-// including the counts from their earlier results. Otherwise counts are kept for endpoints that left the list, and for
-// those of which no server has a fresh value.
+// including the counts from their earlier results. The other servers' earlier counts are included for endpoints that
+// left the list, and for those of which no server has a fresh value.
 func (a *Analyzer) readings(now float64, queryIndex int) map[seriesKey][]reading {
 	q := &a.queries[queryIndex]
 	fresh, stale := map[seriesKey][]reading{}, map[seriesKey][]reading{}
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -59,7 +59,7 @@
 type RequestClass struct {
 	LatencyObjectiveSeconds float64 // an answer later than this has no value
 	TimeoutSeconds          float64 // time that a client allows for all its tries
-	PriorityWeight          float64 // relative worth of an answer
+	PriorityWeight          float64 // value of an answer relative to other classes
 	Idempotency             Idempotency
 	DedupScope              DedupScope
 	DedupWindowSeconds      float64 // time for which an endpoint recognises a repeated key
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -27,7 +27,7 @@
 	weight        float64
 	startedAt     float64
 	ready         bool
-	listed        bool    // named or kept by the update of the list in progress
+	listed        bool    // named by the list update in progress, or not mentioned in a change
 	previousBuild int     // build of the endpoint's previous process
 	notReadySince float64 // when it ceased to be ready; 0 while it is
 
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -7,7 +7,7 @@
 const (
 	voteRetrySeconds           = 0.5  // time after which a vote that did not count is cast again
 	holdThreshold              = 0.75 // fraction of the rollback threshold above which automatic stages are held
-	doubtThreshold             = 0.5  // fraction of it above which no stage is promoted and a rollback vote is kept
+	doubtThreshold             = 0.5  // fraction of it above which no stage is promoted and a rollback vote is not withdrawn
 	promoteWaitSeconds         = 3.7  // time since the start of the stage and of the newest canary endpoint
 	promoteWaitFewSeconds      = 5.0  // the same if outcomes are missing that the longer wait can provide
 	promoteUnlistedWaitSeconds = 9.0  // stage age from which the endpoint list need not show the stage
--- a/internal/proxy/http_shed.go
+++ b/internal/proxy/http_shed.go
@@ -29,9 +29,9 @@
 	contentLength     int
 }
 
-// shedUnparsed asks the shedder about a request before it is parsed, and answers it if it is shed: under overload,
-// shedding a request must cost far less than serving it. It considers only requests that scanRequest accepts; all
-// others are undecided.
+// shedUnparsed decides before a request is parsed whether to shed it, and answers it if so: under overload, shedding a
+// request must cost far less than serving it. It considers only requests that scanRequest accepts; all others are
+// undecided.
 func (proto http1) shedUnparsed(conn *clientConn, br *bufio.Reader, queuedSeconds float64) shedResult {
 	p := conn.proxy
 	if !p.shedding.Load() {
--- a/internal/proxy/resp_test.go
+++ b/internal/proxy/resp_test.go
@@ -233,7 +233,8 @@
 	h.wantEqual("the id after its answer", h.askOnce(slowCommand), "vsame")
 }
 
-// A rejection carries a retry-after time. It is immediate if no endpoint is worth waiting for: the only one is overloaded.
+// A rejection carries a retry-after time. The rejection is immediate if waiting cannot help:
+// the only endpoint is overloaded.
 func TestRESPRejectsImmediately(t *testing.T) {
 	h := newRESPHarness(t, func(settings *config.Router) {
 		settings.Endpoints.MaxConns, settings.Endpoints.MaxConnsPerEndpoint = 1, 1
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -199,8 +199,8 @@
 	return s.answer(response, err)
 }
 
-// recheck asks the handler again about the waiting version, if any, and answers its response if the version is now
-// accepted or rejected.
+// recheck calls Handler.Recheck for the waiting version, if any. If the version is now accepted or rejected, it
+// acknowledges the response that contained the version, with an ACK or a NACK.
 func (s *clientStream) recheck() error {
 	if s.waiting == nil {
 		return nil
