--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -20,9 +20,9 @@
 	pausedRecheckSeconds = 0.2
 	// maxWaitSeconds is the maximum time between two checks of the schedule.
 	maxWaitSeconds = 10.0
-	// labelHoldsAddress and labelHoldsID are the values of config.Query.EndpointLabelKind.
-	labelHoldsAddress = "address"
-	labelHoldsID      = "id"
+	// labelKindAddress and labelKindID are the values of config.Query.EndpointLabelKind.
+	labelKindAddress = "address"
+	labelKindID      = "id"
 )
 
 // Fleet is the set of endpoints and builds that the queries cover.
@@ -79,7 +79,7 @@
 		wake: make(chan struct{}, 1), scheduler: metricsanalysis.NewScheduler(settings.Bounds(), len(settings.Servers), now()),
 		chunks: make([][]queryChunk, len(settings.Queries)), lastCauses: map[serverQuery]Cause{},
 	}
-	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxAnswerBytes, MaxSeries: settings.MaxSeries}
+	limits := Limits{TimeoutSeconds: settings.TimeoutSeconds, MaxBytes: settings.MaxResponseBytes, MaxSeries: settings.MaxSeries}
 	for _, server := range settings.Servers {
 		client, err := NewClient(server.Name, server.URL, limits)
 		if err != nil {
@@ -105,7 +105,7 @@
 	for i := range p.settings.Queries {
 		query := &p.settings.Queries[i]
 		labels := ids
-		if query.EndpointLabelKind == labelHoldsAddress {
+		if query.EndpointLabelKind == labelKindAddress {
 			labels = addresses
 		}
 		p.chunks[i] = p.generateChunks(query, labels)
@@ -254,7 +254,7 @@
 // failures and outcomes match.
 func (p *Poller) send(ctx context.Context, job metricsanalysis.StartedJob, chunk queryChunk, at float64) (series, totals []LabeledSeries, err error) {
 	query, client := &p.settings.Queries[job.Query], p.clients[job.Server]
-	request := Request{Query: chunk.query, Form: query.AnswerForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
+	request := Request{Query: chunk.query, Form: query.ResultForm(), At: at, RangeSeconds: query.RangeSeconds, StepSeconds: query.StepSeconds}
 	series, err = client.Query(ctx, request)
 	if err == nil && chunk.totalQuery != "" {
 		request.Query = chunk.totalQuery
