--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,10 +5,10 @@
 // The adaptive concurrency limit bounds the attempts in flight by how quickly answers arrive, which protects against
 // overload, bursts and slow fleets alike. Requests of low priority reach it earlier.
 const (
-	targetLatencyRatio         = 0.45 // target for typical latency over its objective
+	targetLatencyRatio         = 0.45 // target for the ratio of the typical latency to the latency objective
 	limitAdjustIntervalSeconds = 0.25 // minimum time between two adjustments: every third tick
 	limitDecreaseFactor        = 0.9  // factor applied while answers are too slow
-	limitIncreaseShare         = 0.05 // fraction by which the limit grows while it is used, in addition to one attempt
+	limitIncreaseShare         = 0.05 // relative growth per adjustment while the limit is used, in addition to one attempt
 	limitUsedShare             = 0.7  // fraction of the limit that must be in flight for it to grow
 	minLimitShare              = 0.6  // fraction of the limit that is open to the lowest priority
 
@@ -18,7 +18,7 @@
 
 const (
 	heavyWorkThreshold       = 3.0  // multiple of the typical work above which tooHeavy predicts the latency
-	clientRetryWindowSeconds = 0.02 // time after a failed request in which another of its class counts as a client's retry
+	clientRetryWindowSeconds = 0.02 // a request this soon after another of its class failed counts as a client's retry
 	answerTimeFactor         = 2    // multiple of the typical latency that a request is expected to need once it is sent
 )
 
@@ -41,7 +41,7 @@
 
 // estimateFirstTry estimates when a request's client first sent the request. Most requests of a class arrive with the
 // same timeout. One that has a different timeout, longer than the objective, is assumed to be a later try by a client
-// that gives up one request timeout after its first try.
+// whose deadline is the class's TimeoutSeconds after its first try.
 func (b *Balancer) estimateFirstTry(now float64, r *Request) float64 {
 	class, timeout := r.class(), r.Deadline-r.ReceivedAt
 	if !b.commonTimeout[r.Class].add(timeout) && timeout > class.LatencyObjectiveSeconds {
@@ -59,8 +59,8 @@
 	return b.typicalLatency[r.Class]*relativeLatency(r.Work) > r.FirstTriedAt+r.class().LatencyObjectiveSeconds-now
 }
 
-// relativeLatency returns the latency of a request with the given relative work, in typical latencies: half of the
-// latency scales with the work, half is waiting.
+// relativeLatency returns the latency of a request with the given relative work, as a multiple of the typical
+// latency: half of the latency scales with the work, half is waiting.
 func relativeLatency(work float64) float64 { return (1 + work) / 2 }
 
 // overConcurrencyLimit reports whether a first attempt must wait because the limit for its priority is reached.
@@ -73,9 +73,9 @@
 	return now-r.FirstTriedAt+answerTimeFactor*b.typicalLatency[r.Class] > r.class().LatencyObjectiveSeconds
 }
 
-// adjustConcurrencyLimit adjusts the limit by the class whose latency is nearest to its objective. When it cuts the
-// limit, it keeps at least this router's even share of two attempts per endpoint, the number in flight in an idle
-// fleet.
+// adjustConcurrencyLimit adjusts the limit by the class whose latency is nearest to its objective. A decrease stops at
+// minInFlight attempts plus this router's share of minInFlightPerEndpoint attempts per ready endpoint, the number in
+// flight in an idle fleet.
 func (b *Balancer) adjustConcurrencyLimit() {
 	minLimit := minInFlight + minInFlightPerEndpoint*b.leasedShare*float64(b.readyCount)/float64(b.config.RouterGroups)
 	b.latencyRatio, b.maxTypicalLatency = 0, slices.Max(b.typicalLatency)
--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -6,9 +6,9 @@
 const (
 	settleSeconds       = 2.0  // time after an endpoint's start during which its outcomes are not counted
 	slowLatencyFactor   = 2.0  // multiple of the baseline's median latency above which an answer is slow
-	canaryLatencyMargin = 1.5  // further factor on it for the canary: a slightly slower build is still good
+	canaryLatencyMargin = 1.5  // further factor for canary answers: a slightly slower build is still good
 	baselineMedianStep  = 0.02 // fraction by which each answer moves the estimate of the baseline's median latency
-	slowCountDecay      = 0.97 // factor on slow-answer counts when the concurrency limit is adjusted: load changes
+	slowCountDecay      = 0.97 // factor on slow-answer counts at each adjustment of the concurrency limit, as load changes
 )
 
 // wasWarm reports whether an attempt was sent to a warm endpoint: one that has completed its slow start and worked off
@@ -69,7 +69,7 @@
 }
 
 // ReportWrongAnswer records that a client reported a wrong answer from an endpoint, to an attempt made age seconds ago.
-// It counts against the build that the endpoint ran at that time.
+// The report counts against the build that the endpoint ran at that time.
 func (b *Balancer) ReportWrongAnswer(now float64, endpointID uint32, age float64) {
 	e := b.endpointByID[endpointID]
 	if e == nil {
--- a/internal/policy/average.go
+++ b/internal/policy/average.go
@@ -12,7 +12,8 @@
 	*average += averageWeight * (value - *average)
 }
 
-// stepToMedian moves an estimate of the median towards a value by a fraction step of itself; the first value sets it.
+// stepToMedian moves an estimate of the median towards a value; step is the fraction of the estimate by which it moves.
+// The first value sets the estimate.
 func stepToMedian(median *float64, value, step float64) {
 	switch {
 	case *median == 0:
@@ -24,7 +25,8 @@
 	}
 }
 
-// decayingShare is a moving share of hits. Between updates it decays by the factor 1/e in decaySeconds.
+// decayingShare is a moving share of hits. Between updates, the share decays by the factor 1/e in every decaySeconds, a
+// parameter of its methods.
 type decayingShare struct{ share, updatedAt float64 }
 
 // valueAt returns the share, decayed until now.
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -1,6 +1,8 @@
 package policy
 
-const connFailureThreshold = 0.1 // share of failing new connections that is normal; above it, open ones are preferred
+// connFailureThreshold is the share of failed new connections above which open connections are preferred. A lower share
+// is normal.
+const connFailureThreshold = 0.1
 
 // recordConnection records whether a connection to an endpoint is open and, for baseline endpoints, how often new
 // connections have failed lately. Failures at a canary are left out: they may be caused by its build.
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -2,7 +2,7 @@
 
 // Passive health: endpoints are judged by the outcomes of attempts, and by health marks derived from metrics.
 const (
-	failureDecaySeconds = 4.0  // time in which an endpoint's failures decay to 1/e
+	failureDecaySeconds = 4.0  // time in which a share of failures decays to 1/e
 	failureWeight       = 0.25 // weight of a new outcome in the share of failures
 )
 
@@ -71,7 +71,8 @@
 }
 
 // recordLatency records the duration of an attempt, normalised by the request's work, in the averages of its endpoint
-// and its class. For the class it is capped at the latency objective: a few unresponsive endpoints are no overload.
+// and its class. For the class it is capped at the latency objective: a few unresponsive endpoints must not
+// look like overload.
 func (b *Balancer) recordLatency(r *Request, e *endpoint, duration float64) {
 	workFactor := relativeLatency(r.Work)
 	if b.typicalLatency[r.Class] > 0 {
