--- a/internal/policy/balancer.go
+++ b/internal/policy/balancer.go
@@ -30,8 +30,8 @@
 
 	// The release (release.go, canary.go, keys.go).
 	release               release
-	baselineReady         int         // ready endpoints of builds before the release's
-	canaryReady           int         // ready endpoints of the release's build
+	baselineReady         int         // number of ready endpoints that run a build older than the release's
+	canaryReady           int         // number of ready endpoints that run the release's build
 	newestCanaryStartedAt float64     // start of the newest ready canary endpoint
 	latenessComparable    bool        // both builds serve at once: their lateness can be compared
 	receivedAt            [][]float64 // times of the requests received in the canary window, by limitIndex
@@ -133,8 +133,8 @@
 
 // TickResult is the result of a tick.
 type TickResult struct {
-	NextTickSeconds      float64
-	CastVote             bool // send Verdict on Build and Stage to the release service, and pass its reply to OnVoteReply
+	NextTickSeconds      float64 // time from this tick to the next
+	CastVote             bool    // send Verdict on Build and Stage to the release service, and pass its reply to OnVoteReply
 	Build                int
 	Stage                int
 	Verdict              Verdict
--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -33,7 +33,7 @@
 	return 0
 }
 
-// since returns the instants that are not before from; instants must be sorted.
+// since returns the instants at or after the instant from; instants must be sorted.
 func since(instants []float64, from float64) []float64 {
 	return instants[sort.SearchFloat64s(instants, from):]
 }
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -3,9 +3,11 @@
 // Config is the configuration of a Balancer. It must not be changed once passed to New or SetConfig. Durations are
 // seconds.
 type Config struct {
-	RouterGroups           int     // router groups that share the endpoints, each with one vote; without a controller: routers
+	// RouterGroups is the number of router groups that share the endpoints. Each has one vote. Without a controller, it is
+	// the number of routers.
+	RouterGroups           int
 	RollbackVotes          int     // votes needed to roll a release back; 0 counts as 1
-	TimerResolutionSeconds float64 // precision of the caller's timers; attempts end two to three times this early
+	TimerResolutionSeconds float64 // precision of the caller's timers; attempts end 2 to 3 resolutions before the deadline
 	Classes                []RequestClass
 
 	SubscribeToEndpoints bool    // the caller must subscribe to the endpoint list (TickResult.SubscribeToEndpoints)
@@ -18,7 +20,7 @@
 
 	SlowStartInitialShare    float64 // share of its capacity that an endpoint has at its start
 	SlowStartSeconds         float64 // time from its start until it has its full capacity
-	SlowStartOverloadFactor  float64 // multiple of its share of the mean traffic above which an endpoint fails
+	SlowStartOverloadFactor  float64 // an endpoint fails above this multiple of the mean traffic times its capacity share
 	SlowStartOverloadSeconds float64 // period over which that traffic is measured
 
 	CanaryWindowSeconds  float64   // window over which the canary traffic limit is enforced
@@ -27,7 +29,7 @@
 	StageShares          []float64 // share of the endpoints that run the canary, by rollout stage
 	CanaryLimitPerClass  bool      // the limit applies to each request class separately
 	IdempotentOnlyStages int       // number of initial stages that accept only idempotent requests
-	OneWayKeys           bool      // a key that a build has answered never goes to an earlier build
+	OneWayKeys           bool      // once a build has answered a key, requests with this key go to no earlier build
 	MaxRememberedKeys    int       // maximum number of keys remembered for OneWayKeys; 0: no limit
 
 	// ForgetEndpointSeconds is the time after which an endpoint that left the list is removed from memory; 0: never. It
@@ -38,7 +40,7 @@
 
 	AutomaticStages        bool    // stages advance on a schedule; votes only hold or roll back
 	ReplaceInPlace         bool    // canary endpoints replace baseline endpoints instead of running beside them
-	WrongAnswerPrice       float64 // cost of work that is answered wrongly, in the unit of StaleBuildPrice
+	WrongAnswerPrice       float64 // cost of work that is answered wrongly; only its ratio to StaleBuildPrice matters
 	StaleBuildPrice        float64 // cost of work that the old build serves while a good build waits
 	WrongAnswerReportShare float64 // share of wrong answers that clients report
 	VoteLifetimeSeconds    float64 // time for which a vote counts
--- a/internal/policy/keys.go
+++ b/internal/policy/keys.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// One-way keys (rule 5 of package invariants): once a build has answered a key, the key never goes to an earlier build.
-// The number of remembered keys is bounded: a canary must not answer a key that can't be remembered.
+// One-way keys (rule 5 of package invariants): once a build has answered a key, no request with this key is sent to an
+// earlier build. The number of remembered keys is bounded: a canary must not answer a key that can't be remembered.
 
 // keyAllows reports whether a request's key permits an endpoint's build.
 func (b *Balancer) keyAllows(r *Request, e *endpoint) bool {
@@ -18,8 +18,8 @@
 	return canRemember || !b.isCanary(e.build)
 }
 
-// rememberKey records which build answered a key. When the memory fills up while the newest build is released, every
-// key counts as answered by that build, as will soon be true anyway.
+// rememberKey records which build answered a key. When MaxRememberedKeys is reached and the newest build has been
+// released, every key counts as answered by that build, as will soon be true anyway.
 func (b *Balancer) rememberKey(key uint64, build int) {
 	if build <= b.keyFloorBuild {
 		return
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -21,7 +21,7 @@
 	return r.numberFor(r.count)
 }
 
-// numberFor returns the number in [0, 1) that belongs to n, independently of the sequence.
+// numberFor returns the nth number of the sequence, in [0, 1), without advancing the sequence.
 func (r *random) numberFor(n uint64) float64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], n)
