--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -4,8 +4,8 @@
 	holdIntervalSeconds = 0.02 // time after which a held request is picked again
 
 	defaultDraws          = 2   // endpoints that are compared: the power of two choices
-	staleListDraws        = 4   // while the best so far is above staleListOutlierScore: half of a stale list may be gone
-	failingConnsDraws     = 8   // while new connections fail: few endpoints have open ones, and other routers use the same
+	staleListDraws        = 4   // while the best so far exceeds staleListOutlierScore: half of a stale list may be gone
+	failingConnsDraws     = 8   // while many new connections fail: few endpoints have open ones, and other routers use them too
 	staleListOutlierScore = 0.5 // about every other attempt fails
 	minLatencyRatio       = 0.2 // an endpoint counts as at most five times as fast as a typical one
 	outlierCostFactor     = 12  // an endpoint that fails every attempt costs 1 + this factor times as much
@@ -28,7 +28,7 @@
 // flight is unresponsive; without AllowHedging the attempt in flight is cancelled first, if AllowCancel is set. With
 // nothing in flight, a request that no endpoint can take is held. No attempt goes to an endpoint that
 //   - is not ready;
-//   - has an attempt of the request in flight, or just lost one (mustAvoid);
+//   - has an attempt of the request in flight, or may have run its only attempt so far (mustAvoid);
 //   - would not recognise the request's key (leavesDedupScope);
 //   - runs an older build than the one that answered the key (keyAllows);
 //   - is a canary above the canary traffic limit (canaryAllowance);
@@ -202,19 +202,19 @@
 	return e.ready && b.keyAllows(r, e) && (!b.isCanary(e.build) || b.canaryAllowance(now, r, e.build) >= 1)
 }
 
-// mustAvoid reports whether an attempt is in flight at an endpoint or, without hedging, the request's only attempt so
-// far was lost there: another endpoint is likelier to answer. Later retries may use the endpoint again.
+// mustAvoid reports whether an attempt is in flight at an endpoint or, without hedging, is the request's only one so
+// far and may have run there: another endpoint is likelier to succeed. Later retries may use the endpoint again.
 func (b *Balancer) mustAvoid(r *Request, attempt *Attempt, e *endpoint) bool {
 	if b.endpointByID[attempt.Endpoint] != e {
 		return false
 	}
-	justLost := !r.Config.AllowHedging && len(b.endpoints) > 1 && attempt.MayHaveRun && len(r.Attempts) == 1
-	return attempt.InFlight || justLost
+	onlyAttempt := !r.Config.AllowHedging && len(b.endpoints) > 1 && attempt.MayHaveRun && len(r.Attempts) == 1
+	return attempt.InFlight || onlyAttempt
 }
 
 // cost returns how loaded an endpoint appears: this balancer's work in flight there plus the new request's, multiplied
 // by how slowly the endpoint answers, how long it has been silent and how often it failed lately, divided by its
-// capacity. All of these factors decay, so that each endpoint is tried again.
+// capacity. Failures decay and silence counts only while attempts are in flight, so that each endpoint is tried again.
 func (b *Balancer) cost(now float64, e *endpoint, work float64) float64 {
 	if !b.hasConnection(now, e) {
 		work *= 1 + outlierCostFactor*b.connFailureShare(now)
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -70,7 +70,7 @@
 	Action            Action
 	Endpoint          uint32
 	AttemptDeadline   float64 // when the attempt must be abandoned
-	PickAgainAt       float64 // when to call Pick again; ignored if 0 or not before the request's deadline
+	PickAgainAt       float64 // when to call Pick again; no call is due if 0 or not before the request's deadline
 	RetryAfterSeconds float64
 	CancelInFlight    bool // cancel the attempts in flight
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -80,8 +80,8 @@
 	return b.retryTokens >= 1 || r.LastAttemptUndelivered
 }
 
-// finalAnswer returns a request's final answer: a rejection if a retry by the client is harmless, else a failure. While
-// an attempt is in flight it returns no action, as that attempt may still succeed.
+// finalAnswer returns a request's final answer: a rejection if a retry by the client is harmless, otherwise a failure.
+// While an attempt is in flight, finalAnswer returns no action, as that attempt may still succeed.
 func (b *Balancer) finalAnswer(now float64, r *Request) Decision {
 	if r.attemptsInFlight() > 0 {
 		return Decision{}
