--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -27,7 +27,7 @@
 	weight        float64
 	startedAt     float64
 	ready         bool
-	listed        bool    // named or kept by the update of the list in progress
+	listed        bool    // in the list, as far as the update in progress has been applied
 	previousBuild int     // build of the endpoint's previous process
 	notReadySince float64 // when it ceased to be ready; 0 while it is
 
@@ -47,8 +47,8 @@
 	slowStartTokensAt float64
 }
 
-// BeginEndpointList begins an update of the endpoint list. A full update names every endpoint, any other only changes.
-// UpdateEndpoint must follow for each entry, then EndEndpointList.
+// BeginEndpointList begins an update of the endpoint list. A full update names every endpoint, any other only the
+// changed ones. UpdateEndpoint must follow for each entry, then EndEndpointList.
 func (b *Balancer) BeginEndpointList(full bool) {
 	b.subscribed = true
 	for _, e := range b.endpoints {
@@ -105,12 +105,12 @@
 // EndpointListFailed records that the subscription to the endpoint list failed; a later tick requests another.
 func (b *Balancer) EndpointListFailed() { b.subscribed = false }
 
-// SetEndpointListAge sets how many seconds ago the endpoint list was known to be true. Nothing is promoted on a list
-// that is too old: its canary endpoints may be gone by now.
+// SetEndpointListAge sets how many seconds ago the endpoint list was last confirmed as current. No stage is promoted on
+// the basis of a list that is too old: its canary endpoints may be gone by now.
 func (b *Balancer) SetEndpointListAge(seconds float64) { b.endpointListAge = seconds }
 
-// forgetEndpoints removes endpoints that left the list long ago. Their counts are merged under endpoint 0: otherwise,
-// once the baseline endpoints were replaced one by one, no counts would be left to compare the canary with.
+// forgetEndpoints removes endpoints that left the list long ago. Their counts are merged under endpoint 0: if they were
+// discarded, replacing the baseline endpoints one by one would leave no counts to compare the canary with.
 func (b *Balancer) forgetEndpoints(now float64) {
 	forgotten := func(e *endpoint) bool {
 		return b.config.ForgetEndpointSeconds > 0 && !e.ready && e.inFlight == 0 && now-e.notReadySince > b.config.ForgetEndpointSeconds
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -60,8 +60,9 @@
 
 // ApplyAssignment records a controller's decisions for its router: the vote in force, the build that it is on, and the
 // router's share of the free canary attempts, which is leased until leaseEndsAt. While the controller is unavailable no
-// limit is relaxed: the vote does not expire, draining endpoints and canary traffic limits stay in force, a build that
-// was not announced is treated as in its first stage, and the leased share is zero once the lease has ended.
+// limit is relaxed: the vote does not expire, draining endpoints receive no attempts, canary traffic limits stay in force,
+// a build that was not announced is treated as in its first stage, and the leased share counts as zero once the lease
+// has ended.
 func (b *Balancer) ApplyAssignment(build int, verdict Verdict, share, leaseEndsAt float64) {
 	b.currentVote = vote{build: build, verdict: verdict}
 	b.leasedShare, b.leaseEndsAt = share, leaseEndsAt
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -2,11 +2,11 @@
 
 // Slow start (rule 4 of package invariants): all routers together never send an endpoint that has just started more
 // than its allowance. Each router spends a share of the allowance in proportion to the traffic it sends to a warm
-// endpoint. As that is often less than one request, it accumulates as tokens, starting at a random fraction of one.
-// There is no minimum allowance per router, because the minimums of many routers would add up.
+// endpoint. As this share is often less than one request, it accumulates as tokens, starting at a random fraction of
+// one. There is no minimum allowance per router, because the minimums of many routers would add up.
 const slowStartBudgetShare = 0.6 // share of the allowance that routers use when all warm endpoints are at capacity
 
-// slowStartShare returns the share of its full capacity that an endpoint has at least; 1 after slow start.
+// slowStartShare returns the minimum share of its full capacity that an endpoint has by now; 1 after slow start.
 func (b *Balancer) slowStartShare(now float64, e *endpoint) float64 {
 	if e.startedAt <= 0 || now-e.startedAt >= b.config.SlowStartSeconds {
 		return 1
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Each router uses a subset of the endpoints: those that rank first by its own hash, as many as its traffic suffices to
-// keep connections open to and to observe. A larger subset would cost a handshake for each request.
+// Each router uses a subset of the endpoints: those that rank first by its own hash. The subset is no larger than the
+// router's traffic can keep connections open to and observe. A larger subset would cost a handshake for each request.
 const (
 	minSubsetSize   = 8    // endpoints, of both sides together
 	subsetIdleShare = 0.08 // share of the idle timeout within which each endpoint should be used again
