--- a/internal/policy/maxsprt.go
+++ b/internal/policy/maxsprt.go
@@ -71,7 +71,7 @@
 	counts := c.perEndpoint[side]
 	quarter := min(len(counts)/2, (len(counts)+3)/4)
 	switch {
-	case c.kind == serverError: // at least two, but never the last endpoint
+	case c.kind == serverError: // at least two, but never all endpoints
 		return min(max(0, len(counts)-1), max(2, quarter))
 	case c.kind == wrongAnswer: // they are rare: only a canary endpoint with more than half of them is excluded
 		return boolToInt(side == canary && len(counts) > 1 && 2*counts[0].failures > c.perEndpointSum[side].failures)
--- a/internal/policy/metrics.go
+++ b/internal/policy/metrics.go
@@ -50,10 +50,11 @@
 }
 
 // combinedEvidence returns the log-likelihood ratio of a kind of failure, in nats, from the routers' own sample and from
-// metrics together. Metrics alone never suffice where there is an own sample to check them: their failure rates are
-// tested against it, and ignored if they make it less likely. If they make it more likely, they add at most the evidence
-// that an own sample of this size without extra failures would hold against them, and at most half the threshold. So
-// whatever the metrics show, a good build is rolled back with a probability of at most exp(-threshold/2).
+// metrics together. Metrics alone never suffice where an own sample can check them: they are ignored if the own sample
+// is less likely at the failure rates that they show than at equal rates of both builds. If it is more likely, metrics
+// add at most the evidence against them that is expected of an own sample of this size without extra failures, and at
+// most half the threshold. So whatever the metrics show, a good build is rolled back with a probability of at most
+// exp(-threshold/2).
 func (b *Balancer) combinedEvidence(kind int, threshold float64, own, metrics []*endpointCounts) float64 {
 	ownRatio := b.canaryEvidence(kind, own, b.config.WrongAnswerReportShare)
 	metricsRatio := b.canaryEvidence(kind, metrics, 1)
@@ -61,7 +62,8 @@
 		return ownRatio
 	}
 	visible := b.visibleShare(kind)
-	if visible == 0 { // no own sample can contradict metrics; all routers share one source, so they count as one
+	if visible == 0 {
+		// No own sample can contradict metrics. All routers share one source, so the threshold for one vote applies.
 		return max(ownRatio, metricsRatio*threshold/(rollbackThreshold+math.Log(float64(b.config.RouterGroups))))
 	}
 	inMetrics, observed := sumBySide(metrics, kind, b.release.build), sumBySide(own, kind, b.release.build)
--- a/internal/policy/vote.go
+++ b/internal/policy/vote.go
@@ -7,10 +7,10 @@
 const (
 	voteRetrySeconds           = 0.5  // time after which a vote that did not count is cast again
 	holdThreshold              = 0.75 // fraction of the rollback threshold above which automatic stages are held
-	doubtThreshold             = 0.5  // fraction of it above which no stage is promoted and a rollback vote is kept
-	promoteWaitSeconds         = 3.7  // time since the start of the stage and of the newest canary endpoint
-	promoteWaitFewSeconds      = 5.0  // the same if outcomes are missing that the longer wait can provide
-	promoteUnlistedWaitSeconds = 9.0  // stage age from which the endpoint list need not show the stage
+	doubtThreshold             = 0.5  // fraction above which no stage is promoted and a rollback vote is kept
+	promoteWaitSeconds         = 3.7  // wait before a promotion, since the stage and the newest canary endpoint started
+	promoteWaitFewSeconds      = 5.0  // longer wait, used if it can provide missing outcomes
+	promoteUnlistedWaitSeconds = 9.0  // stage age from which listShowsStage is no longer required
 	maxPromoteListAgeSeconds   = 9.0  // age of the endpoint list above which no stage is promoted
 )
 
@@ -87,7 +87,7 @@
 	}
 	wanted = vote{b.release.build, b.release.stage, b.verdict(now)}
 	if wanted.verdict == VoteRollback {
-		wanted.stage = 0
+		wanted.stage = 0 // a rollback vote is the same in every stage
 	}
 	if b.release.aborted() || b.votePending || now < b.noVoteBefore || !b.changesVote(now, wanted) {
 		return wanted, false
@@ -135,8 +135,8 @@
 	return VoteNone
 }
 
-// evidenceOverThreshold returns the strongest evidence against the canary of all kinds of failure, each divided by the
-// threshold of its kind.
+// evidenceOverThreshold returns the strongest evidence against the canary among all kinds of failure, as a fraction of
+// the rollback threshold of its kind.
 func (b *Balancer) evidenceOverThreshold(counts []*endpointCounts) (strongest float64) {
 	metrics := b.metricsCounts(counts)
 	for kind := range failureKindCount {
@@ -148,9 +148,10 @@
 
 // thresholdFor returns the rollback threshold of a kind of failure: the log-likelihood ratio, in nats, from which it calls
 // for a rollback. With n routers and one vote needed, the term ln(n) compensates for the chance that any one of them
-// exceeds the threshold by accident. With k votes needed, the threshold is set so that any k of n routers exceed it by
-// accident no more often. Each router observes wrong answers independently, so k of them must err together. Errors and
-// load-sensitive failures affect many routers at once, so the k votes only reduce the term to ln(n/k).
+// exceeds the threshold by accident. With k votes needed, the threshold is set so that the chance that any k of n
+// routers exceed it by accident is no greater than with one vote. Each router observes wrong answers independently, so
+// k of them must err together. Errors and load-sensitive failures affect many routers at once, so the k votes only
+// reduce the term to ln(n/k).
 func (b *Balancer) thresholdFor(kind int) float64 {
 	n, k := float64(b.config.RouterGroups), float64(b.rollbackVotes())
 	if kind == wrongAnswer {
