--- a/internal/policy/metrics_test.go
+++ b/internal/policy/metrics_test.go
@@ -66,8 +66,8 @@
 	// 2 wrong answers reported, metrics are on an earlier release: no vote
 }
 
-// TestMetricsCountsExcludeOwnOutcomes guards against counting own failures twice: metrics are reduced by the own failures
-// and by the own outcomes, of wrong answers only by the share that clients would have reported.
+// TestMetricsCountsExcludeOwnOutcomes guards against counting an own outcome twice: own failures and own outcomes are
+// subtracted from the metrics. Of the outcomes counted for wrong answers, only the share that clients report is.
 func TestMetricsCountsExcludeOwnOutcomes(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -132,13 +132,13 @@
 		})
 		return attempts
 	}
-	fmt.Println("fails a fifth of attempts, less than half the attempts with a mark:", attemptsWith(HealthMark{Endpoint: 1, DegradedShare: 1}) < attemptsWith()/2)
+	fmt.Println("fails a fifth of attempts; a mark more than halves its attempts:", attemptsWith(HealthMark{Endpoint: 1, DegradedShare: 1}) < attemptsWith()/2)
 	// Output:
 	// no mark: about an even share true, less than a third of it false
 	// fails its probes, serves well: about an even share true, less than a third of it false
 	// answers fast but wrongly: about an even share false, less than a third of it true
 	// mark is 30 s old: about an even share true, less than a third of it false
-	// fails a fifth of attempts, less than half the attempts with a mark: true
+	// fails a fifth of attempts; a mark more than halves its attempts: true
 }
 
 // The own sample protects a good build from false metrics: whatever they show, they reach the threshold with a probability
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -14,7 +14,7 @@
 	}
 	fmt.Println(decision, "before the timeout:", f.now < r.Deadline, "not before the objective:", f.now-start >= 0.3)
 	fmt.Println("then:", f.pick(r))
-	// A request that is within rounding error of its last possible attempt is answered, not held until the same instant.
+	// A request whose attempts must end now, but for a rounding error, is answered: holding it could repeat endlessly.
 	fmt.Println(f.pick(&Request{ID: 99, ReceivedAt: f.now - 0.1, Deadline: f.now + 2*f.b.config.TimerResolutionSeconds + 1e-10}))
 	// Output:
 	// reject, retry after 1.0 s before the timeout: true not before the objective: true
--- a/internal/policy/votes_test.go
+++ b/internal/policy/votes_test.go
@@ -111,9 +111,9 @@
 	// vote rollback on build 8 stage 1
 }
 
-// A stage is promoted once the list contains its share of endpoints and promoteWaitSeconds have passed since the newest
-// start, or promoteWaitFewSeconds if the longer wait can provide missing outcomes. There is no such vote with automatic
-// stages.
+// A stage is promoted once the list contains its share of endpoints and promoteWaitSeconds have passed since the start
+// of the newest canary endpoint, or promoteWaitFewSeconds if the longer wait can provide missing outcomes. There is no
+// such vote with automatic stages.
 func Example_promote() {
 	f := newFleet(nil)
 	f.startCanary(1, 0)
@@ -194,7 +194,7 @@
 		f.b.ApplyRelease(f.now, 8, 2, PhaseCanary, 1, 10)
 		attempts := f.run(60, 4, func(_ uint32, build int) (Outcome, float64) {
 			if build == 8 {
-				return outcome, map[Outcome]float64{TimedOut: 0.6}[outcome] + 0.05
+				return outcome, map[Outcome]float64{TimedOut: 0.6}[outcome] + 0.05 // timeouts take longer
 			}
 			return Succeeded, 0.05
 		})
