--- a/internal/proxy/answer_queue.go
+++ b/internal/proxy/answer_queue.go
@@ -33,7 +33,7 @@
 
 // queueState is a snapshot of an answerQueue.
 type queueState struct {
-	outstanding bool // an answer is pending, or the kernel has not accepted all of it
+	outstanding bool // an answer is pending, or the kernel has not accepted all bytes of a completed one
 	mayPipeline bool // further requests may be read
 	broken      bool
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -26,9 +26,10 @@
 	writeState    atomic.Int32
 }
 
-// The write states of an attempt. A single compare-and-swap decides whether its last byte may be sent: from notWritten
-// or, where endpoints start a request only on its last byte, from lastByteHeld. The writer sets written; the code that
-// ends the attempt sets dropped. A dropped attempt provably never ran; a written one may have run.
+// The write states of an attempt. The writer changes the state to written, the code that ends the attempt changes it to
+// dropped; a single compare-and-swap decides which comes first, and so whether the last byte may be sent. Both start from
+// notWritten or, for a partly written attempt of a protocol that startsAtLastByte, from lastByteHeld. A dropped attempt
+// provably never ran; a written one may have run.
 const (
 	notWritten   int32 = iota
 	lastByteHeld       // partly written; the last byte is held back until the kernel has accepted all others
@@ -106,9 +107,10 @@
 }
 
 // settleOutcome returns the outcome to record for an attempt that ends with the given outcome. It drops the attempt if
-// it has no answer and its last byte was not sent. A dropped attempt never ran, whatever ended it: it is recorded as
-// NotConnected, which counts against the endpoint, if that is the given outcome, or if the attempt was dialing or
-// partly written while its request was open. Otherwise it is recorded as NotSent.
+// it has no answer and its last byte was not sent. A dropped attempt never ran, whatever ended it, so it is recorded as
+// NotConnected, which counts against the endpoint, or as NotSent, which does not. It is NotConnected if that is the given
+// outcome, or if the request was not completed and the connection was still being dialed or the attempt was partly
+// written.
 func (a *attempt) settleOutcome(outcome policy.Outcome) policy.Outcome {
 	partlyWritten := a.writeState.Load() == lastByteHeld
 	if outcome.IsAnswer() || !a.drop() || outcome == policy.NotConnected {
@@ -135,7 +137,8 @@
 	case err != nil:
 		socket.Close() // the connection's reader ends the attempt
 	case n < len(buf):
-		// The endpoint does not read. The end of the attempt closes the connection, which ends the goroutine.
+		// The endpoint does not read fast enough. If the attempt ends before all bytes are written, its connection is
+		// closed, which ends the goroutine.
 		if p.protocol.startsAtLastByte() {
 			attempt.writeState.Store(lastByteHeld)
 		}
@@ -178,7 +181,7 @@
 	var effects effects
 	if attempt.inFlight() {
 		p.log.Debug("failed to write an attempt to its endpoint", "endpoint", attempt.endpointID, "written_bytes", writtenBytes, "error", err)
-		attempt.writeState.Store(notWritten)
+		attempt.writeState.Store(notWritten) // the last byte was not sent: settleOutcome drops the attempt
 		p.endAttempt(p.Now(), attempt, outcome, &effects)
 	}
 	p.mu.Unlock()
--- a/internal/proxy/endpoint_conn.go
+++ b/internal/proxy/endpoint_conn.go
@@ -92,9 +92,9 @@
 	return &sock
 }
 
-// dialOutcome returns the outcome of an attempt whose dial failed or completed too late. It is NotConnected, which
-// counts against the endpoint, unless the connection is no longer needed (err is nil) because the endpoint left the
-// list, began to drain or was replaced, or the host or this process ran out of file descriptors.
+// dialOutcome returns the outcome of an attempt whose dial failed or completed too late. A failed dial is NotConnected,
+// which counts against the endpoint, unless the host or this process ran out of file descriptors. If err is nil, the
+// connection is no longer needed, because the endpoint left the list, began to drain or was replaced: that is NotSent.
 func dialOutcome(err error) policy.Outcome {
 	if err == nil || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return policy.NotSent
--- a/internal/proxy/endpoint_pool.go
+++ b/internal/proxy/endpoint_pool.go
@@ -120,7 +120,8 @@
 		if idleSeconds < p.connReuseDelaySeconds {
 			continue
 		}
-		// The idle sweep and the connection's reader may not have detected this yet.
+		// The idle sweep may not have run since the idle timeout, nor the connection's reader since the endpoint made the
+		// connection unusable.
 		if idleSeconds > maxIdleSeconds || conn.unusable() {
 			p.removeConn(conn, effects)
 			continue
