--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -38,12 +38,12 @@
 }
 
 // shouldClose reports whether the connection must close once nothing is in flight on it. While the proxy drains, a
-// connection whose first request is still to come (first is true) stays open for it: its client could not know of the
-// shutdown.
-func (conn *clientConn) shouldClose(first bool) bool {
+// connection that has not sent a request yet (awaitsFirst) stays open for its first one: its client could not know of
+// the shutdown.
+func (conn *clientConn) shouldClose(awaitsFirst bool) bool {
 	conn.proxy.mu.Lock()
 	defer conn.proxy.mu.Unlock()
-	return conn.evicted || conn.proxy.draining && !first
+	return conn.evicted || conn.proxy.draining && !awaitsFirst
 }
 
 // linger closes the write side after the last answer and briefly discards what the client still sends. Closing a
--- a/internal/proxy/resp_conn.go
+++ b/internal/proxy/resp_conn.go
@@ -20,7 +20,7 @@
 	br := bufio.NewReaderSize(reader, readBufferBytes)
 	var unanswered []*request // may hold requests answered since the last cleanup
 	defer func() { proto.abandonRequests(conn, unanswered) }()
-	for first := true; proto.waitForCommand(conn, br, first); first = false {
+	for awaitsFirst := true; proto.waitForCommand(conn, br, awaitsFirst); awaitsFirst = false {
 		queuedSeconds := conn.queuedSeconds() // measured for every command: its timeout counts from when it was sent
 		p.mu.Lock()
 		conn.reading = true // a shutdown lets the command complete
@@ -84,11 +84,11 @@
 	return timeoutSeconds
 }
 
-// firstByteTimeoutSeconds returns how long a connection may stay idle before its next command. A new connection that
-// has sent nothing yet (first) gets only the read timeout.
-func (proto resp2) firstByteTimeoutSeconds(conn *clientConn, first bool) float64 {
+// firstByteTimeoutSeconds returns how long a connection may stay idle before its next command. A connection that has
+// not sent a command yet (awaitsFirst) gets the read timeout, all others get the idle timeout.
+func (proto resp2) firstByteTimeoutSeconds(conn *clientConn, awaitsFirst bool) float64 {
 	p := conn.proxy
-	if !first {
+	if !awaitsFirst {
 		return p.currentConfig.Load().Document.Clients.IdleTimeoutSeconds
 	}
 	p.mu.Lock()
@@ -100,44 +100,44 @@
 // available, for a bounded time. It returns false if the connection must close: the client disconnected, or no answer is
 // outstanding and the connection was idle for too long or should close. It detects a disconnect even while answers are
 // outstanding or reading is paused.
-func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, first bool) bool {
+func (proto resp2) waitForCommand(conn *clientConn, br *bufio.Reader, awaitsFirst bool) bool {
 	p := conn.proxy
 	peekByte := func() error { _, err := br.Peek(1); return err }
-	idleSince, pauseSeconds := time.Now(), 0.0
+	idleSince, remainingPauseSeconds := time.Now(), 0.0
 	for {
 		state := conn.answers.state()
-		timeoutSeconds := proto.firstByteTimeoutSeconds(conn, first)
+		timeoutSeconds := proto.firstByteTimeoutSeconds(conn, awaitsFirst)
 		var until time.Time
 		switch {
 		case state.broken:
 			return false
 		case state.outstanding:
 			idleSince = time.Now()
-		case conn.shouldClose(first) && br.Buffered() == 0 && !conn.socket.hasUnread():
+		case conn.shouldClose(awaitsFirst) && br.Buffered() == 0 && !conn.socket.hasUnread():
 			return false
 		default:
 			until = idleSince.Add(secondsToDuration(timeoutSeconds))
 		}
 		wait := peekByte
-		hangUpOnly := !state.mayPipeline || pauseSeconds > 0 // no command may be read now
+		hangUpOnly := !state.mayPipeline || remainingPauseSeconds > 0 // no command may be read now
 		if hangUpOnly {
 			wait = conn.socket.waitHangUp
 		}
-		if state.mayPipeline && pauseSeconds > 0 {
-			until = time.Now().Add(secondsToDuration(min(memoryPollSeconds, pauseSeconds)))
+		if state.mayPipeline && remainingPauseSeconds > 0 {
+			until = time.Now().Add(secondsToDuration(min(memoryPollSeconds, remainingPauseSeconds)))
 		}
 		switch err := conn.waitForReader(until, wait); {
 		case err == nil && hangUpOnly:
 			return false
 		case err == nil:
-			if pauseSeconds = p.memory.beginPause(); pauseSeconds == 0 {
+			if remainingPauseSeconds = p.memory.beginPause(); remainingPauseSeconds == 0 {
 				return true
 			}
 		case errors.Is(err, errWoken):
 		case !isTimeout(err):
 			return false
-		case pauseSeconds > 0: // the command is read once there is memory or the pause has ended
-			if pauseSeconds -= memoryPollSeconds; pauseSeconds <= 0 || !p.memory.underPressure() {
+		case remainingPauseSeconds > 0: // the command is read once there is memory or the pause has ended
+			if remainingPauseSeconds -= memoryPollSeconds; remainingPauseSeconds <= 0 || !p.memory.underPressure() {
 				return true
 			}
 		case state.outstanding:
