--- a/internal/proxy/balancer_updates.go
+++ b/internal/proxy/balancer_updates.go
@@ -8,8 +8,8 @@
 // The methods in this file pass external input (endpoint list, release, controller, clients' reports) to the balancer,
 // under the lock that serializes its calls.
 
-// ApplyEndpoints applies changes returned by endpoints.List.Apply to the balancer and the pools. Only the first changes
-// of a list are Full. All decisions made after ApplyEndpoints returns use the changed list.
+// ApplyEndpoints applies changes returned by endpoints.List.Apply or FullUpdate to the balancer and the pools. Apply sets
+// Full only while its list is still empty. All decisions made after ApplyEndpoints returns use the changed list.
 func (p *Proxy) ApplyEndpoints(changes *endpoints.Update) {
 	var effects effects
 	defer p.runEffects(&effects) // runs after the unlock
--- a/internal/proxy/deadlines.go
+++ b/internal/proxy/deadlines.go
@@ -51,7 +51,8 @@
 	return request
 }
 
-// update sets a request's next check, and adds, moves or (for 0) removes the request accordingly.
+// update sets the time of a request's next check, and adds the request to the queue or moves it accordingly. If
+// nextCheckAt is 0, it removes the request.
 func (q *deadlineQueue) update(request *request, nextCheckAt float64) {
 	request.nextCheckAt = nextCheckAt
 	switch {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -16,7 +16,7 @@
 	// acceptRetryDelay is the pause after a temporary accept error, such as running out of file descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
 
-	// Above the hard limit on connections, admitClient polls until evicted connections have closed.
+	// Above the hard limit on connections (see overCapacity), admitClient polls until evicted connections have closed.
 	maxEvictionPolls     = 20
 	evictionPollInterval = time.Millisecond
 
@@ -101,16 +101,16 @@
 }
 
 // makeRoom reports whether one more connection may be admitted, because the count is below the limit or because another
-// connection could be evicted. From limits.IdleEvictionThreshold connections on, each new connection evicts another one. The
-// caller holds p.mu.
+// connection could be evicted. From limits.IdleEvictionThreshold connections on, each new connection evicts another one.
+// The caller holds p.mu.
 func (p *Proxy) makeRoom(limits *config.Clients) bool {
 	mustEvict := limits.IdleEvictionThreshold > 0 && len(p.clients) >= limits.IdleEvictionThreshold
 	return mustEvict && p.evictClient() || len(p.clients) < limits.MaxConns
 }
 
-// evictClient marks the connection that loadshed's eviction order selects and wakes its reader, which closes it. It
-// returns false if no connection may be evicted. A request that the connection starts to read meanwhile is still
-// served. The caller holds p.mu.
+// evictClient marks the connection that is first in loadshed's eviction order as evicted and wakes its reader, which
+// closes it. It returns false if no connection may be evicted. A request that arrives on the connection before its
+// reader wakes is still served. The caller holds p.mu.
 func (p *Proxy) evictClient() bool {
 	now := p.Now()
 	var victim *clientConn
