--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -71,7 +71,7 @@
 	draining      bool
 	closed        bool // set by Close: new client connections are refused
 	ready         bool
-	awaitingReady []func() // send the answers to readiness probes that wait for ready
+	awaitingReady []func() // each answers a readiness probe that arrived before ready was set
 
 	memory memoryBudget
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -35,8 +35,8 @@
 	closeAfter        bool   // the client wants the connection closed after the answer
 	receipt           string // HTTP/1.1: the receipt of an answer that the client reports as wrong
 
-	options       []byte // RESP2: the option list without d's value, which is inserted at timeoutOffset
-	timeoutOffset int
+	options       []byte // RESP2: the option list without the value of d, the timeout
+	timeoutOffset int    // RESP2: where encodeAttempt inserts the remaining time into options
 
 	queuedSeconds float64 // time in the kernel before it was read; 0 if not measured
 	admitted      bool    // already admitted by load shedding, before it was parsed
@@ -66,8 +66,8 @@
 
 // applyDecision carries out a decision, and any further decisions that follow from it at once. The caller holds p.mu.
 func (p *Proxy) applyDecision(now float64, request *request, decision policy.Decision, effects *effects) {
-	if again := decision.PickAgainAt; again > 0 && again < request.Deadline && (request.pickAgainAt == 0 || again < request.pickAgainAt) {
-		request.pickAgainAt = again
+	if at := decision.PickAgainAt; at > 0 && at < request.Deadline && (request.pickAgainAt == 0 || at < request.pickAgainAt) {
+		request.pickAgainAt = at
 	}
 	switch decision.Action {
 	case policy.Send:
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -73,8 +73,8 @@
 }
 
 // Drain calls StopServing and blocks until every request is answered and every client connection has closed. If ctx
-// ends first, it returns an error that wraps ctx.Err() and gives the numbers that remain. Close the listener before
-// calling it.
+// ends first, it returns an error that wraps ctx.Err() and gives the numbers of requests and connections that remain.
+// Close the listener before calling Drain.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.StopServing()
 	ticker := time.NewTicker(drainPollInterval)
