--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,5 +1,6 @@
 // Package lease decides which messages between a controller and its routers are accepted, and leases each router a
-// share of the free canary attempts. It does no I/O, starts no goroutine and reads no clock.
+// share of the free canary attempts: those that the canary traffic limit always allows per window, to all routers
+// together. It does no I/O, starts no goroutine and reads no clock.
 //
 // The controller is the leader, each router is a follower. Every controller process has an epoch, which is higher than
 // that of every earlier controller process, like a term in Raft: a router follows only the highest epoch that it has
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -35,8 +35,8 @@
 }
 
 // AcceptAssignment checks an assignment and, if it is accepted, returns which parts of its content the router must
-// apply. A part that is older than what the router has, such as an endpoint list that a restarted controller read from
-// its disk, is skipped, while the rest of the assignment applies.
+// apply. An endpoint list that is not newer than the router's, for instance because a restarted controller read it from
+// its disk, is skipped, and so is an older release; the rest of the assignment applies.
 func (f *Follower) AcceptAssignment(header AssignmentHeader, content ContentVersions) (reason Reason, applyEndpoints, applyRelease bool) {
 	if reason = f.checkAssignment(header); reason != Accepted {
 		f.Refused[reason]++
@@ -81,8 +81,8 @@
 	return unknownSentAt
 }
 
-// RestoreEndpointsAt records that the router has loaded an endpoint list from its own disk. The list is as of listAt, in
-// seconds since the Unix epoch.
+// RestoreEndpointsAt records that the router has loaded an endpoint list from its own disk. listAt is when the list was
+// last known to be current, in seconds since the Unix epoch.
 func (f *Follower) RestoreEndpointsAt(listAt float64) {
 	f.content.EndpointsAt = max(f.content.EndpointsAt, listAt)
 }
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -49,8 +49,8 @@
 	return Accepted
 }
 
-// checkReport returns Accepted, or the reason why a report is rejected. known is nil unless the router is known to be
-// alive.
+// checkReport returns Accepted, or the reason why a report is rejected. known is the state of the router that sent it, or
+// nil if the router is not live.
 func (l *Leader) checkReport(major uint32, known *router, incarnation, sequence, followedEpoch uint64) Reason {
 	switch {
 	case major != SchemaMajor:
@@ -65,7 +65,8 @@
 	return Accepted
 }
 
-// IsLeader reports whether this controller knows of no newer one. Otherwise it grants no leases and must not vote.
+// IsLeader reports whether this controller leads, which it does until it learns of a newer one. A controller that does
+// not lead grants no leases and must not vote.
 func (l *Leader) IsLeader() bool { return l.newerEpoch == 0 }
 
 // NewerEpoch returns the highest epoch known of a newer controller, or 0 if there is none.
--- a/internal/lease/ledger.go
+++ b/internal/lease/ledger.go
@@ -11,7 +11,7 @@
 type Ledger struct {
 	leaseSeconds  float64
 	windowSeconds float64            // window over which the canary traffic limit counts attempts
-	firstGrantAt  float64            // no lease is granted before
+	firstGrantAt  float64            // no lease is granted before this time
 	leases        map[string][]grant // by holder, ordered by end
 }
 
@@ -25,8 +25,8 @@
 		leases: map[string][]grant{}}
 }
 
-// Grant leases a share to a holder from now on: 1/holders, or the rest that is not leased to others if that is less. It
-// returns 0 if there is no rest.
+// Grant leases a share to a holder from now on: 1/holders, or less if the other holders' leases leave less. It returns 0
+// if they leave nothing.
 func (l *Ledger) Grant(now float64, holder string, holders int) (share float64) {
 	l.expire(now)
 	if now < l.firstGrantAt {
@@ -55,7 +55,8 @@
 	l.leases[holder] = append(granted, grant{share, now + l.leaseSeconds})
 }
 
-// outstandingOf returns the largest share that a holder may still be using, or may have used within the window.
+// outstandingOf returns the largest share that a holder may still be using, or may have used within the window. The
+// holder's shares are not added up, because each lease replaces the previous one.
 func (l *Ledger) outstandingOf(holder string) (largest float64) {
 	for _, g := range l.leases[holder] {
 		largest = max(largest, g.share)
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -25,7 +25,7 @@
 
 // ContentVersions identifies how recent the two parts of an assignment's content are.
 type ContentVersions struct {
-	EndpointsAt    float64 // time that the endpoint list is as of, in seconds since the Unix epoch
+	EndpointsAt    float64 // when the endpoint list was last known to be current, in seconds since the Unix epoch
 	ReleaseVersion uint64  // the release service's version of the release; 0: none known yet
 }
 
