--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -47,7 +47,7 @@
 	epoch            uint64
 	leader           *Leader
 	latest           ContentVersions // at the services for endpoint lists and releases
-	atController     ContentVersions // at the controller; outdated after it read them from its disk
+	atController     ContentVersions // at the controller; outdated if it has restarted and read them from its disk
 	routers          []*simRouter
 	reports          []report     // all reports sent so far
 	assignments      []assignment // all assignments sent so far
@@ -139,7 +139,7 @@
 	router.balancer.ApplyAssignment(0, policy.VoteNone, a.share, router.follower.LeaseEndsAt(a.leaseSeconds))
 }
 
-// heartbeats performs n rounds, 0.5 s apart, in which each of some routers reports and receives an assignment.
+// heartbeats performs n rounds, 0.5 s apart, in which each of the given routers reports and receives an assignment.
 func (s *simulation) heartbeats(t *rapid.T, routers []*simRouter, n int) {
 	for range n {
 		s.now += 0.5
