--- a/internal/configstate/doc.go
+++ b/internal/configstate/doc.go
@@ -3,7 +3,7 @@
 // float64 seconds on the caller's clock.
 //
 // Routers and controllers keep a State. A controller first makes each version a Proposal, which it applies once all live
-// routers have reported that they can apply it. The routers apply it on their next assignments, and may be one version
+// routers have reported that they can apply it. Each router applies it on its next assignment, and may be one version
 // behind until then. State and Proposal are not safe for concurrent use; a Version may be read concurrently once it has
 // been applied.
 package configstate
--- a/internal/configstate/proposal.go
+++ b/internal/configstate/proposal.go
@@ -22,8 +22,9 @@
 	return &Proposal{Version: version, decideBy: now + maxWaitSeconds, accepted: map[string]bool{}}
 }
 
-// OnRouterStatus records a router's report on versions: the number of the version in force there, of the version that
-// the router can apply, and of the version that it cannot apply, with the reason. The last two are 0 if there is none.
+// OnRouterStatus records what a router reported about versions. inForce is the number of its version in force; applicable
+// and rejected are the numbers of a version that it can apply and of one that it cannot apply, or 0 if there is none;
+// reason is why it cannot apply the latter.
 func (p *Proposal) OnRouterStatus(router string, inForce, applicable, rejected uint64, reason string) {
 	switch p.Version.Number {
 	case inForce, applicable:
--- a/internal/configstate/state.go
+++ b/internal/configstate/state.go
@@ -126,7 +126,7 @@
 // checkConditions returns an error if a version, although valid on its own, is incompatible with the program's current
 // state.
 func (s *State) checkConditions(document *config.Document, conditions Conditions) error {
-	if err := checkDedupGroups(document, conditions); err != nil {
+	if err := checkDedupScopes(document, conditions); err != nil {
 		return err
 	}
 	if err := checkInFlight(document, conditions.InFlight); err != nil {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// checkDedupGroups returns an error for a class whose deduplication scope is a zone or cell while no endpoint is in one.
-func checkDedupGroups(document *config.Document, conditions Conditions) error {
+// checkDedupScopes returns an error for a class whose deduplication scope is a zone or cell while no endpoint is in one.
+func checkDedupScopes(document *config.Document, conditions Conditions) error {
 	for _, class := range document.Classes {
 		if class.DedupScope == "zone" && !conditions.HasZones || class.DedupScope == "cell" && !conditions.HasCells {
 			return fmt.Errorf(":op-types: %q: no unit of the list is in a %s", class.Name, string(class.DedupScope))
--- a/internal/configstate/state_test.go
+++ b/internal/configstate/state_test.go
@@ -14,7 +14,7 @@
 	"flintspread/internal/policy"
 )
 
-// exampleDocument is the part of the example settings that a configuration version consists of, as text.
+// exampleDocument is the text of a configuration version, cut from the example settings file.
 var exampleDocument = func() string {
 	text, err := os.ReadFile("../../deploy/edge.edn")
 	if err != nil {
--- a/internal/configstate/version.go
+++ b/internal/configstate/version.go
@@ -12,7 +12,7 @@
 // Version is one version of the configuration, parsed and validated independently of other versions. It does not change
 // once it has been applied.
 type Version struct {
-	Number              uint64 // increases; 0 is the configuration file that the program started with
+	Number              uint64 // increases with each version; 0 is the configuration file that the program started with
 	Hash                uint64 // hash of Text
 	Text                []byte
 	Document            *config.Document
