--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -43,7 +43,7 @@
 type Update struct {
 	Version    uint64     `json:"version"`
 	Full       bool       `json:"full,omitempty"`
-	AgeSeconds float64    `json:"age,omitempty"` // seconds since the service knew this state to be current, by its clock
+	AgeSeconds float64    `json:"age,omitempty"` // time since the service last knew this state to be current, on its clock
 	Endpoints  []Endpoint `json:"units,omitempty"`
 }
 
--- a/internal/endpoints/update_test.go
+++ b/internal/endpoints/update_test.go
@@ -20,7 +20,7 @@
 	} {
 		err := (&Update{Endpoints: entries}).Check()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %q in it (none if empty)", err, want)
+			t.Errorf("error %v, want one that contains %q (\"\": no error)", err, want)
 		}
 	}
 }
