--- a/internal/loadshed/connections.go
+++ b/internal/loadshed/connections.go
@@ -5,15 +5,15 @@
 const (
 	clientDescriptorShare    = 0.55
 	endpointDescriptorShare  = 0.3
-	evictIdleDescriptorShare = 1.0 / 6 // used by clients; above it, each new client evicts an idle one
+	evictIdleDescriptorShare = 1.0 / 6 // share used by clients above which each new client evicts an idle one
 	heapMemoryShare          = 0.6
 	bufferMemoryShare        = 0.2
-	closingReserveDivisor    = 8 // closing connections may exceed the client limit by the limit divided by this,
-	minClosingReserve        = 2 // and at least by this number
+	closingReserveDivisor    = 8 // while connections close, others may exceed the client limit by the limit divided by this
+	minClosingReserve        = 2 // minimum of that excess, in connections
 )
 
 const (
-	endpointIdleShare    = 0.8       // the router's idle timeout for endpoint connections, as a share of the endpoints'
+	endpointIdleShare    = 0.8       // the router's idle timeout for endpoint connections, as a share of the endpoint's own
 	firstRequestSeconds  = 0.3       // time after connecting in which a client is expected to send its first request
 	evictionReadSeconds  = 0.05      // time to receive a complete request on a connection that is being evicted
 	maxPipelinedAnswers  = 64        // pending answers at which reading from a client stops
--- a/internal/loadshed/controller.go
+++ b/internal/loadshed/controller.go
@@ -1,7 +1,7 @@
 package loadshed
 
-// Maximum lateness of a controller, in its routers' report intervals, up to which it still does the named work; and the
-// strides at which it applies reports when it is later than that.
+// The lateness of a controller above which it skips work, in report intervals of its routers, and the strides at which it
+// then applies reports.
 const (
 	queryMaxLateIntervals       = 0.5 // above it, no metrics are queried
 	everyReportMaxLateIntervals = 2   // above it, only every third report is applied
--- a/internal/loadshed/delay.go
+++ b/internal/loadshed/delay.go
@@ -2,7 +2,7 @@
 
 const (
 	worstDelayDecay         = 0.9 // factor applied to the worst delay at each sample
-	measureQueueingPressure = 0.3 // pressure above which a request's time in the kernel is worth a system call to measure
+	measureQueueingPressure = 0.3 // pressure above which measuring a request's wait in the kernel is worth a system call
 	apparentSilenceFactor   = 2   // multiple of the worst delay for which an endpoint may appear silent
 )
 
--- a/internal/loadshed/fairness.go
+++ b/internal/loadshed/fairness.go
@@ -1,11 +1,11 @@
 package loadshed
 
 // While the process sheds, requests of a client above its fair share are shed before those of others. The fair share is
-// a multiple of the clients' mean work over the last windows.
+// a multiple of the clients' mean work over recent windows.
 const (
 	fairShareFactor   = 2.0    // fair share, as a multiple of the mean work per client
 	maxTrackedClients = 10_000 // clients tracked in a window
-	minClientWork     = 0.5    // a client whose decayed work is below it is no longer tracked
+	minClientWork     = 0.5    // a client whose decayed work is below this is no longer tracked
 	clientWorkDecay   = 0.5    // factor applied to a client's work at the end of each window
 )
 
--- a/internal/loadshed/limit.go
+++ b/internal/loadshed/limit.go
@@ -13,7 +13,7 @@
 const (
 	cutSharePerPressure   = 0.05    // share of the admitted work removed by a cut, per unit of pressure
 	minCutFactor          = 0.7     // minimum share of the admitted work that a cut leaves
-	cutFloorShare         = 1.0 / 2 // minimum share of the best rate that a cut leaves: overload below it has other causes
+	cutFloorShare         = 1.0 / 2 // a cut does not go below this share of the best rate: overload there has other causes
 	minCutIntervalSeconds = 0.3     // minimum time between cuts; twice the process's delay is added
 	worsePressureFactor   = 1.5     // multiple of the last cut's pressure above which the limit is cut again without waiting
 	episodeSeconds        = 2.0     // time after a cut in which further cuts belong to the same overload
@@ -23,11 +23,11 @@
 const (
 	lowPressure                  = 0.4     // pressure up to which the limit may grow
 	minUsedShare                 = 0.8     // share of the limit that must be admitted for the limit to grow
-	fastGrowthFactor             = 1.03    // growth factor per sample, well below the rate of the last overload
+	fastGrowthFactor             = 1.03    // growth factor per sample, while well below the rate of the last overload
 	nearOverloadShare            = 0.95    // share of the rate of the last overload above which the limit grows slowly
 	initialSlowGrowth            = 0.004   // initial slow growth per sample, as a fraction of the limit
 	maxSlowGrowth                = 0.02    // maximum slow growth per sample, as a fraction of the limit
-	growthDoublingSecondsSquared = 8       // square of the seconds since the last cut at which slow growth has doubled
+	growthDoublingSecondsSquared = 8       // slow growth has doubled when the seconds since the last cut, squared, reach this
 	maxCPUShare                  = 0.9     // target share of the processors in use
 	idleCPUGrowth                = 0.3     // growth per sample, as a fraction of the limit, per unit of CPU share below maxCPUShare
 	minLimitShare                = 1.0 / 4 // minimum of the limit, as a share of the best rate
