--- a/internal/loadshed/connections_test.go
+++ b/internal/loadshed/connections_test.go
@@ -7,8 +7,9 @@
 	"flintspread/internal/loadshed"
 )
 
-// Eviction begins with clients that sent no request in time, then takes the longest idle, newly connected clients, and
-// clients that are sending their first request. The second part shows the split of a machine's descriptors.
+// The order of eviction is: clients that sent no request in time, idle clients, newly connected clients, and clients that
+// are sending their first request; among equals, the longest idle first. The second part shows the split of a machine's
+// descriptors.
 func ExampleClientConn_EvictBefore() {
 	const now = 10
 	conns := map[string]loadshed.ClientConn{
--- a/internal/loadshed/memory.go
+++ b/internal/loadshed/memory.go
@@ -2,7 +2,7 @@
 
 const (
 	readPauseShare      = 0.7  // share of the memory budget above which reads from clients pause
-	maxReadPauseSeconds = 0.25 // maximum wait of a read; it then proceeds, and a full budget rejects requests
+	maxReadPauseSeconds = 0.25 // maximum wait of a read; it then proceeds, and requests are rejected if the budget is full
 )
 
 // ReadPauseSeconds returns the maximum time that a read from a client waits for memory, given the share of the memory
--- a/internal/loadshed/readiness.go
+++ b/internal/loadshed/readiness.go
@@ -7,8 +7,8 @@
 )
 
 // ReadinessDelaySeconds returns how long after its start a router that has received nothing from discovery reports that
-// it is not ready. The delay is short: a rolling restart allows only a few seconds for each router, and a router
-// without endpoints rejects requests with a retry-after time.
+// it is not ready. The delay is short, because a rolling restart allows only a few seconds for each router. A router that
+// is ready without endpoints rejects requests with a retry-after time.
 func ReadinessDelaySeconds(hasEndpoints bool) float64 {
 	if hasEndpoints {
 		return listCorrectionWaitSeconds
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -43,8 +43,8 @@
 	return r.now - r.waiting[0].arrivedAt
 }
 
-// offer adds one request to the queue and serves waiting requests as far as the capacity until the next one allows. done
-// is called with the result of each request served or shed.
+// offer adds one request to the queue, one arrival interval after the previous one, and serves waiting requests with the
+// work capacity of that interval. done is called with the result of each request served or shed.
 func (r *simRouter) offer(rate float64, request Request, done func(request Request, admitted bool)) {
 	r.now += 1 / rate
 	r.waiting = append(r.waiting, waitingRequest{request, r.now})
@@ -179,7 +179,7 @@
 		for i := range r.received {
 			admitted += r.received[i] - r.shed[i]
 		}
-		// At full use, (1-0.1*loadFactor)/0.9 of the capacity serves requests: shedding one takes a tenth of its work.
+		// At full use, (1-0.1*loadFactor)/0.9 of the capacity serves requests: shedding takes a tenth of serving's work.
 		if got, minUse := float64(admitted)/60/1000, 0.7*(1-0.1*loadFactor)/0.9; got < minUse {
 			t.Errorf("at %g times the capacity, %.2f of it is used, want at least %.2f", loadFactor, got, minUse)
 		}
--- a/internal/loadshed/shutdown.go
+++ b/internal/loadshed/shutdown.go
@@ -3,7 +3,7 @@
 // The schedule of a graceful shutdown, in seconds.
 const (
 	acceptSeconds      = 0.7 // time after the signal during which new connections are accepted if there is room
-	killMarginSeconds  = 0.7 // added to the longest request timeout; the process may be killed after that time
+	killMarginSeconds  = 0.7 // time after the longest request timeout at which the process may be killed
 	maxTimeoutSeconds  = 3.0 // cap on the request timeout in this schedule
 	lastRequestSeconds = 0.6 // time before the kill at which client connections stop accepting requests
 	lastAnswerSeconds  = 0.3 // time before the kill by which every accepted request must be answered
@@ -16,7 +16,7 @@
 	ServeUntil  float64 // end of accepting requests on open connections
 	AnswerBy    float64 // deadline of the answers to all accepted requests
 	KillAfter   float64 // time from which the process may be killed
-	GiveUpAt    float64 // remaining answers are abandoned: only answers that clients do not read remain by then
+	GiveUpAt    float64 // when answers are abandoned; by then, only those that clients do not read remain
 }
 
 // PlanShutdown returns the schedule for the longest request timeout. Clients may have no other router to use: there may
