--- a/internal/router/configversions.go
+++ b/internal/router/configversions.go
@@ -81,8 +81,8 @@
 	return outcome, err
 }
 
-// recheck re-evaluates the version that waits for its endpoint list, and returns the outcome of the version waiting,
-// which may have been applied or replaced since it was offered.
+// recheck re-evaluates the version that the proxy keeps waiting for its endpoint list. It returns the outcome of waiting,
+// a version offered earlier with the outcome Waiting, which may have been applied or replaced since then.
 func (v *configVersions) recheck(waiting *configstate.Version) (configstate.Outcome, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -125,7 +125,8 @@
 	w.gauge(endpointListAge, stats.EndpointListAgeSeconds)
 }
 
-// writeConnections writes the counts of client and endpoint connections, and of what was refused or delayed on them.
+// writeConnections writes the counts of client and endpoint connections, of refused requests and connections, and of
+// delayed reads.
 func (w metricWriter) writeConnections(stats proxy.Stats) {
 	w.counter(refusedTotal, float64(stats.InvalidRequests), "requests")
 	w.counter(refusedTotal, float64(stats.ClientsRefused), "connections")
--- a/internal/router/releases.go
+++ b/internal/router/releases.go
@@ -32,7 +32,7 @@
 }
 
 // applyRelease applies a release update. Updates arrive on the stream and in replies to votes, so an update may arrive
-// after a newer one; it is then dropped.
+// after a newer one; such an update is dropped.
 func (r *Router) applyRelease(update *releases.Update) error {
 	if err := update.Check(len(r.config.Release.StageShares)); err != nil {
 		return err
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -60,8 +60,8 @@
 }
 
 // Run serves until ctx ends, then drains the accepted requests and returns. It blocks until every goroutine that it
-// started has ended. An error before "serving" is logged means that the router could not start; a later error gives the
-// reason why serving ended, or reports that requests were not answered.
+// started has ended. If it returns an error without having logged "serving", the router could not start; otherwise the
+// error gives the reason why serving ended, or reports that requests were not answered.
 func Run(ctx context.Context, settings *config.Router, log *slog.Logger) error {
 	if err := os.MkdirAll(settings.StateDir, 0o755); err != nil {
 		return err
