--- a/internal/router/configversions_test.go
+++ b/internal/router/configversions_test.go
@@ -42,7 +42,7 @@
 
 	mu            sync.Mutex
 	answers       map[string]int // number of answers by "STATUS by version NUMBER"
-	wrongVersions []string       // answers that another version gave on a route that only one version has
+	wrongVersions []string       // answers on a version's own route that another version gave
 }
 
 var documentPattern = regexp.MustCompile(`(?s):schema.*\}`)
@@ -144,8 +144,8 @@
 	}
 }
 
-// get sends a request, and returns "STATUS by version NUMBER" or an error. It records an answer that another version
-// gave on the route of one version. headers holds pairs of a name and a value.
+// get sends a request, and returns "STATUS by version NUMBER" or an error. It records an answer on a version's own route
+// (/only-NUMBER/) that another version gave. headers holds pairs of a name and a value.
 func (f *fixture) get(path string, headers ...string) string {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+f.listenAddr+path, nil)
 	for i := 0; i < len(headers); i += 2 {
@@ -214,6 +214,7 @@
 	document := func(number, requiredList uint64, text string) *discovery.DiscoveryResponse {
 		return fakes.DocumentResponse("r1", number, requiredList, text)
 	}
+	// set does the same as send, and makes the response the first one of its type on new streams.
 	set := func(response *discovery.DiscoveryResponse) {
 		t.Helper()
 		f.sendAndWait(func() { control.Set(response) })
@@ -282,7 +283,7 @@
 	waitUntilServing(5)
 	set(endpointList(7))
 	set(document(5, 7, f.documentText(5)))
-	// The streams break, and nothing has changed when they are back.
+	// The streams break, and nothing has changed when they are established again.
 	lines := len(control.Log())
 	control.CloseStreams()
 	f.eventually("the streams begin again", func() bool { return len(control.Log()) >= lines+2 })
--- a/internal/router/releases_test.go
+++ b/internal/router/releases_test.go
@@ -8,9 +8,9 @@
 	"flintspread/internal/releases"
 )
 
-// TestReadReleaseOfEarlierVersion guards against a changed file format: a router must be able to start with the release
-// that the program of commit abfd351 saved, and that program with the release that this one saves. The origin of the
-// file is described in internal/storedformats/testdata/abfd351/README.md.
+// A changed file format would make a router lose its release on an upgrade or a downgrade: it must be able to start with
+// the release that the program of commit abfd351 saved, and that program with the release that the present one saves.
+// The origin of the file is described in internal/storedformats/testdata/abfd351/README.md.
 func TestReadReleaseOfEarlierVersion(t *testing.T) {
 	const file = "../storedformats/testdata/abfd351/news.json"
 	saved, err := readRelease(file, 2)
