--- a/internal/releases/update.go
+++ b/internal/releases/update.go
@@ -29,7 +29,7 @@
 	validStage := u.Stage >= 0 && u.Stage < stages
 	validLimit := u.CanaryLimit >= 0 && u.CanaryLimit <= 1                 // false for NaN
 	if u.Build < 0 || !validStage || !validLimit || !(u.AgeSeconds >= 0) { // the last condition also rejects NaN
-		return fmt.Errorf("build %d stage %d cap %v age %v: stages are 0 to %d, a cap 0 to 1, none is below 0",
+		return fmt.Errorf("build %d, stage %d, cap %v, age %v: want build and age at least 0, stage from 0 to %d, cap from 0 to 1",
 			u.Build, u.Stage, u.CanaryLimit, u.AgeSeconds, stages-1)
 	}
 	return nil
--- a/internal/watch/backoff.go
+++ b/internal/watch/backoff.go
@@ -1,6 +1,6 @@
 package watch
 
-// maxDoublings bounds the exponent in Backoff, because the number of attempts is unbounded.
+// maxDoublings bounds the exponent in Backoff: the number of attempts is unbounded, and a larger power could overflow.
 const maxDoublings = 40
 
 // Backoff returns the pause in seconds before reconnecting to a service to which many clients may reconnect at once:
