--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -23,7 +23,7 @@
 
 const (
 	maxEndpoints = 100_000
-	maxBuilds    = 1 << 16
+	maxBuilds    = 1 << 16 // builds are numbered from 0 to maxBuilds-1
 )
 
 // Endpoint is one entry of an update or a list. Addr may be empty only if State is StateGone.
