--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -174,7 +174,7 @@
 		}
 		sim.now -= 10
 		sim.startController(0)
-		sim.now += 10 // it has been running for long enough to grant leases
+		sim.now += 10 // the controller has been running for long enough to grant leases
 		anyRouter := func(t *rapid.T) *simRouter { return sim.routers[rapid.IntRange(0, 2).Draw(t, "router")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"time passes": func(t *rapid.T) { sim.now += rapid.Float64Range(0, 1.5).Draw(t, "seconds") },
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// testClasses holds the latency objective in seconds and the priority weight of each class.
 var testClasses = []RequestClass{{0.3, 2}, {0.6, 3}, {0.3, 1}}
 
 // capacity is the work per second that a simulated router can do.
@@ -121,6 +122,7 @@
 func Example_fairness() {
 	r := newSimRouter()
 	var shed, received [2]int
+	// count overloads the router, and then counts 20000 further requests, received and shed, by group.
 	count := func(fromHotClient func(int) bool, retry func(int) bool) {
 		r.run(2000, 3, twentyClients)
 		shed, received = [2]int{}, [2]int{}
