--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -23,7 +23,7 @@
 
 const (
 	maxEndpoints = 100_000
-	maxBuilds    = 1 << 16
+	maxBuilds    = 1 << 16 // builds are numbered from 0 to maxBuilds-1
 )
 
 // Endpoint is one entry of an update or a list. Addr may be empty only if State is StateGone.
@@ -43,7 +43,7 @@
 type Update struct {
 	Version    uint64     `json:"version"`
 	Full       bool       `json:"full,omitempty"`
-	AgeSeconds float64    `json:"age,omitempty"` // seconds since the service knew this state to be current, by its clock
+	AgeSeconds float64    `json:"age,omitempty"` // time since the service last knew this state to be current, on its clock
 	Endpoints  []Endpoint `json:"units,omitempty"`
 }
 
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// testClasses holds the latency objective in seconds and the priority weight of each class.
 var testClasses = []RequestClass{{0.3, 2}, {0.6, 3}, {0.3, 1}}
 
 // capacity is the work per second that a simulated router can do.
@@ -43,8 +44,8 @@
 	return r.now - r.waiting[0].arrivedAt
 }
 
-// offer adds one request to the queue and serves waiting requests as far as the capacity until the next one allows. done
-// is called with the result of each request served or shed.
+// offer adds one request to the queue, one arrival interval after the previous one, and serves waiting requests with the
+// work capacity of that interval. done is called with the result of each request served or shed.
 func (r *simRouter) offer(rate float64, request Request, done func(request Request, admitted bool)) {
 	r.now += 1 / rate
 	r.waiting = append(r.waiting, waitingRequest{request, r.now})
@@ -121,6 +122,7 @@
 func Example_fairness() {
 	r := newSimRouter()
 	var shed, received [2]int
+	// count overloads the router, and then counts 20000 further requests, received and shed, by group.
 	count := func(fromHotClient func(int) bool, retry func(int) bool) {
 		r.run(2000, 3, twentyClients)
 		shed, received = [2]int{}, [2]int{}
@@ -179,7 +181,7 @@
 		for i := range r.received {
 			admitted += r.received[i] - r.shed[i]
 		}
-		// At full use, (1-0.1*loadFactor)/0.9 of the capacity serves requests: shedding one takes a tenth of its work.
+		// At full use, (1-0.1*loadFactor)/0.9 of the capacity serves requests: shedding takes a tenth of serving's work.
 		if got, minUse := float64(admitted)/60/1000, 0.7*(1-0.1*loadFactor)/0.9; got < minUse {
 			t.Errorf("at %g times the capacity, %.2f of it is used, want at least %.2f", loadFactor, got, minUse)
 		}
