--- a/internal/metricsanalysis/analyzer.go
+++ b/internal/metricsanalysis/analyzer.go
@@ -20,7 +20,7 @@
 	firstResultAt float64 // +Inf: no result yet
 	newestValueAt float64 // timestamp of the newest value of any series; -Inf: no value yet
 	series        map[seriesKey]*seriesState
-	removed       map[int]counts // total counts of endpoints that left the list, by build
+	removed       map[int]counts // total counts of endpoints that left the list or changed their build, by former build
 }
 
 // seriesKey identifies a series of a server.
@@ -70,7 +70,8 @@
 	}
 }
 
-// SetRelease makes build the newest build, and resets all counts if it was not the newest before.
+// SetRelease makes build the newest build. If it was not the newest before, all total counts are reset, but not the
+// recent counts, from which health marks are derived.
 func (a *Analyzer) SetRelease(build int) {
 	if build == a.newestBuild {
 		return
@@ -127,7 +128,8 @@
 	return updater.summary
 }
 
-// trackSeries returns the state of a series, creating it if needed. It returns nil if maxSeries others are tracked.
+// trackSeries returns the state of a series, creating it if needed. It returns nil if the series is new and maxSeries
+// series are tracked already.
 func (a *Analyzer) trackSeries(server *serverState, key seriesKey) *seriesState {
 	if state := server.series[key]; state != nil {
 		return state
--- a/internal/metricsanalysis/evidence.go
+++ b/internal/metricsanalysis/evidence.go
@@ -13,22 +13,23 @@
 
 const (
 	minMark              = 1.0 / 32 // smaller marks are dropped
-	priorSuccesses       = 2.0      // prior: successful recent outcomes assumed in addition to those of each endpoint
-	disputeMinDifference = 0.1      // servers disagree if their failure shares differ by more than this,
-	disputeMinOutcomes   = 20.0     // and both have counted at least this many outcomes
+	priorSuccesses       = 2.0      // successes added to the recent outcomes of each endpoint, as a prior
+	disputeMinDifference = 0.1      // difference between two servers' shares above which the endpoint is disputed
+	disputeMinOutcomes   = 20.0     // outcomes that each of two servers must have counted for a comparison
 )
 
 // reading is the current state of a series at one server, or merged from several servers.
 type reading struct {
 	share  float64 // share of failures; for gauges, the mark before weight and decay
 	counts counts  // for Counts only
-	mark   float64 // 0 to 1
+	mark   float64 // strength of the health mark, 0 to 1
 }
 
 // Evidence returns the servers' merged counts by endpoint and build, for the newest build and all earlier ones.
+// The counts of endpoints that left the list are in samples of endpoint 0.
 func (a *Analyzer) Evidence(now float64) policy.MetricsEvidence {
 	evidence := policy.MetricsEvidence{Evidence: policy.Evidence{Build: a.newestBuild}}
-	indexes := map[seriesKey]int{}
+	indexes := map[seriesKey]int{} // into evidence.Samples
 	for i := range a.queries {
 		query := &a.queries[i]
 		if query.Meaning != Counts {
@@ -82,8 +83,8 @@
 	return marks
 }
 
-// DisputedEndpoints returns the number of endpoints for which the servers' results for a query differed at the last
-// comparison. Evidence and HealthMarks compare the results.
+// DisputedEndpoints returns the number of endpoints for which the servers' results for a query differed when Evidence or
+// HealthMarks last compared them.
 func (a *Analyzer) DisputedEndpoints(queryName string) int { return a.disputed[queryName] }
 
 // FreshEndpoints returns the number of endpoints for which a server's newest value for a query is not stale.
@@ -118,9 +119,9 @@
 	a.disputed[q.Name] = disputed
 }
 
-// readings returns the servers' readings of each series of a query. Servers whose values are all stale are ignored,
-// including the counts from their earlier results. Otherwise counts are kept for endpoints that left the list, and for
-// those of which no server has a fresh value.
+// readings returns the servers' readings of each series of a query. A server whose values are all stale is ignored, with
+// all its counts. Of the other servers, those with a fresh value of the series are used. If none has one, their earlier
+// counts of the series are used, which include those of endpoints that left the list; gauges have no reading then.
 func (a *Analyzer) readings(now float64, queryIndex int) map[seriesKey][]reading {
 	q := &a.queries[queryIndex]
 	fresh, stale := map[seriesKey][]reading{}, map[seriesKey][]reading{}
@@ -186,9 +187,9 @@
 	return differ && comparable
 }
 
-// lowerMedian merges the servers' readings of one series: it returns the one with the lower median of the shares. Of two
-// readings this is the lower one, so that failures count only if both servers report them. With three or more servers, a
-// single faulty server cannot determine the result.
+// lowerMedian merges the servers' readings of one series: it returns the reading with the median share, or the lower of
+// the two middle ones if their number is even. With two servers, failures thus count only if both report them. With
+// three or more servers, a single faulty server cannot determine the result.
 func lowerMedian(readings []reading) reading {
 	slices.SortStableFunc(readings, func(a, b reading) int { return cmp.Compare(a.share, b.share) })
 	return readings[(len(readings)-1)/2]
--- a/internal/metricsanalysis/metricsanalysis.go
+++ b/internal/metricsanalysis/metricsanalysis.go
@@ -28,7 +28,7 @@
 	MaxClockSkewSeconds float64 // maximum lead of a server's clock
 	Weight              float64 // 0 to 1; scales the marks and counts from this query
 	Limit               float64 // for Quantile and Saturation: value above which an endpoint is marked
-	// IndependentOfRouters says that the counts include no attempts of this relay's routers. Otherwise the policy
+	// IndependentOfRouters says that the counts include no attempts of this router group. Otherwise the policy
 	// subtracts the attempts that the routers reported, so that no outcome counts twice.
 	IndependentOfRouters bool
 }
--- a/internal/metricsanalysis/scheduler.go
+++ b/internal/metricsanalysis/scheduler.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	minIntervalFactor  = 4.0  // minimum time between two starts of a job, in response times of its server
+	minIntervalFactor  = 4.0  // minimum time between two starts of a job, as a multiple of its server's response time
 	averageGain        = 0.25 // weight of a new value in the moving averages of response time and lateness
-	budgetBurstSeconds = 0.25 // budget can accumulate for a burst of this duration
+	budgetBurstSeconds = 0.25 // unused budget accumulates up to the amount for this duration
 	maxBackoffFailures = 30   // consecutive failures above which a pause is no longer doubled
 )
 
 // Bounds limits the cost of the queries to all servers together.
 type Bounds struct {
-	QueriesPerSecond  float64 // budget; bursts are limited to budgetBurstSeconds of it
+	QueriesPerSecond  float64 // budget; unused budget accumulates for at most budgetBurstSeconds
 	MaxInFlight       int     // maximum number of jobs in flight
 	MaxBackoffSeconds float64 // longest pause of a failing server or query
 }
@@ -117,7 +117,8 @@
 	return StartedJob{job.Job, job, now}, true, 0
 }
 
-// refillBudget adds the budget for the time since the last refill.
+// refillBudget adds the budget for the time since the last refill. However low the rate is, the budget can accumulate to
+// the cost of a pair of queries, 2.
 func (s *Scheduler) refillBudget(now float64) {
 	s.budget = min(s.budget+(now-s.budgetAt)*s.bounds.QueriesPerSecond, max(2, budgetBurstSeconds*s.bounds.QueriesPerSecond))
 	s.budgetAt = now
--- a/internal/metricsanalysis/series.go
+++ b/internal/metricsanalysis/series.go
@@ -16,8 +16,8 @@
 	started  bool    // a value was accepted
 	valueAt  float64 // timestamp of the newest value
 	counters counts  // newest values of the counters
-	total    counts  // increases since the newest build was set
-	recent   counts  // increases, decaying with markDecaySeconds
+	total    counts  // sum of the increases since the newest build was set; decays for counts of slow responses
+	recent   counts  // sum of the increases, decaying with markDecaySeconds
 	gauge    float64 // newest value of a series that is not a counter
 }
 
@@ -143,7 +143,9 @@
 }
 
 // at returns the failure count from the same scrape as a value of the outcome counter: the one with the same timestamp.
-// found is false if there is none. Calls must be in the order of the timestamps.
+// found is false if there is none. If the result has no failure counter, the failure count is that of the previous
+// value, or 0 if there is no previous value or the outcome counter has decreased. Calls must be in the order of the
+// timestamps.
 func (f *failureCounter) at(outcome Point, series *seriesState) (failure Point, found bool) {
 	if !f.exists {
 		failure = Point{At: outcome.At}
