--- a/internal/platform/control/client.go
+++ b/internal/platform/control/client.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	maxLineBytes   = 8 << 10         // of a line from the platform, with its CRLF
+	maxLineBytes   = 8 << 10         // maximum length of a line from the platform, including its CRLF
 	silenceTimeout = 3 * time.Second // maximum time without a line; the platform sends a line every second
 	dialTimeout    = time.Second
 
 	// Limits of the backoff before reconnecting.
 	backoffMinSeconds = 0.05
 	backoffMaxSeconds = 1.0
-	// After a connection that lasted longer than backoffResetAfter, the backoff starts again from its minimum: such a
-	// connection must have received data.
+	// backoffResetAfter is the lifetime of a connection above which the backoff restarts from its minimum. Such a
+	// connection must have received data, since one without data ends after dialTimeout and silenceTimeout at the
+	// latest.
 	backoffResetAfter = 2 * silenceTimeout
 )
 
--- a/internal/platform/control/protocol.go
+++ b/internal/platform/control/protocol.go
@@ -17,7 +17,7 @@
 	pushPrefix      = "*"
 	progressPush    = "progress"  // * progress BUILD STAGE PHASE CAP AGE_MS
 	wrongAnswerPush = "complaint" // * complaint HOST CLASS AGE_MS
-	metricsPush     = "metrics"   // * metrics BUILD CLASS N N N N
+	metricsPush     = "metrics"   // * metrics BUILD CLASS, followed by four counts
 	okReply         = "OK"
 	errorReply      = "ERR"
 
--- a/internal/platform/control/votes.go
+++ b/internal/platform/control/votes.go
@@ -64,8 +64,8 @@
 	return c.pendingCalls[0]
 }
 
-// removeOldestCall removes the oldest pending call on conn, which has received its reply. The first call of a connection
-// is the follow call; votes can be cast once it is accepted.
+// removeOldestCall removes the oldest pending call on conn, which has received its reply. It also records that the
+// follow call, the first call on each connection, was accepted, so that votes can be cast.
 func (c *Client) removeOldestCall(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/resp/read.go
+++ b/internal/platform/resp/read.go
@@ -10,14 +10,14 @@
 	"strconv"
 )
 
-// Limits of messages.
+// Limits of messages. Replies may be larger than requests, since endpoints send far larger values than they accept.
 const (
-	MaxValueBytes   = 64 << 10  // of one value in a request
-	MaxReplyBytes   = 1 << 20   // of all values in a reply; endpoints send far larger values than they accept
-	maxRequestBytes = 160 << 10 // of all values in a request
-	maxValues       = 8         // of one message
-	maxErrorBytes   = 1 << 10   // length of an error line
-	maxLengthDigits = 10        // digits of a length field
+	MaxValueBytes   = 64 << 10  // maximum size of one value in a request
+	MaxReplyBytes   = 1 << 20   // maximum size of all values in a reply
+	maxRequestBytes = 160 << 10 // maximum size of all values in a request
+	maxValues       = 8         // maximum number of values in a message
+	maxErrorBytes   = 1 << 10   // maximum length of an error line
+	maxLengthDigits = 10        // maximum number of digits in a length field
 	minGrowBytes    = 4 << 10   // smallest step by which a value's buffer grows
 )
 
@@ -28,7 +28,7 @@
 	errorPrefix = '-'
 )
 
-// nullLength is the length of a null value.
+// nullLength is the length that is declared for a null value.
 const nullLength = -1
 
 // MalformedError describes the first fault of a message. The connection must be closed, since the start of the next
@@ -157,7 +157,7 @@
 	return value, nil
 }
 
-// readLength reads the rest of a line that holds a length up to maxLength, or nullLength.
+// readLength reads a length and the end of its line. The length must be at most maxLength; nullLength is allowed.
 func readLength(reader *bufio.Reader, maxLength int) (int, error) {
 	text, err := readLine(reader, maxLengthDigits)
 	if err != nil {
