--- a/internal/platform/discovery/message.go
+++ b/internal/platform/discovery/message.go
@@ -74,6 +74,7 @@
 	case !m.hasValidBuildAndCell():
 		return fmt.Errorf("image_id %v and block %v must be whole numbers, block from 0 to %d", m.Build, m.Cell, math.MaxUint16-1)
 	}
+	// Update.Check validates the other fields. The registry assigns the real ID and zone later.
 	const placeholderID, placeholderZone = 1, 0
 	update := endpoints.Update{Endpoints: []endpoints.Endpoint{m.endpoint(placeholderID, placeholderZone)}}
 	return update.Check()
--- a/internal/platform/discovery/registry.go
+++ b/internal/platform/discovery/registry.go
@@ -45,12 +45,12 @@
 	update := &endpoints.Update{Version: message.Version, Full: message.Full}
 	for i := range message.Members {
 		member := &message.Members[i]
-		listed := r.host(member.Host)
-		listed.leftAt = 0
+		known := r.host(member.Host)
+		known.leftAt = 0
 		if stateByHealth[member.Health] == endpoints.StateGone {
-			listed.leftAt = now
+			known.leftAt = now
 		}
-		update.Endpoints = append(update.Endpoints, member.endpoint(listed.id, r.zone(member.Zone)))
+		update.Endpoints = append(update.Endpoints, member.endpoint(known.id, r.zone(member.Zone)))
 	}
 	r.forget(now)
 	return update
--- a/internal/platform/discovery/versionguard.go
+++ b/internal/platform/discovery/versionguard.go
@@ -1,9 +1,9 @@
 package discovery
 
-// VersionGuard decides by version which full lists to accept. An outdated replica of the service may send lists older
-// than the list in force for a while; applying them would restore endpoints that have drained or left since. If only
-// older lists arrive for long enough, the guard assumes that the service has restarted its version numbers, and accepts
-// them.
+// VersionGuard decides by version which full lists to accept. An outdated replica of the service may for a while
+// send lists that are older than the list in force; applying them would restore endpoints that have drained or left
+// since. If only older lists arrive for long enough, the guard assumes that the service has restarted its version
+// numbers, and accepts them.
 type VersionGuard struct {
 	outdatedSince float64 // instant of the first of consecutive outdated lists; 0 if the last list was current
 }
--- a/internal/platform/node/discovery.go
+++ b/internal/platform/node/discovery.go
@@ -10,8 +10,8 @@
 )
 
 // Limits of a discovery watch. The discovery agent runs on the same machine and sends a heartbeat every 2 s. The
-// platform considers a change known to the router 6 s after it was sent, or as soon as an agent that was unavailable is
-// back, and counts the drain grace period from then. Two watches that time out for silence, and a reconnect, fit into
+// platform assumes that the router knows a change 6 s after it was sent, or as soon as an agent that was unavailable is
+// back; the grace period of a drain starts then. Two watches that end because of silence, and a reconnect, fit into
 // these 6 s.
 const (
 	discoverySilenceSeconds    = 2.5 // time without data after which a watch ends
@@ -86,7 +86,7 @@
 		return err
 	}
 	if replaced := f.recordData(); replaced && message.Full {
-		return nil // only full lists of the current follower are used
+		return nil // full lists are applied only if they come from the current follower
 	}
 	if err := f.node.applyDiscovery(message); err != nil {
 		return err
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -28,7 +28,7 @@
 // Values that the platform's specification prescribes and the configuration file does not contain.
 const (
 	clientReadSeconds     = 2.3    // timeout for the first byte from a client, and again for the rest of a request
-	clientIdleSeconds     = 2.2    // idle timeout of a client connection; the platform allows closing one after 2 s
+	clientIdleSeconds     = 2.2    // idle timeout of a client connection; the platform permits closing it after 2 s
 	forgetEndpointSeconds = 60.0   // time to remember an endpoint after it left the list
 	maxOneWayKeys         = 50_000 // maximum number of one-way keys to remember
 
@@ -155,8 +155,8 @@
 
 // stopAccepting executes the shutdown plan until no more requests are accepted, and blocks until then. Clients may not
 // know of the shutdown yet, or have no other router, so requests are accepted as long as there is time to answer them.
-// ServeUntil is before AcceptUntil only if the longest request timeout is below 0.6 s; otherwise the second sleep's
-// duration is not positive, so it returns immediately.
+// ServeUntil is before AcceptUntil only if the longest request timeout is below 0.6 s; otherwise the second sleep has
+// no positive duration and returns immediately.
 func (n *Node) stopAccepting(listener net.Listener) {
 	plan := n.shutdownPlan
 	n.proxy.SetAnswerDeadline(n.proxy.Now() + plan.AnswerBy)
