--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -61,7 +61,7 @@
 	return c, err
 }
 
-// Policy returns the configuration of the decision core.
+// Policy returns the configuration for package policy.
 func (c *Controller) Policy() policy.Config { return c.policy }
 
 // Document returns the controller's settings that a configuration version may replace.
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -107,7 +107,7 @@
 
 // isRequired reports whether the key of a field must be in the text. Keys of structs, and of fields with a validate tag
 // that does not begin with omitempty, are required. The validator cannot check this, because the decoder leaves the
-// field of a missing key at 0.
+// field of a missing key at its zero value.
 func isRequired(f reflect.StructField) bool {
 	checks := f.Tag.Get("validate")
 	return f.Type.Kind() == reflect.Struct || checks != "" && !strings.HasPrefix(checks, "omitempty")
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -37,8 +37,8 @@
 	// HeadBytes and BodyBytes are the maximum sizes of the head and the body of a request.
 	HeadBytes int64 `edn:"head-bytes" validate:"gte=1024"`
 	BodyBytes int64 `edn:"body-bytes" validate:"gte=0"`
-	// ReadTimeoutSeconds is the time within which a client must have sent a request, and received an answer,
-	// completely.
+	// ReadTimeoutSeconds is the time within which a client must have sent a request completely, and again the time
+	// within which it must have received an answer completely.
 	ReadTimeoutSeconds float64 `edn:"read-time" validate:"gt=0"`
 	// IdleTimeoutSeconds is the time after which an idle connection is closed.
 	IdleTimeoutSeconds float64 `edn:"idle-time" validate:"gt=0"`
@@ -99,7 +99,8 @@
 	CanaryLimitPerClass bool `edn:"count-per-op-type"`
 	// IdempotentOnlyStages is the number of initial rollout stages in which the canary gets idempotent requests only.
 	IdempotentOnlyStages int `edn:"guarded-stages" validate:"gte=0"`
-	// OneWayKeys forbids sending a request to an earlier build than one that has answered a request with the same key.
+	// OneWayKeys means that once a build has answered a request with a key, no later request with this key is sent to an
+	// earlier build.
 	OneWayKeys bool `edn:"one-way-keys"`
 	// MaxRememberedKeys is the maximum number of keys remembered for OneWayKeys.
 	MaxRememberedKeys int `edn:"keys-kept" validate:"gte=0"`
@@ -175,7 +176,7 @@
 	return d, d.validate(locator{name, positions})
 }
 
-// Policy returns the configuration of the decision core.
+// Policy returns the configuration for package policy.
 func (d *Document) Policy() policy.Config { return d.policy }
 
 // ClassOf returns the index of the request class for a method and path, or -1 if no route matches.
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -25,7 +25,7 @@
 // are sent two to three ticks before it.
 const minTimeoutTicks = 3
 
-// policyConfig builds the configuration of the decision core. It rejects values that are valid individually but
+// policyConfig builds the configuration for package policy. It rejects values that are valid individually but
 // contradict each other.
 func policyConfig(loc locator, rules Rules, release Release, classes []RequestClass) (policy.Config, error) {
 	if err := validateStages(loc, rules, release); err != nil {
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// scanEnd skips discarded forms, and then the given closing delimiter if it comes next. It reports whether it did.
+// scanEnd skips discarded forms, and then the given closing delimiter if it comes next. It reports whether the delimiter
+// was skipped.
 func (p *positions) scanEnd(delimiter byte) (bool, error) {
 	for {
 		p.skipBlank()
