--- a/internal/promclient/poller.go
+++ b/internal/promclient/poller.go
@@ -59,7 +59,7 @@
 	chunks      [][]queryChunk // by query
 	idByAddress map[string]uint32
 	buildByID   map[uint32]int
-	lastCauses  map[serverQuery]Cause // of the queries that failed last time; only changes are logged
+	lastCauses  map[serverQuery]Cause // causes of the queries that failed last time, so that only changes are logged
 }
 
 // serverQuery identifies a query to a server, by indexes.
@@ -263,8 +263,8 @@
 	return series, totals, err
 }
 
-// finishJob reports the outcome of a job to the scheduler. queryErr is its error, or nil. The results tell whether the
-// same query to the same server failed last time, and the cause.
+// finishJob reports the outcome of a job to the scheduler. queryErr is its error, or nil. It returns whether the same
+// query to the same server failed last time, and with which cause.
 func (p *Poller) finishJob(now float64, job metricsanalysis.StartedJob, queryErr *QueryError) (lastCause Cause, wasFailing bool) {
 	retryAfterSeconds, outcome := 0.0, metricsanalysis.JobSucceeded
 	if queryErr != nil {
--- a/internal/promclient/transport.go
+++ b/internal/promclient/transport.go
@@ -9,8 +9,8 @@
 // errResponseTooLarge is the error of a response that exceeds the byte limit.
 var errResponseTooLarge = errors.New("response exceeds the byte limit")
 
-// responseHead holds the parts of a response that the API client does not return. boundedTransport stores them in the
-// responseHead in the request's context, which has the key responseHeadKey.
+// responseHead holds the parts of a response that the API client does not return. The caller passes a *responseHead in
+// the request's context, under the key responseHeadKey, and boundedTransport fills it.
 type responseHead struct {
 	status     int // HTTP status; 0: no response
 	retryAfter string
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -30,7 +30,7 @@
 
 	BackoffMinSeconds float64 // initial backoff between connections
 	BackoffMaxSeconds float64 // maximum backoff between connections
-	SilenceSeconds    float64 // timeout of a keep-alive ping; also the idle time before a ping, if above 10 s
+	SilenceSeconds    float64 // timeout of a keep-alive ping, and the idle time before one, which is at least 10 s
 	RecheckSeconds    float64 // interval at which a waiting version is rechecked
 	MaxResponseBytes  int     // maximum size of a response; a larger one breaks the stream before it is buffered
 }
--- a/internal/xds/document.go
+++ b/internal/xds/document.go
@@ -13,7 +13,7 @@
 )
 
 // ReadDocument reads the single document of a response as a configuration version for a router group, with the checks
-// that a settings file gets. The service receives its error as the reason of the rejection.
+// that a settings file gets. The service receives the error as the reason of the NACK.
 func ReadDocument(response *discovery.DiscoveryResponse, routerGroup string) (*configstate.Version, error) {
 	if len(response.Resources) != 1 {
 		return nil, fmt.Errorf("%d documents; one is wanted", len(response.Resources))
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -80,7 +80,7 @@
 func (s *Session) Acknowledge(response *discovery.DiscoveryResponse, reason error) *discovery.DiscoveryRequest {
 	sub := s.subscriptions[response.TypeUrl]
 	if reason == nil {
-		sub.accepted = response.VersionInfo // in force even if this returns nil
+		sub.accepted = response.VersionInfo // the version is in force even if no answer is sent
 	}
 	if sub.pending != response {
 		return nil
